--- /dev/null
+++ b/settings/tests/names.rs
@@ -0,0 +1,61 @@
+//! The settings' keys and values, each with one that is not its default. The names are the operators' own and never change.
+
+use ochrepond::{Class, Goal, Limits, Repeat, Rules, Scope, Settings, Tenant};
+use ochrepond_settings::{read, zone};
+use serde_json::json;
+
+#[test]
+fn each_key_of_the_settings_is_read_under_its_name() {
+    let class = |name: &str, idempotency: &str, scope: &str| {
+        json!({"name": name, "objective_us": 1, "deadline_us": 2, "worth": 3.0, "late_value": 0.5,
+            "idempotency": idempotency, "dedup_scope": scope, "repeat_window_us": 6})
+    };
+    let facts = json!({
+        "balancers": 7, "me": 5, "locality": "split-dc", "discovery": "ask", "tick_us": 8,
+        "classes": [
+            class("a", "free", ""), class("b", "guarded", "all"), class("c", "guarded", "zone"),
+            class("d", "guarded", "cell"), class("e", "single_shot", ""),
+        ],
+        "tenants": [{"name": "t", "portion": 0.25}, {"name": "u", "portion": 0.75}],
+        "limits": {"cancel": true, "probes": true, "second_copies": true, "max_attempts": 9, "max_retry_after_us": 10},
+        "invariants": {"cold_from": 0.11, "cold_us": 12, "fall_multiple": 13.0, "ask_every_us": 14, "told_after_us": 15},
+        "result_mix": {"whole": 0.16, "worst_class": 0.17},
+    });
+    let class = |repeat| Class { aim: 1, deadline: 2, worth: 3.0, late_value: 0.5, repeat };
+    let guarded = |scope| class(Repeat::Guarded { scope, window: 6 });
+    let expected = Settings {
+        balancers: 7,
+        me: 5,
+        tick: 8,
+        ask: true,
+        zone: Some(zone("split-dc")),
+        classes: vec![
+            class(Repeat::Free),
+            guarded(Scope::All),
+            guarded(Scope::Zone),
+            guarded(Scope::Cell),
+            class(Repeat::SingleShot),
+        ],
+        tenants: vec![Tenant { share: 0.25 }, Tenant { share: 0.75 }],
+        limits: Limits {
+            cancel: true,
+            probes: true,
+            second_copies: true,
+            max_attempts: 9,
+            max_retry_after: 10,
+        },
+        rules: Rules { cold_share: 0.11, cold_time: 12, fall_multiple: 13.0, ask_every: 14, told_after: 15 },
+        goal: Goal { whole: 0.16, worst_class: 0.17 },
+    };
+    let (settings, classes, tenants) = read(&facts).expect("settings");
+    assert_eq!(settings, expected);
+    assert_eq!(classes, ["a", "b", "c", "d", "e"]);
+    assert_eq!(tenants, ["t", "u"]);
+}
+
+/// Two programs that number zones differently would take each other's zones for foreign ones.
+#[test]
+fn a_zones_number_is_the_hash_of_its_name() {
+    assert_eq!(zone("").0, 0x811c_9dc5);
+    assert_eq!(zone("a").0, 0xe40c_292c);
+}
