--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -4,7 +4,7 @@
 
 mod wire;
 
-use ochrepond::{Action, Balancer, CallId, ClassId, Entry, Event, ListKind, Outcome, ServerId, TenantId};
+use balancer::{Action, Balancer, CallId, ClassId, Entry, Event, ListKind, Outcome, ServerId, TenantId};
 use std::collections::HashMap;
 use std::io::{self, BufRead, Write};
 use wire::{Batch, Command, Input, Reply};
@@ -82,7 +82,7 @@
             let facts = need(input.facts, verb, "facts")?;
             let seed = need(input.seed, verb, "seed")?;
             let (settings, classes, tenants) =
-                ochrepond_settings::read(&facts).map_err(|e| format!("facts: {e}"))?;
+                balancer_settings::read(&facts).map_err(|e| format!("facts: {e}"))?;
             let balancer = Balancer::new(seed, settings);
             let (numbers, names) = (HashMap::new(), HashMap::new());
             let instance = Instance { balancer, classes, tenants, numbers, names, next: 0 };
@@ -226,7 +226,7 @@
                 }
             }
             Err(fault) => {
-                eprintln!("ochrepond-adapter: line {}: {fault}", index + 1);
+                eprintln!("simulator-adapter: line {}: {fault}", index + 1);
                 std::process::exit(1);
             }
         }
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! Messages of the wire, as they are read and written.
 
-use ochrepond::{CellId, Entry, Load, Outcome, ServerId, State};
-use ochrepond_settings::zone;
+use balancer::{CellId, Entry, Load, Outcome, ServerId, State};
+use balancer_settings::zone;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
--- a/adapter/tests/names.rs
+++ b/adapter/tests/names.rs
@@ -58,7 +58,7 @@
 
 #[test]
 fn replies_keep_the_names_of_the_wire_to_the_byte() {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_ochrepond-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
--- a/src/balance.rs
+++ b/balancer/src/balance.rs
@@ -1,7 +1,6 @@
-//! All decisions of the balancer. Its interface (settings, events, actions) is `src/api.rs`; the mechanism
-//! and the condition of each departure from it are in `docs/design.md`. Servers are `src/server.rs`, budgets
-//! `src/budget.rs`,
-//! calls for the list `src/asking.rs`.
+//! All decisions of the balancer. Its interface (settings, events, actions) is `balancer/src/api.rs`; the
+//! mechanism and the condition of each departure from it are in `docs/design.md`. Endpoints are in
+//! `server.rs`, budgets in `budget.rs`, calls for the list in `asking.rs`.
 //!
 //! A call goes to the less-loaded of two random servers under their in-flight budgets, waits in the hold when
 //! all are full, may pass one as the trial that can raise it, and is refused when no server is up.
--- a/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,10 +1,10 @@
-//! ochrepond makes the decisions of a sidecar balancer for service-to-service calls: which server
+//! balancer makes the decisions of a sidecar balancer for service-to-service calls: which server
 //! gets a call, when a call waits, goes again, is refused or fails. It does no I/O and reads no clock.
 //!
 //! A client proxy makes one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
 //!
 //! ```
-//! use ochrepond::{Action, Balancer, CallId, ClassId, Entry, Event, ListKind, ServerId, Settings, State};
+//! use balancer::{Action, Balancer, CallId, ClassId, Entry, Event, ListKind, ServerId, Settings, State};
 //!
 //! let mut balancer = Balancer::new(7, Settings::default());
 //! let mut actions = Vec::new();
@@ -39,5 +39,5 @@
 
 /// The README's example is compiled as a test too.
 #[cfg(doctest)]
-#[doc = include_str!("../README.md")]
+#[doc = include_str!("../../README.md")]
 struct Readme;
--- a/tests/cold.rs
+++ b/balancer/tests/cold.rs
@@ -2,8 +2,8 @@
 //! one cold server together, against what its rule allows.
 
 mod common;
+use balancer::*;
 use common::*;
-use ochrepond::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
--- a/tests/discovery.rs
+++ b/balancer/tests/discovery.rs
@@ -3,8 +3,8 @@
 //! wait in turn, and one that has waited too long is refused, which may take as much of the capacity as an answer.
 
 mod common;
+use balancer::*;
 use common::*;
-use ochrepond::*;
 use std::collections::VecDeque;
 
 const S: Micros = 1_000 * MS;
--- a/tests/fleet.rs
+++ b/balancer/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! One of about a hundred balancers before about sixty servers: each carries little, a few carry much.
 
 mod common;
+use balancer::*;
 use common::*;
-use ochrepond::*;
 
 /// One of a hundred, before sixty servers.
 fn one_of_many() -> Proxy {
--- a/tests/random.rs
+++ b/balancer/tests/random.rs
@@ -1,8 +1,8 @@
 //! Long odd-but-legal event sequences; the rules are checked on every action.
 
 mod common;
+use balancer::*;
 use common::*;
-use ochrepond::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/recovery.rs
+++ b/balancer/tests/recovery.rs
@@ -2,7 +2,7 @@
 //! slow down for long when they were crowded for some seconds. A zone is lost and comes back cold while another is cut
 //! off; clients come again when they were refused. What is counted is who was answered in time.
 
-use ochrepond::*;
+use balancer::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
--- a/tests/rules.rs
+++ b/balancer/tests/rules.rs
@@ -1,8 +1,8 @@
 //! The four rules, and the failures that were met: each test fails without the code that answers it.
 
 mod common;
+use balancer::*;
 use common::*;
-use ochrepond::*;
 
 const CELL: Repeat = Repeat::Guarded { scope: Scope::Cell, window: 400 * MS };
 
--- a/tests/start_times.rs
+++ b/balancer/tests/start_times.rs
@@ -1,8 +1,8 @@
 //! How long ago a server started, where the proxy's wall clock or the server's cannot be relied on.
 
 mod common;
+use balancer::*;
 use common::*;
-use ochrepond::*;
 
 const SECOND: Micros = 1_000 * MS;
 const HOUR: Micros = 3_600 * SECOND;
--- a/proxy/src/attempt.rs
+++ b/proxy/src/attempt.rs
@@ -3,7 +3,7 @@
 use crate::counters::Counters;
 use crate::rules::AttemptRecord;
 use crate::socket::{Socket, WeakSocket};
-use ochrepond::Outcome;
+use balancer::Outcome;
 use std::cell::Cell;
 use std::fmt;
 use std::future::pending;
--- a/proxy/src/config.rs
+++ b/proxy/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::admin::CALLERS_MOST;
 use crate::discovery::{List, Patience};
-use ochrepond::Settings;
+use balancer::Settings;
 use serde::Deserialize;
 use serde_json::Value;
 use std::fmt;
@@ -150,8 +150,8 @@
         let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| format!("seed: {e}"))?;
         let (settings, classes, tenants) =
-            ochrepond_settings::read(&file.settings).map_err(|e| format!("settings: {e}"))?;
-        ochrepond_settings::check(&settings).map_err(|e| format!("settings: {e}"))?;
+            balancer_settings::read(&file.settings).map_err(|e| format!("settings: {e}"))?;
+        balancer_settings::check(&settings).map_err(|e| format!("settings: {e}"))?;
         let site = Site::deserialize(&file.settings).map_err(|e| format!("settings: {e}"))?;
         if file.limits.sockets < 2 * SPARE_DESCRIPTORS {
             return Err(format!("limits: {} sockets are too few", file.limits.sockets));
--- a/proxy/src/counters.rs
+++ b/proxy/src/counters.rs
@@ -3,8 +3,8 @@
 
 use crate::attempt::Denial;
 use crate::rules::Breach;
+use balancer::{ClassId, Outcome, Reason};
 use hyper::StatusCode;
-use ochrepond::{ClassId, Outcome, Reason};
 use serde_json::{json, Value};
 use std::cell::{Ref, RefCell, RefMut};
 use std::collections::BTreeMap;
--- a/proxy/src/driver.rs
+++ b/proxy/src/driver.rs
@@ -12,12 +12,12 @@
 use crate::rules::{Allowance, Answered, RequestRecord, Target};
 use crate::server_ids::ServerIds;
 use crate::upstream::{self, Connection, End, Terms};
-use hyper::header::HeaderValue;
-use hyper::StatusCode;
-use ochrepond::{
+use balancer::{
     Action, Balancer, CallId, CellId, ClassId, Entry, Event, ListKind, Micros, Outcome, Reason, Repeat,
     ServerId, State,
 };
+use hyper::header::HeaderValue;
+use hyper::StatusCode;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -345,7 +345,7 @@
                 Health::Terminating => State::Draining,
                 Health::Gone => State::Gone,
             };
-            let (zone, cell) = (ochrepond_settings::zone(&entry.site), CellId(entry.block));
+            let (zone, cell) = (balancer_settings::zone(&entry.site), CellId(entry.block));
             let started = entry.born_ms.saturating_mul(1_000);
             entries.push(Entry { server, state, zone, cell, started, weight: entry.share });
         }
@@ -793,7 +793,7 @@
             std::mem::take(&mut host.target.standing).listed(false);
         }
         host.health = entry.health;
-        (host.target.zone, host.target.cell) = (ochrepond_settings::zone(&entry.site), CellId(entry.block));
+        (host.target.zone, host.target.cell) = (balancer_settings::zone(&entry.site), CellId(entry.block));
         server
     }
 
--- a/proxy/src/hosts.rs
+++ b/proxy/src/hosts.rs
@@ -4,7 +4,7 @@
 use crate::discovery::Health;
 use crate::rules::Target;
 use crate::upstream::Connection;
-use ochrepond::ServerId;
+use balancer::ServerId;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,5 +1,5 @@
-//! nettleworks is a client proxy: it takes an application's requests and passes each to a host of a fleet, as
-//! the decision module `ochrepond` says.
+//! client-proxy is a client proxy: it takes an application's requests and passes each to a host of a fleet, as
+//! the decision module `balancer` says.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/proxy/src/log.rs
+++ b/proxy/src/log.rs
@@ -18,7 +18,7 @@
 
 /// Writes a line.
 pub fn line(text: &str) {
-    let mut line = format!("nettleworks: {text}");
+    let mut line = format!("client-proxy: {text}");
     let end = (0..=LINE_MOST - 1).rev().find(|&end| line.is_char_boundary(end)).unwrap_or(0);
     line.truncate(end);
     line.push('\n');
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -1,9 +1,9 @@
 //! The program: reads the configuration, serves, reads it again on SIGHUP, and stops on SIGTERM.
 #![forbid(unsafe_code)]
 
-use nettleworks::config::{Config, LoadError};
-use nettleworks::failures::{retried, Kind, RETRY_PAUSE};
-use nettleworks::{admin, handover, log, Listeners};
+use client_proxy::config::{Config, LoadError};
+use client_proxy::failures::{retried, Kind, RETRY_PAUSE};
+use client_proxy::{admin, handover, log, Listeners};
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
     match start() {
         Ok(()) => ExitCode::SUCCESS,
         Err(reason) => {
-            let _ = writeln!(std::io::stderr(), "nettleworks: {}", reason.replace('\n', " "));
+            let _ = writeln!(std::io::stderr(), "client-proxy: {}", reason.replace('\n', " "));
             ExitCode::FAILURE
         }
     }
@@ -63,7 +63,7 @@
         let reload = async || Some(reloads.next().await?.map_err(named_file));
         let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
         // What is left after it are tasks without a client: the watch, idle connections.
-        nettleworks::run(config, listeners, folder, reload, stop).await.map_err(|e| e.to_string())
+        client_proxy::run(config, listeners, folder, reload, stop).await.map_err(|e| e.to_string())
     })
 }
 
--- a/proxy/src/rules.rs
+++ b/proxy/src/rules.rs
@@ -4,8 +4,8 @@
 
 use crate::attempt::Denial;
 use crate::counters::Counters;
+use balancer::{CellId, Outcome, Reason, Repeat, Scope, ZoneId};
 use hyper::header::HeaderValue;
-use ochrepond::{CellId, Outcome, Reason, Repeat, Scope, ZoneId};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/proxy/src/server.rs
+++ b/proxy/src/server.rs
@@ -480,9 +480,9 @@
     use super::*;
     use crate::body::Payload;
     use crate::calls::{Ask, Forward, Reply};
+    use balancer::ClassId;
     use hyper::rt::Write;
     use hyper::{HeaderMap, Method, Uri};
-    use ochrepond::ClassId;
     use std::task::Waker;
     use tokio::io::AsyncReadExt;
 
--- a/proxy/src/server_ids.rs
+++ b/proxy/src/server_ids.rs
@@ -2,7 +2,7 @@
 //! a stretch of it. So a number is a hash of the server's name: all proxies agree on it whatever they have heard of and in
 //! which order, and servers that start together, and are cold together, do not stand side by side.
 
-use ochrepond::ServerId;
+use balancer::ServerId;
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/proxy/src/socket.rs
+++ b/proxy/src/socket.rs
@@ -395,8 +395,8 @@
     use super::*;
     use crate::counters::Counters;
     use crate::rules::{Allowance, RequestRecord, Target};
+    use balancer::Repeat;
     use hyper::header::HeaderValue;
-    use ochrepond::Repeat;
     use std::io::Write as _;
     use tokio::task::{spawn_local, LocalSet};
 
--- a/proxy/tests/common/mod.rs
+++ b/proxy/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 pub mod still;
 
-use nettleworks::config::Config;
+use client_proxy::config::Config;
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -330,13 +330,13 @@
     ) -> Proxy {
         let config = configuration(discovery.address, hosts, change);
         let config = Config::parse(&config).expect("a good configuration");
-        let listener = nettleworks::handover::bind(config.listen).expect("bound");
+        let listener = client_proxy::handover::bind(config.listen).expect("bound");
         let address = listener.local_addr().expect("an address");
         let (stop, stopped) = oneshot::channel();
-        let operators = config.admin.map(|address| nettleworks::admin::listen(address).expect("it listens"));
+        let operators = config.admin.map(|address| client_proxy::admin::listen(address).expect("it listens"));
         let admin = operators.as_ref().map(|listener| listener.local_addr().expect("an address"));
-        let listeners = nettleworks::Listeners { clients: listener, operators };
-        let task = spawn_local(nettleworks::run(config, listeners, None, async || None, async {
+        let listeners = client_proxy::Listeners { clients: listener, operators };
+        let task = spawn_local(client_proxy::run(config, listeners, None, async || None, async {
             let _ = stopped.await;
         }));
         Proxy { address, admin, stop: Some(stop), task }
@@ -458,7 +458,7 @@
 pub fn program(config: &str, name: &str) -> (Command, PathBuf) {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, config).expect("written");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_nettleworks"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_client-proxy"));
     command.env("ROUTER_CONFIG", &path).stdout(Stdio::null()).stderr(Stdio::piped());
     (command, path)
 }
@@ -596,7 +596,7 @@
         let built = Command::new(env!("CARGO")).args(["build", "--locked", "-p", "syscall-faults"]).output();
         let built = built.expect("cargo runs");
         assert!(built.status.success(), "{}", String::from_utf8_lossy(&built.stderr));
-        let target = Path::new(env!("CARGO_BIN_EXE_nettleworks")).parent().expect("a folder");
+        let target = Path::new(env!("CARGO_BIN_EXE_client-proxy")).parent().expect("a folder");
         target.join("libsyscall_faults.so")
     })
 }
--- a/proxy/tests/handover.rs
+++ b/proxy/tests/handover.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use client_proxy::handover::keep_presence;
 use common::*;
-use nettleworks::handover::keep_presence;
 use std::cell::RefCell;
 use std::fs::{self, File};
 use std::io::Read as _;
--- a/proxy/tests/names.rs
+++ b/proxy/tests/names.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
+use client_proxy::config::Config;
 use common::*;
-use nettleworks::config::Config;
 use serde_json::json;
 use std::slice::from_ref;
 use std::time::Duration;
--- a/proxy/tests/process.rs
+++ b/proxy/tests/process.rs
@@ -210,12 +210,12 @@
                 config["settings"]["discovery"] = way.into();
             };
             let config = configuration(told, &hosts, change);
-            let parsed = nettleworks::config::Config::parse(&config).expect("a good configuration");
+            let parsed = client_proxy::config::Config::parse(&config).expect("a good configuration");
             let (places, to_hosts) = (parsed.connections_to_clients(), parsed.connections_to_hosts());
             let path = program(&config, &format!("full-{way}.json")).1;
             let mut command = Command::new("sh");
             let bound = format!("ulimit -n {SOCKETS}; exec \"$0\"");
-            command.args(["-c", &bound, env!("CARGO_BIN_EXE_nettleworks")]).env("ROUTER_CONFIG", &path);
+            command.args(["-c", &bound, env!("CARGO_BIN_EXE_client-proxy")]).env("ROUTER_CONFIG", &path);
             let log = path.with_extension("log");
             command.stdout(Stdio::null()).stderr(std::fs::File::create(&log).expect("a log"));
             let process = Started(command.spawn().expect("it starts"));
@@ -237,7 +237,7 @@
                 silent.push(connect().await);
             }
             let mut callers = Vec::new();
-            for _ in 0..nettleworks::admin::CALLERS_MOST {
+            for _ in 0..client_proxy::admin::CALLERS_MOST {
                 callers.push(TcpStream::connect(operators).await.expect("operators are let in"));
             }
             eventually("it holds what it may", || {
--- a/proxy/tests/ready.rs
+++ b/proxy/tests/ready.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
+use client_proxy::config::Config;
 use common::still::Call::{Away, Say};
 use common::still::*;
 use common::*;
-use nettleworks::config::Config;
 use std::cell::Cell;
 use std::fs::File;
 use std::net::SocketAddr;
@@ -51,11 +51,11 @@
         other.try_lock().expect("nobody else serves");
     }
     let read = Config::parse(&config).expect("a good configuration");
-    let clients = nettleworks::handover::bind(read.listen).expect("bound");
+    let clients = client_proxy::handover::bind(read.listen).expect("bound");
     let address = clients.local_addr().expect("an address");
-    let listeners = nettleworks::Listeners { clients, operators: None };
+    let listeners = client_proxy::Listeners { clients, operators: None };
     let (begun, at) = (Instant::now(), Rc::new(Cell::new([None; 2])));
-    spawn_local(nettleworks::run(read, listeners, Some(folder), async || None, std::future::pending()));
+    spawn_local(client_proxy::run(read, listeners, Some(folder), async || None, std::future::pending()));
     spawn_local(watch_health(address, begun, at.clone()));
     until("ready", || at.get()[1].is_some()).await;
     at.get().map(|time| time.expect("seen"))
--- a/proxy/tests/server_ids.rs
+++ b/proxy/tests/server_ids.rs
@@ -1,7 +1,7 @@
 //! Numbers of servers: the ring that all proxies share is in their order.
 
-use nettleworks::server_ids::ServerIds;
-use ochrepond::ServerId;
+use balancer::ServerId;
+use client_proxy::server_ids::ServerIds;
 
 fn numbers(names: impl Iterator<Item = String>) -> Vec<(ServerId, String)> {
     let mut ids = ServerIds::default();
--- a/proxy/tests/told.rs
+++ b/proxy/tests/told.rs
@@ -4,10 +4,10 @@
 
 mod common;
 
+use client_proxy::config::Config;
 use common::still::Call::{Away, Late, Reset, Say};
 use common::still::*;
 use common::*;
-use nettleworks::config::Config;
 use std::net::SocketAddr;
 use std::slice::from_ref;
 use std::time::Duration;
@@ -49,12 +49,12 @@
             config["settings"]["invariants"]["ask_every_us"] = 10_000_000.into();
         });
         let read = Config::parse(&config).expect("a good configuration");
-        let clients = nettleworks::handover::bind(read.listen).expect("bound");
+        let clients = client_proxy::handover::bind(read.listen).expect("bound");
         let address = clients.local_addr().expect("an address");
         let (reload, mut reloads) = mpsc::unbounded_channel();
-        let listeners = nettleworks::Listeners { clients, operators: None };
+        let listeners = client_proxy::Listeners { clients, operators: None };
         let next = async move || reloads.recv().await.map(Ok);
-        spawn_local(nettleworks::run(read, listeners, None, next, std::future::pending()));
+        spawn_local(client_proxy::run(read, listeners, None, next, std::future::pending()));
         settle().await;
         let mut client = Reader::new(TcpStream::connect(address).await.expect("it listens"));
         assert_eq!(client.ask(&request("free", "", "")).await.status(), 200);
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -3,7 +3,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use ochrepond::{Class, Goal, Limits, Repeat, Rules, Scope, Settings, Tenant, ZoneId};
+use balancer::{Class, Goal, Limits, Repeat, Rules, Scope, Settings, Tenant, ZoneId};
 use serde::Deserialize;
 use serde_json::Value;
 
--- a/settings/tests/names.rs
+++ b/settings/tests/names.rs
@@ -1,7 +1,7 @@
 //! The settings' keys and values, each with one that is not its default. The names are the operators' own and never change.
 
-use ochrepond::{Class, Goal, Limits, Repeat, Rules, Scope, Settings, Tenant};
-use ochrepond_settings::{read, zone};
+use balancer::{Class, Goal, Limits, Repeat, Rules, Scope, Settings, Tenant};
+use balancer_settings::{read, zone};
 use serde_json::json;
 
 #[test]
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -46,7 +46,7 @@
     #[arg(long, default_value_t = 4)]
     clients: usize,
     /// The program.
-    #[arg(long, default_value = "target/release/nettleworks")]
+    #[arg(long, default_value = "target/release/client-proxy")]
     program: PathBuf,
     /// The library that lets system calls fail; without it none do.
     #[arg(long)]
