--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -4,7 +4,9 @@
 
 mod wire;
 
-use balancer::{Action, Balancer, CallId, ClassId, Entry, Event, ListKind, Outcome, ServerId, TenantId};
+use balancer::{
+    Action, Balancer, ClassId, EndpointEntry, EndpointId, Event, ListUpdate, Outcome, RequestId, TenantId,
+};
 use std::collections::HashMap;
 use std::io::{self, BufRead, Write};
 use wire::{Batch, Command, Input, Reply};
@@ -21,17 +23,17 @@
     balancer: Balancer,
     classes: Vec<String>,
     tenants: Vec<String>,
-    numbers: HashMap<String, CallId>,
-    names: HashMap<CallId, Name>,
+    numbers: HashMap<String, RequestId>,
+    names: HashMap<RequestId, Name>,
     next: u64,
 }
 
 impl Instance {
-    fn number(&mut self, word: &str) -> CallId {
+    fn number(&mut self, word: &str) -> RequestId {
         if let Some(&id) = self.numbers.get(word) {
             return id;
         }
-        let id = CallId(self.next);
+        let id = RequestId(self.next);
         self.next += 1;
         self.numbers.insert(word.to_owned(), id);
         self.names.insert(id, Name { word: word.to_owned(), out: 0, ended: false });
@@ -39,7 +41,7 @@
     }
 
     /// Forgets a call once it has ended and none of its attempts is out.
-    fn tidy(&mut self, id: CallId) {
+    fn tidy(&mut self, id: RequestId) {
         if self.names.get(&id).is_some_and(|n| n.ended && n.out == 0) {
             if let Some(name) = self.names.remove(&id) {
                 self.numbers.remove(&name.word);
@@ -98,14 +100,14 @@
             "CREATE" => Event::Start,
             "MEMBERS" => {
                 let kind = match need(input.scope, verb, "scope")? {
-                    0 => ListKind::Failed,
-                    1 => ListKind::Cached,
-                    2 => ListKind::Delta,
-                    3 => ListKind::Full,
+                    0 => ListUpdate::PollFailed,
+                    1 => ListUpdate::Cached,
+                    2 => ListUpdate::Delta,
+                    3 => ListUpdate::Full,
                     other => return Err(format!("MEMBERS with unknown scope {other}")),
                 };
-                let entries: Vec<Entry> = match kind {
-                    ListKind::Failed => Vec::new(),
+                let entries: Vec<EndpointEntry> = match kind {
+                    ListUpdate::PollFailed => Vec::new(),
                     _ => {
                         let list = need(input.roster_id, verb, "roster_id")?;
                         let list =
@@ -113,11 +115,11 @@
                         list.iter().map(wire::Element::entry).collect::<Result<_, _>>()?
                     }
                 };
-                Event::Members { kind, entries }
+                Event::EndpointList { kind, entries }
             }
             "ALARM" => Event::Timer,
-            "PROBED" => Event::Probed {
-                server: ServerId(need(input.host, verb, "host")?),
+            "PROBED" => Event::HealthChecked {
+                endpoint: EndpointId(need(input.host, verb, "host")?),
                 outcome: wire::outcome(&need(input.result, verb, "result")?),
                 load: input.stats.map(|s| s.load()).unwrap_or_default(),
             },
@@ -133,13 +135,13 @@
                     "JOB_IN" => {
                         let class = need(input.tier_class, verb, "tier_class")?;
                         let place = |all: &[String], name: &str| all.iter().position(|n| n == name);
-                        Event::Request {
-                            call,
+                        Event::RequestReceived {
+                            request: call,
                             class: ClassId(place(&instance.classes, &class).unwrap_or(usize::MAX)),
                             tenant: input.user_group.and_then(|t| place(&instance.tenants, &t)).map(TenantId),
                             time_left: need(input.time_budget_us, verb, "time_budget_us")?,
-                            resent: input.resent,
-                            once: false,
+                            client_retry: input.resent,
+                            non_replayable: false,
                         }
                     }
                     "DONE" => {
@@ -148,21 +150,23 @@
                             name.out = name.out.saturating_sub(1);
                             name.ended |= input.terminal;
                         }
-                        Event::Outcome {
-                            call,
+                        Event::AttemptEnded {
+                            request: call,
                             attempt: need(input.seq_no, verb, "seq_no")?,
                             outcome,
                             elapsed: input.elapsed_us.unwrap_or(0),
-                            closed: input.terminal,
+                            request_finished: input.terminal,
                             load: input.stats.map(|s| s.load()).unwrap_or_default(),
                         }
                     }
-                    "UNDER_WAY" => Event::Streaming { call, attempt: need(input.seq_no, verb, "seq_no")? },
+                    "UNDER_WAY" => {
+                        Event::ResponseStarted { request: call, attempt: need(input.seq_no, verb, "seq_no")? }
+                    }
                     _ => {
                         if let Some(name) = instance.names.get_mut(&call) {
                             name.ended = true;
                         }
-                        Event::Gone { call }
+                        Event::RequestCancelled { request: call }
                     }
                 }
             }
@@ -183,34 +187,34 @@
 
 /// The wire's form of an action, with the names put back.
 fn command(proxy: i64, instance: &mut Instance, action: Action) -> Option<Command> {
-    let word = |id: CallId, names: &HashMap<CallId, Name>| names.get(&id).map(|n| n.word.clone());
+    let word = |id: RequestId, names: &HashMap<RequestId, Name>| names.get(&id).map(|n| n.word.clone());
     Some(match action {
-        Action::Send { call, server, .. } => {
+        Action::Forward { request: call, endpoint, .. } => {
             let name = instance.names.get_mut(&call)?;
             name.out += 1;
-            Command::Route { proxy, call: name.word.clone(), host: server.0 }
+            Command::Route { proxy, call: name.word.clone(), host: endpoint.0 }
         }
-        Action::Refuse { call, retry_after, .. } => {
+        Action::Reject { request: call, retry_after, .. } => {
             let name = instance.names.get_mut(&call)?;
             name.ended = true;
             let command = Command::Bounce { proxy, call: name.word.clone(), hold_off_us: retry_after };
             instance.tidy(call);
             command
         }
-        Action::Fail { call, .. } => {
+        Action::Fail { request: call, .. } => {
             let name = instance.names.get_mut(&call)?;
             name.ended = true;
             let command = Command::DropRequest { proxy, call: name.word.clone() };
             instance.tidy(call);
             command
         }
-        Action::Cancel { call, attempt } => {
+        Action::CancelAttempt { request: call, attempt } => {
             Command::DropAttempt { proxy, call: word(call, &instance.names)?, seq_no: attempt }
         }
-        Action::Probe { server } => Command::Test { proxy, host: server.0 },
-        Action::Wake { after } => Command::SetAlarm { proxy, offset_us: after, tag: 0 },
+        Action::CheckHealth { endpoint } => Command::Test { proxy, host: endpoint.0 },
+        Action::SetTimer { after } => Command::SetAlarm { proxy, offset_us: after, tag: 0 },
         Action::Subscribe => Command::Listen { proxy, enable: true },
-        Action::Log { text } => Command::Trace { proxy, note_text: text },
+        Action::Log(event) => Command::Trace { proxy, note_text: event.to_string() },
     })
 }
 
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! Messages of the wire, as they are read and written.
 
-use balancer::{CellId, Entry, Load, Outcome, ServerId, State};
+use balancer::{CellId, EndpointEntry, EndpointId, EndpointState, LoadReport, Outcome};
 use balancer_settings::zone;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
@@ -50,8 +50,8 @@
 }
 
 impl Stats {
-    pub fn load(&self) -> Load {
-        Load { in_hand: self.active, waiting: self.waiting, busy: self.cpu }
+    pub fn load(&self) -> LoadReport {
+        LoadReport { in_flight: self.active, queued: self.waiting, cpu_utilization: self.cpu }
     }
 }
 
@@ -70,19 +70,19 @@
 }
 
 impl Element {
-    pub fn entry(&self) -> Result<Entry, String> {
+    pub fn entry(&self) -> Result<EndpointEntry, String> {
         let state = match self.state {
-            0 => State::Draining,
-            1 => State::Ready,
-            2 => State::Gone,
+            0 => EndpointState::Draining,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Removed,
             other => return Err(format!("host {} in unknown state {other}", self.host)),
         };
-        Ok(Entry {
-            server: ServerId(self.host),
+        Ok(EndpointEntry {
+            endpoint: EndpointId(self.host),
             state,
             zone: zone(&self.az),
             cell: CellId(self.cohort),
-            started: self.last_start_us,
+            started_at: self.last_start_us,
             weight: self.weight,
         })
     }
@@ -92,12 +92,12 @@
     match code {
         "served" => Outcome::Served,
         "server_error" => Outcome::Error,
-        "turned_away" => Outcome::TurnedAway,
+        "turned_away" => Outcome::Rejected,
         "no_answer" => Outcome::TimedOut,
-        "no_connection" => Outcome::NoConnection,
+        "no_connection" => Outcome::ConnectFailed,
         "connection_lost" => Outcome::Reset,
-        "called_off" => Outcome::CalledOff,
-        "not_sent" => Outcome::NotSent,
+        "called_off" => Outcome::Cancelled,
+        "not_sent" => Outcome::NeverSent,
         _ => Outcome::Unknown,
     }
 }
--- a/balancer/src/start_times.rs
+++ b/balancer/src/endpoint_start.rs
@@ -1,21 +1,22 @@
-//! When servers started, in this balancer's time. The list gives each start as a stamp of another machine's
-//! clock, and either clock may be off by seconds or an hour. A stamp tells two processes apart; how long
-//! ago a process started is bounded by what this balancer knows for sure:
+//! When servers started, in this balancer's time. The list gives each start as a stamp of another
+//! machine's clock, and either clock may be off by seconds or an hour. A stamp tells two processes
+//! apart; how long ago a process started is bounded by what this balancer knows for sure:
 //!
 //! - nothing has started later than now;
 //! - what is new in a list, or has another stamp in it, has started since the list was last known to be
 //!   current, or a little before, as lists come late.
 //!
-//! Within these bounds the stamp is believed. Of a first list only the stamps beside each other tell more:
-//! where some lie in the future, the clock is behind by as much at the least, for all of them.
+//! Within these bounds the stamp is believed. Of a first list only the stamps beside each other
+//! tell more: where some lie in the future, the clock is behind by as much at the least, for all of
+//! them.
 
-use crate::api::{Entry, ListKind, Micros, ServerId};
+use crate::{EndpointEntry, EndpointId, ListUpdate, Micros};
 use std::collections::BTreeMap;
 
 /// How much later than a server's start the list may tell of it.
 const LIST_LAG: Micros = 2_000_000;
-/// How long a server that has left the list is remembered: one that comes back with its stamp has not
-/// started anew.
+/// How long a server that has left the list is remembered: one that comes back with its stamp has
+/// not started anew.
 const MEMORY: Micros = 600_000_000;
 
 /// The start of a server's present process.
@@ -29,34 +30,35 @@
 
 /// What is known of servers' starts.
 #[derive(Debug, Default)]
-pub(crate) struct StartTimes {
-    /// When the list in hand was last known to be current; `None`: there is only a saved one, or none.
+pub(crate) struct EndpointStarts {
+    /// When the list in hand was last known to be current; `None`: there is only a saved one, or
+    /// none.
     current_at: Option<Micros>,
-    starts: BTreeMap<ServerId, Start>,
+    starts: BTreeMap<EndpointId, Start>,
 }
 
-impl StartTimes {
-    /// The list in hand is current: what is subscribed to is what has changed since its version, also that
-    /// of a saved one.
+impl EndpointStarts {
+    /// The list in hand is current: what is subscribed to is what has changed since its version,
+    /// also that of a saved one.
     pub(crate) fn is_current(&mut self, now: Micros) {
         self.current_at = Some(now);
     }
 
     /// Takes a list in.
-    pub(crate) fn heard(&mut self, now: Micros, kind: ListKind, entries: &[Entry]) {
-        let ahead = entries.iter().map(|entry| entry.started.saturating_sub(now)).max().unwrap_or(0);
+    pub(crate) fn heard(&mut self, now: Micros, kind: ListUpdate, entries: &[EndpointEntry]) {
+        let ahead = entries.iter().map(|entry| entry.started_at.saturating_sub(now)).max().unwrap_or(0);
         for entry in entries {
-            let known = self.starts.get_mut(&entry.server);
-            match known.filter(|start| entry.started == 0 || entry.started == start.stamp) {
+            let known = self.starts.get_mut(&entry.endpoint);
+            match known.filter(|start| entry.started_at == 0 || entry.started_at == start.stamp) {
                 Some(start) => start.listed_at = now,
                 None => {
-                    let began = self.began_within_bounds(now, entry.started, ahead);
-                    let start = Start { stamp: entry.started, began, listed_at: now };
-                    self.starts.insert(entry.server, start);
+                    let began = self.began_within_bounds(now, entry.started_at, ahead);
+                    let start = Start { stamp: entry.started_at, began, listed_at: now };
+                    self.starts.insert(entry.endpoint, start);
                 }
             }
         }
-        if kind != ListKind::Cached {
+        if kind != ListUpdate::Cached {
             self.current_at = Some(now);
         }
     }
@@ -69,14 +71,14 @@
     }
 
     /// When the present process of a server that was listed began.
-    pub(crate) fn began(&self, server: ServerId) -> Micros {
-        self.starts.get(&server).map_or(0, |start| start.began)
+    pub(crate) fn began(&self, endpoint: EndpointId) -> Micros {
+        self.starts.get(&endpoint).map_or(0, |start| start.began)
     }
 
     /// Forgets servers that have not been listed for long.
-    pub(crate) fn forget(&mut self, now: Micros, is_listed: impl Fn(ServerId) -> bool) {
-        self.starts.retain(|&server, start| {
-            if is_listed(server) {
+    pub(crate) fn forget(&mut self, now: Micros, is_listed: impl Fn(EndpointId) -> bool) {
+        self.starts.retain(|&endpoint, start| {
+            if is_listed(endpoint) {
                 start.listed_at = now;
             }
             now.saturating_sub(start.listed_at) < MEMORY
--- /dev/null
+++ b/balancer/src/ids.rs
@@ -0,0 +1,28 @@
+//! Identifiers and time.
+
+/// A point in time or a duration, in microseconds.
+pub type Micros = u64;
+
+/// A client's request, as the proxy numbers it. Numbers are never reused.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RequestId(pub u64);
+
+/// An endpoint. It keeps its number when its process restarts.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct EndpointId(pub u32);
+
+/// Index of a request class in [`Settings::classes`](crate::Settings::classes).
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ClassId(pub usize);
+
+/// Index of a tenant in [`Settings::tenants`](crate::Settings::tenants).
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TenantId(pub usize);
+
+/// An availability zone, as the proxy numbers it.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ZoneId(pub u32);
+
+/// A cell: a group of endpoints that deduplicate each other's requests.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct CellId(pub u32);
--- a/balancer/src/pace.rs
+++ b/balancer/src/latency.rs
@@ -1,8 +1,8 @@
 //! How long answers of a class take.
 
-use crate::api::Micros;
-use crate::budget::SMOOTHING;
-use crate::state::Pace;
+use crate::concurrency_limit::SMOOTHING;
+use crate::state::LatencyEstimate;
+use crate::Micros;
 
 /// Time over which a class's unloaded answer time may drift up to its present mean.
 const BASE_DRIFT: f64 = 120e6;
@@ -13,34 +13,36 @@
 const STRAIN_TIMES: f64 = 3.0;
 /// ... or beyond this share of its aim, whichever is shorter.
 const STRAIN_AIM: f64 = 0.33;
-/// The same under a shared budget, of what the aim leaves for waiting. No balancer sees a server often enough
-/// to spare the one that is crowded: all have to stay well below what crowds it.
+/// The same under a shared budget, of what the aim leaves for waiting. No balancer sees a server
+/// often enough to spare the one that is crowded: all have to stay well below what crowds it.
 const POOL_STRAIN_AIM: f64 = 0.2;
-/// ... but not below this many times the unloaded time, as at two cores that are nearly three fifths busy
-/// (M/M/2), nor beyond this share of what the aim leaves: near aims would make an idle fleet look crowded.
+/// ... but not below this many times the unloaded time, as at two cores that are nearly three
+/// fifths busy (M/M/2), nor beyond this share of what the aim leaves: near aims would make an idle
+/// fleet look crowded.
 const POOL_STRAIN_TIMES: f64 = 1.5;
 const POOL_STRAIN_AIM_MOST: f64 = 0.5;
-/// Strain for which one answer counts there at the most: a few that met slow servers are no sign of all.
+/// Strain for which one answer counts there at the most: a few that met slow servers are no sign of
+/// all.
 const POOL_STRAIN_MOST: f64 = 2.0;
 
-impl Pace {
+impl LatencyEstimate {
     /// How long an answer of this class may take before its server counts as strained.
     pub(crate) fn limit(&self) -> f64 {
-        (self.base * STRAIN_TIMES).min(self.aim as f64 * STRAIN_AIM).max(self.base)
+        (self.base * STRAIN_TIMES).min(self.latency_objective as f64 * STRAIN_AIM).max(self.base)
     }
 
-    /// How long it took, over what is allowed under a shared budget. That cannot spare the one server that is
-    /// slow: it heeds what the aim leaves for waiting.
+    /// How long it took, over what is allowed under a shared budget. That cannot spare the one
+    /// server that is slow: it heeds what the aim leaves for waiting.
     pub(crate) fn pool_strain(&self, elapsed: f64) -> f64 {
-        let spare = (self.aim as f64 - self.base).max(0.0);
-        let busy = (self.base * POOL_STRAIN_TIMES).min(self.base + spare * POOL_STRAIN_AIM_MOST);
-        let limit = (self.base * STRAIN_TIMES).min(self.base + spare * POOL_STRAIN_AIM).max(busy);
+        let slack = (self.latency_objective as f64 - self.base).max(0.0);
+        let busy = (self.base * POOL_STRAIN_TIMES).min(self.base + slack * POOL_STRAIN_AIM_MOST);
+        let limit = (self.base * STRAIN_TIMES).min(self.base + slack * POOL_STRAIN_AIM).max(busy);
         (elapsed / limit).min(POOL_STRAIN_MOST)
     }
 
     pub(crate) fn answered(&mut self, now: Micros, elapsed: f64) {
         if self.seen == 0 {
-            self.fair_from = now.saturating_add(self.aim);
+            self.fair_from = now.saturating_add(self.latency_objective);
         }
         self.seen = self.seen.saturating_add(1);
         // Of the first calls the quick ones are answered first: their mean is under what is usual.
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,41 +1,63 @@
-//! balancer makes the decisions of a sidecar balancer for service-to-service calls: which server
-//! gets a call, when a call waits, goes again, is refused or fails. It does no I/O and reads no clock.
+//! Decisions of a client-side load balancer: which endpoint gets a request, when a request is
+//! queued, retried, hedged, rejected or failed. It does no I/O and reads no clock.
 //!
-//! A client proxy makes one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
+//! A proxy creates one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
 //!
 //! ```
-//! use balancer::{Action, Balancer, CallId, ClassId, Entry, Event, ListKind, ServerId, Settings, State};
+//! use balancer::{
+//!     Action, Balancer, ClassId, EndpointEntry, EndpointId, EndpointState, Event, ListUpdate,
+//!     RequestId, Settings,
+//! };
 //!
 //! let mut balancer = Balancer::new(7, Settings::default());
 //! let mut actions = Vec::new();
 //! balancer.handle(0, Event::Start, &mut actions);
-//! let entries = vec![Entry { server: ServerId(1), state: State::Ready, ..Entry::default() }];
-//! balancer.handle(0, Event::Members { kind: ListKind::Full, entries }, &mut actions);
-//! let call = CallId(1);
-//! let event = Event::Request { call, class: ClassId(0), tenant: None, time_left: 500_000, resent: false, once: false };
+//! let state = EndpointState::Ready;
+//! let entry = EndpointEntry { endpoint: EndpointId(1), state, ..EndpointEntry::default() };
+//! balancer.handle(0, Event::EndpointList { kind: ListUpdate::Full, entries: vec![entry] }, &mut actions);
+//! let event = Event::RequestReceived {
+//!     request: RequestId(1),
+//!     class: ClassId(0),
+//!     tenant: None,
+//!     time_left: 500_000,
+//!     client_retry: false,
+//!     non_replayable: false,
+//! };
 //! balancer.handle(1_000, event, &mut actions);
 //! for action in actions.drain(..) {
 //!     match action {
-//!         Action::Send { call, server, .. } => println!("pass {call:?} to {server:?}"),
-//!         Action::Wake { after } => println!("send Event::Timer in {after} us"),
+//!         Action::Forward { request, endpoint, .. } => println!("forward {request:?} to {endpoint:?}"),
+//!         Action::SetTimer { after } => println!("send Event::Timer in {after} us"),
 //!         other => println!("{other:?}"),
 //!     }
 //! }
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-mod api;
-mod asking;
-mod balance;
-mod budget;
-mod pace;
-mod server;
-mod start_times;
+mod action;
+mod balancer;
+mod concurrency_limit;
+mod endpoint;
+mod endpoint_start;
+mod event;
+mod ids;
+mod latency;
+mod list_polling;
+mod outcome;
+mod selection;
+mod settings;
+mod slow_start;
 mod state;
 
-pub use api::*;
-pub use balance::Balancer;
+pub use action::{Action, LogEvent};
+pub use balancer::Balancer;
+pub use event::{EndpointEntry, EndpointState, Event, ListUpdate};
+pub use ids::{CellId, ClassId, EndpointId, Micros, RequestId, TenantId, ZoneId};
+pub use outcome::{FailureReason, LoadReport, Outcome};
+pub use settings::{
+    Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights, Settings,
+    SlowStart, Tenant,
+};
 
 /// The README's example is compiled as a test too.
 #[cfg(doctest)]
--- /dev/null
+++ b/balancer/src/settings.rs
@@ -0,0 +1,181 @@
+//! Settings that a balancer is created with.
+
+use crate::{Micros, ZoneId};
+
+/// Which endpoints recognise a repeated idempotency key.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DeduplicationScope {
+    /// All endpoints.
+    All,
+    /// The endpoints of one zone.
+    Zone,
+    /// The endpoints of one cell.
+    Cell,
+}
+
+/// Whether requests of a class may be executed more than once.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Idempotency {
+    /// Repeating a request has no effect.
+    Idempotent,
+    /// Requests carry an idempotency key. Repeats are dropped within `scope`, for `window` from the
+    /// first attempt that may have been executed.
+    Keyed {
+        /// Which endpoints drop repeats.
+        scope: DeduplicationScope,
+        /// For how long.
+        window: Micros,
+    },
+    /// A request must not be executed twice.
+    NonIdempotent,
+}
+
+/// A class of requests.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Class {
+    /// A response within this time counts with the full priority weight.
+    pub latency_objective: Micros,
+    /// How long a client waits in all.
+    pub deadline: Micros,
+    /// Value of a response within the latency objective.
+    pub priority_weight: f64,
+    /// Fraction of the weight, 0 to 1, of a response between objective and deadline.
+    pub late_weight_fraction: f64,
+    /// Whether a request may be executed again.
+    pub idempotency: Idempotency,
+}
+
+impl Default for Class {
+    /// Non-idempotent, without objective, deadline or weight.
+    fn default() -> Self {
+        Class {
+            latency_objective: 0,
+            deadline: 0,
+            priority_weight: 0.0,
+            late_weight_fraction: 0.0,
+            idempotency: Idempotency::NonIdempotent,
+        }
+    }
+}
+
+/// A tenant that shares the service with others.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Tenant {
+    /// Fraction of the service that the tenant is entitled to, 0 to 1.
+    pub quota: f64,
+}
+
+/// What the deployment allows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Limits {
+    /// Attempts may be cancelled.
+    pub cancellation: bool,
+    /// Endpoints may be sent health checks.
+    pub health_checks: bool,
+    /// A request may have two attempts in flight at once.
+    pub hedging: bool,
+    /// Maximum number of attempts of a request.
+    pub max_attempts: u32,
+    /// Longest `Retry-After` that clients respect; 0: they respect none.
+    pub max_retry_after: Micros,
+}
+
+/// How endpoints warm up after a start.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SlowStart {
+    /// Fraction of its capacity, 0 to 1, that an endpoint has at its start at the least.
+    pub initial_capacity: f64,
+    /// By when it has all of it at the latest.
+    pub duration: Micros,
+    /// An endpoint fails when it is sent more than this multiple of its present capacity.
+    pub overload_multiple: f64,
+}
+
+/// How the endpoint list arrives.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DiscoveryMode {
+    /// An agent on the same machine pushes updates.
+    Push,
+    /// Each balancer asks for updates.
+    Poll,
+}
+
+/// Bounds on how old the endpoint list may be.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Discovery {
+    /// How the list arrives.
+    pub mode: DiscoveryMode,
+    /// Longest that a balancer may go without polling.
+    pub max_poll_interval: Micros,
+    /// A balancer counts as notified of a change this long after discovery had it and could be
+    /// reached.
+    pub notification_deadline: Micros,
+}
+
+/// Weights of the parts of the service's score.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ScoreWeights {
+    /// All requests together.
+    pub overall: f64,
+    /// The class that is served worst.
+    pub worst_class: f64,
+}
+
+/// Settings of a balancer, for its whole life.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Settings {
+    /// Number of balancers that send to these endpoints, this one included.
+    pub balancer_count: u32,
+    /// Index of this balancer among them, from 0.
+    pub balancer_index: u32,
+    /// Smallest step of the proxy's clock.
+    pub clock_resolution: Micros,
+    /// The balancer's own zone. Requests to other zones cost more and take longer. `None`: unknown.
+    pub zone: Option<ZoneId>,
+    /// Classes of requests.
+    pub classes: Vec<Class>,
+    /// Tenants, if there are any.
+    pub tenants: Vec<Tenant>,
+    /// What the deployment allows.
+    pub limits: Limits,
+    /// How endpoints warm up.
+    pub slow_start: SlowStart,
+    /// How the endpoint list arrives.
+    pub discovery: Discovery,
+    /// Weights of the score.
+    pub score_weights: ScoreWeights,
+}
+
+impl Default for Settings {
+    /// One balancer, a pushed list, and one non-idempotent class with an objective of 0.5 s.
+    fn default() -> Self {
+        let class = Class {
+            latency_objective: 500_000,
+            deadline: 1_000_000,
+            priority_weight: 1.0,
+            ..Class::default()
+        };
+        Settings {
+            balancer_count: 1,
+            balancer_index: 0,
+            clock_resolution: 1_000,
+            zone: None,
+            classes: vec![class],
+            tenants: Vec::new(),
+            limits: Limits {
+                cancellation: true,
+                health_checks: false,
+                hedging: false,
+                max_attempts: 3,
+                max_retry_after: 1_000_000,
+            },
+            slow_start: SlowStart { initial_capacity: 0.1, duration: 20_000_000, overload_multiple: 4.0 },
+            discovery: Discovery {
+                mode: DiscoveryMode::Push,
+                max_poll_interval: 10_000_000,
+                notification_deadline: 6_000_000,
+            },
+            score_weights: ScoreWeights { overall: 1.0, worst_class: 0.0 },
+        }
+    }
+}
--- a/balancer/tests/cold.rs
+++ b/balancer/tests/cold.rs
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
-    balancers: u32,
+    balancer_count: u32,
     warm: u32,
     cold: u32,
     /// Coming back under ids that had been warm.
@@ -59,7 +59,7 @@
 
 /// A server joins while calls come three times as often.
 const BURST: Scenario = Scenario {
-    balancers: 1,
+    balancer_count: 1,
     warm: 100,
     cold: 1,
     back: false,
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct End {
     node: usize,
-    call: u64,
+    request: u64,
     attempt: u32,
     outcome: Outcome,
     sent: Micros,
@@ -102,7 +102,7 @@
 }
 
 struct Process {
-    started: Micros,
+    started_at: Micros,
     speed: f64,
     busy: usize,
     waiting: VecDeque<(f64, End)>,
@@ -116,7 +116,7 @@
     told: bool,
     alive: bool,
     /// Until when a client waits for each call, its work and its attempts.
-    calls: BTreeMap<u64, (Micros, f64, u32)>,
+    requests: BTreeMap<u64, (Micros, f64, u32)>,
 }
 
 struct Fleet {
@@ -135,11 +135,11 @@
     begun: bool,
 }
 
-fn warmth(started: Micros, now: Micros) -> f64 {
-    if started == 0 || now >= started + COLD_TIME {
+fn warmth(started_at: Micros, now: Micros) -> f64 {
+    if started_at == 0 || now >= started_at + COLD_TIME {
         return 1.0;
     }
-    COLD_SHARE + (1.0 - COLD_SHARE) * now.saturating_sub(started) as f64 / COLD_TIME as f64
+    COLD_SHARE + (1.0 - COLD_SHARE) * now.saturating_sub(started_at) as f64 / COLD_TIME as f64
 }
 
 impl Fleet {
@@ -162,7 +162,7 @@
             // Cold ids are the lowest.
             fleet.boot(if scenario.back { id } else { id + scenario.cold }, 0);
         }
-        for slot in 0..scenario.balancers as usize {
+        for slot in 0..scenario.balancer_count as usize {
             let weight = match slot % 6 {
                 _ if !scenario.uneven => 1.0,
                 0 => 4.0,
@@ -189,18 +189,18 @@
         self.next.push(Reverse((at, self.number, what)));
     }
 
-    fn boot(&mut self, id: u32, started: Micros) {
-        let speed = if started > 0 { self.scenario.speed } else { 0.7 + 0.6 * self.unit() };
+    fn boot(&mut self, id: u32, started_at: Micros) {
+        let speed = if started_at > 0 { self.scenario.speed } else { 0.7 + 0.6 * self.unit() };
         let (busy, waiting, sent) = (0, VecDeque::new(), Vec::new());
-        self.processes.push(Process { started, speed, busy, waiting, sent, served: 0.0 });
+        self.processes.push(Process { started_at, speed, busy, waiting, sent, served: 0.0 });
         self.at.insert(id, self.processes.len() - 1);
     }
 
-    fn entries(&self) -> Vec<Entry> {
+    fn entries(&self) -> Vec<EndpointEntry> {
         let entry = |(&id, &process): (&u32, &usize)| {
-            let started = self.processes[process].started;
-            let weight = if started > 0 { 1.0 } else { self.scenario.weight };
-            Entry { started, weight, ..ready(id) }
+            let started_at = self.processes[process].started_at;
+            let weight = if started_at > 0 { 1.0 } else { self.scenario.weight };
+            EndpointEntry { started_at, weight, ..ready(id) }
         };
         self.at.iter().map(entry).collect()
     }
@@ -208,23 +208,21 @@
     /// A new process of a balancer, which knows the list of this moment.
     fn node(&mut self, slot: usize) -> usize {
         let settings = Settings {
-            balancers: self.scenario.balancers,
-            me: slot as u32,
-            rules: Rules {
-                cold_share: COLD_SHARE,
-                cold_time: COLD_TIME,
-                fall_multiple: MULTIPLE,
-                ask_every: 10 * SECOND,
-                ..Settings::default().rules
+            balancer_count: self.scenario.balancer_count,
+            balancer_index: slot as u32,
+            slow_start: SlowStart {
+                initial_capacity: COLD_SHARE,
+                duration: COLD_TIME,
+                overload_multiple: MULTIPLE,
             },
-            ..settings(Repeat::Free)
+            ..settings(Idempotency::Idempotent)
         };
         let balancer = Balancer::new(self.random.next_u64(), settings);
-        self.nodes.push(Node { balancer, told: self.begun, alive: true, calls: BTreeMap::new() });
+        self.nodes.push(Node { balancer, told: self.begun, alive: true, requests: BTreeMap::new() });
         let node = self.nodes.len() - 1;
         self.event(node, Event::Start);
         let entries = self.entries();
-        self.event(node, Event::Members { kind: ListKind::Full, entries });
+        self.event(node, Event::EndpointList { kind: ListUpdate::Full, entries });
         node
     }
 
@@ -233,34 +231,34 @@
         self.nodes[node].balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { call, server, .. } => self.send(node, call.0, server.0),
-                Action::Wake { after } => self.later(self.now + after, What::Alarm(node)),
-                Action::Refuse { call, .. } | Action::Fail { call, .. } => {
-                    self.nodes[node].calls.remove(&call.0);
+                Action::Forward { request, endpoint, .. } => self.send(node, request.0, endpoint.0),
+                Action::SetTimer { after } => self.later(self.now + after, What::Alarm(node)),
+                Action::Reject { request, .. } | Action::Fail { request, .. } => {
+                    self.nodes[node].requests.remove(&request.0);
                 }
-                Action::Cancel { call, attempt } => {
-                    let (call, sent, outcome) = (call.0, self.now, Outcome::CalledOff);
-                    self.later(sent, What::Ended(End { node, call, attempt, outcome, sent }));
+                Action::CancelAttempt { request, attempt } => {
+                    let (request, sent, outcome) = (request.0, self.now, Outcome::Cancelled);
+                    self.later(sent, What::Ended(End { node, request, attempt, outcome, sent }));
                 }
-                Action::Probe { .. } | Action::Subscribe | Action::Log { .. } => {}
+                Action::CheckHealth { .. } | Action::Subscribe | Action::Log(_) => {}
             }
         }
     }
 
-    fn send(&mut self, node: usize, call: u64, server: u32) {
+    fn send(&mut self, node: usize, request: u64, endpoint: u32) {
         let told = self.nodes[node].told;
-        let held = self.nodes[node].calls.get_mut(&call).expect("a call that is held");
+        let held = self.nodes[node].requests.get_mut(&request).expect("a call that is held");
         let (deadline, work, attempt) = (held.0, held.1, held.2);
         held.2 += 1;
-        let (process, sent) = (self.at[&server], self.now);
-        let end = End { node, call, attempt, outcome: Outcome::Served, sent };
+        let (process, sent) = (self.at[&endpoint], self.now);
+        let end = End { node, request, attempt, outcome: Outcome::Served, sent };
         self.later(deadline, What::Ended(End { outcome: Outcome::TimedOut, ..end }));
         self.processes[process].sent.push((sent, work, told));
         if self.processes[process].waiting.len() < self.scenario.waiting {
             self.processes[process].waiting.push_back((work, end));
             self.work(process);
         } else {
-            self.later(sent + MS, What::Ended(End { outcome: Outcome::TurnedAway, ..end }));
+            self.later(sent + MS, What::Ended(End { outcome: Outcome::Rejected, ..end }));
         }
     }
 
@@ -272,7 +270,7 @@
             let Some((work, end)) = at.waiting.pop_front() else { return };
             at.busy += 1;
             at.served += work;
-            let time = work * MEAN_WORK / at.speed / warmth(at.started, now);
+            let time = work * MEAN_WORK / at.speed / warmth(at.started_at, now);
             self.number += 1;
             self.next.push(Reverse((now + time as Micros, self.number, What::Worked(process, end))));
         }
@@ -282,13 +280,16 @@
         if !self.nodes[end.node].alive {
             return;
         }
-        let (call, attempt, outcome) = (CallId(end.call), end.attempt, end.outcome);
-        let (elapsed, closed) = (self.now - end.sent, outcome == Outcome::Served);
-        if closed {
-            self.nodes[end.node].calls.remove(&end.call);
+        let (request, attempt, outcome) = (RequestId(end.request), end.attempt, end.outcome);
+        let (elapsed, request_finished) = (self.now - end.sent, outcome == Outcome::Served);
+        if request_finished {
+            self.nodes[end.node].requests.remove(&end.request);
         }
-        let load = Load::default();
-        self.event(end.node, Event::Outcome { call, attempt, outcome, elapsed, closed, load });
+        let load = LoadReport::default();
+        self.event(
+            end.node,
+            Event::AttemptEnded { request, attempt, outcome, elapsed, request_finished, load },
+        );
     }
 
     /// The time to the next call of all, at the rate of now.
@@ -313,11 +314,21 @@
         // One call in five is nine times the work of another: 0.385 and 3.46 of the mean.
         let work = if self.unit() < 0.2 { 3.46 } else { 0.385 };
         self.number += 1;
-        let call = self.number;
-        self.nodes[node].calls.insert(call, (self.now + 1_200 * MS, work, 0));
+        let request = self.number;
+        self.nodes[node].requests.insert(request, (self.now + 1_200 * MS, work, 0));
         let (class, time_left) = (ClassId(0), 1_200 * MS);
-        let call = CallId(call);
-        self.event(node, Event::Request { call, class, tenant: None, time_left, resent: false, once: false });
+        let request = RequestId(request);
+        self.event(
+            node,
+            Event::RequestReceived {
+                request,
+                class,
+                tenant: None,
+                time_left,
+                client_retry: false,
+                non_replayable: false,
+            },
+        );
     }
 
     fn start(&mut self) {
@@ -354,12 +365,12 @@
         }
         self.nodes[node].told = true;
         let mut entries = self.entries();
-        let mut kind = ListKind::Full;
+        let mut kind = ListUpdate::Full;
         if !self.scenario.whole {
-            kind = ListKind::Delta;
-            entries.retain(|e| e.started > 0);
+            kind = ListUpdate::Delta;
+            entries.retain(|e| e.started_at > 0);
         }
-        self.event(node, Event::Members { kind, entries });
+        self.event(node, Event::EndpointList { kind, entries });
     }
 
     fn replace(&mut self, slot: usize) {
@@ -411,7 +422,7 @@
         let (mut worst, mut given, mut could) = (0.0_f64, 0.0, 0.0);
         let rate = CORES as f64 / MEAN_WORK * self.scenario.speed;
         let played = self.scenario.until - START;
-        for process in self.processes.iter().filter(|p| p.started > 0) {
+        for process in self.processes.iter().filter(|p| p.started_at > 0) {
             let (mut sum, mut first) = (0.0, 0);
             let sent: Vec<_> = process.sent.iter().filter(|s| s.2).collect();
             for &&(at, work, _) in &sent {
@@ -421,7 +432,7 @@
                     first += 1;
                 }
                 // The least that it can do within the window.
-                let present = warmth(process.started, at.saturating_sub(WINDOW).max(process.started));
+                let present = warmth(process.started_at, at.saturating_sub(WINDOW).max(process.started_at));
                 let allowed = MULTIPLE * present * rate * WINDOW as f64;
                 worst = worst.max(sum / (allowed + 2.0 * allowed.sqrt() + 2.0));
             }
@@ -435,13 +446,17 @@
 /// Plays a scenario with few and with many balancers: no cold server is sent what makes it fall in any window, and
 /// yet they are put to use.
 fn holds(scenario: Scenario) {
-    for (balancers, warm, seeds) in [(1, 9, 1..=1), (6, 9, 1..=2), (30, 9, 1..=2), (300, 29, 1..=1)] {
+    for (balancer_count, warm, seeds) in [(1, 9, 1..=1), (6, 9, 1..=2), (30, 9, 1..=2), (300, 29, 1..=1)] {
         let warm = scenario.warm.min(warm);
         for seed in seeds {
-            let (most, used) = Fleet::new(Scenario { balancers, warm, ..scenario }, seed).run().figures();
-            println!("{balancers} balancers, seed {seed}: {most:.2} of what it bears, {used:.2} used");
-            assert!(most <= 1.0, "{balancers} balancers, seed {seed}: {most:.2} of what a cold server bears");
-            assert!(used >= 0.2, "{balancers} balancers, seed {seed}: {used:.2} of what they can do");
+            let (most, used) =
+                Fleet::new(Scenario { balancer_count, warm, ..scenario }, seed).run().figures();
+            println!("{balancer_count} balancers, seed {seed}: {most:.2} of what it bears, {used:.2} used");
+            assert!(
+                most <= 1.0,
+                "{balancer_count} balancers, seed {seed}: {most:.2} of what a cold server bears"
+            );
+            assert!(used >= 0.2, "{balancer_count} balancers, seed {seed}: {used:.2} of what they can do");
         }
     }
 }
@@ -509,7 +524,7 @@
     for (seed, weight, waiting) in
         [(1, 1.0, 40), (2, 1.0, 40), (1, 1.0, 3), (2, 1.0, 3), (1, 0.3, 40), (1, 0.3, 3)]
     {
-        let wide = Scenario { balancers: 100, warm: 54, cold: 6, back: true, weight, waiting, ..BURST };
+        let wide = Scenario { balancer_count: 100, warm: 54, cold: 6, back: true, weight, waiting, ..BURST };
         let slow = Scenario { speed: 0.7, until: START + 4 * SECOND, ..wide };
         let (most, used) = Fleet::new(slow, seed).run().figures();
         println!(
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -14,27 +14,38 @@
 }
 
 /// Settings with one class of the given kind: wanted in 500 ms, given up after 1.2 s.
-pub fn settings(repeat: Repeat) -> Settings {
-    let class = Class { aim: 500 * MS, deadline: 1_200 * MS, worth: 1.0, late_value: 0.0, repeat };
+pub fn settings(idempotency: Idempotency) -> Settings {
+    let class = Class {
+        latency_objective: 500 * MS,
+        deadline: 1_200 * MS,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.0,
+        idempotency,
+    };
     Settings {
         classes: vec![class],
-        balancers: 7,
+        balancer_count: 7,
         limits: Limits { max_attempts: 5, ..Settings::default().limits },
         ..Settings::default()
     }
 }
 
-pub fn ready(server: u32) -> Entry {
-    Entry { server: ServerId(server), state: State::Ready, ..Entry::default() }
+/// A list that is polled.
+pub fn polled() -> Discovery {
+    Discovery { mode: DiscoveryMode::Poll, ..Settings::default().discovery }
+}
+
+pub fn ready(endpoint: u32) -> EndpointEntry {
+    EndpointEntry { endpoint: EndpointId(endpoint), state: EndpointState::Ready, ..EndpointEntry::default() }
 }
 
 impl Proxy {
-    /// A started proxy that knows of `servers` ready, warm servers, numbered from 1.
-    pub fn new(settings: Settings, servers: u32) -> Proxy {
+    /// A started proxy that knows of `endpoints` ready, warm servers, numbered from 1.
+    pub fn new(settings: Settings, endpoints: u32) -> Proxy {
         let mut proxy =
             Proxy { balancer: Balancer::new(7, settings), now: 1_000_000, actions: Vec::new(), next: 0 };
         proxy.event(Event::Start);
-        proxy.list(ListKind::Full, (1..=servers).map(ready).collect());
+        proxy.list(ListUpdate::Full, (1..=endpoints).map(ready).collect());
         proxy
     }
 
@@ -45,35 +56,54 @@
         actions
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::Members { kind, entries })
+    pub fn list(&mut self, kind: ListUpdate, entries: Vec<EndpointEntry>) -> Vec<Action> {
+        self.event(Event::EndpointList { kind, entries })
     }
 
-    pub fn call_of(&mut self, class: usize) -> (CallId, Vec<Action>) {
+    pub fn call_of(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         self.next += 1;
-        let call = CallId(self.next);
+        let request = RequestId(self.next);
         let class = ClassId(class);
-        let event =
-            Event::Request { call, class, tenant: None, time_left: 1_200 * MS, resent: false, once: false };
-        (call, self.event(event))
+        let event = Event::RequestReceived {
+            request,
+            class,
+            tenant: None,
+            time_left: 1_200 * MS,
+            client_retry: false,
+            non_replayable: false,
+        };
+        (request, self.event(event))
     }
 
-    pub fn call(&mut self) -> (CallId, Vec<Action>) {
+    pub fn request(&mut self) -> (RequestId, Vec<Action>) {
         self.call_of(0)
     }
 
-    pub fn end(&mut self, call: CallId, attempt: u32, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
-        let closed = outcome == Outcome::Served;
-        self.event(Event::Outcome { call, attempt, outcome, elapsed, closed, load: Load::default() })
+    pub fn end(
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        elapsed: Micros,
+    ) -> Vec<Action> {
+        let request_finished = outcome == Outcome::Served;
+        self.event(Event::AttemptEnded {
+            request,
+            attempt,
+            outcome,
+            elapsed,
+            request_finished,
+            load: LoadReport::default(),
+        })
     }
 
     /// A call that is sent and served after `elapsed`; tells where it went.
-    pub fn serve(&mut self, elapsed: Micros) -> Option<ServerId> {
-        let (call, actions) = self.call();
-        let server = sent(&actions).first().map(|s| s.1);
+    pub fn serve(&mut self, elapsed: Micros) -> Option<EndpointId> {
+        let (request, actions) = self.request();
+        let endpoint = sent(&actions).first().map(|s| s.1);
         self.now += elapsed;
-        self.end(call, 0, Outcome::Served, elapsed);
-        server
+        self.end(request, 0, Outcome::Served, elapsed);
+        endpoint
     }
 
     pub fn wait(&mut self, span: Micros) -> Vec<Action> {
@@ -82,20 +112,20 @@
     }
 }
 
-pub fn sent(actions: &[Action]) -> Vec<(CallId, ServerId)> {
+pub fn sent(actions: &[Action]) -> Vec<(RequestId, EndpointId)> {
     actions
         .iter()
         .filter_map(|a| match a {
-            Action::Send { call, server, .. } => Some((*call, *server)),
+            Action::Forward { request, endpoint, .. } => Some((*request, *endpoint)),
             _ => None,
         })
         .collect()
 }
 
-pub fn refused(actions: &[Action], id: CallId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { call, .. } if *call == id))
+pub fn refused(actions: &[Action], id: RequestId) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
-pub fn failed(actions: &[Action], id: CallId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { call, .. } if *call == id))
+pub fn failed(actions: &[Action], id: RequestId) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Fail { request, .. } if *request == id))
 }
--- a/balancer/tests/discovery.rs
+++ b/balancer/tests/discovery.rs
@@ -20,8 +20,11 @@
 const ANSWER: Micros = 500 * MS;
 const MANY: u32 = 300;
 
-fn asking(balancers: u32, me: u32) -> Balancer {
-    Balancer::new(u64::from(me) * 7 + 1, Settings { balancers, me, ask: true, ..settings(Repeat::Free) })
+fn asking(balancer_count: u32, balancer_index: u32) -> Balancer {
+    Balancer::new(
+        u64::from(balancer_index) * 7 + 1,
+        Settings { balancer_count, balancer_index, discovery: polled(), ..settings(Idempotency::Idempotent) },
+    )
 }
 
 /// What discovery does with a call.
@@ -38,20 +41,20 @@
 /// A proxy alone: the list is lost, then each call takes so long to fail. Tells when each call began.
 fn calls_of(balancer: &mut Balancer, lost: Option<Micros>, fails: &[Micros]) -> Vec<Micros> {
     let entries: Vec<_> = (1..=60).map(ready).collect();
-    let members = |kind, entries| Event::Members { kind, entries };
+    let members = |kind, entries| Event::EndpointList { kind, entries };
     let mut actions = Vec::new();
     balancer.handle(0, Event::Start, &mut actions);
     let mut begun = Vec::new();
     let mut now = match lost {
         Some(lost) => {
-            balancer.handle(0, members(ListKind::Full, entries), &mut actions);
-            balancer.handle(lost, members(ListKind::Lost, Vec::new()), &mut actions);
+            balancer.handle(0, members(ListUpdate::Full, entries), &mut actions);
+            balancer.handle(lost, members(ListUpdate::WatchLost, Vec::new()), &mut actions);
             lost
         }
         None => {
-            balancer.handle(0, members(ListKind::Cached, entries), &mut actions);
+            balancer.handle(0, members(ListUpdate::Cached, entries), &mut actions);
             begun.push(0);
-            balancer.handle(fails[0], members(ListKind::Failed, Vec::new()), &mut actions);
+            balancer.handle(fails[0], members(ListUpdate::PollFailed, Vec::new()), &mut actions);
             fails[0]
         }
     };
@@ -60,7 +63,7 @@
         begun.push(now);
         let Some(fail) = fails.get(begun.len() - 1) else { return begun };
         now += fail;
-        balancer.handle(now, members(ListKind::Failed, Vec::new()), &mut actions);
+        balancer.handle(now, members(ListUpdate::PollFailed, Vec::new()), &mut actions);
     }
 }
 
@@ -71,17 +74,17 @@
 /// under way then SILENCE is left at the most, so this is the sum of all waits.
 #[test]
 fn after_any_calls_that_fail_the_next_begins_in_time() {
-    for (balancers, me) in [(5, 0), (5, 3), (MANY, 0), (MANY, 7), (MANY, 299)] {
+    for (balancer_count, balancer_index) in [(5, 0), (5, 3), (MANY, 0), (MANY, 7), (MANY, 299)] {
         for path in 0..3_usize.pow(5) {
             let fails: Vec<_> = (0..5).map(|n| FAILS[path / 3_usize.pow(n) % 3]).collect();
             for lost in [None, Some(0), Some(SILENCE)] {
-                let begun = calls_of(&mut asking(balancers, me), lost, &fails);
-                for (call, fail) in fails.iter().enumerate() {
-                    let pause = begun[call + 1] - (begun[call] + fail);
+                let begun = calls_of(&mut asking(balancer_count, balancer_index), lost, &fails);
+                for (request, fail) in fails.iter().enumerate() {
+                    let pause = begun[request + 1] - (begun[request] + fail);
                     let sum = SILENCE + pause + ANSWER;
                     assert!(
                         sum <= TOLD,
-                        "{balancers}: {sum} us after call {call} of {fails:?}, lost {lost:?}"
+                        "{balancer_count}: {sum} us after call {request} of {fails:?}, lost {lost:?}"
                     );
                 }
             }
@@ -94,14 +97,19 @@
 #[test]
 fn what_a_lost_watch_misses_is_asked_for_in_time() {
     let paths: [&[Micros]; 4] = [&[], &[TURN], &[SILENCE], &[0; 40]];
-    for (balancers, me) in (0..40).flat_map(|me| [(5, me), (MANY, me)]) {
+    for (balancer_count, balancer_index) in
+        (0..40).flat_map(|balancer_index| [(5, balancer_index), (MANY, balancer_index)])
+    {
         for (lost, told) in [(SILENCE, TOLD), (0, TOLD_AFTER_MOVE)] {
             for fails in paths {
-                let begun = calls_of(&mut asking(balancers, me), Some(lost), fails);
+                let begun = calls_of(&mut asking(balancer_count, balancer_index), Some(lost), fails);
                 let last = begun.iter().rfind(|begun| **begun + ANSWER <= told).expect("a call in time");
                 // The last of those that are refused at once is as late as can be.
-                assert!(fails.len() < 40 || *last >= lost + 2_750 * MS, "{balancers}: {begun:?}");
-                assert!(fails.len() > 1 || begun.last() == Some(last), "{balancers}, {fails:?}: {begun:?}");
+                assert!(fails.len() < 40 || *last >= lost + 2_750 * MS, "{balancer_count}: {begun:?}");
+                assert!(
+                    fails.len() > 1 || begun.last() == Some(last),
+                    "{balancer_count}, {fails:?}: {begun:?}"
+                );
             }
         }
     }
@@ -111,25 +119,27 @@
 /// second reset, and what it misses from then on is asked for in time.
 #[test]
 fn what_two_watches_that_break_at_once_miss_is_asked_for_in_time() {
-    for (balancers, me) in (0..40).flat_map(|me| [(5, me), (MANY, me)]) {
+    for (balancer_count, balancer_index) in
+        (0..40).flat_map(|balancer_index| [(5, balancer_index), (MANY, balancer_index)])
+    {
         for fail in [None, Some(0), Some(TURN), Some(SILENCE)] {
-            let mut balancer = asking(balancers, me);
-            let members = |kind, entries| Event::Members { kind, entries };
+            let mut balancer = asking(balancer_count, balancer_index);
+            let members = |kind, entries| Event::EndpointList { kind, entries };
             let (mut actions, mut now) = (Vec::new(), 0);
             balancer.handle(now, Event::Start, &mut actions);
-            balancer.handle(now, members(ListKind::Full, vec![ready(1)]), &mut actions);
-            balancer.handle(now, members(ListKind::Lost, Vec::new()), &mut actions);
+            balancer.handle(now, members(ListUpdate::Full, vec![ready(1)]), &mut actions);
+            balancer.handle(now, members(ListUpdate::WatchLost, Vec::new()), &mut actions);
             now = next_call(&mut balancer, now, &mut actions);
-            balancer.handle(now, members(ListKind::Full, vec![ready(1)]), &mut actions);
+            balancer.handle(now, members(ListUpdate::Full, vec![ready(1)]), &mut actions);
             let broken = now + 900 * MS;
-            balancer.handle(broken, members(ListKind::BrokenAgain, Vec::new()), &mut actions);
+            balancer.handle(broken, members(ListUpdate::WatchFlapping, Vec::new()), &mut actions);
             now = next_call(&mut balancer, broken, &mut actions);
             if let Some(fail) = fail {
                 now += fail;
-                balancer.handle(now, members(ListKind::Failed, Vec::new()), &mut actions);
+                balancer.handle(now, members(ListUpdate::PollFailed, Vec::new()), &mut actions);
                 now = next_call(&mut balancer, now, &mut actions);
             }
-            assert!(now + ANSWER <= broken + TOLD, "{balancers}, {fail:?}: {} us after", now - broken);
+            assert!(now + ANSWER <= broken + TOLD, "{balancer_count}, {fail:?}: {} us after", now - broken);
         }
     }
 }
@@ -138,7 +148,7 @@
 fn next_call(balancer: &mut Balancer, mut now: Micros, actions: &mut Vec<Action>) -> Micros {
     loop {
         let mut wakes = actions.iter().filter_map(|action| match action {
-            Action::Wake { after } => Some(*after),
+            Action::SetTimer { after } => Some(*after),
             _ => None,
         });
         now += wakes.next_back().expect("it wakes for the next call");
@@ -153,15 +163,18 @@
 /// A watch that was open shows that asking works, also where it had nothing to tell: waits begin anew.
 #[test]
 fn after_a_watch_that_was_open_waits_are_short_again() {
-    let mut proxy = Proxy::new(Settings { balancers: 5, ask: true, ..settings(Repeat::Free) }, 60);
-    let mut wait = |kinds: &[ListKind]| {
+    let mut proxy = Proxy::new(
+        Settings { balancer_count: 5, discovery: polled(), ..settings(Idempotency::Idempotent) },
+        60,
+    );
+    let mut wait = |kinds: &[ListUpdate]| {
         kinds.iter().for_each(|kind| drop(proxy.list(*kind, Vec::new())));
         let failed = proxy.now;
         while !proxy.wait(10 * MS).contains(&Action::Subscribe) {}
         proxy.now - failed
     };
-    let grown = (0..5).map(|_| wait(&[ListKind::Failed])).max().expect("five");
-    let anew = wait(&[ListKind::Lost, ListKind::Failed]);
+    let grown = (0..5).map(|_| wait(&[ListUpdate::PollFailed])).max().expect("five");
+    let anew = wait(&[ListUpdate::WatchLost, ListUpdate::PollFailed]);
     assert!(grown >= S && anew <= 480 * MS, "{grown} and {anew}");
 }
 
@@ -177,7 +190,7 @@
     free_at: Micros,
     proxies: Vec<Asking>,
     /// When each call was made, and whether it brought a list.
-    calls: Vec<(Micros, bool)>,
+    requests: Vec<(Micros, bool)>,
 }
 
 /// A proxy that has no watch.
@@ -185,7 +198,7 @@
     balancer: Balancer,
     wake: Micros,
     /// When its call was made.
-    call: Option<Micros>,
+    request: Option<Micros>,
     /// When it takes its watch for dead.
     notices: Micros,
     told: Option<Micros>,
@@ -194,17 +207,17 @@
 impl Fleet {
     /// All watches are open; `notices` says when each is found to be lost.
     fn new(count: u32, capacity: u64, refusal: f64, notices: impl Fn(u32) -> Micros) -> Fleet {
-        let proxy = |me: u32| {
-            let mut balancer = asking(count, me);
+        let proxy = |balancer_index: u32| {
+            let mut balancer = asking(count, balancer_index);
             let (mut actions, entries) = (Vec::new(), (1..=60).map(ready).collect());
             balancer.handle(0, Event::Start, &mut actions);
-            balancer.handle(0, Event::Members { kind: ListKind::Full, entries }, &mut actions);
-            let notices = notices(me);
-            Asking { balancer, wake: Micros::MAX, call: None, notices, told: None }
+            balancer.handle(0, Event::EndpointList { kind: ListUpdate::Full, entries }, &mut actions);
+            let notices = notices(balancer_index);
+            Asking { balancer, wake: Micros::MAX, request: None, notices, told: None }
         };
         let proxies = (0..count).map(proxy).collect();
-        let (queue, calls) = Default::default();
-        Fleet { now: 0, way: Way::Up, capacity, refusal, queue, free_at: 0, proxies, calls }
+        let (queue, requests) = Default::default();
+        Fleet { now: 0, way: Way::Up, capacity, refusal, queue, free_at: 0, proxies, requests }
     }
 
     fn event(&mut self, who: usize, event: Event) {
@@ -213,10 +226,10 @@
         proxy.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Wake { after } => proxy.wake = self.now + after,
+                Action::SetTimer { after } => proxy.wake = self.now + after,
                 Action::Subscribe => {
-                    proxy.call = Some(self.now);
-                    self.calls.push((self.now, false));
+                    proxy.request = Some(self.now);
+                    self.requests.push((self.now, false));
                     if self.way == Way::Up {
                         self.queue.push_back((who, self.now));
                     }
@@ -226,20 +239,20 @@
         }
     }
 
-    fn list(&mut self, who: usize, kind: ListKind) {
-        self.event(who, Event::Members { kind, entries: Vec::new() });
+    fn list(&mut self, who: usize, kind: ListUpdate) {
+        self.event(who, Event::EndpointList { kind, entries: Vec::new() });
     }
 
     fn fail(&mut self, who: usize) {
-        self.proxies[who].call = None;
-        self.list(who, ListKind::Failed);
+        self.proxies[who].request = None;
+        self.list(who, ListUpdate::PollFailed);
     }
 
     fn answer(&mut self) {
         while self.free_at <= self.now {
             let Some((who, since)) = self.queue.pop_front() else { return };
             // One that was given up has left.
-            if self.proxies[who].call != Some(since) {
+            if self.proxies[who].request != Some(since) {
                 continue;
             }
             let served = self.now - since <= TURN;
@@ -247,14 +260,14 @@
             self.free_at =
                 self.free_at.max(self.now - MS) + (takes * S as f64 / self.capacity as f64) as Micros;
             if served {
-                self.proxies[who].call = None;
+                self.proxies[who].request = None;
                 self.proxies[who].told = Some(self.now);
-                self.calls
+                self.requests
                     .iter_mut()
-                    .filter(|call| **call == (since, false))
+                    .filter(|request| **request == (since, false))
                     .take(1)
-                    .for_each(|call| call.1 = true);
-                self.list(who, ListKind::Delta);
+                    .for_each(|request| request.1 = true);
+                self.list(who, ListUpdate::Delta);
             } else {
                 self.fail(who);
             }
@@ -269,15 +282,15 @@
                 self.answer();
             }
             for who in 0..self.proxies.len() {
-                let Asking { wake, call, notices, .. } = self.proxies[who];
+                let Asking { wake, request, notices, .. } = self.proxies[who];
                 let over = match self.way {
                     Way::Refuses => 0,
                     Way::Up | Way::Silent => SILENCE,
                 };
                 if notices <= self.now {
                     self.proxies[who].notices = Micros::MAX;
-                    self.list(who, ListKind::Lost);
-                } else if call.is_some_and(|since| self.now >= since + over) {
+                    self.list(who, ListUpdate::WatchLost);
+                } else if request.is_some_and(|since| self.now >= since + over) {
                     self.fail(who);
                 } else if wake <= self.now {
                     self.proxies[who].wake = Micros::MAX;
@@ -289,11 +302,11 @@
 
     /// All proxies are killed and come up again with an old list.
     fn restart(&mut self) {
-        for (who, me) in (0..).zip(0..self.proxies.len() as u32) {
-            self.proxies[who].balancer = asking(MANY, me + MANY);
+        for (who, balancer_index) in (0..).zip(0..self.proxies.len() as u32) {
+            self.proxies[who].balancer = asking(MANY, balancer_index + MANY);
             self.event(who, Event::Start);
             let entries = (1..=60).map(ready).collect();
-            self.event(who, Event::Members { kind: ListKind::Cached, entries });
+            self.event(who, Event::EndpointList { kind: ListUpdate::Cached, entries });
         }
     }
 
@@ -304,10 +317,11 @@
 
     /// Most calls in a second from `from` on, and the share of all that failed.
     fn load(&self, from: Micros) -> (usize, f64) {
-        let calls: Vec<_> = self.calls.iter().filter(|call| call.0 >= from).collect();
-        let most = (0..30).map(|s| calls.iter().filter(|call| (call.0 - from) / S == s).count()).max();
-        let failed = calls.iter().filter(|call| !call.1).count();
-        (most.unwrap_or(0), failed as f64 / calls.len().max(1) as f64)
+        let requests: Vec<_> = self.requests.iter().filter(|request| request.0 >= from).collect();
+        let most =
+            (0..30).map(|s| requests.iter().filter(|request| (request.0 - from) / S == s).count()).max();
+        let failed = requests.iter().filter(|request| !request.1).count();
+        (most.unwrap_or(0), failed as f64 / requests.len().max(1) as f64)
     }
 }
 
--- a/balancer/tests/start_times.rs
+++ b/balancer/tests/endpoint_start.rs
@@ -7,39 +7,39 @@
 const SECOND: Micros = 1_000 * MS;
 const HOUR: Micros = 3_600 * SECOND;
 const WARM: u32 = 3;
-const NEW: ServerId = ServerId(WARM + 1);
+const NEW: EndpointId = EndpointId(WARM + 1);
 
 /// A proxy that has had calls for a while at warm servers and then hears of a new one with this start time.
-fn hears_of_a_new_server(started: impl Fn(Micros) -> Micros) -> Proxy {
-    let mut proxy = Proxy::new(settings(Repeat::Free), WARM);
+fn hears_of_a_new_server(started_at: impl Fn(Micros) -> Micros) -> Proxy {
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), WARM);
     proxy.now += 2 * HOUR;
-    proxy.list(ListKind::Full, (1..=WARM).map(ready).collect());
+    proxy.list(ListUpdate::Full, (1..=WARM).map(ready).collect());
     for _ in 0..40 {
         proxy.serve(50 * MS);
     }
-    let started = started(proxy.now);
-    proxy.list(ListKind::Delta, vec![Entry { started, ..ready(NEW.0) }]);
+    let started_at = started_at(proxy.now);
+    proxy.list(ListUpdate::Delta, vec![EndpointEntry { started_at, ..ready(NEW.0) }]);
     proxy
 }
 
 /// How many of the calls in this time go to the new server.
 fn share_of_new(proxy: &mut Proxy, time: Micros) -> f64 {
-    let (end, mut calls, mut to_new) = (proxy.now + time, 0, 0);
+    let (end, mut requests, mut to_new) = (proxy.now + time, 0, 0);
     while proxy.now < end {
-        calls += 1;
+        requests += 1;
         to_new += u32::from(proxy.serve(50 * MS) == Some(NEW));
     }
-    f64::from(to_new) / f64::from(calls)
+    f64::from(to_new) / f64::from(requests)
 }
 
 /// With the proxy's wall clock an hour back each replaced server seems to start in an hour. It is warm after the usual time
 /// all the same.
 #[test]
 fn a_server_that_seems_to_start_in_the_future_becomes_warm() {
-    let cold_time = Settings::default().rules.cold_time;
+    let duration = Settings::default().slow_start.duration;
     for ahead in [0, SECOND, HOUR] {
         let mut proxy = hears_of_a_new_server(|now| now + ahead);
-        share_of_new(&mut proxy, cold_time);
+        share_of_new(&mut proxy, duration);
         let share = share_of_new(&mut proxy, 10 * SECOND);
         assert!(share > 0.5 / f64::from(WARM + 1), "{share} of the calls, {ahead} us ahead");
     }
@@ -62,10 +62,10 @@
 #[test]
 fn a_start_time_that_goes_back_is_that_of_another_process() {
     let mut proxy = hears_of_a_new_server(|now| now - SECOND);
-    share_of_new(&mut proxy, Settings::default().rules.cold_time + 10 * SECOND);
-    let started = proxy.now - HOUR;
+    share_of_new(&mut proxy, Settings::default().slow_start.duration + 10 * SECOND);
+    let started_at = proxy.now - HOUR;
     proxy.event(Event::Heartbeat);
-    proxy.list(ListKind::Delta, vec![Entry { started, ..ready(NEW.0) }]);
+    proxy.list(ListUpdate::Delta, vec![EndpointEntry { started_at, ..ready(NEW.0) }]);
     let share = share_of_new(&mut proxy, 5 * SECOND);
     assert!(share < 0.5 / f64::from(WARM + 1), "{share} of the calls");
 }
@@ -74,12 +74,12 @@
 #[test]
 fn a_server_that_comes_back_to_the_list_is_not_cold() {
     let mut proxy = hears_of_a_new_server(|now| now - SECOND);
-    let started = proxy.now - SECOND;
-    share_of_new(&mut proxy, Settings::default().rules.cold_time);
-    proxy.list(ListKind::Delta, vec![Entry { state: State::Gone, ..ready(NEW.0) }]);
+    let started_at = proxy.now - SECOND;
+    share_of_new(&mut proxy, Settings::default().slow_start.duration);
+    proxy.list(ListUpdate::Delta, vec![EndpointEntry { state: EndpointState::Removed, ..ready(NEW.0) }]);
     share_of_new(&mut proxy, 10 * SECOND);
     proxy.event(Event::Heartbeat);
-    proxy.list(ListKind::Delta, vec![Entry { started, ..ready(NEW.0) }]);
+    proxy.list(ListUpdate::Delta, vec![EndpointEntry { started_at, ..ready(NEW.0) }]);
     let share = share_of_new(&mut proxy, 10 * SECOND);
     assert!(share > 0.5 / f64::from(WARM + 1), "{share} of the calls");
 }
@@ -88,15 +88,15 @@
 /// long before the newest are warm all the same.
 #[test]
 fn in_a_first_list_with_the_clock_back_only_the_newest_is_cold() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 0);
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
     // One that has had no list yet.
-    proxy.balancer = Balancer::new(7, settings(Repeat::Free));
+    proxy.balancer = Balancer::new(7, settings(Idempotency::Idempotent));
     proxy.now += 2 * HOUR;
     let seems = |age: Micros| proxy.now + HOUR - age;
-    let old = |server| Entry { started: seems(600 * SECOND), ..ready(server) };
-    let newest = Entry { started: seems(SECOND), ..ready(NEW.0) };
-    proxy.list(ListKind::Full, (1..=WARM).map(old).chain([newest]).collect());
+    let old = |endpoint| EndpointEntry { started_at: seems(600 * SECOND), ..ready(endpoint) };
+    let newest = EndpointEntry { started_at: seems(SECOND), ..ready(NEW.0) };
+    proxy.list(ListUpdate::Full, (1..=WARM).map(old).chain([newest]).collect());
     let share = share_of_new(&mut proxy, 2 * SECOND);
     assert!(share < 0.5 / f64::from(WARM + 1), "{share} of the calls go to the newest");
-    assert!(!sent(&proxy.call().1).is_empty(), "the others are warm");
+    assert!(!sent(&proxy.request().1).is_empty(), "the others are warm");
 }
--- a/balancer/tests/recovery.rs
+++ b/balancer/tests/recovery.rs
@@ -57,12 +57,12 @@
     Return,
 }
 
-struct Server {
+struct Endpoint {
     cores: f64,
     speed: f64,
     zone: u32,
     up: bool,
-    started: Micros,
+    started_at: Micros,
     fails: bool,
     slows_down: bool,
     slow: bool,
@@ -75,14 +75,14 @@
     turn: u64,
 }
 
-impl Server {
+impl Endpoint {
     fn held(&self) -> usize {
         self.work.len() + self.waiting.len()
     }
 
     fn rate(&self, now: Micros) -> f64 {
-        let age = now.saturating_sub(self.started);
-        let cold = self.started != 0 && age < COLD_TIME;
+        let age = now.saturating_sub(self.started_at);
+        let cold = self.started_at != 0 && age < COLD_TIME;
         let warmth = COLD_SHARE + (1.0 - COLD_SHARE) * age as f64 / COLD_TIME as f64;
         let pace = self.speed * if cold { warmth } else { 1.0 } / if self.slow { SLOWER } else { 1.0 };
         pace * (self.cores / self.work.len().max(1) as f64).min(1.0)
@@ -105,7 +105,7 @@
     }
 }
 
-struct Request {
+struct UserRequest {
     balancer: usize,
     class: usize,
     began: Micros,
@@ -113,8 +113,8 @@
     ended: bool,
 }
 
-struct Call {
-    request: usize,
+struct Request {
+    user_request: usize,
     /// Until when its client waits.
     until: Micros,
     /// Where its attempts went.
@@ -126,11 +126,11 @@
     next: BinaryHeap<Reverse<(Micros, u64, What)>>,
     number: u64,
     random: Pcg32,
-    servers: Vec<Server>,
-    balancers: Vec<Balancer>,
+    endpoints: Vec<Endpoint>,
+    balancer_count: Vec<Balancer>,
     alarms: Vec<u64>,
-    requests: Vec<Request>,
-    calls: HashMap<(usize, u64), Call>,
+    user_requests: Vec<UserRequest>,
+    requests: HashMap<(usize, u64), Request>,
     /// Open connections: of which balancer, to which server.
     connections: HashSet<(usize, usize)>,
     cut: bool,
@@ -139,23 +139,23 @@
 }
 
 impl Fleet {
-    fn new(seed: u64, balancers: usize, servers: usize, load: f64) -> Fleet {
+    fn new(seed: u64, balancer_count: usize, endpoints: usize, load: f64) -> Fleet {
         let mut fleet = Fleet {
             now: START,
             next: BinaryHeap::new(),
             number: 0,
             random: Pcg32::seed_from_u64(seed),
-            servers: Vec::new(),
-            balancers: Vec::new(),
-            alarms: vec![0; balancers],
-            requests: Vec::new(),
-            calls: HashMap::new(),
+            endpoints: Vec::new(),
+            balancer_count: Vec::new(),
+            alarms: vec![0; balancer_count],
+            user_requests: Vec::new(),
+            requests: HashMap::new(),
             connections: HashSet::new(),
             cut: false,
             seconds: vec![[0; 3]; ((END - START) / SECOND) as usize + 3],
         };
         let mut capacity = 0.0;
-        for place in 0..servers {
+        for place in 0..endpoints {
             let (cores, base) = if fleet.unit() < 0.55 { (3.0, 1.5) } else { (2.0, 0.97) };
             let speed = base * (0.8 + 0.4 * fleet.unit());
             capacity += cores * speed;
@@ -164,15 +164,15 @@
             let fails = bad && fleet.unit() < 0.4;
             let speed = if bad && !fails { speed / 5.0 } else { speed };
             let zone = (fleet.unit() * f64::from(ZONES)) as u32;
-            let (slows_down, slow, up, started) = (fleet.unit() < 0.6, false, true, 0);
+            let (slows_down, slow, up, started_at) = (fleet.unit() < 0.6, false, true, 0);
             let (crowded_since, calm_since, work, waiting) = Default::default();
             let (at, turn) = (START, 0);
-            fleet.servers.push(Server {
+            fleet.endpoints.push(Endpoint {
                 cores,
                 speed,
                 zone,
                 up,
-                started,
+                started_at,
                 fails,
                 slows_down,
                 slow,
@@ -185,25 +185,30 @@
             });
         }
         let class = |class: usize| Class {
-            aim: AIM[class],
+            latency_objective: AIM[class],
             deadline: DEADLINE[class],
-            worth: 1.0,
-            late_value: 0.0,
-            repeat: Repeat::Free,
+            priority_weight: 1.0,
+            late_weight_fraction: 0.0,
+            idempotency: Idempotency::Idempotent,
         };
         let base = Settings::default();
-        let rules = Rules { cold_share: COLD_SHARE, cold_time: COLD_TIME, fall_multiple: 3.0, ..base.rules };
-        let settings =
-            Settings { balancers: balancers as u32, classes: vec![class(0), class(1)], rules, ..base };
-        for me in 0..balancers {
-            let settings = Settings { me: me as u32, ..settings.clone() };
-            fleet.balancers.push(Balancer::new(seed * 1_000 + me as u64, settings));
-            fleet.tell(me, Event::Start);
-            let entries = fleet.list(|_| true, State::Ready);
-            fleet.tell(me, Event::Members { kind: ListKind::Full, entries });
+        let slow_start =
+            SlowStart { initial_capacity: COLD_SHARE, duration: COLD_TIME, overload_multiple: 3.0 };
+        let settings = Settings {
+            balancer_count: balancer_count as u32,
+            classes: vec![class(0), class(1)],
+            slow_start,
+            ..base
+        };
+        for balancer_index in 0..balancer_count {
+            let settings = Settings { balancer_index: balancer_index as u32, ..settings.clone() };
+            fleet.balancer_count.push(Balancer::new(seed * 1_000 + balancer_index as u64, settings));
+            fleet.tell(balancer_index, Event::Start);
+            let entries = fleet.list(|_| true, EndpointState::Ready);
+            fleet.tell(balancer_index, Event::EndpointList { kind: ListUpdate::Full, entries });
         }
         // Some balancers see several times the mean; all see a third less in the end.
-        let shares: Vec<f64> = (0..balancers).map(|_| 0.3 - fleet.unit().ln()).collect();
+        let shares: Vec<f64> = (0..balancer_count).map(|_| 0.3 - fleet.unit().ln()).collect();
         let per_second = capacity * load * 2e6 / (WORK[0] + WORK[1]) / shares.iter().sum::<f64>();
         for (balancer, share) in shares.iter().enumerate() {
             let mut began = START as f64;
@@ -214,8 +219,8 @@
                     break;
                 }
                 let (class, began) = (usize::from(fleet.unit() < 0.5), began as Micros);
-                fleet.at(began, What::Ask(fleet.requests.len()));
-                fleet.requests.push(Request { balancer, class, began, tries: 0, ended: false });
+                fleet.at(began, What::Ask(fleet.user_requests.len()));
+                fleet.user_requests.push(UserRequest { balancer, class, began, tries: 0, ended: false });
             }
         }
         for (at, what) in [
@@ -244,40 +249,44 @@
         self.seconds[((at - START) / SECOND) as usize][what] += 1;
     }
 
-    fn reaches(&self, balancer: usize, server: usize) -> bool {
-        let (from, to) = (balancer as u32 % ZONES, self.servers[server].zone);
+    fn reaches(&self, balancer: usize, endpoint: usize) -> bool {
+        let (from, to) = (balancer as u32 % ZONES, self.endpoints[endpoint].zone);
         let crosses = from != to && (from == CUT_ZONE || to == CUT_ZONE);
-        self.servers[server].up && !(self.cut && crosses)
+        self.endpoints[endpoint].up && !(self.cut && crosses)
     }
 
-    fn list(&self, which: impl Fn(&Server) -> bool, state: State) -> Vec<Entry> {
-        let all = (1..).zip(&self.servers).filter(|(_, server)| which(server));
-        let entry = |(id, server): (u32, &Server)| Entry {
-            server: ServerId(id),
+    fn list(&self, which: impl Fn(&Endpoint) -> bool, state: EndpointState) -> Vec<EndpointEntry> {
+        let all = (1..).zip(&self.endpoints).filter(|(_, endpoint)| which(endpoint));
+        let entry = |(id, endpoint): (u32, &Endpoint)| EndpointEntry {
+            endpoint: EndpointId(id),
             state,
-            zone: ZoneId(server.zone),
-            started: server.started,
-            ..Entry::default()
+            zone: ZoneId(endpoint.zone),
+            started_at: endpoint.started_at,
+            ..EndpointEntry::default()
         };
         all.map(entry).collect()
     }
 
-    fn tell_all(&mut self, state: State) {
-        let entries = self.list(|server| server.zone == LOST_ZONE, state);
-        for balancer in 0..self.balancers.len() {
+    fn tell_all(&mut self, state: EndpointState) {
+        let entries = self.list(|endpoint| endpoint.zone == LOST_ZONE, state);
+        for balancer in 0..self.balancer_count.len() {
             let entries = entries.clone();
-            self.tell(balancer, Event::Members { kind: ListKind::Delta, entries });
+            self.tell(balancer, Event::EndpointList { kind: ListUpdate::Delta, entries });
         }
     }
 
     fn tell(&mut self, balancer: usize, event: Event) {
         let mut actions = Vec::new();
-        self.balancers[balancer].handle(self.now, event, &mut actions);
+        self.balancer_count[balancer].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { call, server, .. } => self.send(balancer, call.0, server.0 as usize - 1),
-                Action::Refuse { call, .. } | Action::Fail { call, .. } => self.end(balancer, call.0, false),
-                Action::Wake { after } => {
+                Action::Forward { request, endpoint, .. } => {
+                    self.send(balancer, request.0, endpoint.0 as usize - 1)
+                }
+                Action::Reject { request, .. } | Action::Fail { request, .. } => {
+                    self.end(balancer, request.0, false)
+                }
+                Action::SetTimer { after } => {
                     self.alarms[balancer] += 1;
                     self.at(self.now + after, What::Alarm(balancer, self.alarms[balancer]));
                 }
@@ -286,101 +295,110 @@
         }
     }
 
-    fn send(&mut self, balancer: usize, id: u64, server: usize) {
-        let Some(call) = self.calls.get_mut(&(balancer, id)) else { return };
-        call.to.push(server);
-        let (attempt, until) = ((balancer, id, call.to.len() as u32 - 1), call.until);
-        let kept = self.connections.contains(&(balancer, server));
-        if self.reaches(balancer, server) {
-            if self.connections.insert((balancer, server)) {
+    fn send(&mut self, balancer: usize, id: u64, endpoint: usize) {
+        let Some(request) = self.requests.get_mut(&(balancer, id)) else { return };
+        request.to.push(endpoint);
+        let (attempt, until) = ((balancer, id, request.to.len() as u32 - 1), request.until);
+        let kept = self.connections.contains(&(balancer, endpoint));
+        if self.reaches(balancer, endpoint) {
+            if self.connections.insert((balancer, endpoint)) {
                 self.count(self.now, 2);
             }
             self.at(self.now + MS, What::Reach(attempt));
             self.at(until, What::Expire(attempt));
         } else if kept {
             // Nothing is said on open connections.
-            self.connections.remove(&(balancer, server));
+            self.connections.remove(&(balancer, endpoint));
             self.at(until, What::Expire(attempt));
         } else {
-            self.at((self.now + CONNECT_TIME).min(until), What::Back(attempt, Outcome::NoConnection));
+            self.at((self.now + CONNECT_TIME).min(until), What::Back(attempt, Outcome::ConnectFailed));
         }
     }
 
     /// The end of a try: its client is content, or comes again.
     fn end(&mut self, balancer: usize, id: u64, served: bool) {
-        let Some(call) = self.calls.remove(&(balancer, id)) else { return };
-        let place = call.request;
+        let Some(request) = self.requests.remove(&(balancer, id)) else { return };
+        let place = request.user_request;
         let again = 25 * MS + (self.unit() * 100e3) as Micros;
-        let request = &mut self.requests[place];
-        let (class, began) = (request.class, request.began);
-        request.tries += 1;
-        request.ended = served;
+        let user_request = &mut self.user_requests[place];
+        let (class, began) = (user_request.class, user_request.began);
+        user_request.tries += 1;
+        user_request.ended = served;
         if served && self.now <= began + AIM[class] {
             self.count(began, 1);
-        } else if !served && self.requests[place].tries < TRIES && self.now < began + DEADLINE[class] {
+        } else if !served && self.user_requests[place].tries < TRIES && self.now < began + DEADLINE[class] {
             self.at(self.now + again, What::Ask(place));
         }
     }
 
-    fn outcome(&mut self, (balancer, call, attempt): Try, outcome: Outcome, closed: bool) {
-        let (call, elapsed, load) = (CallId(call), 0, Load::default());
-        self.tell(balancer, Event::Outcome { call, attempt, outcome, elapsed, closed, load });
+    fn outcome(&mut self, (balancer, request, attempt): Try, outcome: Outcome, request_finished: bool) {
+        let (request, elapsed, load) = (RequestId(request), 0, LoadReport::default());
+        self.tell(
+            balancer,
+            Event::AttemptEnded { request, attempt, outcome, elapsed, request_finished, load },
+        );
     }
 
     /// Whether an attempt is the last of its call, which has not ended.
-    fn is_out(&self, (balancer, call, attempt): Try) -> bool {
-        self.calls.get(&(balancer, call)).is_some_and(|call| call.to.len() == attempt as usize + 1)
+    fn is_out(&self, (balancer, request, attempt): Try) -> bool {
+        self.requests
+            .get(&(balancer, request))
+            .is_some_and(|request| request.to.len() == attempt as usize + 1)
     }
 
     fn ask(&mut self, place: usize) {
-        let &Request { balancer, class, began, tries, .. } = &self.requests[place];
+        let &UserRequest { balancer, class, began, tries, .. } = &self.user_requests[place];
         if tries == 0 {
             self.count(began, 0);
         }
         self.number += 1;
-        let (call, class_id) = (self.number, ClassId(class));
+        let (request, class_id) = (self.number, ClassId(class));
         let time_left = (began + DEADLINE[class]).saturating_sub(self.now).min(DEADLINE[class] / 2).max(1);
         let until = self.now + time_left;
-        self.calls.insert((balancer, call), Call { request: place, until, to: Vec::new() });
-        let (call, tenant, resent, once) = (CallId(call), None, tries > 0, false);
+        self.requests.insert((balancer, request), Request { user_request: place, until, to: Vec::new() });
+        let (request, tenant, client_retry, non_replayable) = (RequestId(request), None, tries > 0, false);
         let class = class_id;
-        self.tell(balancer, Event::Request { call, class, tenant, time_left, resent, once });
+        self.tell(
+            balancer,
+            Event::RequestReceived { request, class, tenant, time_left, client_retry, non_replayable },
+        );
     }
 
     fn reach(&mut self, attempt: Try) {
         if !self.is_out(attempt) {
             return;
         }
-        let call = &self.calls[&(attempt.0, attempt.1)];
-        let (server, class) = (call.to[attempt.2 as usize], self.requests[call.request].class);
+        let request = &self.requests[&(attempt.0, attempt.1)];
+        let (endpoint, class) =
+            (request.to[attempt.2 as usize], self.user_requests[request.user_request].class);
         // From nothing to twice the mean, mostly near it.
         let work = WORK[class] * (0..4).map(|_| self.unit()).sum::<f64>() / 2.0;
-        if !self.reaches(attempt.0, server) {
+        if !self.reaches(attempt.0, endpoint) {
             return;
         }
         let half = self.unit() < 0.5;
-        let (now, host) = (self.now, &mut self.servers[server]);
+        let (now, host) = (self.now, &mut self.endpoints[endpoint]);
         if host.fails && half {
             return self.at(now + 2 * MS, What::Back(attempt, Outcome::Error));
         }
         host.advance(now);
         if host.held() as f64 >= 6.0 * host.cores {
-            return self.at(now + MS, What::Back(attempt, Outcome::TurnedAway));
+            return self.at(now + MS, What::Back(attempt, Outcome::Rejected));
         }
         host.waiting.push_back((work, attempt));
-        self.go_on(server);
+        self.go_on(endpoint);
     }
 
     /// Takes up what waits, up to four calls a core, and sets when the next is done.
     fn go_on(&mut self, place: usize) {
-        let (now, server) = (self.now, &mut self.servers[place]);
-        while (server.work.len() as f64) < 4.0 * server.cores {
-            let Some(work) = server.waiting.pop_front() else { break };
-            server.work.push(work);
+        let (now, endpoint) = (self.now, &mut self.endpoints[place]);
+        while (endpoint.work.len() as f64) < 4.0 * endpoint.cores {
+            let Some(work) = endpoint.waiting.pop_front() else { break };
+            endpoint.work.push(work);
         }
-        server.turn += 1;
-        let (turn, rate) = (server.turn, server.rate(now));
-        if let Some(least) = server.work.iter().map(|work| work.0).min_by(f64::total_cmp) {
+        endpoint.turn += 1;
+        let (turn, rate) = (endpoint.turn, endpoint.rate(now));
+        if let Some(least) = endpoint.work.iter().map(|work| work.0).min_by(f64::total_cmp) {
             // Its rate changes as it warms up.
             let wait = ((least / rate).max(0.0) as Micros + 1).min(100 * MS);
             self.at(now + wait, What::Work(place, turn));
@@ -389,7 +407,7 @@
 
     fn step(&mut self, what: What) {
         match what {
-            What::Ask(place) if !self.requests[place].ended => self.ask(place),
+            What::Ask(place) if !self.user_requests[place].ended => self.ask(place),
             What::Ask(_) => {}
             What::Reach(attempt) => self.reach(attempt),
             What::Back(attempt, outcome) if self.is_out(attempt) => {
@@ -403,11 +421,11 @@
                 self.outcome(attempt, Outcome::TimedOut, true);
             }
             What::Back(..) | What::Expire(_) => {}
-            What::Work(place, turn) if self.servers[place].turn == turn && self.servers[place].up => {
-                let (now, server) = (self.now, &mut self.servers[place]);
-                server.advance(now);
-                let done: Vec<Try> = server.work.iter().filter(|w| w.0 <= 0.5).map(|w| w.1).collect();
-                server.work.retain(|work| work.0 > 0.5);
+            What::Work(place, turn) if self.endpoints[place].turn == turn && self.endpoints[place].up => {
+                let (now, endpoint) = (self.now, &mut self.endpoints[place]);
+                endpoint.advance(now);
+                let done: Vec<Try> = endpoint.work.iter().filter(|w| w.0 <= 0.5).map(|w| w.1).collect();
+                endpoint.work.retain(|work| work.0 > 0.5);
                 // It works on for clients that have gone as well.
                 done.into_iter().for_each(|attempt| self.at(now + MS, What::Back(attempt, Outcome::Served)));
                 self.go_on(place);
@@ -418,19 +436,19 @@
             What::Work(..) | What::Alarm(..) => {}
             What::Cut(cut) => self.cut = cut,
             What::Lose => {
-                for server in self.servers.iter_mut().filter(|server| server.zone == LOST_ZONE) {
-                    server.up = false;
-                    server.work.clear();
-                    server.waiting.clear();
+                for endpoint in self.endpoints.iter_mut().filter(|endpoint| endpoint.zone == LOST_ZONE) {
+                    endpoint.up = false;
+                    endpoint.work.clear();
+                    endpoint.waiting.clear();
                 }
             }
-            What::ListGone => self.tell_all(State::Gone),
+            What::ListGone => self.tell_all(EndpointState::Removed),
             What::Return => {
                 let now = self.now;
-                for server in self.servers.iter_mut().filter(|server| server.zone == LOST_ZONE) {
-                    (server.up, server.started, server.at, server.slow) = (true, now, now, false);
+                for endpoint in self.endpoints.iter_mut().filter(|endpoint| endpoint.zone == LOST_ZONE) {
+                    (endpoint.up, endpoint.started_at, endpoint.at, endpoint.slow) = (true, now, now, false);
                 }
-                self.tell_all(State::Ready);
+                self.tell_all(EndpointState::Ready);
             }
         }
     }
--- a/proxy/src/body.rs
+++ b/proxy/src/body/mod.rs
@@ -1,10 +1,10 @@
 //! Bodies on their way through: a client's as it comes, one attempt's as it goes out, an answer's as it is passed on.
 //! Small ones are gathered, larger ones are never held whole.
 
-use crate::attempt::Meter;
-use crate::counters::{Ending, Taken};
+use crate::metrics::{RequestEnd, RequestTracker};
 use crate::socket::Socket;
 use crate::upstream::BoxError;
+use crate::write_guard::WriteGuard;
 use http_body_util::Full;
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use hyper::StatusCode;
@@ -38,30 +38,30 @@
 
 /// The bytes that all gathered bodies together may take.
 #[derive(Clone, Debug)]
-pub struct Memory(Arc<AtomicUsize>);
+pub struct BodyMemory(Arc<AtomicUsize>);
 
-impl Memory {
+impl BodyMemory {
     /// So many bytes.
-    pub fn new(bytes: usize) -> Memory {
-        Memory(Arc::new(AtomicUsize::new(bytes)))
+    pub fn new(bytes: usize) -> BodyMemory {
+        BodyMemory(Arc::new(AtomicUsize::new(bytes)))
     }
 
     /// Room for a body of up to so many bytes, if there is any.
-    pub fn reserve(&self, bytes: usize) -> Option<Room> {
+    pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let left = self.0.load(Ordering::Relaxed).checked_sub(bytes)?;
         self.0.store(left, Ordering::Relaxed);
-        Some(Room { memory: self.clone(), bytes })
+        Some(MemoryReservation { memory: self.clone(), bytes })
     }
 }
 
 /// Bytes reserved; they are given back when this is dropped.
 #[derive(Debug)]
-pub struct Room {
-    memory: Memory,
+pub struct MemoryReservation {
+    memory: BodyMemory,
     bytes: usize,
 }
 
-impl Room {
+impl MemoryReservation {
     /// Gives back what is more than so many bytes.
     fn shrink(&mut self, bytes: usize) {
         self.memory.0.fetch_add(self.bytes.saturating_sub(bytes), Ordering::Relaxed);
@@ -69,7 +69,7 @@
     }
 }
 
-impl Drop for Room {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.shrink(0);
     }
@@ -77,23 +77,23 @@
 
 /// A body being gathered. What it takes is given back when the last reference to its bytes goes.
 #[derive(Debug)]
-pub struct Gathered {
+pub struct BufferedBody {
     bytes: Vec<u8>,
-    room: Room,
+    room: MemoryReservation,
 }
 
-impl AsRef<[u8]> for Gathered {
+impl AsRef<[u8]> for BufferedBody {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-impl Gathered {
+impl BufferedBody {
     /// For a body of this length, if it is known; `None` if it is too long, or there is no room for it.
-    pub fn new(memory: &Memory, length: Option<u64>) -> Option<Gathered> {
+    pub fn new(memory: &BodyMemory, length: Option<u64>) -> Option<BufferedBody> {
         let length = length.map_or(Some(SMALL_MOST), |length| usize::try_from(length).ok());
         let room = memory.reserve(length.filter(|length| *length <= SMALL_MOST)?)?;
-        Some(Gathered { bytes: Vec::new(), room })
+        Some(BufferedBody { bytes: Vec::new(), room })
     }
 
     /// Takes one more piece in; `false`: it does not fit any more, all the same it is there.
@@ -112,7 +112,7 @@
 
 /// Why a client's body did not come whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum UploadError {
     /// It came too slowly.
     Slow,
     /// It is too long.
@@ -121,24 +121,24 @@
     Unreadable,
 }
 
-impl Fault {
+impl UploadError {
     /// What the client is told.
     pub fn status(self) -> StatusCode {
         match self {
-            Fault::Slow => StatusCode::REQUEST_TIMEOUT,
-            Fault::Long => StatusCode::PAYLOAD_TOO_LARGE,
-            Fault::Unreadable => StatusCode::BAD_REQUEST,
+            UploadError::Slow => StatusCode::REQUEST_TIMEOUT,
+            UploadError::Long => StatusCode::PAYLOAD_TOO_LARGE,
+            UploadError::Unreadable => StatusCode::BAD_REQUEST,
         }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for UploadError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "the client's body: {self:?}")
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for UploadError {}
 
 #[derive(Debug)]
 struct Source {
@@ -159,7 +159,7 @@
     length: Option<u64>,
     spent: Cell<bool>,
     /// When its last byte came, or why it will not.
-    end: Cell<Option<Result<Instant, Fault>>>,
+    end: Cell<Option<Result<Instant, UploadError>>>,
     ended: Notify,
 }
 
@@ -184,12 +184,12 @@
     }
 
     /// How it ended, if it has.
-    pub fn end(&self) -> Option<Result<Instant, Fault>> {
+    pub fn end(&self) -> Option<Result<Instant, UploadError>> {
         self.end.get()
     }
 
     /// Returns once it has ended, and how.
-    pub async fn ended(&self) -> Result<Instant, Fault> {
+    pub async fn ended(&self) -> Result<Instant, UploadError> {
         loop {
             let ended = self.ended.notified();
             match self.end.get() {
@@ -201,8 +201,8 @@
 
     /// Gathers it, if it is short: then this is all of it. `None`: it is long; what was read of it comes first when it
     /// is read again.
-    pub async fn gather(&self, memory: &Memory) -> Result<Option<Bytes>, Fault> {
-        let Some(mut gathered) = Gathered::new(memory, self.length) else { return Ok(None) };
+    pub async fn gather(&self, memory: &BodyMemory) -> Result<Option<Bytes>, UploadError> {
+        let Some(mut gathered) = BufferedBody::new(memory, self.length) else { return Ok(None) };
         while let Some(piece) = poll_fn(|context| self.poll_piece(context)).await {
             if !gathered.push(&piece?) {
                 self.source.borrow_mut().first = Some(gathered.into_bytes());
@@ -218,12 +218,12 @@
         let _ = timeout(DRAIN_TIME, rest).await;
     }
 
-    fn finish(&self, end: Result<Instant, Fault>) {
+    fn finish(&self, end: Result<Instant, UploadError>) {
         self.end.set(Some(end));
         self.ended.notify_waiters();
     }
 
-    fn poll_piece(&self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
+    fn poll_piece(&self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, UploadError>>> {
         // It may have ended while it was gathered.
         if let Some(first) = self.source.borrow_mut().first.take() {
             return Poll::Ready(Some(Ok(first)));
@@ -248,20 +248,20 @@
 }
 
 impl Source {
-    fn poll_piece(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
+    fn poll_piece(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, UploadError>>> {
         loop {
             let Poll::Ready(frame) = Pin::new(&mut self.body).poll_frame(context) else { break };
             self.stop_waiting();
             let data = match frame {
                 None => return Poll::Ready(None),
-                Some(Err(_)) => return Poll::Ready(Some(Err(Fault::Unreadable))),
+                Some(Err(_)) => return Poll::Ready(Some(Err(UploadError::Unreadable))),
                 Some(Ok(frame)) => frame.into_data(),
             };
             // What follows the last chunk is not passed on.
             let Ok(data) = data else { continue };
             self.read += data.len() as u64;
             if self.read > BODY_MOST {
-                return Poll::Ready(Some(Err(Fault::Long)));
+                return Poll::Ready(Some(Err(UploadError::Long)));
             }
             let earned = Duration::from_secs_f64(data.len() as f64 / PACE);
             self.patience = (self.patience + earned).min(PATIENCE_MOST);
@@ -270,7 +270,7 @@
         let patience = self.patience;
         let (_, timer) = self.waiting.get_or_insert_with(|| (Instant::now(), Box::pin(sleep(patience))));
         ready!(timer.as_mut().poll(context));
-        Poll::Ready(Some(Err(Fault::Slow)))
+        Poll::Ready(Some(Err(UploadError::Slow)))
     }
 
     fn stop_waiting(&mut self) {
@@ -282,58 +282,58 @@
 
 /// A request's body, for its attempts.
 #[derive(Clone, Debug)]
-pub enum Payload {
+pub enum RequestBody {
     /// All of it.
     Whole(Bytes),
     /// As it comes; it can be had once.
     Upload(Rc<Upload>),
 }
 
-impl Payload {
+impl RequestBody {
     /// Whether it can be had once only.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
-            Payload::Whole(_) => None,
-            Payload::Upload(upload) => Some(upload),
+            RequestBody::Whole(_) => None,
+            RequestBody::Upload(upload) => Some(upload),
         }
     }
 }
 
 /// The body of one attempt. It tells the attempt's meter when its end has been handed over.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct AttemptBody {
     whole: Full<Bytes>,
     upload: Option<Rc<Upload>>,
-    meter: Meter,
+    write_guard: WriteGuard,
 }
 
-impl Outgoing {
+impl AttemptBody {
     /// For an attempt with this meter.
-    pub fn new(payload: &Payload, meter: &Meter) -> Outgoing {
+    pub fn new(payload: &RequestBody, write_guard: &WriteGuard) -> AttemptBody {
         let (whole, upload) = match payload {
-            Payload::Whole(bytes) => (Full::new(bytes.clone()), None),
-            Payload::Upload(upload) => (Full::default(), Some(upload.clone())),
+            RequestBody::Whole(bytes) => (Full::new(bytes.clone()), None),
+            RequestBody::Upload(upload) => (Full::default(), Some(upload.clone())),
         };
-        let outgoing = Outgoing { whole, upload, meter: meter.clone() };
+        let outgoing = AttemptBody { whole, upload, write_guard: write_guard.clone() };
         outgoing.note_end();
         outgoing
     }
 
     fn note_end(&self) {
         if self.is_end_stream() {
-            self.meter.set_ended();
+            self.write_guard.set_ended();
         }
     }
 }
 
-impl Body for Outgoing {
+impl Body for AttemptBody {
     type Data = Bytes;
-    type Error = Fault;
+    type Error = UploadError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
         let frame = match &self.upload {
             Some(upload) => {
                 let piece = ready!(upload.poll_piece(context));
@@ -365,7 +365,7 @@
 pub type Return = Box<dyn FnOnce()>;
 
 /// A large answer on its way from a host: what is read of it is what the client takes.
-pub struct Stream {
+pub struct StreamedResponse {
     first: Option<Bytes>,
     rest: Incoming,
     /// Where it comes from.
@@ -376,26 +376,26 @@
     waiting: Option<(Instant, Pin<Box<Sleep>>)>,
     /// Ends its exchange well, and closes its connection when dropped.
     back: Option<Return>,
-    taken: Option<Taken>,
+    taken: Option<RequestTracker>,
 }
 
-impl fmt::Debug for Stream {
+impl fmt::Debug for StreamedResponse {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "Stream after {} bytes", self.read)
     }
 }
 
-impl Stream {
+impl StreamedResponse {
     /// An answer that comes on this socket, of which `first` has been read; `back` is called when the rest has been read
     /// as well.
-    pub fn new(first: Bytes, rest: Incoming, socket: Socket, back: Return) -> Stream {
+    pub fn new(first: Bytes, rest: Incoming, socket: Socket, back: Return) -> StreamedResponse {
         let (read, first, back) = (first.len() as u64, Some(first), Some(back));
-        Stream { first, rest, socket, read, patience: SILENCE, waiting: None, back, taken: None }
+        StreamedResponse { first, rest, socket, read, patience: SILENCE, waiting: None, back, taken: None }
     }
 
-    fn end(&mut self, ending: Ending) {
+    fn end(&mut self, ending: RequestEnd) {
         self.taken.take().into_iter().for_each(|taken| taken.end(ending));
-        if let (Some(back), Ending::Completed) = (self.back.take(), ending) {
+        if let (Some(back), RequestEnd::Completed) = (self.back.take(), ending) {
             back();
         }
     }
@@ -430,29 +430,29 @@
 
 /// An answer's body.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// All of it.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// As it comes.
-    Stream(Box<Stream>),
+    Streamed(Box<StreamedResponse>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// All of it.
-    pub fn whole(bytes: Bytes) -> AnswerBody {
-        AnswerBody::Whole(Full::new(bytes))
+    pub fn whole(bytes: Bytes) -> ResponseBody {
+        ResponseBody::Buffered(Full::new(bytes))
     }
 
     /// Ends the request when the answer has been passed on: at once if it is there.
-    pub fn ends(&mut self, taken: Taken) {
+    pub fn ends(&mut self, taken: RequestTracker) {
         match self {
-            AnswerBody::Whole(_) => taken.end(Ending::Completed),
-            AnswerBody::Stream(stream) => stream.taken = Some(taken),
+            ResponseBody::Buffered(_) => taken.end(RequestEnd::Completed),
+            ResponseBody::Streamed(stream) => stream.taken = Some(taken),
         }
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -461,11 +461,11 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         match &mut *self {
-            AnswerBody::Whole(whole) => {
+            ResponseBody::Buffered(whole) => {
                 let frame = ready!(Pin::new(whole).poll_frame(context));
                 Poll::Ready(frame.map(|frame| frame.map_err(|never| match never {})))
             }
-            AnswerBody::Stream(stream) => {
+            ResponseBody::Streamed(stream) => {
                 let piece = ready!(stream.poll_piece(context));
                 match &piece {
                     Some(Err(error)) => {
@@ -473,10 +473,10 @@
                             "an answer broke off after {} bytes: {error}",
                             stream.read
                         ));
-                        stream.end(Ending::Failed);
+                        stream.end(RequestEnd::Failed);
                     }
                     Some(Ok(_)) if !stream.rest.is_end_stream() => {}
-                    Some(Ok(_)) | None => stream.end(Ending::Completed),
+                    Some(Ok(_)) | None => stream.end(RequestEnd::Completed),
                 }
                 Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
             }
@@ -485,15 +485,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Whole(whole) => whole.is_end_stream(),
-            AnswerBody::Stream(stream) => stream.first.is_none() && stream.rest.is_end_stream(),
+            ResponseBody::Buffered(whole) => whole.is_end_stream(),
+            ResponseBody::Streamed(stream) => stream.first.is_none() && stream.rest.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(whole) => whole.size_hint(),
-            AnswerBody::Stream(stream) => {
+            ResponseBody::Buffered(whole) => whole.size_hint(),
+            ResponseBody::Streamed(stream) => {
                 let first = stream.first.as_ref().map_or(0, Bytes::len) as u64;
                 stream
                     .rest
--- a/proxy/src/config.rs
+++ b/proxy/src/config.rs
@@ -1,8 +1,8 @@
 //! What the proxy is told at start: the file that `ROUTER_CONFIG` names.
 
-use crate::admin::CALLERS_MOST;
-use crate::discovery::{List, Patience};
-use balancer::Settings;
+use crate::discovery::{EndpointList, WatchTimeouts};
+use crate::operators::CALLERS_MOST;
+use balancer::{DiscoveryMode, Settings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::fmt;
@@ -44,7 +44,7 @@
     /// How many processes share the descriptors.
     pub processes: usize,
     /// The hosts as this proxy last had them; maybe old.
-    pub known: Option<List>,
+    pub known: Option<EndpointList>,
     /// What the decision module is told.
     pub settings: Settings,
     /// Names of the classes, in the order of the settings.
@@ -87,7 +87,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: Option<List>,
+    known: Option<EndpointList>,
     settings: Value,
 }
 
@@ -217,10 +217,10 @@
     }
 
     /// How long a watch of the list is waited for.
-    pub fn watch_patience(&self) -> Patience {
-        match self.settings.ask {
-            true => Patience::for_asking(),
-            false => Patience::for_pushes(self.drain_grace),
+    pub fn watch_patience(&self) -> WatchTimeouts {
+        match self.settings.discovery.mode {
+            DiscoveryMode::Poll => WatchTimeouts::for_asking(),
+            DiscoveryMode::Push => WatchTimeouts::for_pushes(self.drain_grace),
         }
     }
 
--- a/proxy/src/hosts.rs
+++ b/proxy/src/control/endpoints.rs
@@ -1,10 +1,10 @@
 //! Hosts of the list as the network code has them, and their idle connections.
 
-use crate::counters::{Counters, HostClose};
-use crate::discovery::Health;
-use crate::rules::Target;
+use crate::discovery::ListedState;
+use crate::invariants::AttemptTarget;
+use crate::metrics::{EndpointCloseReason, Metrics};
 use crate::upstream::Connection;
-use balancer::ServerId;
+use balancer::EndpointId;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
@@ -22,22 +22,22 @@
 
 /// The process of a host that an attempt was meant for: a later one at the same address is another, and cold.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Process {
-    pub(crate) server: ServerId,
+pub(crate) struct EndpointProcess {
+    pub(crate) endpoint_id: EndpointId,
     pub(crate) address: SocketAddr,
-    pub(crate) born_ms: u64,
+    pub(crate) started_at_ms: u64,
 }
 
 /// A host of the list, and this proxy's idle connections to it, the most recently used last.
-pub(crate) struct Host {
-    pub(crate) dial: SocketAddr,
-    pub(crate) born_ms: u64,
-    pub(crate) health: Health,
-    pub(crate) target: Target,
+pub(crate) struct Endpoint {
+    pub(crate) address: SocketAddr,
+    pub(crate) started_at_ms: u64,
+    pub(crate) state: ListedState,
+    pub(crate) target: AttemptTarget,
     pub(crate) idle: Vec<(Instant, Connection)>,
 }
 
-impl Host {
+impl Endpoint {
     /// The connection that was used last of those that have settled, or the one that will have first.
     pub(crate) fn take_idle(&mut self) -> Option<(Instant, Connection)> {
         let settled = self.idle.iter().rposition(|(since, _)| since.elapsed() >= SETTLING);
@@ -47,17 +47,18 @@
     /// Closes the idle connections for which `keeps` does not hold, and counts them.
     pub(crate) fn close_idle(
         &mut self,
-        counters: &Counters,
-        close: HostClose,
+        metrics: &Metrics,
+        close: EndpointCloseReason,
         keeps: impl Fn(&(Instant, Connection)) -> bool,
     ) {
         let before = self.idle.len();
         self.idle.retain(keeps);
-        counters.count().closed_to_hosts(close, before - self.idle.len());
+        metrics.count().closed_to_hosts(close, before - self.idle.len());
     }
 
     /// Whether something new may be written to this process of it.
-    pub(crate) fn takes(&self, process: Process) -> bool {
-        self.health == Health::Ready && (self.dial, self.born_ms) == (process.address, process.born_ms)
+    pub(crate) fn takes(&self, process: EndpointProcess) -> bool {
+        self.state == ListedState::Ready
+            && (self.address, self.started_at_ms) == (process.address, process.started_at_ms)
     }
 }
--- a/proxy/src/driver.rs
+++ b/proxy/src/control/mod.rs
@@ -1,20 +1,26 @@
 //! Drives the decision module: turns what happens on the sockets into its events, in one order and on one
 //! clock, and carries out its actions. It decides nothing itself.
 
-use crate::attempt::Meter;
-use crate::body::Memory;
-use crate::calls::{ended, Ask, Attempt, Call, Forward, Reply};
+pub mod endpoint_ids;
+pub(crate) mod endpoints;
+pub(crate) mod in_flight;
+
+use crate::body::BodyMemory;
 use crate::config::Config;
-use crate::counters::{Counters, Ending, HostClose, Taken};
-use crate::discovery::{self, Health, List, News};
-use crate::hosts::{settled, Host, Process};
-use crate::idle::Idle;
-use crate::rules::{Allowance, Answered, RequestRecord, Target};
-use crate::server_ids::ServerIds;
-use crate::upstream::{self, Connection, End, Terms};
+use crate::control::endpoint_ids::EndpointIds;
+use crate::control::endpoints::{settled, Endpoint, EndpointProcess};
+use crate::control::in_flight::{
+    ended, ForwardedRequest, InFlightAttempt, InFlightRequest, Reply, RequestDescriptor,
+};
+use crate::discovery::{self, EndpointList, ListedState, WatchEvent};
+use crate::invariants::{AnswerKind, AttemptTarget, RequestPolicy, RequestRecord};
+use crate::metrics::{EndpointCloseReason, Metrics, RequestEnd, RequestTracker};
+use crate::upstream::idle_timeout::IdleTimeoutEstimate;
+use crate::upstream::{self, AttemptEnd, Connection, ExchangeContext};
+use crate::write_guard::WriteGuard;
 use balancer::{
-    Action, Balancer, CallId, CellId, ClassId, Entry, Event, ListKind, Micros, Outcome, Reason, Repeat,
-    ServerId, State,
+    Action, Balancer, CellId, ClassId, DiscoveryMode, EndpointEntry, EndpointId, Event, FailureReason,
+    Idempotency, ListUpdate, Micros, Outcome, RequestId,
 };
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
@@ -54,7 +60,7 @@
 
 /// When a process that was told to stop does so.
 #[derive(Clone, Copy, Debug)]
-pub struct Stop {
+pub struct ShutdownSchedule {
     /// From here on it refuses requests that come whole.
     pub refuse_from: Instant,
     /// By this time every request has its answer, or the answer's beginning.
@@ -62,36 +68,36 @@
 }
 
 /// The end of an attempt that was not written whole as its client has left: no sign of the host's.
-fn left_behind(sending: Sending<'_>) -> Option<End> {
-    let outcome = if sending.meter.written() == 0 { Outcome::NotSent } else { Outcome::CalledOff };
-    sending.forward.client.has_left().then(|| End::without_answer(outcome))
+fn left_behind(sending: AttemptContext<'_>) -> Option<AttemptEnd> {
+    let outcome = if sending.write_guard.written() == 0 { Outcome::NeverSent } else { Outcome::Cancelled };
+    sending.forward.client.has_left().then(|| AttemptEnd::without_answer(outcome))
 }
 
 /// What an attempt sends where, and until when it waits.
 #[derive(Clone, Copy)]
-struct Sending<'a> {
-    to: Process,
-    forward: &'a Forward,
+struct AttemptContext<'a> {
+    to: EndpointProcess,
+    forward: &'a ForwardedRequest,
     until: Instant,
-    meter: &'a Meter,
+    write_guard: &'a WriteGuard,
 }
 
-struct Driver {
+struct ControlState {
     clock: Clock,
     config: Rc<Config>,
     balancer: Balancer,
     events: VecDeque<Event>,
-    calls: BTreeMap<CallId, Call>,
-    next_call: u64,
-    hosts: HashMap<ServerId, Host>,
-    server_ids: ServerIds,
+    requests: BTreeMap<RequestId, InFlightRequest>,
+    next_request: u64,
+    endpoints: HashMap<EndpointId, Endpoint>,
+    endpoint_ids: EndpointIds,
     /// What use shows of how long idle connections hold.
-    idle: Idle,
+    idle: IdleTimeoutEstimate,
     seq: Option<u64>,
     listed: bool,
     /// A list was waited for long enough: clients are taken without one.
     unlisted: bool,
-    watch: Option<upstream::Task>,
+    watch: Option<upstream::ScopedTask>,
     /// Number of the present watch: what an earlier one still has to say no longer counts.
     watches: u64,
     /// The last call to discovery brought no watch.
@@ -105,12 +111,12 @@
     woken: Rc<Notify>,
     /// Ids of the calls that are open: no second one may have one of them.
     open: HashSet<HeaderValue>,
-    counters: Counters,
-    memory: Memory,
+    metrics: Metrics,
+    memory: BodyMemory,
     /// The listener takes connections.
     accepting: bool,
     /// Set when the process is to end; what tells of it.
-    stop: Option<Stop>,
+    stop: Option<ShutdownSchedule>,
     stopped: Rc<Notify>,
     /// Told of each list.
     news: Rc<Notify>,
@@ -118,17 +124,17 @@
 
 /// The driver, shared by the tasks of one thread. No method waits, and none is called from within another.
 #[derive(Clone)]
-pub struct Handle(Rc<RefCell<Driver>>);
+pub struct Control(Rc<RefCell<ControlState>>);
 
 /// A call that waits for its answer. Dropped before that, it tells the module that the client has gone.
-pub struct Waiting {
-    driver: Handle,
-    call: CallId,
+pub struct PendingReply {
+    driver: Control,
+    request: RequestId,
     reply: oneshot::Receiver<Reply>,
-    taken: Option<Taken>,
+    taken: Option<RequestTracker>,
 }
 
-impl Waiting {
+impl PendingReply {
     /// The call's final answer.
     pub async fn reply(&mut self) -> Reply {
         // The sender is only ever dropped with the call, after an answer or with the process.
@@ -136,42 +142,42 @@
         if let Some(taken) = self.taken.take() {
             match &mut reply {
                 Reply::Served(answer) => answer.body_mut().ends(taken),
-                Reply::Refused(_) => taken.end(Ending::Rejected),
-                Reply::Failed => taken.end(Ending::Failed),
+                Reply::Rejected(_) => taken.end(RequestEnd::Rejected),
+                Reply::Failed => taken.end(RequestEnd::Failed),
             }
         }
         reply
     }
 }
 
-impl Waiting {
+impl PendingReply {
     /// The request has come whole: its client waits for so long from now.
     pub fn uploaded(&mut self, left: Duration) {
-        self.taken.iter_mut().for_each(Taken::set_whole);
-        self.driver.uploaded(self.call, left);
+        self.taken.iter_mut().for_each(RequestTracker::set_whole);
+        self.driver.uploaded(self.request, left);
     }
 }
 
-impl Drop for Waiting {
+impl Drop for PendingReply {
     fn drop(&mut self) {
-        self.driver.gone(self.call);
+        self.driver.gone(self.request);
     }
 }
 
-impl Handle {
+impl Control {
     /// Starts the module with what the configuration holds.
-    pub fn start(config: Rc<Config>) -> Handle {
-        let driver = Driver {
+    pub fn start(config: Rc<Config>) -> Control {
+        let driver = ControlState {
             clock: Clock::new(),
             balancer: Balancer::new(config.seed, config.settings.clone()),
             events: VecDeque::new(),
-            calls: BTreeMap::new(),
-            next_call: 0,
-            hosts: HashMap::new(),
-            server_ids: ServerIds::default(),
-            idle: Idle::default(),
+            requests: BTreeMap::new(),
+            next_request: 0,
+            endpoints: HashMap::new(),
+            endpoint_ids: EndpointIds::default(),
+            idle: IdleTimeoutEstimate::default(),
             // Set before the start: the module subscribes at once, from the version of the list it gets next.
-            seq: config.known.as_ref().map(|known| known.seq),
+            seq: config.known.as_ref().map(|known| known.version),
             listed: false,
             unlisted: false,
             watch: None,
@@ -182,20 +188,20 @@
             wake: None,
             woken: Rc::default(),
             open: HashSet::new(),
-            counters: Counters::new(config.classes.len()),
-            memory: Memory::new(config.bodies),
+            metrics: Metrics::new(config.classes.len()),
+            memory: BodyMemory::new(config.bodies),
             accepting: false,
             stop: None,
             stopped: Rc::default(),
             news: Rc::default(),
             config: config.clone(),
         };
-        let handle = Handle(Rc::new(RefCell::new(driver)));
+        let handle = Control(Rc::new(RefCell::new(driver)));
         handle.run([Event::Start]);
         if let Some(known) = config.known.clone() {
             handle.members(known, None);
         }
-        if !config.settings.ask {
+        if config.settings.discovery.mode == DiscoveryMode::Push {
             handle.0.borrow_mut().subscribe(&handle);
         }
         spawn_local(handle.clone().timer());
@@ -224,7 +230,7 @@
     }
 
     /// Room for bodies.
-    pub fn memory(&self) -> Memory {
+    pub fn memory(&self) -> BodyMemory {
         self.0.borrow().memory.clone()
     }
 
@@ -247,69 +253,85 @@
         // What the old one still says, or how a call to it ends, no longer counts.
         driver.watches += 1;
         driver.watch = None;
-        if !driver.config.settings.ask {
+        if driver.config.settings.discovery.mode == DiscoveryMode::Push {
             return driver.subscribe(self);
         }
         drop(driver);
         // The module says when, as after any watch that is lost: what else it had planned would break off this call.
-        self.run([Event::Members { kind: ListKind::Lost, entries: Vec::new() }]);
+        self.run([Event::EndpointList { kind: ListUpdate::WatchLost, entries: Vec::new() }]);
     }
 
     /// Writes the figures so far to the log.
     pub fn log_counts(&self) {
         let figures = self.figures();
         let driver = self.0.borrow();
-        let idle: usize = driver.hosts.values().map(|h| h.idle.len()).sum();
+        let idle: usize = driver.endpoints.values().map(|h| h.idle.len()).sum();
         let (keep, open) = (driver.keep(), Rc::strong_count(&driver.slots) - 1);
-        let counters = driver.counters.get();
+        let metrics = driver.metrics.get();
         crate::log::line(&format!(
-            "{open} connections ({idle} idle, kept for {keep:?}), {figures}, {counters}"
+            "{open} connections ({idle} idle, kept for {keep:?}), {figures}, {metrics}"
         ));
     }
 
     /// Takes a request in. `None`: its id is open already; hosts would take the two for one.
-    pub fn request(&self, ask: Ask, forward: Forward) -> Option<Waiting> {
-        let Ask { id, class, tenant, deadline, resent } = ask;
+    pub fn request(&self, ask: RequestDescriptor, forward: ForwardedRequest) -> Option<PendingReply> {
+        let RequestDescriptor { id, class, tenant, deadline, client_retry } = ask;
         let mut driver = self.0.borrow_mut();
         if !driver.open.insert(id.clone()) {
             return None;
         }
-        let once = forward.payload.upload().is_some();
-        let taken = driver.counters.take(class, !once);
-        driver.next_call += 1;
-        let call = CallId(driver.next_call);
+        let non_replayable = forward.payload.upload().is_some();
+        let taken = driver.metrics.take(class, !non_replayable);
+        driver.next_request += 1;
+        let request = RequestId(driver.next_request);
         let (sender, reply) = oneshot::channel();
         let deadline = driver.latest(deadline);
         let time_left = deadline.saturating_duration_since(Instant::now()).as_micros() as Micros;
         let (forward, attempts) = (Rc::new(forward), Vec::new());
-        let allowance = driver.allowance(class);
-        let record =
-            RequestRecord::new(driver.counters.clone(), id.clone(), allowance, (!once).then_some(deadline));
+        let policy = driver.policy(class);
+        let record = RequestRecord::new(
+            driver.metrics.clone(),
+            id.clone(),
+            policy,
+            (!non_replayable).then_some(deadline),
+        );
         let reply_to = Some(sender);
-        driver.calls.insert(call, Call { id, forward, deadline, record, reply: reply_to, attempts });
+        driver
+            .requests
+            .insert(request, InFlightRequest { id, forward, deadline, record, reply: reply_to, attempts });
         drop(driver);
-        self.run([Event::Request { call, class, tenant, time_left, resent, once }]);
-        Some(Waiting { driver: self.clone(), call, reply, taken: Some(taken) })
-    }
-
-    fn uploaded(&self, id: CallId, left: Duration) {
+        self.run([Event::RequestReceived {
+            request,
+            class,
+            tenant,
+            time_left,
+            client_retry,
+            non_replayable,
+        }]);
+        Some(PendingReply { driver: self.clone(), request, reply, taken: Some(taken) })
+    }
+
+    fn uploaded(&self, id: RequestId, left: Duration) {
         let mut driver = self.0.borrow_mut();
         let deadline = driver.latest(Instant::now() + left);
-        let Some(call) = driver.calls.get_mut(&id) else { return };
-        call.deadline = deadline;
-        call.record.whole(deadline);
-        call.attempts.iter_mut().flatten().for_each(|attempt| attempt.sent = Instant::now());
+        let Some(request) = driver.requests.get_mut(&id) else { return };
+        request.deadline = deadline;
+        request.record.whole(deadline);
+        request.attempts.iter_mut().flatten().for_each(|attempt| attempt.sent = Instant::now());
         let time_left = deadline.saturating_duration_since(Instant::now()).as_micros() as Micros;
         drop(driver);
-        self.run([Event::Uploaded { call: id, time_left }]);
+        self.run([Event::RequestCompleted { request: id, time_left }]);
     }
 
-    fn gone(&self, id: CallId) {
+    fn gone(&self, id: RequestId) {
         let mut driver = self.0.borrow_mut();
-        let left = driver.calls.get_mut(&id).and_then(|call| call.reply.take().map(|_| call.record.clone()));
+        let left = driver
+            .requests
+            .get_mut(&id)
+            .and_then(|request| request.reply.take().map(|_| request.record.clone()));
         if let Some(record) = left {
             record.left();
-            driver.events.push_back(Event::Gone { call: id });
+            driver.events.push_back(Event::RequestCancelled { request: id });
             driver.tidy(id);
             drop(driver);
             self.run([]);
@@ -318,44 +340,48 @@
 
     /// Takes a list in, from a watch or (`None`) the configuration: hosts that it does not name ready get nothing
     /// more that is not yet on its way.
-    fn members(&self, list: List, watch: Option<u64>) {
+    fn members(&self, list: EndpointList, watch: Option<u64>) {
         let mut driver = self.0.borrow_mut();
         // A watch that was replaced may have more lines at hand; their versions are another discovery's.
         if watch.is_some_and(|watch| watch != driver.watches) {
             return;
         }
         let cached = watch.is_none();
-        driver.listed |= !cached || !list.hosts.is_empty();
-        driver.seq = Some(list.seq);
+        driver.listed |= !cached || !list.endpoints.is_empty();
+        driver.seq = Some(list.version);
         driver.news.notify_one();
-        let kind = match list.whole {
-            _ if cached => ListKind::Cached,
-            true => ListKind::Full,
-            false => ListKind::Delta,
+        let kind = match list.is_full {
+            _ if cached => ListUpdate::Cached,
+            true => ListUpdate::Full,
+            false => ListUpdate::Delta,
         };
-        if kind != ListKind::Delta {
-            driver.hosts.values_mut().for_each(|host| host.health = Health::Gone);
-        }
-        let told = |host: &Host| host.target.standing.listed(host.health == Health::Ready);
-        let mut entries = Vec::with_capacity(list.hosts.len());
-        for entry in &list.hosts {
-            let server = driver.intern(entry);
-            let state = match entry.health {
-                Health::Ready => State::Ready,
-                Health::Terminating => State::Draining,
-                Health::Gone => State::Gone,
-            };
-            let (zone, cell) = (balancer_settings::zone(&entry.site), CellId(entry.block));
-            let started = entry.born_ms.saturating_mul(1_000);
-            entries.push(Entry { server, state, zone, cell, started, weight: entry.share });
+        if kind != ListUpdate::Delta {
+            driver.endpoints.values_mut().for_each(|endpoint| endpoint.state = ListedState::Removed);
+        }
+        let told =
+            |endpoint: &Endpoint| endpoint.target.drain_status.listed(endpoint.state == ListedState::Ready);
+        let mut entries = Vec::with_capacity(list.endpoints.len());
+        for entry in &list.endpoints {
+            let endpoint_id = driver.intern(entry);
+            let state = entry.state.into();
+            let (zone, cell) = (balancer_settings::zone(&entry.zone), CellId(entry.cell));
+            let started_at = entry.started_at_ms.saturating_mul(1_000);
+            entries.push(EndpointEntry {
+                endpoint: endpoint_id,
+                state,
+                zone,
+                cell,
+                started_at,
+                weight: entry.weight,
+            });
         }
-        driver.hosts.values().for_each(told);
+        driver.endpoints.values().for_each(told);
         // The module hears of the list before it hears of what the list undoes.
-        driver.events.push_back(Event::Members { kind, entries });
+        driver.events.push_back(Event::EndpointList { kind, entries });
         driver.withdraw();
-        driver.hosts.retain(|_, host| host.health != Health::Gone);
-        let Driver { server_ids, hosts, .. } = &mut *driver;
-        server_ids.retain(|server| hosts.contains_key(&server));
+        driver.endpoints.retain(|_, endpoint| endpoint.state != ListedState::Removed);
+        let ControlState { endpoint_ids, endpoints, .. } = &mut *driver;
+        endpoint_ids.retain(|endpoint_id| endpoints.contains_key(&endpoint_id));
         drop(driver);
         self.run([]);
     }
@@ -369,8 +395,8 @@
 
     /// One attempt, from its connection to its outcome. It is over at its deadline whatever happens, unless its answer
     /// has begun to be passed on.
-    async fn attempt(&self, sending: Sending<'_>, kept: Option<(Instant, Connection)>) -> End {
-        let Sending { forward, until, meter, .. } = sending;
+    async fn attempt(&self, sending: AttemptContext<'_>, kept: Option<(Instant, Connection)>) -> AttemptEnd {
+        let AttemptContext { forward, until, write_guard, .. } = sending;
         let upload = forward.payload.upload();
         let expired = async {
             match upload.map(|upload| upload.ended()) {
@@ -394,71 +420,71 @@
             // An answer that is there in the last instant is passed on.
             biased;
             end = self.exchange(sending, kept) => match end.outcome {
-                Outcome::NoConnection if meter.is_late() => End::without_answer(Outcome::NotSent),
+                Outcome::ConnectFailed if write_guard.is_late() => AttemptEnd::without_answer(Outcome::NeverSent),
                 _ => end,
             },
-            () = meter.closed() => End::without_answer(Outcome::NotSent),
-            () = expired => match meter.is_whole() {
-                true => End::without_answer(Outcome::TimedOut),
-                false if upload.is_some_and(|upload| upload.is_spent()) => End::without_answer(Outcome::CutShort),
-                false => End::without_answer(Outcome::NoConnection),
+            () = write_guard.closed() => AttemptEnd::without_answer(Outcome::NeverSent),
+            () = expired => match write_guard.is_whole() {
+                true => AttemptEnd::without_answer(Outcome::TimedOut),
+                false if upload.is_some_and(|upload| upload.is_spent()) => AttemptEnd::without_answer(Outcome::Truncated),
+                false => AttemptEnd::without_answer(Outcome::ConnectFailed),
             },
         };
         // What the client did is no sign of the host's.
         match upload.and_then(|upload| upload.end()) {
-            Some(Err(_)) => End::without_answer(Outcome::CalledOff),
+            Some(Err(_)) => AttemptEnd::without_answer(Outcome::Cancelled),
             _ => end,
         }
     }
 
-    async fn exchange(&self, sending: Sending<'_>, kept: Option<(Instant, Connection)>) -> End {
-        let Sending { to, forward, until, meter } = sending;
+    async fn exchange(&self, sending: AttemptContext<'_>, kept: Option<(Instant, Connection)>) -> AttemptEnd {
+        let AttemptContext { to, forward, until, write_guard } = sending;
         let memory = self.0.borrow().memory.clone();
         let terms = || {
             let handle = self.clone();
             let back = Box::new(move |connection| handle.give_back(to, connection));
-            Terms { payload: &forward.payload, meter, memory: &memory, back }
+            ExchangeContext { payload: &forward.payload, write_guard, memory: &memory, back }
         };
         if let Some((since, connection)) = settled(kept).await {
             let idle = since.elapsed();
-            let end = upstream::exchange(connection, forward.request(until, meter), terms()).await;
+            let end = upstream::exchange(connection, forward.request(until, write_guard), terms()).await;
             if let Some(end) = end.is_none().then(|| left_behind(sending)).flatten() {
                 return end;
             }
             let broken = end.as_ref().is_none_or(|end| end.outcome == Outcome::Stale);
-            self.counters().count().broken_reuse += u64::from(broken);
+            self.metrics().count().broken_reuse += u64::from(broken);
             self.0.borrow_mut().idle.used(idle, broken);
             if let Some(end) = end {
                 return end;
             }
-            meter.restart();
+            write_guard.restart();
         }
         // A part that a kept connection took is lost with it: what is written now is the beginning, and nothing new may
         // begin at a host that was told to be leaving since.
-        if meter.is_late() || !self.0.borrow().takes(to) {
-            return End::without_answer(Outcome::NotSent);
+        if write_guard.is_late() || !self.0.borrow().takes(to) {
+            return AttemptEnd::without_answer(Outcome::NeverSent);
         }
         // It has not been written whole yet, so this is no second sending.
         let Some(slot) = self.0.borrow_mut().slot() else {
-            return End::without_answer(Outcome::NotSent);
+            return AttemptEnd::without_answer(Outcome::NeverSent);
         };
         let limit = self.config().connect_timeout;
         let opened = Connection::open(to.address, limit, slot).await;
-        self.counters().count().opened += u64::from(opened.is_ok());
-        self.counters().count().open_failed += u64::from(opened.is_err());
+        self.metrics().count().opened += u64::from(opened.is_ok());
+        self.metrics().count().open_failed += u64::from(opened.is_err());
         let end = match opened {
             Ok(connection) => {
-                let end = upstream::exchange(connection, forward.request(until, meter), terms()).await;
+                let end = upstream::exchange(connection, forward.request(until, write_guard), terms()).await;
                 end.or_else(|| left_behind(sending))
             }
-            Err(error) if upstream::is_local(&error) => Some(End::without_answer(Outcome::NotSent)),
+            Err(error) if upstream::is_local(&error) => Some(AttemptEnd::without_answer(Outcome::NeverSent)),
             Err(_) => None,
         };
-        end.unwrap_or_else(|| End::without_answer(Outcome::NoConnection))
+        end.unwrap_or_else(|| AttemptEnd::without_answer(Outcome::ConnectFailed))
     }
 
     /// Keeps the connection of a large answer that has been passed on.
-    fn give_back(&self, to: Process, connection: Connection) {
+    fn give_back(&self, to: EndpointProcess, connection: Connection) {
         let handle = self.clone();
         spawn_local(async move {
             if let Some(connection) = connection.settled().await {
@@ -469,12 +495,12 @@
 
     /// Counts a request that was turned away with this status, unseen by the module.
     pub fn count_unusable(&self, status: StatusCode) {
-        self.counters().count().unusable(status);
+        self.metrics().count().unusable(status);
     }
 
     /// The figures.
-    pub fn counters(&self) -> Counters {
-        self.0.borrow().counters.clone()
+    pub fn metrics(&self) -> Metrics {
+        self.0.borrow().metrics.clone()
     }
 
     /// Returns once there is a list of hosts.
@@ -496,14 +522,14 @@
     }
 
     /// The process is to end.
-    pub fn stop(&self, stop: Stop) {
+    pub fn stop(&self, stop: ShutdownSchedule) {
         let mut driver = self.0.borrow_mut();
         driver.stop = Some(stop);
-        driver.calls.values_mut().for_each(|call| call.deadline = call.deadline.min(stop.end));
+        driver.requests.values_mut().for_each(|request| request.deadline = request.deadline.min(stop.end));
         driver.stopped.notify_waiters();
         drop(driver);
         let time_left = stop.end.saturating_duration_since(Instant::now()).as_micros() as Micros;
-        self.run([Event::Ending { time_left }]);
+        self.run([Event::ShutdownStarted { time_left }]);
     }
 
     /// Returns when requests that are not whole are no longer waited for: long answers to them might be cut off.
@@ -512,7 +538,7 @@
     }
 
     /// Returns once the process is to end.
-    async fn stopped(&self) -> Stop {
+    async fn stopped(&self) -> ShutdownSchedule {
         let stopped = self.0.borrow().stopped.clone();
         loop {
             let notified = stopped.notified();
@@ -526,8 +552,8 @@
 
     /// Refuses a request that the module was not told of, or knows as one whose client has gone.
     pub fn refuse(&self, class: ClassId) -> Reply {
-        self.counters().take(class, true).end(Ending::Rejected);
-        Reply::Refused(Duration::ZERO)
+        self.metrics().take(class, true).end(RequestEnd::Rejected);
+        Reply::Rejected(Duration::ZERO)
     }
 
     /// Notes whether the listener takes connections.
@@ -545,26 +571,33 @@
     pub fn figures(&self) -> serde_json::Value {
         let driver = self.0.borrow();
         // A host that finishes its work gets no more by the list's own word, whatever the module makes of it.
-        let ready = driver.hosts.values().filter(|host| host.health == Health::Ready).count();
+        let ready = driver.endpoints.values().filter(|endpoint| endpoint.state == ListedState::Ready).count();
         let avoided = driver.balancer.avoided(driver.clock.at(Instant::now()));
-        let (members, finishing) = (driver.hosts.len(), driver.hosts.len() - ready);
-        let figures = driver.counters.get();
+        let (members, finishing) = (driver.endpoints.len(), driver.endpoints.len() - ready);
+        let figures = driver.metrics.get();
         figures.to_json(&driver.config.classes, members, avoided + finishing)
     }
 
-    fn finish(&self, id: CallId, attempt: u32, mut end: End) {
+    fn finish(&self, id: RequestId, attempt: u32, mut end: AttemptEnd) {
         let mut driver = self.0.borrow_mut();
-        let Some(call) = driver.calls.get_mut(&id) else { return };
-        let Some(out) = call.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
-        out.meter.ended(end.outcome);
-        if let Some(reply) = end.answer.take().and_then(|answer| Some((call.reply.take()?, answer))) {
-            call.record.answered(Answered::Served);
+        let Some(request) = driver.requests.get_mut(&id) else { return };
+        let Some(out) = request.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
+        out.write_guard.ended(end.outcome);
+        if let Some(reply) = end.answer.take().and_then(|answer| Some((request.reply.take()?, answer))) {
+            request.record.answered(AnswerKind::Served);
             // A client that has just gone has no use for it.
             let _ = reply.0.send(Reply::Served(reply.1));
         }
-        let (elapsed, closed) = (call.took(out.sent), call.reply.is_none());
+        let (elapsed, request_finished) = (request.took(out.sent), request.reply.is_none());
         let (outcome, load) = (end.outcome, end.load);
-        driver.events.push_back(Event::Outcome { call: id, attempt, outcome, elapsed, closed, load });
+        driver.events.push_back(Event::AttemptEnded {
+            request: id,
+            attempt,
+            outcome,
+            elapsed,
+            request_finished,
+            load,
+        });
         driver.tidy(id);
         // Back before the outcome is told: else the call that it lets go would open another.
         if let Some(connection) = end.connection {
@@ -582,8 +615,8 @@
         driver.events.extend(events);
         let mut actions = Vec::new();
         while let Some(event) = driver.events.pop_front() {
-            if let Event::Outcome { outcome, .. } = event {
-                driver.counters.count().outcome(outcome);
+            if let Event::AttemptEnded { outcome, .. } = event {
+                driver.metrics.count().outcome(outcome);
             }
             let now = driver.clock.at(Instant::now());
             driver.balancer.handle(now, event, &mut actions);
@@ -615,90 +648,103 @@
     }
 }
 
-impl Driver {
-    fn carry_out(&mut self, handle: &Handle, action: Action) {
+impl ControlState {
+    fn carry_out(&mut self, handle: &Control, action: Action) {
         match action {
-            Action::Send { call, server, within } => {
-                self.send(handle, call, server, within.map(Duration::from_micros));
+            Action::Forward { request, endpoint: endpoint_id, start_within } => {
+                self.send(handle, request, endpoint_id, start_within.map(Duration::from_micros));
             }
-            Action::Refuse { call, retry_after, reason } => {
-                self.give_up(call, reason, Reply::Refused(Duration::from_micros(retry_after)));
+            Action::Reject { request, retry_after, reason } => {
+                self.give_up(request, reason, Reply::Rejected(Duration::from_micros(retry_after)));
             }
-            Action::Fail { call, reason } => self.give_up(call, reason, Reply::Failed),
-            Action::Cancel { call, attempt } => self.cancel(call, attempt),
-            Action::Wake { after } => {
+            Action::Fail { request, reason } => self.give_up(request, reason, Reply::Failed),
+            Action::CancelAttempt { request, attempt } => self.cancel(request, attempt),
+            Action::SetTimer { after } => {
                 self.wake = Some(Instant::now() + Duration::from_micros(after));
                 self.woken.notify_one();
             }
             Action::Subscribe => self.subscribe(handle),
-            Action::Log { text } => crate::log::line(&text),
+            Action::Log(event) => crate::log::line(&event.to_string()),
             // The module asks for none where the settings allow none, and this program has none to offer.
-            Action::Probe { .. } => {}
+            Action::CheckHealth { .. } => {}
         }
     }
 
-    fn send(&mut self, handle: &Handle, id: CallId, server: ServerId, within: Option<Duration>) {
+    fn send(
+        &mut self,
+        handle: &Control,
+        id: RequestId,
+        endpoint_id: EndpointId,
+        start_within: Option<Duration>,
+    ) {
         let (now, keep) = (Instant::now(), self.keep());
-        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else { return };
         // Its client's end may have been told of and its connection's task not have come to its turn yet.
-        if call.forward.client.is_left() && call.reply.take().is_some() {
-            call.record.left();
-            call.forward.client.close();
-            self.events.push_back(Event::Gone { call: id });
-        }
-        let attempt = call.attempts.len() as u32;
-        let until = call.deadline;
-        let host = self.hosts.get_mut(&server).filter(|host| host.health == Health::Ready);
-        let Some(host) = host.filter(|_| call.reply.is_some() && (now < until || !call.is_whole())) else {
-            call.attempts.push(None);
-            let closed = call.reply.is_none();
-            self.events.push_back(ended(id, attempt, Outcome::NotSent, Duration::ZERO, closed));
+        if request.forward.client.is_left() && request.reply.take().is_some() {
+            request.record.left();
+            request.forward.client.close();
+            self.events.push_back(Event::RequestCancelled { request: id });
+        }
+        let attempt = request.attempts.len() as u32;
+        let until = request.deadline;
+        let endpoint =
+            self.endpoints.get_mut(&endpoint_id).filter(|endpoint| endpoint.state == ListedState::Ready);
+        let Some(endpoint) =
+            endpoint.filter(|_| request.reply.is_some() && (now < until || !request.is_whole()))
+        else {
+            request.attempts.push(None);
+            let closed = request.reply.is_none();
+            self.events.push_back(ended(id, attempt, Outcome::NeverSent, Duration::ZERO, closed));
             return self.tidy(id);
         };
-        let begin_before = within.map(|within| now + within);
-        let record = call.record.attempt(host.target.clone());
-        let meter = Meter::new(&self.counters, &call.forward.client, begin_before, record);
-        let forward = call.forward.clone();
-        let to = Process { server, address: host.dial, born_ms: host.born_ms };
+        let begin_before = start_within.map(|start_within| now + start_within);
+        let record = request.record.attempt(endpoint.target.clone());
+        let write_guard = WriteGuard::new(&self.metrics, &request.forward.client, begin_before, record);
+        let forward = request.forward.clone();
+        let to =
+            EndpointProcess { endpoint_id, address: endpoint.address, started_at_ms: endpoint.started_at_ms };
         // A request must not cross its host's close: old ones and those closed meanwhile are passed over.
-        host.close_idle(&self.counters, HostClose::Idle, |(since, _)| since.elapsed() < keep);
-        host.close_idle(&self.counters, HostClose::Used, |(_, connection)| connection.is_ready());
-        let kept = host.take_idle();
+        endpoint.close_idle(&self.metrics, EndpointCloseReason::Idle, |(since, _)| since.elapsed() < keep);
+        endpoint
+            .close_idle(&self.metrics, EndpointCloseReason::Used, |(_, connection)| connection.is_ready());
+        let kept = endpoint.take_idle();
         let task = {
-            let (handle, meter) = (handle.clone(), meter.clone());
+            let (handle, write_guard) = (handle.clone(), write_guard.clone());
             upstream::spawn(async move {
-                let sending = Sending { to, forward: &forward, until, meter: &meter };
+                let sending = AttemptContext { to, forward: &forward, until, write_guard: &write_guard };
                 let end = handle.attempt(sending, kept).await;
                 handle.finish(id, attempt, end);
             })
         };
-        self.counters.count().attempts += 1;
-        if let Some(call) = self.calls.get_mut(&id) {
-            call.attempts.push(Some(Attempt { to, sent: now, meter, _task: task }));
+        self.metrics.count().attempts += 1;
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.attempts.push(Some(InFlightAttempt { to, sent: now, write_guard, _task: task }));
         }
     }
 
     /// Calls an attempt off: its connection closes.
-    fn cancel(&mut self, id: CallId, attempt: u32) {
-        let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(out) = call.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
-        out.meter.bar();
-        out.meter.ended(Outcome::CalledOff);
-        let closed = call.reply.is_none();
-        self.events.push_back(ended(id, attempt, Outcome::CalledOff, out.sent.elapsed(), closed));
+    fn cancel(&mut self, id: RequestId, attempt: u32) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(out) = request.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
+        out.write_guard.bar();
+        out.write_guard.ended(Outcome::Cancelled);
+        let closed = request.reply.is_none();
+        self.events.push_back(ended(id, attempt, Outcome::Cancelled, out.sent.elapsed(), closed));
         self.tidy(id);
     }
 
     /// Answers a call that the module has given up.
-    fn give_up(&mut self, id: CallId, reason: Reason, reply: Reply) {
-        let call = self.calls.get_mut(&id);
-        if let Some((record, sender)) = call.and_then(|call| Some((&call.record, call.reply.take()?))) {
-            self.counters.count().given_up(reason);
+    fn give_up(&mut self, id: RequestId, reason: FailureReason, reply: Reply) {
+        let request = self.requests.get_mut(&id);
+        if let Some((record, sender)) =
+            request.and_then(|request| Some((&request.record, request.reply.take()?)))
+        {
+            self.metrics.count().given_up(reason);
             record.given_up(reason);
             record.answered(if matches!(reply, Reply::Failed) {
-                Answered::Failed
+                AnswerKind::Failed
             } else {
-                Answered::Refused
+                AnswerKind::Rejected
             });
             // A client that has just gone has no use for it.
             let _ = sender.send(reply);
@@ -708,23 +754,26 @@
 
     /// What is left of a call that is over: nothing more is sent for it, and it is forgotten once none of its
     /// attempts is out.
-    fn tidy(&mut self, id: CallId) {
-        let Some(call) = self.calls.get_mut(&id).filter(|call| call.reply.is_none()) else { return };
-        call.cut_off(id, &mut self.events);
-        if call.attempts.iter().all(Option::is_none) {
-            if let Some(call) = self.calls.remove(&id) {
-                self.open.remove(&call.id);
+    fn tidy(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id).filter(|request| request.reply.is_none()) else {
+            return;
+        };
+        request.cut_off(id, &mut self.events);
+        if request.attempts.iter().all(Option::is_none) {
+            if let Some(request) = self.requests.remove(&id) {
+                self.open.remove(&request.id);
             }
         }
     }
 
     /// What may be done for a request of a class.
-    fn allowance(&self, class: ClassId) -> Allowance {
+    fn policy(&self, class: ClassId) -> RequestPolicy {
         let settings = &self.config.settings;
-        let repeat = settings.classes.get(class.0).map_or(Repeat::SingleShot, |class| class.repeat);
+        let idempotency =
+            settings.classes.get(class.0).map_or(Idempotency::NonIdempotent, |class| class.idempotency);
         let attempts = settings.limits.max_attempts as usize;
-        let (copies, drain_grace) = (settings.limits.second_copies, self.config.drain_grace);
-        Allowance { repeat, attempts, copies, drain_grace }
+        let (copies, drain_grace) = (settings.limits.hedging, self.config.drain_grace);
+        RequestPolicy { idempotency, attempts, copies, drain_grace }
     }
 
     /// A deadline, or the end of the process if that comes first.
@@ -732,7 +781,7 @@
         self.stop.map_or(deadline, |stop| deadline.min(stop.end))
     }
 
-    fn subscribe(&mut self, handle: &Handle) {
+    fn subscribe(&mut self, handle: &Control) {
         let (handle, discovery, since) = (handle.clone(), self.config.discovery, self.seq);
         let patience = self.config.watch_patience();
         self.watches += 1;
@@ -740,15 +789,15 @@
         // The task of the last watch, if there is one, ends here.
         self.watch = Some(upstream::spawn(async move {
             let news = |news| match news {
-                News::List(list) => handle.members(list, Some(watch)),
-                News::Heartbeat => handle.heartbeat(watch),
+                WatchEvent::List(list) => handle.members(list, Some(watch)),
+                WatchEvent::Heartbeat => handle.heartbeat(watch),
             };
             let ended = discovery::watch(discovery, since, patience, news).await;
             if handle.0.borrow().watches != watch {
                 return;
             }
             let kind = handle.0.borrow_mut().note_lost(&ended);
-            handle.run([Event::Members { kind, entries: Vec::new() }]);
+            handle.run([Event::EndpointList { kind, entries: Vec::new() }]);
             // Where the list is pushed the module never asks for it.
             if let Some(pause) = patience.pause {
                 tokio::time::sleep(pause.saturating_sub(ended.lasted.unwrap_or_default())).await;
@@ -759,7 +808,7 @@
 
     /// Logs why a watch ended, and of calls that fail one after the other the first. Tells whether it was lost, so that the
     /// next one is opened soon, or with a pause where one after the other ends as soon as it is open.
-    fn note_lost(&mut self, ended: &discovery::Ended) -> ListKind {
+    fn note_lost(&mut self, ended: &discovery::WatchEnd) -> ListUpdate {
         if ended.lasted.is_some() || !self.watch_lost {
             crate::log::line(&format!("discovery: {}", ended.reason));
         }
@@ -767,60 +816,62 @@
         let brief_again = ended.was_brief() && self.watch_was_brief;
         self.watch_was_brief = ended.was_brief() || self.watch_was_brief && self.watch_lost;
         match ended.lasted {
-            Some(_) if brief_again => ListKind::BrokenAgain,
-            Some(_) => ListKind::Lost,
-            None => ListKind::Failed,
+            Some(_) if brief_again => ListUpdate::WatchFlapping,
+            Some(_) => ListUpdate::WatchLost,
+            None => ListUpdate::PollFailed,
         }
     }
 
     /// The number of a host. What is idle there is of no use once it moves or starts again.
-    fn intern(&mut self, entry: &discovery::Host) -> ServerId {
-        let server = self.server_ids.get(&entry.host, |id| {
+    fn intern(&mut self, entry: &discovery::ListedEndpoint) -> EndpointId {
+        let endpoint_id = self.endpoint_ids.get(&entry.name, |id| {
             // The module's lines name servers by number alone.
-            crate::log::line(&format!("server {} is {} at {}", id.0, entry.host, entry.dial));
+            crate::log::line(&format!("endpoint {} is {} at {}", id.0, entry.name, entry.address));
         });
-        let host = self.hosts.entry(server).or_insert_with(|| Host {
-            dial: entry.dial,
-            born_ms: entry.born_ms,
-            health: entry.health,
-            target: Target::default(),
+        let endpoint = self.endpoints.entry(endpoint_id).or_insert_with(|| Endpoint {
+            address: entry.address,
+            started_at_ms: entry.started_at_ms,
+            state: entry.state,
+            target: AttemptTarget::default(),
             idle: Vec::new(),
         });
-        if (host.dial, host.born_ms) != (entry.dial, entry.born_ms) {
-            (host.dial, host.born_ms) = (entry.dial, entry.born_ms);
-            host.close_idle(&self.counters, HostClose::Leaving, |_| false);
+        if (endpoint.address, endpoint.started_at_ms) != (entry.address, entry.started_at_ms) {
+            (endpoint.address, endpoint.started_at_ms) = (entry.address, entry.started_at_ms);
+            endpoint.close_idle(&self.metrics, EndpointCloseReason::Leaving, |_| false);
             // What is meant for the process before may no longer begin.
-            std::mem::take(&mut host.target.standing).listed(false);
+            std::mem::take(&mut endpoint.target.drain_status).listed(false);
         }
-        host.health = entry.health;
-        (host.target.zone, host.target.cell) = (balancer_settings::zone(&entry.site), CellId(entry.block));
-        server
+        endpoint.state = entry.state;
+        (endpoint.target.zone, endpoint.target.cell) =
+            (balancer_settings::zone(&entry.zone), CellId(entry.cell));
+        endpoint_id
     }
 
     /// Takes back what is not yet written to hosts that are not ready, or no longer there, and closes what is
     /// idle: a send counts when it is written, not when it was decided.
     fn withdraw(&mut self) {
-        self.hosts
+        self.endpoints
             .values_mut()
-            .filter(|host| host.health != Health::Ready)
-            .for_each(|host| host.close_idle(&self.counters, HostClose::Leaving, |_| false));
-        let Driver { calls, hosts, events, .. } = self;
-        for (&id, call) in calls {
-            call.withdraw(id, events, |out| {
-                !hosts.get(&out.to.server).is_some_and(|host| host.takes(out.to))
+            .filter(|endpoint| endpoint.state != ListedState::Ready)
+            .for_each(|endpoint| endpoint.close_idle(&self.metrics, EndpointCloseReason::Leaving, |_| false));
+        let ControlState { requests, endpoints, events, .. } = self;
+        for (&id, request) in requests {
+            request.withdraw(id, events, |out| {
+                !endpoints.get(&out.to.endpoint_id).is_some_and(|endpoint| endpoint.takes(out.to))
             });
         }
     }
 
     /// Whether something new may be written to this process.
-    fn takes(&self, to: Process) -> bool {
-        self.hosts.get(&to.server).is_some_and(|host| host.takes(to))
+    fn takes(&self, to: EndpointProcess) -> bool {
+        self.endpoints.get(&to.endpoint_id).is_some_and(|endpoint| endpoint.takes(to))
     }
 
     /// Keeps a connection for the next request to its host, if there may be one.
-    fn keep_idle(&mut self, to: Process, connection: Connection) {
-        if let Some(host) = self.hosts.get_mut(&to.server).filter(|host| host.takes(to)) {
-            host.idle.push((Instant::now(), connection));
+    fn keep_idle(&mut self, to: EndpointProcess, connection: Connection) {
+        if let Some(endpoint) = self.endpoints.get_mut(&to.endpoint_id).filter(|endpoint| endpoint.takes(to))
+        {
+            endpoint.idle.push((Instant::now(), connection));
         }
     }
 
@@ -834,10 +885,10 @@
 
     /// Closes the connection that has been idle for the longest; whether there was one.
     fn close_oldest(&mut self) -> bool {
-        let oldest = self.hosts.values_mut().filter(|host| !host.idle.is_empty());
-        let Some(host) = oldest.min_by_key(|host| host.idle[0].0) else { return false };
-        drop(host.idle.remove(0));
-        self.counters.count().closed_to_hosts(HostClose::Room, 1);
+        let oldest = self.endpoints.values_mut().filter(|endpoint| !endpoint.idle.is_empty());
+        let Some(endpoint) = oldest.min_by_key(|endpoint| endpoint.idle[0].0) else { return false };
+        drop(endpoint.idle.remove(0));
+        self.metrics.count().closed_to_hosts(EndpointCloseReason::MemoryReservation, 1);
         true
     }
 
@@ -851,8 +902,9 @@
     fn sweep(&mut self) {
         self.idle.fade();
         let keep = self.keep();
-        for host in self.hosts.values_mut() {
-            host.close_idle(&self.counters, HostClose::Idle, |(since, _)| since.elapsed() < keep);
+        for endpoint in self.endpoints.values_mut() {
+            endpoint
+                .close_idle(&self.metrics, EndpointCloseReason::Idle, |(since, _)| since.elapsed() < keep);
         }
     }
 }
--- a/proxy/src/discovery.rs
+++ b/proxy/src/discovery/mod.rs
@@ -1,8 +1,9 @@
 //! The list of hosts: its form, and the watch that brings its changes.
 
-use crate::failures::retried;
 use crate::socket::Socket;
-use crate::upstream::{self, BoxError, Task};
+use crate::transient_errors::retried;
+use crate::upstream::{self, BoxError, ScopedTask};
+use balancer::EndpointState;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Bytes, Incoming};
 use hyper::{header, Request, StatusCode};
@@ -29,84 +30,102 @@
 /// Longest object of a watch; a longer one is not a list of any fleet that one proxy serves.
 const OBJECT_MOST: usize = 4 << 20;
 
-/// The whole list of hosts, or the entries that changed.
+/// An update of the endpoint list: the whole list, or the entries that changed.
 #[derive(Clone, Debug, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     /// Version of the list.
-    pub seq: u64,
-    /// Whether this is all of it.
-    pub whole: bool,
+    #[serde(rename = "seq")]
+    pub version: u64,
+    /// Whether this is the whole list.
+    #[serde(rename = "whole")]
+    pub is_full: bool,
     /// The entries.
-    pub hosts: Vec<Host>,
+    #[serde(rename = "hosts")]
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// An entry of the list.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Host {
+pub struct ListedEndpoint {
     /// Its name, the same for every proxy.
-    pub host: String,
+    #[serde(rename = "host")]
+    pub name: String,
     /// Where it listens.
-    pub dial: SocketAddr,
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
     /// Its zone.
-    #[serde(default)]
-    pub site: String,
-    /// The set of hosts that drop each other's repeats.
-    #[serde(default)]
-    pub block: u32,
-    /// What it does.
-    pub health: Health,
-    /// Its size beside the others'.
-    #[serde(default)]
-    pub share: f64,
-    /// When it last started, Unix time in milliseconds; 0: long ago.
-    #[serde(default)]
-    pub born_ms: u64,
+    #[serde(rename = "site", default)]
+    pub zone: String,
+    /// Its cell: the endpoints that deduplicate each other's requests.
+    #[serde(rename = "block", default)]
+    pub cell: u32,
+    /// Its state.
+    #[serde(rename = "health")]
+    pub state: ListedState,
+    /// Its size relative to the others'.
+    #[serde(rename = "share", default)]
+    pub weight: f64,
+    /// When its process started, Unix time in milliseconds; 0: long ago.
+    #[serde(rename = "born_ms", default)]
+    pub started_at_ms: u64,
 }
 
-/// What the list says of a host.
+/// State of an endpoint in the list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-pub enum Health {
+pub enum ListedState {
     /// It takes requests.
     Ready,
-    /// It finishes what it has.
-    Terminating,
+    /// It finishes the requests that it has and takes no new ones.
+    #[serde(rename = "Terminating")]
+    Draining,
     /// It has been removed.
-    Gone,
+    #[serde(rename = "Gone")]
+    Removed,
+}
+
+impl From<ListedState> for EndpointState {
+    fn from(state: ListedState) -> EndpointState {
+        match state {
+            ListedState::Ready => EndpointState::Ready,
+            ListedState::Draining => EndpointState::Draining,
+            ListedState::Removed => EndpointState::Removed,
+        }
+    }
 }
 
 /// How long a watch is waited for.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct WatchTimeouts {
     /// From the call to the head of its answer.
     answer: Duration,
     /// Until a watch that has ended is opened again; `None`: the decision module says when.
     pub pause: Option<Duration>,
 }
 
-impl Patience {
+impl WatchTimeouts {
     /// Where the list is asked for: calls may have to wait for their turn.
-    pub fn for_asking() -> Patience {
-        Patience { answer: SILENCE, pause: None }
+    pub fn for_asking() -> WatchTimeouts {
+        WatchTimeouts { answer: SILENCE, pause: None }
     }
 
     /// Where the list is pushed to an agent on this machine.
-    pub fn for_pushes(drain_grace: Duration) -> Patience {
+    pub fn for_pushes(drain_grace: Duration) -> WatchTimeouts {
         let answer = (drain_grace / ANSWER_PART).clamp(ANSWER_LEAST, ANSWER_MOST);
         let pause = (drain_grace / PAUSE_PART).clamp(PAUSE_LEAST, PAUSE_MOST);
-        Patience { answer, pause: Some(pause) }
+        WatchTimeouts { answer, pause: Some(pause) }
     }
 }
 
 /// How a watch ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct WatchEnd {
     /// The connection broke or ended, the answer was not 200, what came was no list, or nothing came for too long.
     pub reason: BoxError,
     /// How long it had been open; `None`: it never was.
     pub lasted: Option<Duration>,
 }
 
-impl Ended {
+impl WatchEnd {
     /// Whether it had been open, but for hardly any time.
     pub fn was_brief(&self) -> bool {
         self.lasted.is_some_and(|lasted| lasted < BRIEF)
@@ -115,9 +134,9 @@
 
 /// What a watch brings.
 #[derive(Debug)]
-pub enum News {
+pub enum WatchEvent {
     /// A list.
-    List(List),
+    List(EndpointList),
     /// Nothing has changed.
     Heartbeat,
 }
@@ -126,21 +145,21 @@
 pub async fn watch(
     discovery: SocketAddr,
     since: Option<u64>,
-    patience: Patience,
-    mut news: impl FnMut(News),
-) -> Ended {
+    patience: WatchTimeouts,
+    mut news: impl FnMut(WatchEvent),
+) -> WatchEnd {
     let opening = async { timeout(patience.answer, open(discovery, since)).await? };
     match opening.await {
         Ok((body, _connection)) => {
             let opened = Instant::now();
             let reason = follow(body, &mut news).await;
-            Ended { reason, lasted: Some(opened.elapsed()) }
+            WatchEnd { reason, lasted: Some(opened.elapsed()) }
         }
-        Err(reason) => Ended { reason, lasted: None },
+        Err(reason) => WatchEnd { reason, lasted: None },
     }
 }
 
-async fn open(discovery: SocketAddr, since: Option<u64>) -> Result<(Incoming, Task), BoxError> {
+async fn open(discovery: SocketAddr, since: Option<u64>) -> Result<(Incoming, ScopedTask), BoxError> {
     let stream = retried(SILENCE, async || upstream::dial(discovery).await).await?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(Socket::new(stream)).await?;
     let connection = upstream::spawn(connection);
@@ -155,7 +174,7 @@
     Ok((response.into_body(), connection))
 }
 
-async fn follow(mut body: Incoming, news: &mut impl FnMut(News)) -> BoxError {
+async fn follow(mut body: Incoming, news: &mut impl FnMut(WatchEvent)) -> BoxError {
     let mut objects = Objects::default();
     loop {
         let data = match timeout(SILENCE, body.frame()).await {
@@ -164,12 +183,12 @@
             Ok(None) => return "the watch ended".into(),
             Err(silent) => return silent.into(),
         };
-        if let Err(reason) = objects.read(&data, &mut |list| news(News::List(list))) {
+        if let Err(reason) = objects.read(&data, &mut |list| news(WatchEvent::List(list))) {
             return reason;
         }
         // An empty line between two objects.
         if objects.is_between() && data.iter().all(u8::is_ascii_whitespace) {
-            news(News::Heartbeat);
+            news(WatchEvent::Heartbeat);
         }
     }
 }
@@ -186,7 +205,7 @@
 }
 
 impl Objects {
-    fn read(&mut self, bytes: &[u8], news: &mut impl FnMut(List)) -> Result<(), BoxError> {
+    fn read(&mut self, bytes: &[u8], news: &mut impl FnMut(EndpointList)) -> Result<(), BoxError> {
         for &byte in bytes {
             if self.depth == 0 && byte.is_ascii_whitespace() {
                 continue;
@@ -230,7 +249,7 @@
     fn read(text: &str, piece: usize) -> Result<Vec<(u64, usize)>, String> {
         let (mut objects, mut lists) = (Objects::default(), Vec::new());
         for piece in text.as_bytes().chunks(piece) {
-            let mut news = |list: List| lists.push((list.seq, list.hosts.len()));
+            let mut news = |list: EndpointList| lists.push((list.version, list.endpoints.len()));
             objects.read(piece, &mut news).map_err(|e| e.to_string())?;
         }
         Ok(lists)
@@ -238,8 +257,8 @@
 
     #[test]
     fn objects_are_read_in_one_line_or_in_many_however_they_are_cut() {
-        let host = r#"{"host":"a}\"{]","dial":"127.0.0.1:1","health":"Ready","more":[{}]}"#;
-        let flat = format!(r#"{{"seq":1,"whole":true,"hosts":[{host},{host}]}}"#);
+        let endpoint = r#"{"host":"a}\"{]","dial":"127.0.0.1:1","health":"Ready","more":[{}]}"#;
+        let flat = format!(r#"{{"seq":1,"whole":true,"hosts":[{endpoint},{endpoint}]}}"#);
         let value: serde_json::Value = serde_json::from_str(&flat).expect("an object");
         let indented = serde_json::to_string_pretty(&value).expect("text");
         let text = format!("\n{flat}\n\n{indented}\r\n\n{flat}{indented}\n");
--- a/proxy/src/server.rs
+++ b/proxy/src/downstream/mod.rs
@@ -1,14 +1,16 @@
 //! The application's connections: takes them in, closes those that are due or in the way, and stops.
 
-use crate::body::AnswerBody;
-use crate::counters::{Close, Counters};
-use crate::driver::{Handle, Stop};
-use crate::failures::Kind;
-use crate::handover::lead_away;
+mod request;
+
+use crate::body::ResponseBody;
+use crate::control::{Control, ShutdownSchedule};
+use crate::downstream::request::{answer, Arrival};
+use crate::invariants::Violation;
 use crate::log;
-use crate::requests::{answer, Arrival};
-use crate::rules::Breach;
+use crate::metrics::{ClientCloseReason, Metrics};
+use crate::process_handoff::lead_away;
 use crate::socket::Socket;
+use crate::transient_errors::ErrorClass;
 use crate::upstream::{BoxError, HEAD_MOST};
 use hyper::body::{Body, Bytes, Frame, SizeHint};
 use hyper::header::{self, HeaderValue};
@@ -63,13 +65,17 @@
 
 /// Serves until `stop` is done, then goes on for as long as new connections may come, then closes connections
 /// between requests and returns when none is left.
-pub async fn serve(listener: TcpListener, driver: Handle, stop: impl Future<Output = ()>) {
+pub async fn serve(listener: TcpListener, driver: Control, stop: impl Future<Output = ()>) {
     let longest = driver.config().longest_deadline().min(DEADLINE_MOST);
-    let mut clients = Clients { driver, open: Vec::new(), crowded: Rc::default(), stopping: Rc::default() };
+    let mut clients =
+        ClientConnections { driver, open: Vec::new(), crowded: Rc::default(), stopping: Rc::default() };
     clients.driver.set_accepting(true);
     clients.accept(&listener, stop).await;
     let now = Instant::now();
-    clients.stop(&listener, Stop { refuse_from: now + REFUSE_AFTER, end: now + longest + STOP_MARGIN });
+    clients.stop(
+        &listener,
+        ShutdownSchedule { refuse_from: now + REFUSE_AFTER, end: now + longest + STOP_MARGIN },
+    );
     clients.accept(&listener, sleep(STOP_DELAY)).await;
     // What the machine has accepted by now has been taken: closing the listener would reset it.
     clients.accept_rest(&listener).await;
@@ -108,10 +114,10 @@
     }
 
     /// Why a connection that is due is closed.
-    fn close_when_due(self, socket: &Socket) -> Close {
+    fn close_when_due(self, socket: &Socket) -> ClientCloseReason {
         match self {
-            Phase::New(_) | Phase::Begun(_) if socket.reads() > 0 => Close::Slow,
-            _ => Close::Idle,
+            Phase::New(_) | Phase::Begun(_) if socket.reads() > 0 => ClientCloseReason::Slow,
+            _ => ClientCloseReason::Idle,
         }
     }
 
@@ -125,19 +131,19 @@
 }
 
 /// An open request. It ends when this is dropped, with its answer's last byte handed over.
-struct Open {
+struct OpenRequest {
     phase: Rc<Cell<Phase>>,
     socket: Socket,
 }
 
-impl Open {
-    fn begin(phase: &Rc<Cell<Phase>>, socket: &Socket) -> Open {
+impl OpenRequest {
+    fn begin(phase: &Rc<Cell<Phase>>, socket: &Socket) -> OpenRequest {
         phase.set(Phase::Open);
-        Open { phase: phase.clone(), socket: socket.clone() }
+        OpenRequest { phase: phase.clone(), socket: socket.clone() }
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         let now = Instant::now();
         // A part of the next request may have come meanwhile.
@@ -146,12 +152,12 @@
 }
 
 /// The body of an answer, which keeps its request open.
-struct Passing {
-    body: AnswerBody,
-    _open: Open,
+struct TrackedBody {
+    body: ResponseBody,
+    _open: OpenRequest,
 }
 
-impl Body for Passing {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -172,18 +178,18 @@
 }
 
 /// A client's connection.
-struct Client {
+struct ClientConnection {
     task: JoinHandle<()>,
     socket: Socket,
     phase: Rc<Cell<Phase>>,
     /// Tells its task to end it.
     end: Rc<Notify>,
-    counters: Counters,
+    metrics: Metrics,
 }
 
-impl Client {
+impl ClientConnection {
     /// Whether its time is up.
-    fn is_due(&self, now: Instant, times: Times) -> bool {
+    fn is_due(&self, now: Instant, times: IdleTimeouts) -> bool {
         if self.is_stuck(now).is_some() {
             return false;
         }
@@ -227,31 +233,31 @@
     }
 
     /// Closes it at once; its descriptor is free when this returns.
-    fn close(&self, why: Close) {
-        self.counters.count().closed(why);
+    fn close(&self, why: ClientCloseReason) {
+        self.metrics.count().closed(why);
         tracing::debug!(socket = ?self.socket, phase = ?self.phase.get(), reason = ?why, "closed");
-        let unanswered = matches!(self.phase.get(), Phase::Open) && why != Close::Stuck;
+        let unanswered = matches!(self.phase.get(), Phase::Open) && why != ClientCloseReason::Stuck;
         if unanswered && !self.socket.has_left() {
-            self.counters.count().breach(Breach::ClosedUnanswered);
-            log::line(&format!("rule broken: a connection with an open request was closed: {why:?}"));
+            self.metrics.count().violation(Violation::ClosedUnanswered);
+            log::line(&format!("invariant violated: a connection with an open request was closed: {why:?}"));
         }
         self.socket.close();
         self.task.abort();
     }
 
     /// Looks at it once more; whether it is still there.
-    fn look(&self, now: Instant, times: Times) -> bool {
+    fn look(&self, now: Instant, times: IdleTimeouts) -> bool {
         if self.task.is_finished() {
             return false;
         }
         if self.is_stuck(now) == Some(true) {
             log::line("a client took nothing of its answer for too long: closed");
-            self.close(Close::Stuck);
+            self.close(ClientCloseReason::Stuck);
             return false;
         }
         match self.phase.get() {
             // Its task has been told; this is for a system that tells of ends only when it is asked.
-            Phase::Open if self.socket.is_left() => self.close(Close::Left),
+            Phase::Open if self.socket.is_left() => self.close(ClientCloseReason::Left),
             Phase::Idle(since) if self.socket.read_at() > since => {
                 self.phase.set(Phase::Begun(self.socket.read_at()));
             }
@@ -264,7 +270,7 @@
 
 /// How long connections are kept on which nothing is asked.
 #[derive(Clone, Copy, Debug)]
-struct Times {
+struct IdleTimeouts {
     /// After a request.
     idle: Duration,
     /// On which nothing has come at all.
@@ -272,16 +278,16 @@
 }
 
 /// The connections of clients.
-struct Clients {
-    driver: Handle,
-    open: Vec<Client>,
+struct ClientConnections {
+    driver: Control,
+    open: Vec<ClientConnection>,
     /// More are open than half of what clients may hold for requests.
     crowded: Rc<Cell<bool>>,
     /// The process is to end: each connection ends with its next answer.
     stopping: Rc<Cell<bool>>,
 }
 
-impl Clients {
+impl ClientConnections {
     /// Takes connections until `until` is done.
     async fn accept(&mut self, listener: &TcpListener, until: impl Future<Output = ()>) {
         let mut until = pin!(until);
@@ -339,17 +345,17 @@
     /// What a failure to accept asks for: a place, where there was no room, and a pause. Returns when the pause is over. One
     /// connection that ended before it was accepted is no reason to wait, nor is a signal.
     fn accept_failed(&mut self, error: &io::Error) -> Instant {
-        match Kind::of(error) {
-            Kind::Momentary => return Instant::now(),
-            Kind::NoRoom => drop(self.evict()),
-            Kind::Peer | Kind::Lasting => {}
+        match ErrorClass::of(error) {
+            ErrorClass::Momentary => return Instant::now(),
+            ErrorClass::NoRoom => drop(self.evict()),
+            ErrorClass::Peer | ErrorClass::Lasting => {}
         }
         log::line(&format!("accept: {error}"));
         Instant::now() + ACCEPT_PAUSE
     }
 
     /// The process is to end: clients are led to its successor, if there is one.
-    fn stop(&self, listener: &TcpListener, stop: Stop) {
+    fn stop(&self, listener: &TcpListener, stop: ShutdownSchedule) {
         self.stopping.set(true);
         self.driver.set_accepting(false);
         self.driver.stop(stop);
@@ -385,7 +391,7 @@
         let now = Instant::now();
         let spare = self.open.iter().enumerate().filter_map(|(place, c)| Some((c.spare(now)?, place)));
         let Some((_, place)) = spare.min() else { return false };
-        self.open.swap_remove(place).close(Close::Evicted);
+        self.open.swap_remove(place).close(ClientCloseReason::Evicted);
         true
     }
 
@@ -395,9 +401,9 @@
         let times = match (self.stopping.get(), self.crowded.get()) {
             // What comes now is better off at the successor, which has the time for a long answer. What would come on a
             // silent connection is refused by then.
-            (true, _) => Times { idle: Duration::ZERO, silent: REFUSE_AFTER },
-            (false, true) => Times { idle: IDLE_LEAST, silent: WHOLE_TIME },
-            (false, false) => Times { idle: IDLE_MOST, silent: WHOLE_TIME },
+            (true, _) => IdleTimeouts { idle: Duration::ZERO, silent: REFUSE_AFTER },
+            (false, true) => IdleTimeouts { idle: IDLE_LEAST, silent: WHOLE_TIME },
+            (false, false) => IdleTimeouts { idle: IDLE_MOST, silent: WHOLE_TIME },
         };
         self.open.retain(|client| client.look(now, times));
         self.open.shrink_to(2 * self.open.len());
@@ -418,7 +424,7 @@
             let arrival = Arrival { whole_by: state.get().whole_by(&read), socket: read.clone(), doubtful };
             let (crowded, first) = (crowded.clone(), number == 0);
             let (driver, stopping) = (driver.clone(), stopping.clone());
-            let open = Open::begin(&state, &read);
+            let open = OpenRequest::begin(&state, &read);
             async move {
                 let mut answer = answer(driver, request, arrival).await;
                 // Many who ask once and keep their connections leave none for those who ask again. An answer that
@@ -426,7 +432,7 @@
                 if stopping.get() || first && crowded.get() {
                     answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
                 }
-                Ok::<_, Infallible>(answer.map(|body| Passing { body, _open: open }))
+                Ok::<_, Infallible>(answer.map(|body| TrackedBody { body, _open: open }))
             }
         });
         // The sweeps see to all times, so that none can be had twice by being slow in another way.
@@ -436,7 +442,7 @@
             .max_buf_size(HEAD_MOST)
             .serve_connection(socket.clone(), service);
         let (ending, closing, last) = (Rc::new(Notify::new()), socket.clone(), phase.clone());
-        let (ended, counters) = (ending.clone(), self.driver.counters());
+        let (ended, metrics) = (ending.clone(), self.driver.metrics());
         let task = spawn_local(async move {
             // Nobody waits for the answer. hyper sees that only where it has read all that came before; where no request
             // is open it reads on, and what begins one comes to its turn before this.
@@ -462,24 +468,24 @@
                 // One that breaks ends its request's waiting, which tells the module.
                 _ = connection => {}
                 () = left => {
-                    counters.count().closed(Close::Left);
+                    metrics.count().closed(ClientCloseReason::Left);
                     closing.close();
                 }
-                () = due => counters.count().closed(last.get().close_when_due(&closing)),
+                () = due => metrics.count().closed(last.get().close_when_due(&closing)),
             }
             last.set(Phase::Closing(Instant::now()));
             closing.linger(LINGER).await;
         });
-        let counters = self.driver.counters();
-        self.open.push(Client { task, socket, phase, end: ending, counters });
+        let metrics = self.driver.metrics();
+        self.open.push(ClientConnection { task, socket, phase, end: ending, metrics });
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::body::Payload;
-    use crate::calls::{Ask, Forward, Reply};
+    use crate::body::RequestBody;
+    use crate::control::in_flight::{ForwardedRequest, Reply, RequestDescriptor};
     use balancer::ClassId;
     use hyper::rt::Write;
     use hyper::{HeaderMap, Method, Uri};
@@ -493,9 +499,14 @@
         let mut socket = Socket::of_client(near);
         let since = Instant::now() - IDLE_MOST;
         let (task, phase) = (tokio::spawn(std::future::pending()), Rc::new(Cell::new(Phase::Idle(since))));
-        let client =
-            Client { task, socket: socket.clone(), phase, end: Rc::default(), counters: Counters::default() };
-        let times = Times { idle: IDLE_LEAST, silent: WHOLE_TIME };
+        let client = ClientConnection {
+            task,
+            socket: socket.clone(),
+            phase,
+            end: Rc::default(),
+            metrics: Metrics::default(),
+        };
+        let times = IdleTimeouts { idle: IDLE_LEAST, silent: WHOLE_TIME };
         assert!(client.is_due(Instant::now(), times) && client.spare(Instant::now()).is_some());
         let mut context = Context::from_waker(Waker::noop());
         while Pin::new(&mut socket).poll_write(&mut context, &[0; 1 << 16]).is_ready() {}
@@ -511,12 +522,12 @@
         let (far, near) = pair().await;
         let (task, now) = (tokio::spawn(std::future::pending()), Instant::now());
         let phase = Rc::new(Cell::new(Phase::New(now - BEGUN)));
-        let client = Client {
+        let client = ClientConnection {
             task,
             socket: Socket::of_client(near),
             phase,
             end: Rc::default(),
-            counters: Counters::default(),
+            metrics: Metrics::default(),
         };
         assert!(client.spare(now).is_some(), "it has said nothing");
         far.try_write(b"GET /api HTTP/1.1\r\n").expect("written");
@@ -528,8 +539,8 @@
 
     /// A host that takes nothing, and a configuration that knows it.
     async fn one_host() -> (TcpListener, Rc<crate::config::Config>) {
-        let host = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let dial = host.local_addr().expect("an address");
+        let endpoint = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let dial = endpoint.local_addr().expect("an address");
         let entry = format!(r#"{{"host":"s-0","dial":"{dial}","health":"Ready"}}"#);
         let class = r#"{"name":"free","objective_us":5000000,"deadline_us":9000000,"worth":1.0,"idempotency":"free"}"#;
         let config = format!(
@@ -538,7 +549,7 @@
                              "invariants":{{"cold_from":0.3,"cold_us":7500000,"ask_every_us":320000}}}}}}"#
         );
         let config = crate::config::Config::parse(&config).expect("a good configuration");
-        (host, Rc::new(config))
+        (endpoint, Rc::new(config))
     }
 
     async fn pair() -> (TcpStream, TcpStream) {
@@ -551,7 +562,7 @@
     /// What the module sends in the turn in which its client's end is told of is not begun, not even by a connection.
     #[tokio::test]
     async fn no_connection_is_opened_for_a_client_that_has_left() {
-        let (host, config) = one_host().await;
+        let (endpoint, config) = one_host().await;
         let test = async {
             let (far, near) = pair().await;
             let client = Socket::of_client(near);
@@ -560,15 +571,15 @@
             while !client.is_left() {
                 yield_now().await;
             }
-            let payload = Payload::Whole(Bytes::new());
+            let payload = RequestBody::Whole(Bytes::new());
             let (target, headers, budget) =
                 (Uri::from_static("/api"), HeaderMap::new(), Duration::from_secs(4));
-            let forward = Forward { method: Method::GET, target, headers, payload, budget, client };
+            let forward = ForwardedRequest { method: Method::GET, target, headers, payload, budget, client };
             let (id, class, deadline) = (HeaderValue::from_static("1"), ClassId(0), Instant::now() + budget);
-            let ask = Ask { id, class, tenant: None, deadline, resent: false };
-            let mut waiting = Handle::start(config).request(ask, forward).expect("its id is free");
+            let ask = RequestDescriptor { id, class, tenant: None, deadline, client_retry: false };
+            let mut waiting = Control::start(config).request(ask, forward).expect("its id is free");
             assert!(matches!(waiting.reply().await, Reply::Failed));
-            assert!(timeout(Duration::ZERO, host.accept()).await.is_err(), "nobody connects");
+            assert!(timeout(Duration::ZERO, endpoint.accept()).await.is_err(), "nobody connects");
         };
         tokio::task::LocalSet::new().run_until(test).await;
     }
@@ -578,9 +589,9 @@
     async fn what_comes_as_a_connection_is_due_is_answered() {
         let (_host, config) = one_host().await;
         let test = async {
-            let driver = Handle::start(config);
+            let driver = Control::start(config);
             let (open, crowded, stopping) = Default::default();
-            let mut clients = Clients { driver, open, crowded, stopping };
+            let mut clients = ClientConnections { driver, open, crowded, stopping };
             let (health, answer) = ("GET /_health HTTP/1.1\r\n\r\n", "HTTP/1.1 200 OK\r\n");
             // A new one, on which nothing has come, and an idle one.
             for parts in [[health, ""], ["GET /_hea", "lth HTTP/1.1\r\n\r\n"]] {
@@ -621,9 +632,9 @@
     async fn a_client_that_leaves_while_its_request_is_open_is_gone_without_a_sweep() {
         let (_host, config) = one_host().await;
         let test = async {
-            let driver = Handle::start(config);
+            let driver = Control::start(config);
             let (open, crowded, stopping) = Default::default();
-            let mut clients = Clients { driver: driver.clone(), open, crowded, stopping };
+            let mut clients = ClientConnections { driver: driver.clone(), open, crowded, stopping };
             let mut sent = 0;
             for (begun, reset) in [(false, false), (false, true), (true, false), (true, true)] {
                 let (far, near) = pair().await;
--- a/proxy/src/requests.rs
+++ b/proxy/src/downstream/request.rs
@@ -1,10 +1,10 @@
 //! What a client's request says and whether it can be used, and the answers that clients get.
 
-use crate::body::{AnswerBody, Fault, Payload, Upload, BODY_MOST};
-use crate::calls::{Ask, Forward, Reply};
-use crate::driver::Handle;
+use crate::body::{RequestBody, ResponseBody, Upload, UploadError, BODY_MOST};
+use crate::control::in_flight::{ForwardedRequest, Reply, RequestDescriptor};
+use crate::control::Control;
 use crate::socket::Socket;
-use balancer::{ClassId, Repeat, TenantId};
+use balancer::{ClassId, Idempotency, TenantId};
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
@@ -19,7 +19,7 @@
 const WAY_BACK: Duration = Duration::from_millis(10);
 const WAY_BACK_PART: u32 = 16;
 /// An answer to a client.
-pub type Answer = Response<AnswerBody>;
+pub type Answer = Response<ResponseBody>;
 
 /// How a request comes.
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
 }
 
 /// Gives a request its one answer.
-pub async fn answer(driver: Handle, request: Request<Incoming>, arrival: Arrival) -> Answer {
+pub async fn answer(driver: Control, request: Request<Incoming>, arrival: Arrival) -> Answer {
     let Arrival { socket, whole_by, doubtful } = arrival;
     let (head, body) = request.into_parts();
     let upload = Rc::new(Upload::new(body, socket.clone(), whole_by));
@@ -43,7 +43,7 @@
         "/_health" => plain(StatusCode::SERVICE_UNAVAILABLE),
         "/api" => match pass_on(&driver, head, &upload, &socket).await {
             Ok(Reply::Served(answer)) => return served(answer),
-            Ok(Reply::Refused(after)) => refused(after),
+            Ok(Reply::Rejected(after)) => refused(after),
             Ok(Reply::Failed) => plain(StatusCode::BAD_GATEWAY),
             Err(status) => turned_away(&driver, status),
         },
@@ -58,25 +58,25 @@
 /// Passes a request on and waits for its end. What cannot be used is turned away with a status; the module never sees
 /// it, or sees a client that has gone.
 async fn pass_on(
-    driver: &Handle,
+    driver: &Control,
     head: Parts,
     upload: &Rc<Upload>,
     socket: &Socket,
 ) -> Result<Reply, StatusCode> {
     let usable = usable(driver, &head.method, &head.headers, upload.length() == Some(0));
-    let (ask, budget) = usable.ok_or(StatusCode::BAD_REQUEST)?;
+    let (descriptor, budget) = usable.ok_or(StatusCode::BAD_REQUEST)?;
     if upload.length().is_some_and(|length| length > BODY_MOST) {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
     let memory = driver.memory();
     let gathered = tokio::select! {
         biased;
-        () = driver.closed() => return Ok(driver.refuse(ask.class)),
-        gathered = upload.gather(&memory) => gathered.map_err(Fault::status)?,
+        () = driver.closed() => return Ok(driver.refuse(descriptor.class)),
+        gathered = upload.gather(&memory) => gathered.map_err(UploadError::status)?,
     };
     // It may have waited to be accepted or read for longer than its client has.
     if socket.has_left() {
-        return Ok(driver.refuse(ask.class));
+        return Ok(driver.refuse(descriptor.class));
     }
     let budget = budget - WAY_BACK.min(budget / WAY_BACK_PART);
     let deadline = match upload.end() {
@@ -85,11 +85,12 @@
     };
     let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
     let large = gathered.is_none();
-    let payload = gathered.map_or_else(|| Payload::Upload(upload.clone()), Payload::Whole);
+    let payload = gathered.map_or_else(|| RequestBody::Upload(upload.clone()), RequestBody::Whole);
     let (headers, client) = (end_to_end(head.headers), socket.clone());
-    let forward = Forward { method: head.method, target, headers, payload, budget, client };
-    let class = ask.class;
-    let mut waiting = driver.request(Ask { deadline, ..ask }, forward).ok_or(StatusCode::CONFLICT)?;
+    let forward = ForwardedRequest { method: head.method, target, headers, payload, budget, client };
+    let class = descriptor.class;
+    let mut waiting =
+        driver.request(RequestDescriptor { deadline, ..descriptor }, forward).ok_or(StatusCode::CONFLICT)?;
     if large {
         tokio::select! {
             biased;
@@ -106,7 +107,12 @@
 }
 
 /// What a head says, and the client's time. `None` if the id, class or budget is missing, double or unusable, or the request is not of its class's form.
-fn usable(driver: &Handle, method: &Method, headers: &HeaderMap, empty: bool) -> Option<(Ask, Duration)> {
+fn usable(
+    driver: &Control,
+    method: &Method,
+    headers: &HeaderMap,
+    empty: bool,
+) -> Option<(RequestDescriptor, Duration)> {
     let config = driver.config();
     single(headers, "x-call-id").filter(|id| !id.is_empty())?;
     let id = headers.get("x-call-id")?.clone();
@@ -114,22 +120,23 @@
     let spec = config.settings.classes.get(class)?;
     // Hosts go by the form: a keyed request without its key would run again wherever it is sent again.
     let keyed = headers.contains_key("idempotency-key");
-    let fits = match spec.repeat {
-        Repeat::Free => method == Method::GET && empty && !keyed,
-        Repeat::Guarded { .. } => {
+    let fits = match spec.idempotency {
+        Idempotency::Idempotent => method == Method::GET && empty && !keyed,
+        Idempotency::Keyed { .. } => {
             single(headers, "idempotency-key").filter(|key| !key.is_empty())?;
             method == Method::POST
         }
-        Repeat::SingleShot => method == Method::POST && !keyed,
+        Idempotency::NonIdempotent => method == Method::POST && !keyed,
     };
     let digits = |text: &&str| text.bytes().all(|byte| byte.is_ascii_digit());
     let budget = single(headers, "x-budget-ms").filter(digits)?.parse::<u32>().ok().filter(|ms| *ms > 0)?;
     // No client waits longer than its class.
     let budget = Duration::from_millis(budget.into()).min(Duration::from_micros(spec.deadline));
     let tenant = single(headers, "x-caller").and_then(|name| place(&config.tenants, name)).map(TenantId);
-    let resent = single(headers, "x-again").is_some_and(|value| value == "1");
-    let ask = Ask { id, class: ClassId(class), tenant, deadline: Instant::now(), resent };
-    fits.then_some((ask, budget))
+    let client_retry = single(headers, "x-again").is_some_and(|value| value == "1");
+    let descriptor =
+        RequestDescriptor { id, class: ClassId(class), tenant, deadline: Instant::now(), client_retry };
+    fits.then_some((descriptor, budget))
 }
 
 fn place(names: &[String], name: &str) -> Option<usize> {
@@ -153,7 +160,7 @@
     headers
 }
 
-fn served(answer: Response<AnswerBody>) -> Answer {
+fn served(answer: Response<ResponseBody>) -> Answer {
     let (mut head, body) = answer.into_parts();
     head.headers = end_to_end(head.headers);
     Response::from_parts(head, body)
@@ -169,7 +176,7 @@
 }
 
 /// A request of the application that could not be used: it shows in the log's figures.
-fn turned_away(driver: &Handle, status: StatusCode) -> Answer {
+fn turned_away(driver: &Control, status: StatusCode) -> Answer {
     driver.count_unusable(status);
     unusable(status)
 }
@@ -182,7 +189,7 @@
 }
 
 fn plain(status: StatusCode) -> Answer {
-    let mut answer = Response::new(AnswerBody::whole(Bytes::new()));
+    let mut answer = Response::new(ResponseBody::whole(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
