--- a/proxy/src/rules.rs
+++ b/proxy/src/invariants/mod.rs
@@ -2,9 +2,9 @@
 //! answered, as a client's connection is closed. Nothing here decides anything. A breach is a fault of this program; it is
 //! counted, also in release builds, and logged with its request.
 
-use crate::attempt::Denial;
-use crate::counters::Counters;
-use balancer::{CellId, Outcome, Reason, Repeat, Scope, ZoneId};
+use crate::metrics::Metrics;
+use crate::write_guard::WriteDenial;
+use balancer::{CellId, DeduplicationScope, FailureReason, Idempotency, Outcome, ZoneId};
 use hyper::header::HeaderValue;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 
 /// What must never happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Breach {
+pub enum Violation {
     /// An attempt began at a server longer than the drain grace after the list told of its leaving.
     SentToLeavingServer,
     /// An attempt began after its client had left.
@@ -53,12 +53,12 @@
 
 /// How the process of a server stands: shared by the list and the attempts that are meant for it.
 #[derive(Debug, Default)]
-pub struct Standing {
+pub struct DrainStatus {
     /// Since when the list has said that it takes nothing new.
     leaving: Cell<Option<Instant>>,
 }
 
-impl Standing {
+impl DrainStatus {
     /// The list says whether it takes requests.
     pub fn listed(&self, is_ready: bool) {
         match is_ready {
@@ -70,9 +70,9 @@
 
 /// Where an attempt goes.
 #[derive(Clone, Debug, Default)]
-pub struct Target {
+pub struct AttemptTarget {
     /// The server's process.
-    pub standing: Rc<Standing>,
+    pub drain_status: Rc<DrainStatus>,
     /// Its zone and its cell, where repeats are dropped.
     pub zone: ZoneId,
     /// See `zone`.
@@ -80,8 +80,8 @@
 }
 
 #[derive(Debug)]
-struct Tried {
-    target: Target,
+struct AttemptHistory {
+    target: AttemptTarget,
     told: Option<Duration>,
     begun: Option<Instant>,
     /// Whether it never ran; `None`: it is out.
@@ -90,9 +90,9 @@
 
 /// What may be done for a request.
 #[derive(Clone, Debug)]
-pub struct Allowance {
+pub struct RequestPolicy {
     /// Whether it may run again.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// Most attempts.
     pub attempts: usize,
     /// Two may be out at once.
@@ -102,12 +102,12 @@
 }
 
 #[derive(Debug)]
-struct Course {
+struct RequestHistory {
     id: HeaderValue,
-    allowance: Allowance,
+    policy: RequestPolicy,
     /// By when it must be answered; `None`: it is still coming.
     deadline: Option<Instant>,
-    attempts: Vec<Tried>,
+    attempts: Vec<AttemptHistory>,
     answered: bool,
     left: Option<Instant>,
 }
@@ -115,80 +115,86 @@
 /// The course of one request; clones are the same record.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    course: Rc<RefCell<Course>>,
-    counters: Counters,
+    history: Rc<RefCell<RequestHistory>>,
+    metrics: Metrics,
 }
 
 impl RequestRecord {
     /// Of a request that was taken just now.
     pub fn new(
-        counters: Counters,
+        metrics: Metrics,
         id: HeaderValue,
-        allowance: Allowance,
+        policy: RequestPolicy,
         deadline: Option<Instant>,
     ) -> RequestRecord {
-        tracing::debug!(request = ?id, repeat = ?allowance.repeat, "taken");
+        tracing::debug!(request = ?id, idempotency = ?policy.idempotency, "taken");
         // One that comes behind another on its connection can't be answered before that is.
         let deadline = deadline.map(|deadline| deadline.max(Instant::now()));
-        let course = Course { id, allowance, deadline, attempts: Vec::new(), answered: false, left: None };
-        RequestRecord { course: Rc::new(RefCell::new(course)), counters }
+        let history =
+            RequestHistory { id, policy, deadline, attempts: Vec::new(), answered: false, left: None };
+        RequestRecord { history: Rc::new(RefCell::new(history)), metrics }
     }
 
     /// The request has come whole, and must be answered by then.
     pub fn whole(&self, deadline: Instant) {
-        self.course.borrow_mut().deadline = Some(deadline);
+        self.history.borrow_mut().deadline = Some(deadline);
     }
 
     /// A further attempt, which has not begun.
-    pub fn attempt(&self, target: Target) -> AttemptRecord {
-        let mut course = self.course.borrow_mut();
-        course.attempts.push(Tried { target, told: None, begun: None, never_ran: None });
-        AttemptRecord { request: self.clone(), index: course.attempts.len() - 1 }
+    pub fn attempt(&self, target: AttemptTarget) -> AttemptRecord {
+        let mut history = self.history.borrow_mut();
+        history.attempts.push(AttemptHistory { target, told: None, begun: None, never_ran: None });
+        AttemptRecord { request: self.clone(), index: history.attempts.len() - 1 }
     }
 
     /// The client is known to have left.
     pub fn left(&self) {
-        let mut course = self.course.borrow_mut();
-        tracing::debug!(request = ?course.id, "client left");
-        course.left.get_or_insert_with(Instant::now);
+        let mut history = self.history.borrow_mut();
+        tracing::debug!(request = ?history.id, "client left");
+        history.left.get_or_insert_with(Instant::now);
     }
 
     /// The decision module has given it up.
-    pub fn given_up(&self, reason: Reason) {
-        let course = self.course.borrow();
-        tracing::debug!(request = ?course.id, attempts = course.attempts.len(), reason = ?reason, "given up");
+    pub fn given_up(&self, reason: FailureReason) {
+        let history = self.history.borrow();
+        tracing::debug!(request = ?history.id, attempts = history.attempts.len(), reason = ?reason, "given up");
     }
 
     /// The request gets its final answer.
-    pub fn answered(&self, how: Answered) {
-        let mut course = self.course.borrow_mut();
-        course.answered = true;
-        tracing::debug!(request = ?course.id, how = ?how, "answered");
-        let harmless =
-            matches!(course.allowance.repeat, Repeat::Free | Repeat::Guarded { scope: Scope::All, .. });
-        let may_have_run = |tried: &Tried| tried.begun.is_some() && tried.never_ran != Some(true);
-        if how == Answered::Refused && !harmless && course.attempts.iter().any(may_have_run) {
-            self.breach(&course, Breach::RefusedAfterRun);
+    pub fn answered(&self, how: AnswerKind) {
+        let mut history = self.history.borrow_mut();
+        history.answered = true;
+        tracing::debug!(request = ?history.id, how = ?how, "answered");
+        let harmless = matches!(
+            history.policy.idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. }
+        );
+        let may_have_run = |tried: &AttemptHistory| tried.begun.is_some() && tried.never_ran != Some(true);
+        if how == AnswerKind::Rejected && !harmless && history.attempts.iter().any(may_have_run) {
+            self.violation(&history, Violation::RefusedAfterRun);
         }
         let late = |deadline: Instant| Instant::now() > deadline + ANSWER_SLACK;
-        if course.left.is_none() && course.deadline.is_some_and(late) {
-            self.breach(&course, Breach::AnsweredLate);
+        if history.left.is_none() && history.deadline.is_some_and(late) {
+            self.violation(&history, Violation::AnsweredLate);
         }
     }
 
-    fn breach(&self, course: &Course, breach: Breach) {
-        self.counters.count().breach(breach);
-        crate::log::line(&format!("rule broken: {breach:?}, request {:?}: {course:?}", course.id));
+    fn violation(&self, history: &RequestHistory, violation: Violation) {
+        self.metrics.count().violation(violation);
+        crate::log::line(&format!(
+            "invariant violated: {violation:?}, request {:?}: {history:?}",
+            history.id
+        ));
     }
 }
 
 /// How a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answered {
+pub enum AnswerKind {
     /// By a server.
     Served,
     /// Turned away, to come again.
-    Refused,
+    Rejected,
     /// With an error that promises nothing.
     Failed,
 }
@@ -203,79 +209,85 @@
 impl AttemptRecord {
     /// What the request says to be left of its client's time.
     pub fn tell(&self, left: Duration) {
-        self.request.course.borrow_mut().attempts[self.index].told = Some(left);
+        self.request.history.borrow_mut().attempts[self.index].told = Some(left);
     }
 
     /// It may not be written.
-    pub fn denied(&self, denial: Denial) {
-        let course = self.request.course.borrow();
-        tracing::debug!(request = ?course.id, attempt = self.index, reason = ?denial, "denied");
+    pub fn denied(&self, denial: WriteDenial) {
+        let history = self.request.history.borrow();
+        tracing::debug!(request = ?history.id, attempt = self.index, reason = ?denial, "denied");
     }
 
     /// Its first byte has been written.
     pub fn begun(&self) {
         let now = Instant::now();
-        let mut course = self.request.course.borrow_mut();
-        tracing::debug!(request = ?course.id, attempt = self.index, "begun");
-        let breaches = course.breaches_of_beginning(self.index, now);
-        course.attempts[self.index].begun = Some(now);
-        for breach in breaches {
-            self.request.breach(&course, breach);
+        let mut history = self.request.history.borrow_mut();
+        tracing::debug!(request = ?history.id, attempt = self.index, "begun");
+        let violations = history.breaches_of_beginning(self.index, now);
+        history.attempts[self.index].begun = Some(now);
+        for violation in violations {
+            self.request.violation(&history, violation);
         }
     }
 
     /// It is over. `whole`: all of it had been written.
     pub fn ended(&self, outcome: Outcome, whole: bool) {
-        let mut course = self.request.course.borrow_mut();
-        tracing::debug!(request = ?course.id, attempt = self.index, outcome = ?outcome, "ended");
-        course.attempts[self.index].never_ran = Some(outcome.never_ran());
-        if whole && outcome.never_ran() && outcome != Outcome::TurnedAway {
-            self.request.breach(&course, Breach::WrittenButDenied);
+        let mut history = self.request.history.borrow_mut();
+        tracing::debug!(request = ?history.id, attempt = self.index, outcome = ?outcome, "ended");
+        history.attempts[self.index].never_ran = Some(outcome.never_ran());
+        if whole && outcome.never_ran() && outcome != Outcome::Rejected {
+            self.request.violation(&history, Violation::WrittenButDenied);
         }
     }
 }
 
-impl Course {
+impl RequestHistory {
     /// What an attempt that begins now breaks.
-    fn breaches_of_beginning(&self, index: usize, now: Instant) -> Vec<Breach> {
+    fn breaches_of_beginning(&self, index: usize, now: Instant) -> Vec<Violation> {
         let tried = &self.attempts[index];
-        let grace = self.allowance.drain_grace.saturating_add(SLACK);
-        let leaving = tried.target.standing.leaving.get();
+        let grace = self.policy.drain_grace.saturating_add(SLACK);
+        let leaving = tried.target.drain_status.leaving.get();
         let others =
             || self.attempts.iter().enumerate().filter(|(i, other)| *i != index && other.begun.is_some());
         let begun = 1 + others().count();
         let out = others().any(|(_, other)| other.never_ran.is_none());
-        let copies = self.allowance.copies && self.allowance.repeat != Repeat::SingleShot;
+        let copies = self.policy.copies && self.policy.idempotency != Idempotency::NonIdempotent;
         let left = |deadline: Instant| deadline.saturating_duration_since(now) + BUDGET_SLACK;
         let too_long = |deadline| tried.told.is_some_and(|told| told > left(deadline));
-        let mut breaches = vec![
-            (leaving.is_some_and(|since| now > since + grace), Breach::SentToLeavingServer),
-            (self.left.is_some_and(|since| now > since + LEFT_SLACK), Breach::SentForLeftClient),
-            (self.answered, Breach::SentAfterAnswer),
-            (out && !copies, Breach::TwoOut),
-            (begun > self.allowance.attempts, Breach::TooManyAttempts),
-            (self.deadline.is_some_and(too_long), Breach::BudgetTooLong),
+        let mut violations = vec![
+            (leaving.is_some_and(|since| now > since + grace), Violation::SentToLeavingServer),
+            (self.left.is_some_and(|since| now > since + LEFT_SLACK), Violation::SentForLeftClient),
+            (self.answered, Violation::SentAfterAnswer),
+            (out && !copies, Violation::TwoOut),
+            (begun > self.policy.attempts, Violation::TooManyAttempts),
+            (self.deadline.is_some_and(too_long), Violation::BudgetTooLong),
         ];
         let binding = others().map(|(_, other)| other).find(|other| other.never_ran != Some(true));
-        breaches.extend(binding.and_then(|first| self.repeat_breach(first, tried, now)).map(|b| (true, b)));
-        breaches.into_iter().filter(|(broken, _)| *broken).map(|(_, breach)| breach).collect()
+        violations.extend(binding.and_then(|first| self.repeat_breach(first, tried, now)).map(|b| (true, b)));
+        violations.into_iter().filter(|(broken, _)| *broken).map(|(_, violation)| violation).collect()
     }
 
     /// What a repeat that begins now breaks, after an attempt that may have run.
-    fn repeat_breach(&self, first: &Tried, again: &Tried, now: Instant) -> Option<Breach> {
-        let Repeat::Guarded { scope, window } = self.allowance.repeat else {
-            return (self.allowance.repeat == Repeat::SingleShot).then_some(Breach::RepeatedOnce);
+    fn repeat_breach(
+        &self,
+        first: &AttemptHistory,
+        again: &AttemptHistory,
+        now: Instant,
+    ) -> Option<Violation> {
+        let Idempotency::Keyed { scope, window } = self.policy.idempotency else {
+            return (self.policy.idempotency == Idempotency::NonIdempotent)
+                .then_some(Violation::RepeatedOnce);
         };
         let inside = match scope {
-            Scope::All => true,
-            Scope::Zone => first.target.zone == again.target.zone,
-            Scope::Cell => first.target.cell == again.target.cell,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => first.target.zone == again.target.zone,
+            DeduplicationScope::Cell => first.target.cell == again.target.cell,
         };
         if !inside {
-            return Some(Breach::RepeatedOutOfScope);
+            return Some(Violation::RepeatedOutOfScope);
         }
         let end = first.begun? + Duration::from_micros(window) + SLACK;
-        (now > end).then_some(Breach::RepeatedLate)
+        (now > end).then_some(Violation::RepeatedLate)
     }
 }
 
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -3,26 +3,20 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod admin;
-mod attempt;
 mod body;
-pub mod calls;
 pub mod config;
-pub mod counters;
+pub mod control;
 pub mod discovery;
-pub mod driver;
-pub mod failures;
-mod framing;
-pub mod handover;
-mod hosts;
-mod idle;
+pub mod downstream;
+mod invariants;
 pub mod log;
-mod requests;
-mod rules;
-pub mod server;
-pub mod server_ids;
+pub mod metrics;
+pub mod operators;
+pub mod process_handoff;
 mod socket;
+pub mod transient_errors;
 pub mod upstream;
+mod write_guard;
 
 use config::Config;
 use std::future::Future;
@@ -60,9 +54,9 @@
     mut reload: impl AsyncFnMut() -> Option<Result<Config, String>>,
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
-    let driver = driver::Handle::start(Rc::new(config));
+    let driver = control::Control::start(Rc::new(config));
     let operators =
-        listeners.operators.map(|listener| upstream::spawn(admin::serve(listener, driver.clone())));
+        listeners.operators.map(|listener| upstream::spawn(operators::serve(listener, driver.clone())));
     let reloads = async {
         while let Some(config) = reload().await {
             match config {
@@ -83,7 +77,7 @@
             () = &mut stop => return Ok(()),
             () = may_listen(&driver) => {}
         }
-        server::serve(listeners.clients.listen(server::BACKLOG)?, driver.clone(), stop).await;
+        downstream::serve(listeners.clients.listen(downstream::BACKLOG)?, driver.clone(), stop).await;
         driver.log_counts();
         Ok(())
     };
@@ -97,7 +91,7 @@
 
 /// Returns when clients can be taken. One that connects before there is a list could only be turned away, and one of a
 /// process that is to be replaced would have been served there.
-async fn may_listen(driver: &driver::Handle) {
+async fn may_listen(driver: &control::Control) {
     let start = Instant::now();
     let wait = || if driver.config().processes > 1 { READY_BESIDE } else { LIST_WAIT };
     while start.elapsed() < wait() {
@@ -109,7 +103,7 @@
 }
 
 /// Says that the process is ready once it need not wait for a list any longer.
-async fn be_ready(driver: driver::Handle) {
+async fn be_ready(driver: control::Control) {
     let start = Instant::now();
     sleep(READY_ALONE).await;
     if driver.config().processes > 1 {
@@ -119,11 +113,11 @@
 }
 
 /// Shares the limits with another process of the program for as long as there is one.
-async fn share(folder: PathBuf, driver: driver::Handle) {
+async fn share(folder: PathBuf, driver: control::Control) {
     let shared = |shared| {
         log::line(if shared { "another process serves too" } else { "no other process serves any more" });
         driver.share(if shared { 2 } else { 1 });
     };
-    let Err(error) = handover::keep_presence(&folder, shared).await;
+    let Err(error) = process_handoff::keep_presence(&folder, shared).await;
     log::line(&format!("{}: {error}", folder.display()));
 }
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -2,8 +2,8 @@
 #![forbid(unsafe_code)]
 
 use client_proxy::config::{Config, LoadError};
-use client_proxy::failures::{retried, Kind, RETRY_PAUSE};
-use client_proxy::{admin, handover, log, Listeners};
+use client_proxy::transient_errors::{retried, ErrorClass, RETRY_PAUSE};
+use client_proxy::{log, operators, process_handoff, Listeners};
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -46,11 +46,11 @@
         let named_file = |error: LoadError| format!("{}: {error}", path.display());
         let config = first_configuration(path).await.map_err(named_file)?;
         let named = |address: SocketAddr| move |error: io::Error| format!("{address}: {error}");
-        let clients = retried(START_PATIENCE, async || handover::bind(config.listen)).await;
+        let clients = retried(START_PATIENCE, async || process_handoff::bind(config.listen)).await;
         let clients = clients.map_err(named(config.listen))?;
         let operators = match admin(&config)? {
             Some(address) => {
-                let listener = retried(START_PATIENCE, async || admin::listen(address)).await;
+                let listener = retried(START_PATIENCE, async || operators::listen(address)).await;
                 Some(listener.map_err(named(address))?)
             }
             None => None,
@@ -72,7 +72,7 @@
     let end = Instant::now() + START_PATIENCE;
     loop {
         match runtime::Builder::new_current_thread().enable_all().build() {
-            Err(error) if Kind::of(&error).passes() && Instant::now() < end => {
+            Err(error) if ErrorClass::of(&error).passes() && Instant::now() < end => {
                 std::thread::sleep(RETRY_PAUSE);
             }
             built => return built,
@@ -89,7 +89,7 @@
     let end = Instant::now() + START_PATIENCE;
     loop {
         match Config::load(path) {
-            Err(LoadError::Unreadable(error)) if Kind::of(&error).passes() && Instant::now() < end => {
+            Err(LoadError::Unreadable(error)) if ErrorClass::of(&error).passes() && Instant::now() < end => {
                 sleep(RETRY_PAUSE).await;
             }
             loaded => return loaded,
--- a/proxy/src/counters.rs
+++ b/proxy/src/metrics.rs
@@ -1,9 +1,9 @@
 //! The figures since the start. They are counted here alone, at the event itself, and read by operators' calls and the
 //! log alike.
 
-use crate::attempt::Denial;
-use crate::rules::Breach;
-use balancer::{ClassId, Outcome, Reason};
+use crate::invariants::Violation;
+use crate::write_guard::WriteDenial;
+use balancer::{ClassId, FailureReason, Outcome};
 use hyper::StatusCode;
 use serde_json::{json, Value};
 use std::cell::{Ref, RefCell, RefMut};
@@ -13,7 +13,7 @@
 
 /// How a request ended that its client waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestEnd {
     /// Its whole answer was passed on.
     Completed,
     /// It was refused.
@@ -24,7 +24,7 @@
 
 /// Why this side closed a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Close {
+pub enum ClientCloseReason {
     /// It has been idle, or silent from its start, for as long as it may.
     Idle,
     /// Its request did not come whole in time.
@@ -39,20 +39,20 @@
 
 /// Why this side closed an idle connection to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum HostClose {
+pub enum EndpointCloseReason {
     /// It has been idle for as long as hosts keep one.
     Idle,
     /// Its host takes nothing new, or its process is another one now.
     Leaving,
     /// Its place was needed.
-    Room,
+    MemoryReservation,
     /// Something has come on it, its end or what would be taken for an answer.
     Used,
 }
 
 /// Requests of one class by how they ended.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tally {
+struct ClassCounts {
     completed: u64,
     rejected: u64,
     failed: u64,
@@ -60,8 +60,8 @@
 
 /// The figures.
 #[derive(Debug, Default)]
-pub struct Figures {
-    classes: Vec<Tally>,
+pub struct MetricsSnapshot {
+    classes: Vec<ClassCounts>,
     /// Requests taken and not ended.
     pending: u64,
     /// Attempts whose last byte was written.
@@ -78,18 +78,18 @@
     /// Requests that could not be used, by the status that they got.
     unusable: BTreeMap<u16, u64>,
     /// Attempts that were not written, by the reason.
-    denied: BTreeMap<Denial, u64>,
+    denied: BTreeMap<WriteDenial, u64>,
     /// Requests that got no server's answer, by the reason.
-    given_up: BTreeMap<Reason, u64>,
+    given_up: BTreeMap<FailureReason, u64>,
     /// Connections of clients that this side closed, by the reason.
-    closed: BTreeMap<Close, u64>,
+    closed: BTreeMap<ClientCloseReason, u64>,
     /// Idle connections to hosts that this side closed, by the reason.
-    closed_to_hosts: BTreeMap<HostClose, u64>,
+    closed_to_hosts: BTreeMap<EndpointCloseReason, u64>,
     /// Rules that were broken: faults of this program.
-    breaches: BTreeMap<Breach, u64>,
+    violations: BTreeMap<Violation, u64>,
 }
 
-impl Figures {
+impl MetricsSnapshot {
     /// An attempt ended.
     pub fn outcome(&mut self, outcome: Outcome) {
         *self.outcomes.entry(outcome).or_default() += 1;
@@ -101,22 +101,22 @@
     }
 
     /// An attempt may not be written now.
-    pub fn denied(&mut self, denial: Denial) {
+    pub fn denied(&mut self, denial: WriteDenial) {
         *self.denied.entry(denial).or_default() += 1;
     }
 
     /// A request was given up.
-    pub fn given_up(&mut self, reason: Reason) {
+    pub fn given_up(&mut self, reason: FailureReason) {
         *self.given_up.entry(reason).or_default() += 1;
     }
 
     /// A client's connection was closed.
-    pub fn closed(&mut self, close: Close) {
+    pub fn closed(&mut self, close: ClientCloseReason) {
         *self.closed.entry(close).or_default() += 1;
     }
 
     /// So many idle connections to hosts were closed.
-    pub fn closed_to_hosts(&mut self, close: HostClose, count: usize) {
+    pub fn closed_to_hosts(&mut self, close: EndpointCloseReason, count: usize) {
         if count > 0 {
             *self.closed_to_hosts.entry(close).or_default() += count as u64;
             tracing::debug!(reason = ?close, count, "idle connections to a host closed");
@@ -124,8 +124,8 @@
     }
 
     /// A rule was broken.
-    pub fn breach(&mut self, breach: Breach) {
-        *self.breaches.entry(breach).or_default() += 1;
+    pub fn violation(&mut self, violation: Violation) {
+        *self.violations.entry(violation).or_default() += 1;
     }
 
     /// An attempt's last byte was written.
@@ -133,19 +133,19 @@
         self.upstream_requests += 1;
     }
 
-    fn end(&mut self, class: ClassId, ending: Ending) {
+    fn end(&mut self, class: ClassId, ending: RequestEnd) {
         let Some(tally) = self.classes.get_mut(class.0) else { return };
         *match ending {
-            Ending::Completed => &mut tally.completed,
-            Ending::Rejected => &mut tally.rejected,
-            Ending::Failed => &mut tally.failed,
+            RequestEnd::Completed => &mut tally.completed,
+            RequestEnd::Rejected => &mut tally.rejected,
+            RequestEnd::Failed => &mut tally.failed,
         } += 1;
     }
 
     /// As operators read them. `names` are those of the classes, in their order.
     pub fn to_json(&self, names: &[String], members: usize, unavailable: usize) -> Value {
         let classes = names.iter().zip(&self.classes).map(|(name, tally)| {
-            let Tally { completed, rejected, failed } = tally;
+            let ClassCounts { completed, rejected, failed } = tally;
             (name.clone(), json!({"completed": completed, "rejected": rejected, "failed": failed}))
         });
         json!({
@@ -159,42 +159,44 @@
 }
 
 /// What only the log shows.
-impl fmt::Display for Figures {
+impl fmt::Display for MetricsSnapshot {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Figures { attempts, opened, open_failed, broken_reuse, outcomes, unusable, .. } = self;
-        let Figures { denied, given_up, closed, closed_to_hosts, breaches, .. } = self;
+        let MetricsSnapshot { attempts, opened, open_failed, broken_reuse, outcomes, unusable, .. } = self;
+        let MetricsSnapshot { denied, given_up, closed, closed_to_hosts, violations, .. } = self;
         write!(formatter, "attempts: {attempts}, opened: {opened}, open_failed: {open_failed}, ")?;
         write!(formatter, "broken_reuse: {broken_reuse}, outcomes: {outcomes:?}, unusable: {unusable:?}, ")?;
         write!(formatter, "denied: {denied:?}, given_up: {given_up:?}, closed: {closed:?}, ")?;
         write!(formatter, "closed_to_hosts: {closed_to_hosts:?}, ")?;
-        write!(formatter, "log_dropped: {}, rules_broken: {breaches:?}", crate::log::dropped())
+        write!(formatter, "log_dropped: {}, invariant_violations: {violations:?}", crate::log::dropped())
     }
 }
 
 /// The figures, shared by all that counts.
 #[derive(Clone, Debug, Default)]
-pub struct Counters(Rc<RefCell<Figures>>);
+pub struct Metrics(Rc<RefCell<MetricsSnapshot>>);
 
-impl Counters {
+impl Metrics {
     /// All zero.
-    pub fn new(classes: usize) -> Counters {
-        let figures = Figures { classes: vec![Tally::default(); classes], ..Figures::default() };
-        Counters(Rc::new(RefCell::new(figures)))
+    pub fn new(classes: usize) -> Metrics {
+        let figures =
+            MetricsSnapshot { classes: vec![ClassCounts::default(); classes], ..MetricsSnapshot::default() };
+        Metrics(Rc::new(RefCell::new(figures)))
     }
 
     /// To read.
-    pub fn get(&self) -> Ref<'_, Figures> {
+    pub fn get(&self) -> Ref<'_, MetricsSnapshot> {
         self.0.borrow()
     }
 
     /// To count.
-    pub fn count(&self) -> RefMut<'_, Figures> {
+    pub fn count(&self) -> RefMut<'_, MetricsSnapshot> {
         self.0.borrow_mut()
     }
 
     /// A request has been taken, or (without its last byte) begun to come.
-    pub fn take(&self, class: ClassId, whole: bool) -> Taken {
-        let mut taken = Taken { counters: self.clone(), class, whole: false, ending: Ending::Failed };
+    pub fn take(&self, class: ClassId, whole: bool) -> RequestTracker {
+        let mut taken =
+            RequestTracker { metrics: self.clone(), class, whole: false, ending: RequestEnd::Failed };
         if whole {
             taken.set_whole();
         }
@@ -204,33 +206,33 @@
 
 /// Goes with a request that was taken, until its end. Dropped without one, its client had gone: it has failed.
 #[derive(Debug)]
-pub struct Taken {
-    counters: Counters,
+pub struct RequestTracker {
+    metrics: Metrics,
     class: ClassId,
     /// Its last byte has come: it is pending.
     whole: bool,
-    ending: Ending,
+    ending: RequestEnd,
 }
 
-impl Taken {
+impl RequestTracker {
     /// The request's last byte has come.
     pub fn set_whole(&mut self) {
         if !std::mem::replace(&mut self.whole, true) {
-            self.counters.count().pending += 1;
+            self.metrics.count().pending += 1;
         }
     }
 
     /// The request ended so.
-    pub fn end(mut self, ending: Ending) {
+    pub fn end(mut self, ending: RequestEnd) {
         self.set_whole();
         self.ending = ending;
     }
 }
 
-impl Drop for Taken {
+impl Drop for RequestTracker {
     fn drop(&mut self) {
         if self.whole {
-            let mut figures = self.counters.count();
+            let mut figures = self.metrics.count();
             figures.pending -= 1;
             figures.end(self.class, self.ending);
         }
@@ -243,15 +245,17 @@
 
     #[test]
     fn a_request_is_pending_until_it_ends_or_its_client_goes_and_is_counted_once() {
-        let counters = Counters::new(2);
+        let metrics = Metrics::new(2);
         let names = ["a".to_owned(), "b".to_owned()];
-        let taken: Vec<Taken> = [0, 1, 1, 1].map(|class| counters.take(ClassId(class), true)).into();
-        let _begun = counters.take(ClassId(1), false);
-        assert_eq!(counters.get().to_json(&names, 0, 0)["pending"], 4);
-        for (taken, ending) in taken.into_iter().zip([Ending::Completed, Ending::Rejected, Ending::Failed]) {
+        let taken: Vec<RequestTracker> = [0, 1, 1, 1].map(|class| metrics.take(ClassId(class), true)).into();
+        let _begun = metrics.take(ClassId(1), false);
+        assert_eq!(metrics.get().to_json(&names, 0, 0)["pending"], 4);
+        for (taken, ending) in
+            taken.into_iter().zip([RequestEnd::Completed, RequestEnd::Rejected, RequestEnd::Failed])
+        {
             taken.end(ending);
         }
-        let figures = counters.get().to_json(&names, 3, 1);
+        let figures = metrics.get().to_json(&names, 3, 1);
         let expected = json!({
             "downstream_requests": {
                 "a": {"completed": 1, "rejected": 0, "failed": 0},
@@ -264,10 +268,10 @@
 
     #[test]
     fn closes_of_connections_to_hosts_are_counted_by_their_reason() {
-        let counters = Counters::new(1);
-        counters.count().closed_to_hosts(HostClose::Idle, 2);
-        counters.count().closed_to_hosts(HostClose::Leaving, 0);
-        counters.count().closed_to_hosts(HostClose::Idle, 1);
-        assert!(counters.get().to_string().contains("closed_to_hosts: {Idle: 3}, "));
+        let metrics = Metrics::new(1);
+        metrics.count().closed_to_hosts(EndpointCloseReason::Idle, 2);
+        metrics.count().closed_to_hosts(EndpointCloseReason::Leaving, 0);
+        metrics.count().closed_to_hosts(EndpointCloseReason::Idle, 1);
+        assert!(metrics.get().to_string().contains("closed_to_hosts: {Idle: 3}, "));
     }
 }
--- a/proxy/src/admin.rs
+++ b/proxy/src/operators.rs
@@ -1,7 +1,7 @@
 //! Where operators call: one line to a connection, and one answer. Callers that say nothing hold a place for a bounded
 //! time only, and give it up as soon as another needs it.
 
-use crate::driver::Handle;
+use crate::control::Control;
 use crate::log;
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -39,7 +39,7 @@
 }
 
 /// Answers operators for good.
-pub async fn serve(listener: TcpListener, driver: Handle) {
+pub async fn serve(listener: TcpListener, driver: Control) {
     let mut callers: VecDeque<Caller> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
@@ -65,7 +65,7 @@
     }
 }
 
-async fn call(mut stream: TcpStream, driver: Handle, heard: Rc<Cell<bool>>) {
+async fn call(mut stream: TcpStream, driver: Control, heard: Rc<Cell<bool>>) {
     let line = match timeout(LINE_TIME, line(&stream)).await {
         Ok(Ok(line)) => line,
         Ok(Err(_)) => return,
@@ -115,7 +115,7 @@
     }
 }
 
-fn answer(line: &str, driver: &Handle) -> Result<String, &'static str> {
+fn answer(line: &str, driver: &Control) -> Result<String, &'static str> {
     match line.trim() {
         "health" if driver.takes_clients() => Ok("SUCCESS yes\n".to_owned()),
         "health" => Err("no: it takes no clients now"),
--- a/proxy/src/handover.rs
+++ b/proxy/src/process_handoff.rs
@@ -1,6 +1,6 @@
 //! A new version of the program beside the old one: they share the clients' address and the limits.
 
-use crate::failures::Kind;
+use crate::transient_errors::ErrorClass;
 use nix::libc;
 use nix::sys::socket::{setsockopt, sockopt};
 use std::convert::Infallible;
@@ -83,7 +83,7 @@
                     sleep(LOOK_AGAIN).await;
                 }
             }
-            Err(error) if Kind::of(&error).passes() => {
+            Err(error) if ErrorClass::of(&error).passes() => {
                 tell(true);
                 sleep(LOOK).await;
             }
--- a/proxy/src/socket.rs
+++ b/proxy/src/socket/mod.rs
@@ -1,8 +1,10 @@
 //! A TCP stream that hyper's task and the connection's owner share. The owner can close it at once, whatever that
 //! task does, can look at what has come and was not read, and knows what was written and read.
 
-use crate::attempt::Meter;
-use crate::framing::Framing;
+pub(crate) mod framing;
+
+use crate::socket::framing::Framing;
+use crate::write_guard::WriteGuard;
 use hyper::rt::{Read, ReadBufCursor, Write};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -30,7 +32,7 @@
     /// keep open.
     end: RefCell<Option<Pin<Box<dyn Future<Output = ()>>>>>,
     /// Where the bytes of the attempt that has the connection now are counted.
-    meter: RefCell<Meter>,
+    write_guard: RefCell<WriteGuard>,
     /// The next byte is to be written behind nothing that has come.
     guarded: Cell<bool>,
     reads: Cell<u64>,
@@ -96,7 +98,7 @@
         Socket(Rc::new(Inner {
             io: RefCell::new(Some(stream)),
             end: RefCell::new(end),
-            meter: RefCell::default(),
+            write_guard: RefCell::default(),
             guarded: Cell::new(false),
             reads: Cell::new(0),
             read_at: Cell::new(Instant::now()),
@@ -119,8 +121,8 @@
     }
 
     /// From here on, written bytes are counted here.
-    pub fn count(&self, meter: &Meter) {
-        self.0.meter.replace(meter.clone());
+    pub fn count(&self, write_guard: &WriteGuard) {
+        self.0.write_guard.replace(write_guard.clone());
     }
 
     /// The next byte is not written if something has come before it, an end or what would be taken for an answer: however
@@ -131,7 +133,7 @@
 
     fn may_write(&self) -> io::Result<()> {
         let is_quiet = self.0.guarded.replace(false).then(|| self.is_quiet());
-        Ok(self.0.meter.borrow().may_write(is_quiet)?)
+        Ok(self.0.write_guard.borrow().may_write(is_quiet)?)
     }
 
     /// How often something was read, its end included.
@@ -167,7 +169,7 @@
 
     fn wrote(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(count)) = written {
-            self.0.meter.borrow().wrote(count);
+            self.0.write_guard.borrow().wrote(count);
         }
         let since = self.0.blocked.get().unwrap_or_else(Instant::now);
         self.0.blocked.set(written.is_pending().then_some(since));
@@ -380,7 +382,7 @@
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         // hyper flushes when it has nothing left to write; the stream itself holds nothing back.
         if self.0.io.borrow().is_some() {
-            self.0.meter.borrow().flushed();
+            self.0.write_guard.borrow().flushed();
         }
         Poll::Ready(Ok(()))
     }
@@ -393,9 +395,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::counters::Counters;
-    use crate::rules::{Allowance, RequestRecord, Target};
-    use balancer::Repeat;
+    use crate::invariants::{AttemptTarget, RequestPolicy, RequestRecord};
+    use crate::metrics::Metrics;
+    use balancer::Idempotency;
     use hyper::header::HeaderValue;
     use std::io::Write as _;
     use tokio::task::{spawn_local, LocalSet};
@@ -429,8 +431,8 @@
     #[tokio::test]
     async fn nothing_is_written_behind_what_has_come_since_the_connection_was_chosen() {
         for second in [Some(b"HTTP/1.1 200 OK\r\n\r\n"), None] {
-            let ((mut socket, mut far), meter) = (pair(), Meter::default());
-            socket.count(&meter);
+            let ((mut socket, mut far), write_guard) = (pair(), WriteGuard::default());
+            socket.count(&write_guard);
             socket.guard();
             assert!(socket.is_quiet(), "chosen");
             match second {
@@ -439,29 +441,29 @@
             }
             let write = poll_fn(|context| Pin::new(&mut socket).poll_write(context, b"GET"));
             assert!(write.await.is_err());
-            assert_eq!(meter.written(), 0);
+            assert_eq!(write_guard.written(), 0);
         }
     }
 
     /// Of an attempt that is looked at while it is written, only the first byte is held back by what has come.
     #[tokio::test]
     async fn what_comes_while_a_request_is_written_does_not_stop_it() {
-        let ((mut socket, mut far), meter) = (pair(), Meter::default());
-        socket.count(&meter);
+        let ((mut socket, mut far), write_guard) = (pair(), WriteGuard::default());
+        socket.count(&write_guard);
         socket.guard();
         for part in ["POST", "body"] {
             let write = poll_fn(|context| Pin::new(&mut socket).poll_write(context, part.as_bytes()));
             assert_eq!(write.await.expect("written"), 4);
             far.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").expect("written");
         }
-        assert_eq!(meter.written(), 8);
+        assert_eq!(write_guard.written(), 8);
     }
 
-    fn meter(client: &Socket, begin_before: Option<Instant>) -> Meter {
-        let (id, repeat) = (HeaderValue::from_static("1"), Repeat::Free);
-        let allowance = Allowance { repeat, attempts: 1, copies: false, drain_grace: Duration::MAX };
-        let request = RequestRecord::new(Counters::default(), id, allowance, None);
-        Meter::new(&Counters::default(), client, begin_before, request.attempt(Target::default()))
+    fn write_guard(client: &Socket, begin_before: Option<Instant>) -> WriteGuard {
+        let (id, idempotency) = (HeaderValue::from_static("1"), Idempotency::Idempotent);
+        let policy = RequestPolicy { idempotency, attempts: 1, copies: false, drain_grace: Duration::MAX };
+        let request = RequestRecord::new(Metrics::default(), id, policy, None);
+        WriteGuard::new(&Metrics::default(), client, begin_before, request.attempt(AttemptTarget::default()))
     }
 
     /// The look at the time is the writing's own too; what has begun in time is written to its end.
@@ -469,26 +471,26 @@
     async fn an_attempt_begins_in_its_time_or_not_at_all() {
         let (client, _far) = pair();
         for (before, written) in [(0, 0), (2, 4)] {
-            let ((mut socket, _far), meter) = (pair(), meter(&client, Some(Instant::now())));
-            meter.wrote(before);
-            socket.count(&meter);
+            let ((mut socket, _far), write_guard) = (pair(), write_guard(&client, Some(Instant::now())));
+            write_guard.wrote(before);
+            socket.count(&write_guard);
             let write = poll_fn(|context| Pin::new(&mut socket).poll_write(context, b"ST"));
-            assert_eq!((write.await.is_ok(), meter.written()), (before > 0, written));
+            assert_eq!((write.await.is_ok(), write_guard.written()), (before > 0, written));
         }
     }
 
     /// A part that was written on a connection that broke is no part of what is written on the next.
     #[tokio::test]
     async fn an_attempt_is_not_whole_by_what_another_connection_took() {
-        let ((mut first, _far), (mut second, _other), meter) = (pair(), pair(), Meter::default());
-        first.count(&meter);
+        let ((mut first, _far), (mut second, _other), write_guard) = (pair(), pair(), WriteGuard::default());
+        first.count(&write_guard);
         let write = poll_fn(|context| Pin::new(&mut first).poll_write(context, b"GET"));
         assert_eq!(write.await.expect("written"), 3);
-        meter.set_ended();
-        meter.restart();
-        second.count(&meter);
+        write_guard.set_ended();
+        write_guard.restart();
+        second.count(&write_guard);
         poll_fn(|context| Pin::new(&mut second).poll_flush(context)).await.expect("flushed");
-        assert!(!meter.is_whole());
+        assert!(!write_guard.is_whole());
     }
 
     fn client() -> (Socket, std::net::TcpStream) {
@@ -536,19 +538,19 @@
     async fn no_attempt_is_begun_for_a_client_that_has_left() {
         for reset in [false, true] {
             for begun in [false, true] {
-                let ((client, far), (mut host, _far)) = (client(), pair());
-                let meter = meter(&client, None);
-                host.count(&meter);
+                let ((client, far), (mut endpoint, _far)) = (client(), pair());
+                let write_guard = write_guard(&client, None);
+                endpoint.count(&write_guard);
                 if begun {
-                    let write = poll_fn(|context| Pin::new(&mut host).poll_write(context, b"POST"));
+                    let write = poll_fn(|context| Pin::new(&mut endpoint).poll_write(context, b"POST"));
                     assert_eq!(write.await.expect("written"), 4);
                 }
                 leave(far, reset);
                 // No task has had a turn since, and the event queue was not asked.
                 assert!(!client.is_left() && client.has_left());
-                let write = poll_fn(|context| Pin::new(&mut host).poll_write(context, b"body"));
+                let write = poll_fn(|context| Pin::new(&mut endpoint).poll_write(context, b"body"));
                 assert_eq!(write.await.is_ok(), begun, "reset: {reset}");
-                assert_eq!(meter.written(), if begun { 8 } else { 0 });
+                assert_eq!(write_guard.written(), if begun { 8 } else { 0 });
             }
         }
     }
--- a/proxy/src/failures.rs
+++ b/proxy/src/transient_errors.rs
@@ -11,7 +11,7 @@
 
 /// Whose fault a failure is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ErrorClass {
     /// Nobody's: the same call may succeed at once.
     Momentary,
     /// The machine has no descriptor, buffer, port or memory left: it may once something is closed.
@@ -22,25 +22,25 @@
     Lasting,
 }
 
-impl Kind {
+impl ErrorClass {
     /// What this error means.
-    pub fn of(error: &io::Error) -> Kind {
-        let Some(number) = error.raw_os_error() else { return Kind::Lasting };
+    pub fn of(error: &io::Error) -> ErrorClass {
+        let Some(number) = error.raw_os_error() else { return ErrorClass::Lasting };
         match Errno::from_raw(number) {
-            Errno::EINTR | Errno::EAGAIN | Errno::ECONNABORTED | Errno::EPROTO => Kind::Momentary,
-            Errno::ENETUNREACH | Errno::ENETDOWN => Kind::Momentary,
-            Errno::EIO | Errno::ENOSPC | Errno::EDQUOT | Errno::ESTALE => Kind::Momentary,
-            Errno::EADDRNOTAVAIL => Kind::NoRoom,
-            Errno::EMFILE | Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM => Kind::NoRoom,
-            Errno::ECONNREFUSED | Errno::ECONNRESET | Errno::EPIPE => Kind::Peer,
-            Errno::ETIMEDOUT | Errno::EHOSTUNREACH | Errno::EHOSTDOWN => Kind::Peer,
-            _ => Kind::Lasting,
+            Errno::EINTR | Errno::EAGAIN | Errno::ECONNABORTED | Errno::EPROTO => ErrorClass::Momentary,
+            Errno::ENETUNREACH | Errno::ENETDOWN => ErrorClass::Momentary,
+            Errno::EIO | Errno::ENOSPC | Errno::EDQUOT | Errno::ESTALE => ErrorClass::Momentary,
+            Errno::EADDRNOTAVAIL => ErrorClass::NoRoom,
+            Errno::EMFILE | Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM => ErrorClass::NoRoom,
+            Errno::ECONNREFUSED | Errno::ECONNRESET | Errno::EPIPE => ErrorClass::Peer,
+            Errno::ETIMEDOUT | Errno::EHOSTUNREACH | Errno::EHOSTDOWN => ErrorClass::Peer,
+            _ => ErrorClass::Lasting,
         }
     }
 
     /// Whether the same call may succeed later, whatever the other side does.
     pub fn passes(self) -> bool {
-        matches!(self, Kind::Momentary | Kind::NoRoom)
+        matches!(self, ErrorClass::Momentary | ErrorClass::NoRoom)
     }
 }
 
@@ -49,7 +49,7 @@
     let end = Instant::now() + most;
     loop {
         match call().await {
-            Err(error) if Kind::of(&error).passes() && Instant::now() + RETRY_PAUSE < end => {
+            Err(error) if ErrorClass::of(&error).passes() && Instant::now() + RETRY_PAUSE < end => {
                 sleep(RETRY_PAUSE).await;
             }
             ended => return ended,
--- a/proxy/src/idle.rs
+++ b/proxy/src/upstream/idle_timeout.rs
@@ -21,14 +21,14 @@
 
 /// What use shows of idle times, over all hosts.
 #[derive(Debug, Default)]
-pub struct Idle([Used; SPANS]);
+pub struct IdleTimeoutEstimate([Used; SPANS]);
 
 fn span(idle: Duration) -> usize {
     let doublings = (idle.as_millis() as u64).checked_ilog2().map_or(0, |log| log as usize + 1);
     doublings.min(SPANS - 1)
 }
 
-impl Idle {
+impl IdleTimeoutEstimate {
     /// Notes that a connection was used after it had been idle for this long, and whether it broke at once.
     pub fn used(&mut self, idle: Duration, broken: bool) {
         let used = &mut self.0[span(idle)];
@@ -59,7 +59,7 @@
 
     #[test]
     fn idle_times_after_which_many_break_are_given_up_until_that_is_forgotten() {
-        let mut idle = Idle::default();
+        let mut idle = IdleTimeoutEstimate::default();
         for _ in 0..10 {
             idle.used(MS(20), false);
             idle.used(MS(150), false);
@@ -72,7 +72,7 @@
 
     #[test]
     fn a_few_that_break_at_any_time_give_nothing_up() {
-        let mut idle = Idle::default();
+        let mut idle = IdleTimeoutEstimate::default();
         idle.used(MS(0), true);
         for ms in [0, 5, 50, 500, 5_000] {
             (0..100).for_each(|n| idle.used(MS(ms), n % 10 == 0));
--- a/proxy/src/upstream.rs
+++ b/proxy/src/upstream/mod.rs
@@ -1,10 +1,14 @@
 //! Connections to hosts, and one exchange on one of them.
 
-use crate::attempt::Meter;
-use crate::body::{AnswerBody, Gathered, Memory, Outgoing, Payload, Stream, BODY_MOST, SMALL_MOST};
-use crate::failures::{retried, Kind};
+pub(crate) mod idle_timeout;
+
+use crate::body::{
+    AttemptBody, BodyMemory, BufferedBody, RequestBody, ResponseBody, StreamedResponse, BODY_MOST, SMALL_MOST,
+};
 use crate::socket::Socket;
-use balancer::{Load, Outcome};
+use crate::transient_errors::{retried, ErrorClass};
+use crate::write_guard::WriteGuard;
+use balancer::{LoadReport, Outcome};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -38,17 +42,17 @@
 
 /// A task that ends with its owner.
 #[derive(Debug)]
-pub struct Task(AbortHandle);
+pub struct ScopedTask(AbortHandle);
 
-impl Drop for Task {
+impl Drop for ScopedTask {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
 /// Runs a future on this thread for as long as the returned task is kept.
-pub fn spawn(future: impl Future + 'static) -> Task {
-    Task(tokio::task::spawn_local(async move { drop(future.await) }).abort_handle())
+pub fn spawn(future: impl Future + 'static) -> ScopedTask {
+    ScopedTask(tokio::task::spawn_local(async move { drop(future.await) }).abort_handle())
 }
 
 /// Opens a TCP connection without Nagle's delay.
@@ -60,17 +64,17 @@
 
 /// Whether a connection did not come up for a reason of this machine's own, which tells nothing of the host.
 pub fn is_local(error: &BoxError) -> bool {
-    error.downcast_ref::<io::Error>().is_some_and(|error| Kind::of(error) == Kind::NoRoom)
+    error.downcast_ref::<io::Error>().is_some_and(|error| ErrorClass::of(error) == ErrorClass::NoRoom)
 }
 
 /// A connection to a host. It is closed when this is dropped, also with a request out on it.
 #[derive(Debug)]
 pub struct Connection {
-    sender: SendRequest<Outgoing>,
+    sender: SendRequest<AttemptBody>,
     socket: Socket,
     /// How often it had been read when its last answer was whole.
     reads: u64,
-    _task: Task,
+    _task: ScopedTask,
     _slot: Rc<()>,
 }
 
@@ -112,32 +116,32 @@
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct End {
+pub struct AttemptEnd {
     /// How.
     pub outcome: Outcome,
     /// The host's report on its load.
-    pub load: Load,
+    pub load: LoadReport,
     /// The answer to pass on, where it served.
-    pub answer: Option<Response<AnswerBody>>,
+    pub answer: Option<Response<ResponseBody>>,
     /// The connection, if it can be used again.
     pub connection: Option<Connection>,
 }
 
-impl End {
+impl AttemptEnd {
     /// An end without an answer.
-    pub fn without_answer(outcome: Outcome) -> End {
-        End { outcome, load: Load::default(), answer: None, connection: None }
+    pub fn without_answer(outcome: Outcome) -> AttemptEnd {
+        AttemptEnd { outcome, load: LoadReport::default(), answer: None, connection: None }
     }
 }
 
 /// What is needed for an exchange besides its connection.
-pub struct Terms<'a> {
+pub struct ExchangeContext<'a> {
     /// What is sent.
-    pub payload: &'a Payload,
+    pub payload: &'a RequestBody,
     /// Counts what is written.
-    pub meter: &'a Meter,
+    pub write_guard: &'a WriteGuard,
     /// Room for answers.
-    pub memory: &'a Memory,
+    pub memory: &'a BodyMemory,
     /// Gets the connection when a large answer has been read to its end.
     pub back: Box<dyn FnOnce(Connection)>,
 }
@@ -146,27 +150,27 @@
 /// connection was found closed before the request was written, and all of it can be written again.
 pub async fn exchange(
     mut connection: Connection,
-    request: Request<Outgoing>,
-    terms: Terms<'_>,
-) -> Option<End> {
-    let Terms { payload, meter, memory, back } = terms;
-    connection.socket.count(meter);
+    request: Request<AttemptBody>,
+    terms: ExchangeContext<'_>,
+) -> Option<AttemptEnd> {
+    let ExchangeContext { payload, write_guard, memory, back } = terms;
+    connection.socket.count(write_guard);
     let (kept, started) = (connection.reads > 0, Instant::now());
     if kept {
         connection.socket.guard();
     }
     let response = match connection.sender.send_request(request).await {
         Ok(response) => response,
-        Err(_) if !meter.is_whole() && payload.upload().is_none_or(|upload| !upload.is_spent()) => {
+        Err(_) if !write_guard.is_whole() && payload.upload().is_none_or(|upload| !upload.is_spent()) => {
             return None
         }
-        Err(_) if !meter.is_whole() => return Some(End::without_answer(Outcome::CutShort)),
+        Err(_) if !write_guard.is_whole() => return Some(AttemptEnd::without_answer(Outcome::Truncated)),
         Err(error) => {
             // The one read since is that of its end: nothing of an answer has come.
             let unanswered = kept && connection.socket.reads() <= connection.reads + 1;
             let outcome = broken(&error);
             let stale = outcome == Outcome::Reset && unanswered && started.elapsed() < CROSSING;
-            return Some(End::without_answer(if stale { Outcome::Stale } else { outcome }));
+            return Some(AttemptEnd::without_answer(if stale { Outcome::Stale } else { outcome }));
         }
     };
     let (head, body) = response.into_parts();
@@ -176,7 +180,12 @@
         let rest = Limited::new(body, SMALL_MOST).collect();
         let whole = matches!(timeout(REST, rest).await, Ok(Ok(_)));
         let connection = if whole { connection.settled().await } else { None };
-        return Some(End { outcome: refusal(head.status, &head.headers), load, answer: None, connection });
+        return Some(AttemptEnd {
+            outcome: refusal(head.status, &head.headers),
+            load,
+            answer: None,
+            connection,
+        });
     }
     let body = match ending(&head.headers) {
         Some(ending) => Answer::read(body, ending, memory).await,
@@ -184,17 +193,22 @@
     };
     let (outcome, answer, connection) = match body {
         Ok(Answer::Whole(bytes)) => {
-            (Outcome::Served, Some(AnswerBody::whole(bytes)), connection.settled().await)
+            (Outcome::Served, Some(ResponseBody::whole(bytes)), connection.settled().await)
         }
         Ok(Answer::Long { first, rest }) => {
             let socket = connection.socket.clone();
-            let stream = Stream::new(first, rest, socket, Box::new(move || back(connection)));
-            (Outcome::Served, Some(AnswerBody::Stream(Box::new(stream))), None)
+            let stream = StreamedResponse::new(first, rest, socket, Box::new(move || back(connection)));
+            (Outcome::Served, Some(ResponseBody::Streamed(Box::new(stream))), None)
         }
         // It has run, and what it said is lost.
         Err(error) => (broken(&*error), None, None),
     };
-    Some(End { outcome, load, answer: answer.map(|body| Response::from_parts(head, body)), connection })
+    Some(AttemptEnd {
+        outcome,
+        load,
+        answer: answer.map(|body| Response::from_parts(head, body)),
+        connection,
+    })
 }
 
 /// An answer's body as far as it is read before it is passed on.
@@ -207,12 +221,12 @@
     /// Gathers a small one. Whether one that does not tell its length is small is not waited for any longer than its
     /// first bytes can be spared; but one that ends with its connection may break off at any byte, and its request can
     /// go again only while nothing of it is passed on.
-    async fn read(mut body: Incoming, ending: Ending, memory: &Memory) -> Result<Answer, BoxError> {
+    async fn read(mut body: Incoming, ending: BodyFraming, memory: &BodyMemory) -> Result<Answer, BoxError> {
         let length = body.size_hint().exact();
         if length.is_some_and(|length| length > BODY_MOST) {
             return Err(io::Error::from(io::ErrorKind::InvalidData).into());
         }
-        let Some(mut gathered) = Gathered::new(memory, length) else {
+        let Some(mut gathered) = BufferedBody::new(memory, length) else {
             let first = match next(&mut body).await {
                 Some(piece) => piece?,
                 None => Bytes::new(),
@@ -222,7 +236,7 @@
         let hold = Instant::now() + HOLD;
         let mut begun = false;
         loop {
-            let piece = match length.is_some() || ending == Ending::Close || !begun {
+            let piece = match length.is_some() || ending == BodyFraming::UntilClose || !begun {
                 true => next(&mut body).await,
                 false => match timeout_at(hold, next(&mut body)).await {
                     Ok(piece) => piece,
@@ -254,22 +268,22 @@
 
 /// How the end of an answer's body shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ending {
+enum BodyFraming {
     /// By its length or its last chunk.
-    Framed,
+    Delimited,
     /// By the end of its connection (RFC 9112, section 6.3). A server that dies resets it, and a reset is no end.
-    Close,
+    UntilClose,
 }
 
 /// How the head of an answer says that its body ends. `None`: two lengths or two framings may be read in two ways, and what
 /// has another coding than chunks can't be read at all.
-fn ending(headers: &HeaderMap) -> Option<Ending> {
+fn ending(headers: &HeaderMap) -> Option<BodyFraming> {
     let lengths = headers.get_all(header::CONTENT_LENGTH).iter().count();
     let codings: Vec<_> = headers.get_all(header::TRANSFER_ENCODING).iter().collect();
     match (lengths, &codings[..]) {
-        (1, []) => Some(Ending::Framed),
-        (0, [coding]) if coding.as_bytes().eq_ignore_ascii_case(b"chunked") => Some(Ending::Framed),
-        (0, []) => Some(Ending::Close),
+        (1, []) => Some(BodyFraming::Delimited),
+        (0, [coding]) if coding.as_bytes().eq_ignore_ascii_case(b"chunked") => Some(BodyFraming::Delimited),
+        (0, []) => Some(BodyFraming::UntilClose),
         _ => None,
     }
 }
@@ -294,16 +308,16 @@
 fn refusal(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let unseen = headers.get("x-rejected").is_some_and(|v| v == "1");
     match status {
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => Outcome::TurnedAway,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => Outcome::Rejected,
         StatusCode::INTERNAL_SERVER_ERROR => Outcome::Error,
         // The request is at fault: bad clients must not make good hosts look ill.
-        status if status.is_client_error() => Outcome::Unusable,
+        status if status.is_client_error() => Outcome::Invalid,
         _ => Outcome::Unknown,
     }
 }
 
 /// The first load report that can be read: a spoilt one may stand beside it.
-fn report(headers: &HeaderMap) -> Load {
+fn report(headers: &HeaderMap) -> LoadReport {
     let mut loads = headers.get_all("x-load-report").iter().filter_map(|v| load(v.to_str().ok()?));
     loads.next().unwrap_or_default()
 }
@@ -311,14 +325,14 @@
 /// Reads a load report, `name=value,name=value`. The names are those of the settings (`report.columns`), as on
 /// the simulator's wire: read under other names, every report would be lost without a sign. One that holds what
 /// no host can mean is none: a negative load would draw every call.
-fn load(text: &str) -> Option<Load> {
-    let mut load = Load::default();
+fn load(text: &str) -> Option<LoadReport> {
+    let mut load = LoadReport::default();
     for pair in text.split(',') {
         let (name, value) = pair.split_once('=')?;
         let (place, most) = match name.trim() {
-            "active" => (&mut load.in_hand, LOAD_MOST),
-            "waiting" => (&mut load.waiting, LOAD_MOST),
-            "cpu" => (&mut load.busy, 1.0),
+            "active" => (&mut load.in_flight, LOAD_MOST),
+            "waiting" => (&mut load.queued, LOAD_MOST),
+            "cpu" => (&mut load.cpu_utilization, 1.0),
             _ => continue,
         };
         let value = value.trim().parse().ok().filter(|v: &f64| (0.0..=most).contains(v))?;
@@ -326,7 +340,7 @@
             return None;
         }
     }
-    (load != Load::default()).then_some(load)
+    (load != LoadReport::default()).then_some(load)
 }
 
 #[cfg(test)]
@@ -336,7 +350,10 @@
     #[test]
     fn a_load_report_is_read_under_the_names_of_the_settings() {
         let read = load("active=7.5,waiting=2,avg_ms=14.766, cpu = 0.5");
-        assert_eq!(read, Some(Load { in_hand: Some(7.5), waiting: Some(2.0), busy: Some(0.5) }));
+        assert_eq!(
+            read,
+            Some(LoadReport { in_flight: Some(7.5), queued: Some(2.0), cpu_utilization: Some(0.5) })
+        );
     }
 
     #[test]
@@ -367,6 +384,6 @@
         let mut headers = HeaderMap::new();
         headers.append("x-load-report", "{".parse().expect("a value"));
         headers.append("x-load-report", "active=1,waiting=0".parse().expect("a value"));
-        assert_eq!(report(&headers).in_hand, Some(1.0));
+        assert_eq!(report(&headers).in_flight, Some(1.0));
     }
 }
--- a/proxy/src/attempt.rs
+++ b/proxy/src/write_guard.rs
@@ -1,7 +1,7 @@
 //! One attempt as its bytes see it: whether they may be written now, and how much of them was.
 
-use crate::counters::Counters;
-use crate::rules::AttemptRecord;
+use crate::invariants::AttemptRecord;
+use crate::metrics::Metrics;
 use crate::socket::{Socket, WeakSocket};
 use balancer::Outcome;
 use std::cell::Cell;
@@ -14,27 +14,27 @@
 
 /// Why nothing of an attempt is written now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Denial {
+pub enum WriteDenial {
     /// It was taken back or called off.
     Withdrawn,
     /// Its time to begin is over: its class's window for repeats.
-    Late,
+    StartWindowClosed,
     /// Its client has left.
-    ClientLeft,
+    ClientDisconnected,
     /// Something has come on its kept connection, an end or what would be taken for its answer.
     ConnectionUsed,
 }
 
-impl fmt::Display for Denial {
+impl fmt::Display for WriteDenial {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Debug::fmt(self, formatter)
     }
 }
 
-impl std::error::Error for Denial {}
+impl std::error::Error for WriteDenial {}
 
-impl From<Denial> for io::Error {
-    fn from(denial: Denial) -> io::Error {
+impl From<WriteDenial> for io::Error {
+    fn from(denial: WriteDenial) -> io::Error {
         io::Error::new(io::ErrorKind::ConnectionAborted, denial)
     }
 }
@@ -51,37 +51,43 @@
     client: WeakSocket,
     /// `None`: no request has it.
     record: Option<AttemptRecord>,
-    counters: Counters,
+    metrics: Metrics,
 }
 
 /// What was written for one attempt; clones are the same meter.
 #[derive(Clone, Debug, Default)]
-pub struct Meter(Rc<Written>);
+pub struct WriteGuard(Rc<Written>);
 
-impl Meter {
+impl WriteGuard {
     /// The meter of a new attempt of a request that came on this socket, which is counted once its last byte is written.
     /// None is, if its first would be only at `begin_before` or later.
     pub fn new(
-        counters: &Counters,
+        metrics: &Metrics,
         client: &Socket,
         begin_before: Option<Instant>,
         record: AttemptRecord,
-    ) -> Meter {
-        let (counters, client) = (counters.clone(), client.downgrade());
-        Meter(Rc::new(Written { begin_before, counters, client, record: Some(record), ..Written::default() }))
+    ) -> WriteGuard {
+        let (metrics, client) = (metrics.clone(), client.downgrade());
+        WriteGuard(Rc::new(Written {
+            begin_before,
+            metrics,
+            client,
+            record: Some(record),
+            ..Written::default()
+        }))
     }
 
     /// Whether the next byte may be written now, on a connection on which `is_quiet` tells that nothing has come, if that
     /// matters. All that forbids an attempt is asked here, at its last point before the effect.
-    pub fn may_write(&self, is_quiet: Option<bool>) -> Result<(), Denial> {
+    pub fn may_write(&self, is_quiet: Option<bool>) -> Result<(), WriteDenial> {
         let denial = match () {
-            () if self.0.barred.get() => Denial::Withdrawn,
-            () if self.is_late() => Denial::Late,
-            () if self.is_unwanted() => Denial::ClientLeft,
-            () if is_quiet == Some(false) => Denial::ConnectionUsed,
+            () if self.0.barred.get() => WriteDenial::Withdrawn,
+            () if self.is_late() => WriteDenial::StartWindowClosed,
+            () if self.is_unwanted() => WriteDenial::ClientDisconnected,
+            () if is_quiet == Some(false) => WriteDenial::ConnectionUsed,
             () => return Ok(()),
         };
-        self.0.counters.count().denied(denial);
+        self.0.metrics.count().denied(denial);
         self.0.record.iter().for_each(|record| record.denied(denial));
         Err(denial)
     }
@@ -152,7 +158,7 @@
     /// Nothing of what was handed over is left to be written.
     pub fn flushed(&self) {
         if self.0.ended.get() && self.0.bytes.get() > 0 && !self.0.whole.replace(true) {
-            self.0.counters.count().sent_whole();
+            self.0.metrics.count().sent_whole();
         }
     }
 }
--- a/proxy/tests/common/mod.rs
+++ b/proxy/tests/common/mod.rs
@@ -330,10 +330,11 @@
     ) -> Proxy {
         let config = configuration(discovery.address, hosts, change);
         let config = Config::parse(&config).expect("a good configuration");
-        let listener = client_proxy::handover::bind(config.listen).expect("bound");
+        let listener = client_proxy::process_handoff::bind(config.listen).expect("bound");
         let address = listener.local_addr().expect("an address");
         let (stop, stopped) = oneshot::channel();
-        let operators = config.admin.map(|address| client_proxy::admin::listen(address).expect("it listens"));
+        let operators =
+            config.admin.map(|address| client_proxy::operators::listen(address).expect("it listens"));
         let admin = operators.as_ref().map(|listener| listener.local_addr().expect("an address"));
         let listeners = client_proxy::Listeners { clients: listener, operators };
         let task = spawn_local(client_proxy::run(config, listeners, None, async || None, async {
--- a/proxy/tests/server_ids.rs
+++ b/proxy/tests/endpoint_ids.rs
@@ -1,10 +1,10 @@
 //! Numbers of servers: the ring that all proxies share is in their order.
 
-use balancer::ServerId;
-use client_proxy::server_ids::ServerIds;
+use balancer::EndpointId;
+use client_proxy::control::endpoint_ids::EndpointIds;
 
-fn numbers(names: impl Iterator<Item = String>) -> Vec<(ServerId, String)> {
-    let mut ids = ServerIds::default();
+fn numbers(names: impl Iterator<Item = String>) -> Vec<(EndpointId, String)> {
+    let mut ids = EndpointIds::default();
     names.map(|name| (ids.get(&name, |_| {}), name)).collect()
 }
 
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_name_is_new_once_and_again_when_it_was_forgotten() {
-    let (mut ids, mut met) = (ServerIds::default(), 0);
+    let (mut ids, mut met) = (EndpointIds::default(), 0);
     let first = ids.get("a", |_| met += 1);
     assert_eq!(ids.get("a", |_| met += 1), first);
     ids.retain(|id| id != first);
--- a/proxy/tests/names.rs
+++ b/proxy/tests/names.rs
@@ -4,6 +4,7 @@
 mod common;
 
 use client_proxy::config::Config;
+use client_proxy::discovery::ListedState;
 use common::*;
 use serde_json::json;
 use std::slice::from_ref;
@@ -34,11 +35,11 @@
     assert_eq!(config.conn_idle, Duration::from_millis(8));
     assert_eq!(config.drain_grace, Duration::from_millis(9));
     let list = config.known.expect("a list");
-    assert_eq!((list.seq, list.whole), (6, true));
-    let host = &list.hosts[0];
-    assert_eq!((host.host.as_str(), host.dial.port(), host.site.as_str()), ("s-1", 9, "split-dc"));
-    assert_eq!((host.block, host.share, host.born_ms), (4, 2.5, 77));
-    assert_eq!(format!("{:?}", host.health), "Terminating");
+    assert_eq!((list.version, list.is_full), (6, true));
+    let host = &list.endpoints[0];
+    assert_eq!((host.name.as_str(), host.address.port(), host.zone.as_str()), ("s-1", 9, "split-dc"));
+    assert_eq!((host.cell, host.weight, host.started_at_ms), (4, 2.5, 77));
+    assert_eq!(host.state, ListedState::Draining);
 }
 
 /// What a host is asked, what a client is answered, and how a watch of the list is asked for.
--- a/proxy/tests/process.rs
+++ b/proxy/tests/process.rs
@@ -237,7 +237,7 @@
                 silent.push(connect().await);
             }
             let mut callers = Vec::new();
-            for _ in 0..client_proxy::admin::CALLERS_MOST {
+            for _ in 0..client_proxy::operators::CALLERS_MOST {
                 callers.push(TcpStream::connect(operators).await.expect("operators are let in"));
             }
             eventually("it holds what it may", || {
--- a/proxy/tests/handover.rs
+++ b/proxy/tests/process_handoff.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use client_proxy::handover::keep_presence;
+use client_proxy::process_handoff::keep_presence;
 use common::*;
 use std::cell::RefCell;
 use std::fs::{self, File};
--- a/proxy/tests/ready.rs
+++ b/proxy/tests/ready.rs
@@ -33,14 +33,20 @@
 }
 
 /// After how long a process listens and is ready; another holds the lock in its folder, or none does.
-async fn readiness(mode: &str, balancers: u32, known: bool, beside: bool, calls: Vec<Call>) -> [Duration; 2] {
+async fn readiness(
+    mode: &str,
+    balancer_count: u32,
+    known: bool,
+    beside: bool,
+    calls: Vec<Call>,
+) -> [Duration; 2] {
     let host = Host::start([ok("served")]).await;
     let news = format!("{WATCH}{}", chunk(&list(42, true, &[entry("s-0", host.address, "Ready")])));
     let discovery = Script::start(calls.into_iter().chain(vec![Say(news); 3])).await;
     let hosts = if known { from_ref(&host) } else { &[] };
     let config = configuration(discovery.address, hosts, |config| {
         config["settings"]["discovery"] = mode.into();
-        config["settings"]["balancers"] = balancers.into();
+        config["settings"]["balancers"] = balancer_count.into();
         config["settings"]["invariants"]["ask_every_us"] = 10_000_000.into();
     });
     let folder =
@@ -51,7 +57,7 @@
         other.try_lock().expect("nobody else serves");
     }
     let read = Config::parse(&config).expect("a good configuration");
-    let clients = client_proxy::handover::bind(read.listen).expect("bound");
+    let clients = client_proxy::process_handoff::bind(read.listen).expect("bound");
     let address = clients.local_addr().expect("an address");
     let listeners = client_proxy::Listeners { clients, operators: None };
     let (begun, at) = (Instant::now(), Rc::new(Cell::new([None; 2])));
@@ -71,12 +77,12 @@
         || vec![SILENT(); 200],
         || vec![Away(Duration::from_secs(60))],
     ];
-    for (mode, balancers) in [("ask", 5), ("ask", 300), ("push", 5)] {
+    for (mode, balancer_count) in [("ask", 5), ("ask", 300), ("push", 5)] {
         for (number, calls) in discoveries.into_iter().enumerate() {
             for (known, beside) in [(true, true), (true, false), (false, true), (false, false)] {
-                let [listens, ready] = run_still(readiness(mode, balancers, known, beside, calls()));
+                let [listens, ready] = run_still(readiness(mode, balancer_count, known, beside, calls()));
                 let name = format!(
-                    "{mode}, {balancers} balancers, discovery {number}, known {known}, beside {beside}: \
+                    "{mode}, {balancer_count} balancers, discovery {number}, known {known}, beside {beside}: \
                      listens at {listens:?}, ready at {ready:?}"
                 );
                 let most = match (known || number == 0, beside) {
--- a/proxy/tests/told.rs
+++ b/proxy/tests/told.rs
@@ -37,19 +37,19 @@
 }
 
 impl Still {
-    async fn start(mode: &str, balancers: u32, discovery: &Script, host: Host) -> Still {
-        Still::seeded(1, mode, balancers, discovery, host).await
+    async fn start(mode: &str, balancer_count: u32, discovery: &Script, host: Host) -> Still {
+        Still::seeded(1, mode, balancer_count, discovery, host).await
     }
 
-    async fn seeded(seed: u64, mode: &str, balancers: u32, discovery: &Script, host: Host) -> Still {
+    async fn seeded(seed: u64, mode: &str, balancer_count: u32, discovery: &Script, host: Host) -> Still {
         let config = configuration(discovery.address, from_ref(&host), |config| {
             config["seed"] = format!("{seed:x}").into();
             config["settings"]["discovery"] = mode.into();
-            config["settings"]["balancers"] = balancers.into();
+            config["settings"]["balancers"] = balancer_count.into();
             config["settings"]["invariants"]["ask_every_us"] = 10_000_000.into();
         });
         let read = Config::parse(&config).expect("a good configuration");
-        let clients = client_proxy::handover::bind(read.listen).expect("bound");
+        let clients = client_proxy::process_handoff::bind(read.listen).expect("bound");
         let address = clients.local_addr().expect("an address");
         let (reload, mut reloads) = mpsc::unbounded_channel();
         let listeners = client_proxy::Listeners { clients, operators: None };
@@ -94,14 +94,14 @@
 #[test]
 fn what_a_lost_asked_watch_missed_is_acted_on_in_time() {
     let ends = [None, Some(500 * MS), Some(1_500 * MS)];
-    for (balancers, reset) in [5, 300].into_iter().flat_map(|count| ends.map(|reset| (count, reset))) {
+    for (balancer_count, reset) in [5, 300].into_iter().flat_map(|count| ends.map(|reset| (count, reset))) {
         for path in failures() {
-            let name = format!("{balancers} balancers, reset after {reset:?}, {path:?}");
+            let name = format!("{balancer_count} balancers, reset after {reset:?}, {path:?}");
             run_still(async {
                 let host = Host::start([ok("served")]).await;
                 let calls = [QUIET()].into_iter().chain(path).chain([drains(&host)]);
                 let discovery = Script::start(calls).await;
-                let proxy = Still::start("ask", balancers, &discovery, host).await;
+                let proxy = Still::start("ask", balancer_count, &discovery, host).await;
                 at_once("the watch", || discovery.calls.get() == 1).await;
                 if let Some(after) = reset {
                     advance(after).await;
@@ -119,17 +119,20 @@
 /// is given up, no more than the time goes by.
 #[test]
 fn what_an_asked_discovery_has_on_its_return_is_acted_on_in_time() {
-    for balancers in [5, 300] {
+    for balancer_count in [5, 300] {
         for seconds in [1, 4, 8, 13, 20] {
             run_still(async {
                 let host = Host::start([ok("served")]).await;
                 let away = Away(Duration::from_secs(seconds));
                 let discovery = Script::start([QUIET(), away, drains(&host)]).await;
-                let proxy = Still::start("ask", balancers, &discovery, host).await;
+                let proxy = Still::start("ask", balancer_count, &discovery, host).await;
                 proxy.told("the drain").await;
                 let back = discovery.back.get().expect("it was away");
                 let took = back.elapsed();
-                assert!(took <= 6_000 * MS + GRACE, "{took:?}: away for {seconds} s, {balancers} balancers");
+                assert!(
+                    took <= 6_000 * MS + GRACE,
+                    "{took:?}: away for {seconds} s, {balancer_count} balancers"
+                );
             });
         }
         for silent in 1..=6 {
@@ -137,12 +140,12 @@
                 let host = Host::start([ok("served")]).await;
                 let calls = [QUIET()].into_iter().chain(many(SILENT, silent)).chain([drains(&host)]);
                 let discovery = Script::start(calls).await;
-                let proxy = Still::start("ask", balancers, &discovery, host).await;
+                let proxy = Still::start("ask", balancer_count, &discovery, host).await;
                 until("the last silent call", || discovery.calls.get() > silent).await;
                 let took = proxy.told("the drain").await;
                 assert!(
                     took <= 6_000 * MS + GRACE,
-                    "{took:?} after {silent} silent calls, {balancers} balancers"
+                    "{took:?} after {silent} silent calls, {balancer_count} balancers"
                 );
             });
         }
@@ -195,7 +198,7 @@
     /// It is opening one, and the old discovery has not answered.
     Calling,
     /// It waits before it calls again.
-    Waiting,
+    PendingReply,
 }
 
 /// The time is counted from the signal on, whatever the proxy was at, and the old discovery says nothing more.
@@ -203,21 +206,21 @@
 fn what_a_new_discovery_has_is_acted_on_in_time() {
     let modes =
         [("ask", 300, 2), ("ask", 300, 3), ("ask", 300, 4), ("ask", 300, 1), ("ask", 5, 1), ("push", 5, 1)];
-    for ((mode, balancers, seed), at) in
-        modes.into_iter().flat_map(|m| [At::Watching, At::Calling, At::Waiting].map(|at| (m, at)))
+    for ((mode, balancer_count, seed), at) in
+        modes.into_iter().flat_map(|m| [At::Watching, At::Calling, At::PendingReply].map(|at| (m, at)))
     {
         for path in failures() {
-            let name = format!("{mode}, {balancers} balancers, seed {seed}, {at:?}, {path:?}");
+            let name = format!("{mode}, {balancer_count} balancers, seed {seed}, {at:?}, {path:?}");
             run_still(async {
                 let host = Host::start([ok("served")]).await;
                 let old = match at {
                     At::Watching => vec![QUIET()],
                     At::Calling => vec![SILENT()],
-                    At::Waiting => vec![REFUSES(), Away(Duration::from_secs(100))],
+                    At::PendingReply => vec![REFUSES(), Away(Duration::from_secs(100))],
                 };
                 let (old, new) =
                     (Script::start(old).await, Script::start(path.into_iter().chain([drains(&host)])).await);
-                let proxy = Still::seeded(seed, mode, balancers, &old, host).await;
+                let proxy = Still::seeded(seed, mode, balancer_count, &old, host).await;
                 at_once("the old one is called", || old.calls.get() == 1).await;
                 advance(50 * MS).await;
                 settle().await;
@@ -233,25 +236,25 @@
 /// old one answers after the signal is not taken.
 #[test]
 fn a_call_to_a_new_discovery_is_left_its_turn() {
-    for balancers in [5, 300] {
-        for at in [At::Watching, At::Calling, At::Waiting] {
+    for balancer_count in [5, 300] {
+        for at in [At::Watching, At::Calling, At::PendingReply] {
             run_still(async {
                 let host = Host::start([ok("served")]).await;
                 let old = match at {
                     At::Watching => vec![QUIET()],
                     At::Calling => vec![Late(500 * MS, draining(&host))],
-                    At::Waiting => vec![REFUSES(), Away(Duration::from_secs(100))],
+                    At::PendingReply => vec![REFUSES(), Away(Duration::from_secs(100))],
                 };
                 let turn = Late(Duration::from_secs(2), draining(&host));
                 let (old, new) = (Script::start(old).await, Script::start([turn]).await);
-                let proxy = Still::start("ask", balancers, &old, host).await;
+                let proxy = Still::start("ask", balancer_count, &old, host).await;
                 at_once("the old one is called", || old.calls.get() == 1).await;
                 advance(50 * MS).await;
                 settle().await;
                 proxy.move_to(&old, &new);
                 let took = proxy.told("the drain").await;
                 assert!(took >= Duration::from_secs(2), "{took:?}: the old one was heard, {at:?}");
-                assert_eq!(new.calls.get(), 1, "{balancers} balancers, {at:?}");
+                assert_eq!(new.calls.get(), 1, "{balancer_count} balancers, {at:?}");
             });
         }
     }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,168 +1,209 @@
-//! A site's settings, as the simulator's first message and a proxy's configuration hold them. Unknown keys
-//! are ignored, absent ones get harmless values.
+//! A site's settings, as the simulator's first message and a proxy's configuration hold them.
+//! Unknown keys are ignored, absent ones get harmless values.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use balancer::{Class, Goal, Limits, Repeat, Rules, Scope, Settings, Tenant, ZoneId};
+use balancer::{
+    Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights, Settings,
+    SlowStart, Tenant, ZoneId,
+};
 use serde::Deserialize;
 use serde_json::Value;
 
+/// The settings as they are written, under the operators' names.
 #[derive(Deserialize)]
-struct Facts {
-    balancers: u32,
+struct SettingsMessage {
+    #[serde(rename = "balancers")]
+    balancer_count: u32,
+    #[serde(rename = "me", default)]
+    balancer_index: u32,
+    #[serde(rename = "locality", default)]
+    zone: Option<String>,
+    classes: Vec<ClassMessage>,
     #[serde(default)]
-    me: u32,
+    tenants: Vec<TenantMessage>,
+    #[serde(rename = "discovery", default)]
+    discovery_mode: String,
     #[serde(default)]
-    locality: Option<String>,
-    classes: Vec<ClassFacts>,
-    #[serde(default)]
-    tenants: Vec<TenantFacts>,
-    #[serde(default)]
-    discovery: String,
-    #[serde(default)]
-    limits: LimitFacts,
-    invariants: RuleFacts,
-    #[serde(default)]
-    result_mix: GoalFacts,
-    #[serde(default)]
-    tick_us: u64,
+    limits: LimitsMessage,
+    invariants: InvariantsMessage,
+    #[serde(rename = "result_mix", default)]
+    score_weights: ScoreWeightsMessage,
+    #[serde(rename = "tick_us", default)]
+    clock_resolution_us: u64,
 }
 
 #[derive(Deserialize)]
-struct ClassFacts {
+struct ClassMessage {
     name: String,
-    objective_us: u64,
+    #[serde(rename = "objective_us")]
+    latency_objective_us: u64,
     deadline_us: u64,
-    #[serde(default)]
-    worth: f64,
-    #[serde(default)]
-    late_value: f64,
+    #[serde(rename = "worth", default)]
+    priority_weight: f64,
+    #[serde(rename = "late_value", default)]
+    late_weight_fraction: f64,
     idempotency: String,
-    #[serde(default)]
-    dedup_scope: String,
-    #[serde(default)]
-    repeat_window_us: u64,
+    #[serde(rename = "dedup_scope", default)]
+    deduplication_scope: String,
+    #[serde(rename = "repeat_window_us", default)]
+    deduplication_window_us: u64,
 }
 
 #[derive(Deserialize)]
-struct TenantFacts {
+struct TenantMessage {
     name: String,
-    #[serde(default)]
-    portion: f64,
+    #[serde(rename = "portion", default)]
+    quota: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct LimitFacts {
-    cancel: bool,
-    probes: bool,
-    second_copies: bool,
+struct LimitsMessage {
+    #[serde(rename = "cancel")]
+    cancellation: bool,
+    #[serde(rename = "probes")]
+    health_checks: bool,
+    #[serde(rename = "second_copies")]
+    hedging: bool,
     max_attempts: u32,
     max_retry_after_us: u64,
 }
 
-impl Default for LimitFacts {
+impl Default for LimitsMessage {
     fn default() -> Self {
-        let (cancel, probes, second_copies) = (false, false, false);
-        LimitFacts { cancel, probes, second_copies, max_attempts: 1, max_retry_after_us: 0 }
+        LimitsMessage {
+            cancellation: false,
+            health_checks: false,
+            hedging: false,
+            max_attempts: 1,
+            max_retry_after_us: 0,
+        }
     }
 }
 
 #[derive(Deserialize)]
-struct RuleFacts {
-    cold_from: f64,
-    cold_us: u64,
-    #[serde(default = "fall_multiple")]
-    fall_multiple: f64,
-    #[serde(default = "ask_every")]
-    ask_every_us: u64,
-    #[serde(default = "told_after")]
-    told_after_us: u64,
+struct InvariantsMessage {
+    #[serde(rename = "cold_from")]
+    initial_capacity: f64,
+    #[serde(rename = "cold_us")]
+    slow_start_us: u64,
+    #[serde(rename = "fall_multiple", default = "default_overload_multiple")]
+    overload_multiple: f64,
+    #[serde(rename = "ask_every_us", default = "default_max_poll_interval")]
+    max_poll_interval_us: u64,
+    #[serde(rename = "told_after_us", default = "default_notification_deadline")]
+    notification_deadline_us: u64,
 }
 
-fn fall_multiple() -> f64 {
-    Settings::default().rules.fall_multiple
+fn default_overload_multiple() -> f64 {
+    Settings::default().slow_start.overload_multiple
 }
 
-fn ask_every() -> u64 {
-    Settings::default().rules.ask_every
+fn default_max_poll_interval() -> u64 {
+    Settings::default().discovery.max_poll_interval
 }
 
-fn told_after() -> u64 {
-    Settings::default().rules.told_after
+fn default_notification_deadline() -> u64 {
+    Settings::default().discovery.notification_deadline
 }
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct GoalFacts {
-    whole: f64,
+struct ScoreWeightsMessage {
+    #[serde(rename = "whole")]
+    overall: f64,
     worst_class: f64,
 }
 
-impl Default for GoalFacts {
+impl Default for ScoreWeightsMessage {
     fn default() -> Self {
-        GoalFacts { whole: 1.0, worst_class: 0.0 }
+        ScoreWeightsMessage { overall: 1.0, worst_class: 0.0 }
     }
 }
 
-/// Settings, and the names of classes and tenants in their order.
-pub fn read(facts: &Value) -> Result<(Settings, Vec<String>, Vec<String>), String> {
-    let facts = Facts::deserialize(facts).map_err(|e| e.to_string())?;
-    let mut classes = Vec::new();
-    for class in &facts.classes {
-        let scope = match class.dedup_scope.as_str() {
-            "all" => Some(Scope::All),
-            "zone" => Some(Scope::Zone),
-            "cell" => Some(Scope::Cell),
+impl ClassMessage {
+    fn class(&self) -> Class {
+        Class {
+            latency_objective: self.latency_objective_us,
+            deadline: self.deadline_us,
+            priority_weight: self.priority_weight,
+            late_weight_fraction: self.late_weight_fraction,
+            idempotency: self.idempotency(),
+        }
+    }
+
+    /// An unknown kind or scope is taken to allow no repeat.
+    fn idempotency(&self) -> Idempotency {
+        let scope = match self.deduplication_scope.as_str() {
+            "all" => Some(DeduplicationScope::All),
+            "zone" => Some(DeduplicationScope::Zone),
+            "cell" => Some(DeduplicationScope::Cell),
             _ => None,
         };
-        // A kind or a scope that is not known is taken to allow no repeat.
-        let repeat = match (class.idempotency.as_str(), scope) {
-            ("free", _) => Repeat::Free,
-            ("guarded", Some(scope)) => Repeat::Guarded { scope, window: class.repeat_window_us },
-            _ => Repeat::SingleShot,
-        };
-        let (aim, deadline) = (class.objective_us, class.deadline_us);
-        classes.push(Class { aim, deadline, worth: class.worth, late_value: class.late_value, repeat });
+        match (self.idempotency.as_str(), scope) {
+            ("free", _) => Idempotency::Idempotent,
+            ("guarded", Some(scope)) => Idempotency::Keyed { scope, window: self.deduplication_window_us },
+            _ => Idempotency::NonIdempotent,
+        }
     }
-    let limits = &facts.limits;
-    let rules = &facts.invariants;
-    let settings = Settings {
-        balancers: facts.balancers,
-        me: facts.me,
-        tick: facts.tick_us,
-        ask: facts.discovery == "ask",
-        zone: facts.locality.as_deref().map(zone),
-        classes,
-        tenants: facts.tenants.iter().map(|t| Tenant { share: t.portion }).collect(),
-        limits: Limits {
-            cancel: limits.cancel,
-            probes: limits.probes,
-            second_copies: limits.second_copies,
-            max_attempts: limits.max_attempts,
-            // Also where clients are said not to heed it: a refusal on sockets always says when to come back.
-            max_retry_after: limits.max_retry_after_us,
-        },
-        rules: Rules {
-            cold_share: rules.cold_from,
-            cold_time: rules.cold_us,
-            fall_multiple: rules.fall_multiple,
-            ask_every: rules.ask_every_us,
-            told_after: rules.told_after_us,
-        },
-        goal: Goal { whole: facts.result_mix.whole, worst_class: facts.result_mix.worst_class },
-    };
-    let names = facts.classes.into_iter().map(|c| c.name).collect();
-    Ok((settings, names, facts.tenants.into_iter().map(|t| t.name).collect()))
+}
+
+impl SettingsMessage {
+    fn settings(&self) -> Settings {
+        let mode = if self.discovery_mode == "ask" { DiscoveryMode::Poll } else { DiscoveryMode::Push };
+        Settings {
+            balancer_count: self.balancer_count,
+            balancer_index: self.balancer_index,
+            clock_resolution: self.clock_resolution_us,
+            zone: self.zone.as_deref().map(zone),
+            classes: self.classes.iter().map(ClassMessage::class).collect(),
+            tenants: self.tenants.iter().map(|tenant| Tenant { quota: tenant.quota }).collect(),
+            limits: Limits {
+                cancellation: self.limits.cancellation,
+                health_checks: self.limits.health_checks,
+                hedging: self.limits.hedging,
+                max_attempts: self.limits.max_attempts,
+                // Also where clients are said not to respect it: a rejection over HTTP always
+                // carries `Retry-After`.
+                max_retry_after: self.limits.max_retry_after_us,
+            },
+            slow_start: SlowStart {
+                initial_capacity: self.invariants.initial_capacity,
+                duration: self.invariants.slow_start_us,
+                overload_multiple: self.invariants.overload_multiple,
+            },
+            discovery: Discovery {
+                mode,
+                max_poll_interval: self.invariants.max_poll_interval_us,
+                notification_deadline: self.invariants.notification_deadline_us,
+            },
+            score_weights: ScoreWeights {
+                overall: self.score_weights.overall,
+                worst_class: self.score_weights.worst_class,
+            },
+        }
+    }
+}
+
+/// Settings, and the names of classes and tenants in their order.
+pub fn read(message: &Value) -> Result<(Settings, Vec<String>, Vec<String>), String> {
+    let message = SettingsMessage::deserialize(message).map_err(|e| e.to_string())?;
+    let settings = message.settings();
+    let classes = message.classes.into_iter().map(|class| class.name).collect();
+    let tenants = message.tenants.into_iter().map(|tenant| tenant.name).collect();
+    Ok((settings, classes, tenants))
 }
 
 /// Longest time that settings can mean.
 const TIME_MOST: u64 = 24 * 3_600 * 1_000_000;
 
-/// Whether a program can run under these settings; if not, why. What cannot be meant is better met at the start than under
-/// load.
+/// Whether a program can run under these settings; if not, why. What cannot be meant is better met
+/// at the start than under load.
 pub fn check(settings: &Settings) -> Result<(), String> {
-    let Settings { balancers, tick, classes, tenants, limits, rules, .. } = settings;
+    let Settings {
+        balancer_count, clock_resolution, classes, tenants, limits, slow_start, discovery, ..
+    } = settings;
     let time = |name: &str, value: u64| match value {
         1..=TIME_MOST => Ok(()),
         _ => Err(format!("{name} of {value} us cannot be meant")),
@@ -175,22 +216,22 @@
         return Err("there is no class".to_owned());
     }
     for class in classes {
-        time("objective_us", class.aim)?;
+        time("objective_us", class.latency_objective)?;
         time("deadline_us", class.deadline)?;
-        number("worth", class.worth, 0.0, f64::MAX)?;
-        number("late_value", class.late_value, 0.0, f64::MAX)?;
+        number("worth", class.priority_weight, 0.0, f64::MAX)?;
+        number("late_value", class.late_weight_fraction, 0.0, f64::MAX)?;
     }
     for tenant in tenants {
-        number("portion", tenant.share, 0.0, 1.0)?;
+        number("portion", tenant.quota, 0.0, 1.0)?;
     }
-    number("tick_us", *tick as f64, 0.0, TIME_MOST as f64)?;
-    number("balancers", (*balancers).into(), 1.0, f64::MAX)?;
+    number("tick_us", *clock_resolution as f64, 0.0, TIME_MOST as f64)?;
+    number("balancers", (*balancer_count).into(), 1.0, f64::MAX)?;
     number("max_attempts", limits.max_attempts.into(), 1.0, f64::MAX)?;
-    number("cold_from", rules.cold_share, f64::MIN_POSITIVE, 1.0)?;
-    number("fall_multiple", rules.fall_multiple, f64::MIN_POSITIVE, f64::MAX)?;
-    number("cold_us", rules.cold_time as f64, 0.0, TIME_MOST as f64)?;
-    time("ask_every_us", rules.ask_every)?;
-    time("told_after_us", rules.told_after)
+    number("cold_from", slow_start.initial_capacity, f64::MIN_POSITIVE, 1.0)?;
+    number("fall_multiple", slow_start.overload_multiple, f64::MIN_POSITIVE, f64::MAX)?;
+    number("cold_us", slow_start.duration as f64, 0.0, TIME_MOST as f64)?;
+    time("ask_every_us", discovery.max_poll_interval)?;
+    time("told_after_us", discovery.notification_deadline)
 }
 
 /// A number for a zone's name (FNV-1a), the same wherever it is met.
--- a/settings/tests/names.rs
+++ b/settings/tests/names.rs
@@ -1,6 +1,9 @@
 //! The settings' keys and values, each with one that is not its default. The names are the operators' own and never change.
 
-use balancer::{Class, Goal, Limits, Repeat, Rules, Scope, Settings, Tenant};
+use balancer::{
+    Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights, Settings,
+    SlowStart, Tenant,
+};
 use balancer_settings::{read, zone};
 use serde_json::json;
 
@@ -21,31 +24,37 @@
         "invariants": {"cold_from": 0.11, "cold_us": 12, "fall_multiple": 13.0, "ask_every_us": 14, "told_after_us": 15},
         "result_mix": {"whole": 0.16, "worst_class": 0.17},
     });
-    let class = |repeat| Class { aim: 1, deadline: 2, worth: 3.0, late_value: 0.5, repeat };
-    let guarded = |scope| class(Repeat::Guarded { scope, window: 6 });
+    let class = |idempotency| Class {
+        latency_objective: 1,
+        deadline: 2,
+        priority_weight: 3.0,
+        late_weight_fraction: 0.5,
+        idempotency,
+    };
+    let keyed = |scope| class(Idempotency::Keyed { scope, window: 6 });
     let expected = Settings {
-        balancers: 7,
-        me: 5,
-        tick: 8,
-        ask: true,
+        balancer_count: 7,
+        balancer_index: 5,
+        clock_resolution: 8,
         zone: Some(zone("split-dc")),
         classes: vec![
-            class(Repeat::Free),
-            guarded(Scope::All),
-            guarded(Scope::Zone),
-            guarded(Scope::Cell),
-            class(Repeat::SingleShot),
+            class(Idempotency::Idempotent),
+            keyed(DeduplicationScope::All),
+            keyed(DeduplicationScope::Zone),
+            keyed(DeduplicationScope::Cell),
+            class(Idempotency::NonIdempotent),
         ],
-        tenants: vec![Tenant { share: 0.25 }, Tenant { share: 0.75 }],
+        tenants: vec![Tenant { quota: 0.25 }, Tenant { quota: 0.75 }],
         limits: Limits {
-            cancel: true,
-            probes: true,
-            second_copies: true,
+            cancellation: true,
+            health_checks: true,
+            hedging: true,
             max_attempts: 9,
             max_retry_after: 10,
         },
-        rules: Rules { cold_share: 0.11, cold_time: 12, fall_multiple: 13.0, ask_every: 14, told_after: 15 },
-        goal: Goal { whole: 0.16, worst_class: 0.17 },
+        slow_start: SlowStart { initial_capacity: 0.11, duration: 12, overload_multiple: 13.0 },
+        discovery: Discovery { mode: DiscoveryMode::Poll, max_poll_interval: 14, notification_deadline: 15 },
+        score_weights: ScoreWeights { overall: 0.16, worst_class: 0.17 },
     };
     let (settings, classes, tenants) = read(&facts).expect("settings");
     assert_eq!(settings, expected);
--- a/soak/src/proxies.rs
+++ b/soak/src/proxies.rs
@@ -362,7 +362,7 @@
     /// What it said of itself that needs a look.
     pub fn complaints(&self) -> Vec<String> {
         let log = fs::read_to_string(self.folder().join("log.txt")).unwrap_or_default();
-        let bad = |line: &&str| line.contains("panicked") || line.contains("rule broken");
+        let bad = |line: &&str| line.contains("panicked") || line.contains("invariant violated");
         log.lines().filter(bad).map(|line| format!("proxy {}: {line}", self.number)).collect()
     }
 }
