--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -83,9 +83,9 @@
         if verb == "CREATE" {
             let facts = need(input.facts, verb, "facts")?;
             let seed = need(input.seed, verb, "seed")?;
-            let (settings, classes, tenants) =
-                balancer_settings::read(&facts).map_err(|e| format!("facts: {e}"))?;
-            let balancer = Balancer::new(seed, settings);
+            let site = balancer_settings::read(&facts).map_err(|e| format!("facts: {e}"))?;
+            let balancer = Balancer::new(seed, site.settings);
+            let (classes, tenants) = (site.class_names, site.tenant_names);
             let (numbers, names) = (HashMap::new(), HashMap::new());
             let instance = Instance { balancer, classes, tenants, numbers, names, next: 0 };
             self.instances.insert(proxy, instance);
--- a/proxy/src/config.rs
+++ b/proxy/src/config.rs
@@ -3,6 +3,7 @@
 use crate::discovery::{EndpointList, WatchTimeouts};
 use crate::operators::CALLERS_MOST;
 use balancer::{DiscoveryMode, Settings};
+use balancer_settings::SiteSettings;
 use serde::Deserialize;
 use serde_json::Value;
 use std::fmt;
@@ -149,9 +150,9 @@
     pub fn parse(text: &str) -> Result<Config, String> {
         let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| format!("seed: {e}"))?;
-        let (settings, classes, tenants) =
+        let SiteSettings { settings, class_names, tenant_names } =
             balancer_settings::read(&file.settings).map_err(|e| format!("settings: {e}"))?;
-        balancer_settings::check(&settings).map_err(|e| format!("settings: {e}"))?;
+        balancer_settings::validate(&settings).map_err(|e| format!("settings: {e}"))?;
         let site = Site::deserialize(&file.settings).map_err(|e| format!("settings: {e}"))?;
         if file.limits.sockets < 2 * SPARE_DESCRIPTORS {
             return Err(format!("limits: {} sockets are too few", file.limits.sockets));
@@ -178,8 +179,8 @@
             processes: 1,
             known: file.known,
             settings,
-            classes,
-            tenants,
+            classes: class_names,
+            tenants: tenant_names,
             connect_timeout: Duration::from_micros(connect_timeout_us),
             conn_idle: Duration::from_micros(conn_idle_us),
             drain_grace: Duration::from_micros(site.invariants.drain_grace_us),
--- /dev/null
+++ b/settings/src/message.rs
@@ -0,0 +1,186 @@
+//! The settings as they are written, under the operators' names, and their translation to the
+//! balancer's terms. Unknown keys are ignored, absent optional ones get neutral defaults.
+
+use crate::zone::zone;
+use balancer::{
+    Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights, Settings,
+    SlowStart, Tenant,
+};
+use serde::Deserialize;
+
+/// The settings as they are written, under the operators' names.
+#[derive(Deserialize)]
+pub(crate) struct SettingsMessage {
+    #[serde(rename = "balancers")]
+    balancer_count: u32,
+    #[serde(rename = "me", default)]
+    balancer_index: u32,
+    #[serde(rename = "locality", default)]
+    zone: Option<String>,
+    pub(crate) classes: Vec<ClassMessage>,
+    #[serde(default)]
+    pub(crate) tenants: Vec<TenantMessage>,
+    #[serde(rename = "discovery", default)]
+    discovery_mode: String,
+    #[serde(default)]
+    limits: LimitsMessage,
+    invariants: InvariantsMessage,
+    #[serde(rename = "result_mix", default)]
+    score_weights: ScoreWeightsMessage,
+    #[serde(rename = "tick_us", default)]
+    clock_resolution_us: u64,
+}
+
+#[derive(Deserialize)]
+pub(crate) struct ClassMessage {
+    pub(crate) name: String,
+    #[serde(rename = "objective_us")]
+    latency_objective_us: u64,
+    deadline_us: u64,
+    #[serde(rename = "worth", default)]
+    priority_weight: f64,
+    #[serde(rename = "late_value", default)]
+    late_weight_fraction: f64,
+    idempotency: String,
+    #[serde(rename = "dedup_scope", default)]
+    deduplication_scope: String,
+    #[serde(rename = "repeat_window_us", default)]
+    deduplication_window_us: u64,
+}
+
+#[derive(Deserialize)]
+pub(crate) struct TenantMessage {
+    pub(crate) name: String,
+    #[serde(rename = "portion", default)]
+    quota: f64,
+}
+
+#[derive(Deserialize)]
+#[serde(default)]
+struct LimitsMessage {
+    #[serde(rename = "cancel")]
+    cancellation: bool,
+    #[serde(rename = "probes")]
+    health_checks: bool,
+    #[serde(rename = "second_copies")]
+    hedging: bool,
+    max_attempts: u32,
+    max_retry_after_us: u64,
+}
+
+impl Default for LimitsMessage {
+    fn default() -> Self {
+        LimitsMessage {
+            cancellation: false,
+            health_checks: false,
+            hedging: false,
+            max_attempts: 1,
+            max_retry_after_us: 0,
+        }
+    }
+}
+
+#[derive(Deserialize)]
+struct InvariantsMessage {
+    #[serde(rename = "cold_from")]
+    initial_capacity: f64,
+    #[serde(rename = "cold_us")]
+    slow_start_us: u64,
+    #[serde(rename = "fall_multiple", default = "default_overload_multiple")]
+    overload_multiple: f64,
+    #[serde(rename = "ask_every_us", default = "default_max_poll_interval")]
+    max_poll_interval_us: u64,
+    #[serde(rename = "told_after_us", default = "default_notification_deadline")]
+    notification_deadline_us: u64,
+}
+
+fn default_overload_multiple() -> f64 {
+    Settings::default().slow_start.overload_multiple
+}
+
+fn default_max_poll_interval() -> u64 {
+    Settings::default().discovery.max_poll_interval
+}
+
+fn default_notification_deadline() -> u64 {
+    Settings::default().discovery.notification_deadline
+}
+
+#[derive(Deserialize)]
+#[serde(default)]
+struct ScoreWeightsMessage {
+    #[serde(rename = "whole")]
+    overall: f64,
+    worst_class: f64,
+}
+
+impl Default for ScoreWeightsMessage {
+    fn default() -> Self {
+        ScoreWeightsMessage { overall: 1.0, worst_class: 0.0 }
+    }
+}
+
+impl ClassMessage {
+    fn class(&self) -> Class {
+        Class {
+            latency_objective: self.latency_objective_us,
+            deadline: self.deadline_us,
+            priority_weight: self.priority_weight,
+            late_weight_fraction: self.late_weight_fraction,
+            idempotency: self.idempotency(),
+        }
+    }
+
+    /// An unknown idempotency or scope counts as non-idempotent, which is always safe.
+    fn idempotency(&self) -> Idempotency {
+        let scope = match self.deduplication_scope.as_str() {
+            "all" => Some(DeduplicationScope::All),
+            "zone" => Some(DeduplicationScope::Zone),
+            "cell" => Some(DeduplicationScope::Cell),
+            _ => None,
+        };
+        match (self.idempotency.as_str(), scope) {
+            ("free", _) => Idempotency::Idempotent,
+            ("guarded", Some(scope)) => Idempotency::Keyed { scope, window: self.deduplication_window_us },
+            _ => Idempotency::NonIdempotent,
+        }
+    }
+}
+
+impl SettingsMessage {
+    /// The settings in the balancer's terms.
+    pub(crate) fn settings(&self) -> Settings {
+        let mode = if self.discovery_mode == "ask" { DiscoveryMode::Poll } else { DiscoveryMode::Push };
+        Settings {
+            balancer_count: self.balancer_count,
+            balancer_index: self.balancer_index,
+            clock_resolution: self.clock_resolution_us,
+            zone: self.zone.as_deref().map(zone),
+            classes: self.classes.iter().map(ClassMessage::class).collect(),
+            tenants: self.tenants.iter().map(|tenant| Tenant { quota: tenant.quota }).collect(),
+            limits: Limits {
+                cancellation: self.limits.cancellation,
+                health_checks: self.limits.health_checks,
+                hedging: self.limits.hedging,
+                max_attempts: self.limits.max_attempts,
+                // Taken even if clients are declared not to respect it: a rejection over HTTP always
+                // carries `Retry-After`.
+                max_retry_after: self.limits.max_retry_after_us,
+            },
+            slow_start: SlowStart {
+                initial_capacity: self.invariants.initial_capacity,
+                duration: self.invariants.slow_start_us,
+                overload_multiple: self.invariants.overload_multiple,
+            },
+            discovery: Discovery {
+                mode,
+                max_poll_interval: self.invariants.max_poll_interval_us,
+                notification_deadline: self.invariants.notification_deadline_us,
+            },
+            score_weights: ScoreWeights {
+                overall: self.score_weights.overall,
+                worst_class: self.score_weights.worst_class,
+            },
+        }
+    }
+}
--- a/settings/tests/names.rs
+++ b/settings/tests/names.rs
@@ -1,4 +1,5 @@
-//! The settings' keys and values, each with one that is not its default. The names are the operators' own and never change.
+//! The settings' keys and values, each with one that is not its default. The names are the
+//! operators' own and never change.
 
 use balancer::{
     Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights, Settings,
@@ -13,7 +14,7 @@
         json!({"name": name, "objective_us": 1, "deadline_us": 2, "worth": 3.0, "late_value": 0.5,
             "idempotency": idempotency, "dedup_scope": scope, "repeat_window_us": 6})
     };
-    let facts = json!({
+    let message = json!({
         "balancers": 7, "me": 5, "locality": "split-dc", "discovery": "ask", "tick_us": 8,
         "classes": [
             class("a", "free", ""), class("b", "guarded", "all"), class("c", "guarded", "zone"),
@@ -56,13 +57,13 @@
         discovery: Discovery { mode: DiscoveryMode::Poll, max_poll_interval: 14, notification_deadline: 15 },
         score_weights: ScoreWeights { overall: 0.16, worst_class: 0.17 },
     };
-    let (settings, classes, tenants) = read(&facts).expect("settings");
-    assert_eq!(settings, expected);
-    assert_eq!(classes, ["a", "b", "c", "d", "e"]);
-    assert_eq!(tenants, ["t", "u"]);
+    let site = read(&message).expect("settings");
+    assert_eq!(site.settings, expected);
+    assert_eq!(site.class_names, ["a", "b", "c", "d", "e"]);
+    assert_eq!(site.tenant_names, ["t", "u"]);
 }
 
-/// Two programs that number zones differently would take each other's zones for foreign ones.
+/// Two programs that number zones differently would treat each other's zones as foreign.
 #[test]
 fn a_zones_number_is_the_hash_of_its_name() {
     assert_eq!(zone("").0, 0x811c_9dc5);
