--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -2,7 +2,6 @@
 //! more.
 
 use crate::concurrency_limit::{enough, ConcurrencyLimit, BACKOFF_DOUBLINGS, RATE_MEMORY};
-use crate::state::ClassRejections;
 use crate::*;
 
 /// Memory of how busy a server was kept, in sends of this balancer for each server: calls differ in
@@ -147,3 +146,15 @@
         self.budget.steps == 0 && self.budget.trial_ready(now) && self.open(now, served, slow_start)
     }
 }
+
+/// What a server makes of the calls of one class.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct ClassRejections {
+    /// Turned away in a row, and when the first of those was sent.
+    pub(crate) refused: u32,
+    pub(crate) since: Micros,
+    /// When the last one that was served had been sent.
+    pub(crate) served: Micros,
+    /// Others are tried first before this time.
+    pub(crate) not_before: Micros,
+}
--- a/balancer/src/latency.rs
+++ b/balancer/src/latency.rs
@@ -1,7 +1,6 @@
 //! How long answers of a class take.
 
 use crate::concurrency_limit::SMOOTHING;
-use crate::state::LatencyEstimate;
 use crate::Micros;
 
 /// Time over which a class's unloaded answer time may drift up to its present mean.
@@ -25,6 +24,22 @@
 /// all.
 const POOL_STRAIN_MOST: f64 = 2.0;
 
+/// Answer times of a class: the present mean and the least it has been, which stands for an
+/// unloaded server.
+#[derive(Debug, Default)]
+pub(crate) struct LatencyEstimate {
+    pub(crate) mean: f64,
+    pub(crate) base: f64,
+    /// Nearly all answers come within this: a percentile that is followed step by step.
+    pub(crate) tail: f64,
+    pub(crate) seen: u32,
+    /// The class's aim, and when an aim has gone by since the first answer.
+    pub(crate) latency_objective: Micros,
+    pub(crate) fair_from: Micros,
+    pub(crate) at: Micros,
+    pub(crate) asked: f64,
+}
+
 impl LatencyEstimate {
     /// How long an answer of this class may take before its server counts as strained.
     pub(crate) fn limit(&self) -> f64 {
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -35,19 +35,31 @@
 #![forbid(unsafe_code)]
 
 mod action;
+mod admission;
+mod attempt;
 mod balancer;
 mod concurrency_limit;
 mod endpoint;
+mod endpoint_list;
 mod endpoint_start;
 mod event;
+mod feedback;
+mod forwarding;
+mod hedging;
 mod ids;
 mod latency;
 mod list_polling;
 mod outcome;
+mod outlier_detection;
+mod queue_dispatch;
+mod request;
+mod request_lifecycle;
+mod retry;
 mod selection;
 mod settings;
+mod shared_limit;
 mod slow_start;
-mod state;
+mod subset;
 
 pub use action::{Action, LogEvent};
 pub use balancer::Balancer;
--- a/balancer/src/selection.rs
+++ b/balancer/src/selection.rs
@@ -1,10 +1,17 @@
 //! Which endpoint gets a request: the less loaded of two random ones within this balancer's subset.
 
-use crate::balancer::{Balancer, SUBSET_LOAD, SUBSET_MIN_SIZE};
+use crate::attempt::Trial;
+use crate::balancer::Balancer;
 use crate::endpoint::Endpoint;
-use crate::state::{Route, Trial};
 use crate::*;
 
+/// Where a call goes.
+pub(crate) enum Route {
+    Forward { endpoint: usize, trial: Trial },
+    Queue,
+    Reject { retry_after: Micros },
+}
+
 impl Balancer {
     /// Send, hold or refuse?
     pub(crate) fn route(&mut self, now: Micros, id: RequestId) -> Route {
@@ -58,18 +65,6 @@
         }
     }
 
-    /// Whether a server's zone is not passed over.
-    pub(crate) fn is_zone_reachable(&self, now: Micros, endpoint: &Endpoint) -> bool {
-        self.cut_off.get(&endpoint.zone).is_none_or(|cut| now >= cut.1)
-    }
-
-    /// How many servers calls are spread over: a thin balancer that went to all would open a
-    /// connection for nearly every call, past what servers accept, and would learn of none of them.
-    pub(crate) fn subset_size(&self) -> usize {
-        let busy = self.shared_limit.as_ref().map_or(f64::MAX, |p| p.used / SUBSET_LOAD);
-        (busy as usize).max(SUBSET_MIN_SIZE).min(self.endpoints.len())
-    }
-
     /// The less loaded of two random ones by own calls in flight; then the near one, then the
     /// recent past.
     pub(crate) fn two_choices(&mut self, among: &[usize]) -> Option<usize> {
@@ -97,13 +92,4 @@
         };
         Some(if load(b) < load(a) { b } else { a })
     }
-
-    /// All servers from this balancer's place on: places are at even distances on the ring of
-    /// servers.
-    pub(crate) fn subset_ring(&self) -> impl Iterator<Item = usize> + Clone {
-        let len = self.endpoints.len();
-        let start =
-            self.settings.balancer_index as usize * len / self.settings.balancer_count.max(1) as usize;
-        (start..start + len).map(move |i| i % len)
-    }
 }
