--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -1,7 +1,7 @@
 //! Which requests join the pending queue.
 
 use crate::balancer::*;
-use crate::concurrency_limit::SMOOTHING;
+use crate::concurrency_limit::LATENCY_SMOOTHING;
 use crate::request::Request;
 use crate::*;
 
@@ -13,7 +13,7 @@
         let deadline = now.saturating_add(left);
         let (class, class_id, arrived) = (spec, class.0, now);
         self.requests.insert(id, Request { class, class_id, arrived, deadline, ..Request::default() });
-        self.retries = (self.retries + RETRY_EARNED).min(RETRY_SAVED);
+        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
         self.latencies.iter_mut().skip(class_id).take(1).for_each(|p| p.asked += 1.0);
     }
 
@@ -42,11 +42,10 @@
         let typical_latency = self.typical_latency(request.class_id, request.class.latency_objective);
         let latency_objective = request.objective_at().saturating_sub(request.arrived) as f64;
         let limit = match is_over_quota {
-            true => latency_objective * WAIT_AIM / 2.0,
-            false if self.is_high_priority(request) => {
-                (latency_objective * WAIT_AIM).max(latency_objective - SPARE_TIMES * typical_latency)
-            }
-            false => latency_objective * WAIT_AIM,
+            true => latency_objective * QUEUE_WAIT_OBJECTIVE_FRACTION / 2.0,
+            false if self.is_high_priority(request) => (latency_objective * QUEUE_WAIT_OBJECTIVE_FRACTION)
+                .max(latency_objective - SLACK_TYPICAL_LATENCIES * typical_latency),
+            false => latency_objective * QUEUE_WAIT_OBJECTIVE_FRACTION,
         };
         limit.min(latency_objective - typical_latency).max(0.0) as Micros
     }
@@ -66,7 +65,7 @@
     pub(crate) fn is_over_quota(&mut self, tenant: TenantId) -> bool {
         let Some(share) = self.settings.tenants.get(tenant.0).map(|t| t.quota) else { return true };
         for (index, asked) in self.tenants.iter_mut().enumerate() {
-            *asked += (if index == tenant.0 { 1.0 } else { 0.0 } - *asked) * SMOOTHING / 10.0;
+            *asked += (if index == tenant.0 { 1.0 } else { 0.0 } - *asked) * LATENCY_SMOOTHING / 10.0;
         }
         let all: f64 = self.tenants.iter().sum();
         self.tenants[tenant.0] > all * share * 1.1
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -21,59 +21,59 @@
 // Constants. Spans are ratios to the settings' aims or to observed answer times.
 
 /// What a refusal as full leaves of the concurrency.
-pub(crate) const CUT_FULL: f64 = 0.8;
+pub(crate) const REJECTION_CUT_FACTOR: f64 = 0.8;
 /// Strain beyond which a server is ejected under a shared budget, also in times the strain that all
 /// show: it is no outlier where all are slow. One late answer is chance: it must have shown most of
 /// that before.
-pub(crate) const EJECT_STRAIN: f64 = 1.1;
-pub(crate) const EJECT_TIMES: f64 = 1.3;
-pub(crate) const EJECT_BEFORE: f64 = 0.8;
+pub(crate) const EJECTION_LATENCY_PRESSURE: f64 = 1.1;
+pub(crate) const EJECTION_SHARED_PRESSURE_MULTIPLE: f64 = 1.3;
+pub(crate) const EJECTION_PRIOR_LATENCY_PRESSURE: f64 = 0.8;
 /// Reported share of busy cores that is as much as an answer at that limit: above it waiting grows
 /// steeply.
-pub(crate) const BUSY_FULL: f64 = 0.9;
+pub(crate) const FULL_CPU_UTILIZATION: f64 = 0.9;
 /// Strain beyond which a budget is cut below its floor: answers take more than half their aim.
-pub(crate) const STRAIN_DEEP: f64 = 1.5;
+pub(crate) const DEEP_CUT_LATENCY_PRESSURE: f64 = 1.5;
 /// Weight of a new outcome in a server's share of failures, and the share that sets it aside: two
 /// in four.
-pub(crate) const FAIL_WEIGHT: f64 = 0.2;
-pub(crate) const FAIL_LIMIT: f64 = 0.3;
+pub(crate) const FAILURE_RATE_SMOOTHING: f64 = 0.2;
+pub(crate) const EJECTION_FAILURE_RATE: f64 = 0.3;
 /// Weight of a time-out under a shared budget: one is enough. A hundred balancers that each wait
 /// for several keep a jammed server busy for good with calls that come too late.
-pub(crate) const POOL_LATE_WEIGHT: f64 = 1.2 * FAIL_LIMIT;
+pub(crate) const SHARED_TIMEOUT_SMOOTHING: f64 = 1.2 * EJECTION_FAILURE_RATE;
 /// First backoff as a share of the longest aim.
-pub(crate) const BACKOFF_AIM: f64 = 0.25;
+pub(crate) const INITIAL_BACKOFF_OBJECTIVE_FRACTION: f64 = 0.25;
 /// Wait in the hold beyond which new calls are refused, as a share of their aim.
-pub(crate) const WAIT_AIM: f64 = 0.1;
+pub(crate) const QUEUE_WAIT_OBJECTIVE_FRACTION: f64 = 0.1;
 /// Usual answer times that must be left before the aim: for a second copy, and for a protected call
 /// to wait.
-pub(crate) const SPARE_TIMES: f64 = 2.0;
+pub(crate) const SLACK_TYPICAL_LATENCIES: f64 = 2.0;
 /// Further attempts and second copies that each call earns, and the most that may be saved up.
-pub(crate) const RETRY_EARNED: f64 = 0.2;
-pub(crate) const RETRY_SAVED: f64 = 20.0;
+pub(crate) const RETRIES_PER_REQUEST: f64 = 0.2;
+pub(crate) const MAX_RETRY_BUDGET: f64 = 20.0;
 /// What second copies leave of it: they may turn out needless, while a failed attempt is lost for
 /// sure.
-pub(crate) const RETRY_KEPT: f64 = RETRY_SAVED / 2.0;
+pub(crate) const HEDGING_RETRY_RESERVE: f64 = MAX_RETRY_BUDGET / 2.0;
 /// Held calls looked at beyond the first, at an event: it bounds the CPU that a long hold costs.
-pub(crate) const SCAN_LIMIT: usize = 16;
+pub(crate) const MAX_QUEUE_SCAN: usize = 16;
 /// Servers that a shared budget's calls go to at the least, and the mean in flight at each beyond
 /// which more. The fewer they are, the sooner answers tell of each, and the fewer balancers have to
 /// learn it of a server.
-pub(crate) const SUBSET_MIN_SIZE: usize = 8;
-pub(crate) const SUBSET_LOAD: f64 = 0.8;
+pub(crate) const MIN_SUBSET_SIZE: usize = 8;
+pub(crate) const SUBSET_REQUESTS_PER_ENDPOINT: f64 = 0.8;
 /// Part of the slow_start' limit that cold servers are sent: half, as one may do half of what the
 /// mean one does, and half of that again less, as calls are of uneven work and each server is
 /// within reach of few balancers.
-pub(crate) const COLD_PART: f64 = 0.24;
+pub(crate) const SLOW_START_OVERLOAD_FRACTION: f64 = 0.24;
 /// Parts of a cold server's first call of which any number may have been earned when it is heard
 /// of.
-pub(crate) const PARTS: u64 = 1 << 20;
+pub(crate) const INITIAL_CREDIT_STEPS: u64 = 1 << 20;
 /// Doublings of a zone's backoff up to a server's first: one failed connection says little of a
 /// zone.
-pub(crate) const ZONE_DOUBLINGS: u32 = 3;
+pub(crate) const ZONE_BACKOFF_DOUBLINGS: u32 = 3;
 /// Doublings of the rounds of calls for which a server is left to itself by one of very many
 /// balancers, over those of its backoff: the trials of all of them can be as much as a server that
 /// has slowed down can do.
-pub(crate) const REST_DOUBLINGS: u32 = 2;
+pub(crate) const COOL_DOWN_DOUBLINGS: u32 = 2;
 
 pub(crate) type Actions = Vec<Action>;
 
@@ -125,7 +125,7 @@
             requests: BTreeMap::new(),
             queue: VecDeque::new(),
             wakes: BTreeSet::new(),
-            retries: RETRY_SAVED,
+            retries: MAX_RETRY_BUDGET,
             listed: 0,
             ejected_count: 0,
             sends: 0,
@@ -236,7 +236,7 @@
     }
 
     pub(crate) fn first_backoff(&self) -> Micros {
-        ((self.longest_latency_objective() * BACKOFF_AIM) as Micros).max(1_000)
+        ((self.longest_latency_objective() * INITIAL_BACKOFF_OBJECTIVE_FRACTION) as Micros).max(1_000)
     }
 
     pub(crate) fn longest_latency_objective(&self) -> f64 {
--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -1,12 +1,12 @@
 //! A server as one balancer sees it: what it was sent, what came of that, and whether it takes
 //! more.
 
-use crate::concurrency_limit::{enough, ConcurrencyLimit, BACKOFF_DOUBLINGS, RATE_MEMORY};
+use crate::concurrency_limit::{enough, ConcurrencyLimit, MAX_BACKOFF_DOUBLINGS, UTILIZATION_MEMORY_US};
 use crate::*;
 
 /// Memory of how busy a server was kept, in sends of this balancer for each server: calls differ in
 /// their work far more than servers in their speed.
-const BUSY_ROUNDS: f64 = 16.0;
+const RECENT_LOAD_MEMORY_ROUNDS: f64 = 16.0;
 
 /// A server as this balancer sees it.
 #[derive(Debug, Default)]
@@ -90,7 +90,8 @@
                 if rejections.refused == 1 {
                     rejections.since = sent;
                 } else if served > rejections.since {
-                    rejections.not_before = now + (first << (rejections.refused - 2).min(BACKOFF_DOUBLINGS));
+                    rejections.not_before =
+                        now + (first << (rejections.refused - 2).min(MAX_BACKOFF_DOUBLINGS));
                     return true;
                 }
             }
@@ -102,7 +103,7 @@
     /// With few calls there are none in flight at most servers: recent past and listed size tell
     /// them apart.
     pub(crate) fn recent_load(&self, sends: f64, per: f64) -> f64 {
-        self.busy * (-(sends - self.busy_at as f64) / (per * BUSY_ROUNDS)).exp() / self.weight
+        self.busy * (-(sends - self.busy_at as f64) / (per * RECENT_LOAD_MEMORY_ROUNDS)).exp() / self.weight
     }
 
     pub(crate) fn kept_busy(&mut self, time: f64, sends: u64, per: f64) {
@@ -129,7 +130,8 @@
         let paced = self.slow_start_credit >= 1.0
             || now >= self.slow_start_due
             || self.warm_up(now, slow_start) >= 1.0;
-        let rested = served >= self.rest || now.saturating_sub(self.heard) as f64 >= 3.0 * RATE_MEMORY;
+        let rested =
+            served >= self.rest || now.saturating_sub(self.heard) as f64 >= 3.0 * UTILIZATION_MEMORY_US;
         self.listed && now >= self.not_before && paced && rested
     }
 
--- a/balancer/src/endpoint_list.rs
+++ b/balancer/src/endpoint_list.rs
@@ -25,7 +25,8 @@
                 endpoint.kept_busy(self.longest_typical_latency(), self.sends, 1.0);
                 // Balancers hear of a cold server together: each waits a random part before its
                 // first call.
-                endpoint.slow_start_credit = self.below(PARTS) as f64 / PARTS as f64;
+                endpoint.slow_start_credit =
+                    self.below(INITIAL_CREDIT_STEPS) as f64 / INITIAL_CREDIT_STEPS as f64;
                 endpoint.slow_start_due =
                     now.saturating_add(self.below(self.slow_start_interval(now, &endpoint)));
                 self.endpoints.splice(place..place + usize::from(found.is_ok()), [endpoint]);
@@ -56,7 +57,8 @@
         self.ejected_count = self.endpoints.iter().filter(|s| s.listed && s.budget.steps == 0).count();
         // Servers of a lost zone get no calls: counted as up, their going from the list would halve
         // a budget that those left have already been found to bear.
-        let lost = |s: &&Endpoint| self.cut_off.get(&s.zone).is_some_and(|cut| cut.0 > ZONE_DOUBLINGS);
+        let lost =
+            |s: &&Endpoint| self.cut_off.get(&s.zone).is_some_and(|cut| cut.0 > ZONE_BACKOFF_DOUBLINGS);
         let cut_off = self.endpoints.iter().filter(|s| s.listed && s.budget.steps > 0).filter(lost).count();
         self.shared_limit.iter_mut().for_each(|p| p.up = (self.listed - self.ejected_count - cut_off) as f64);
     }
--- a/balancer/src/endpoint_start.rs
+++ b/balancer/src/endpoint_start.rs
@@ -14,10 +14,10 @@
 use std::collections::BTreeMap;
 
 /// How much later than a server's start the list may tell of it.
-const LIST_LAG: Micros = 2_000_000;
+const MAX_LIST_LAG_US: Micros = 2_000_000;
 /// How long a server that has left the list is remembered: one that comes back with its stamp has
 /// not started anew.
-const MEMORY: Micros = 600_000_000;
+const ENDPOINT_RETENTION_US: Micros = 600_000_000;
 
 /// The start of a server's present process.
 #[derive(Clone, Copy, Debug)]
@@ -65,7 +65,7 @@
 
     fn began_within_bounds(&self, now: Micros, stamp: Micros, ahead: Micros) -> Micros {
         match self.current_at {
-            Some(since) => stamp.clamp(since.saturating_sub(LIST_LAG).min(now), now),
+            Some(since) => stamp.clamp(since.saturating_sub(MAX_LIST_LAG_US).min(now), now),
             None => stamp.saturating_sub(ahead),
         }
     }
@@ -81,7 +81,7 @@
             if is_listed(endpoint) {
                 start.listed_at = now;
             }
-            now.saturating_sub(start.listed_at) < MEMORY
+            now.saturating_sub(start.listed_at) < ENDPOINT_RETENTION_US
         });
     }
 }
--- a/balancer/src/feedback.rs
+++ b/balancer/src/feedback.rs
@@ -2,7 +2,7 @@
 
 use crate::attempt::{Attempt, Trial};
 use crate::balancer::*;
-use crate::concurrency_limit::{BACKOFF_DOUBLINGS, SMOOTHING};
+use crate::concurrency_limit::{LATENCY_SMOOTHING, MAX_BACKOFF_DOUBLINGS};
 use crate::*;
 
 impl Balancer {
@@ -18,7 +18,7 @@
             LoadReport { in_flight: Some(in_flight), queued: Some(queued), .. } => {
                 queued / (in_flight - queued).max(1.0)
             }
-            LoadReport { cpu_utilization: Some(busy), .. } => busy / BUSY_FULL,
+            LoadReport { cpu_utilization: Some(busy), .. } => busy / FULL_CPU_UTILIZATION,
             _ => return,
         };
         self.endpoints[place].reported_load =
@@ -66,8 +66,8 @@
         let lost = matches!(outcome, Outcome::ConnectFailed | Outcome::Truncated | Outcome::Reset);
         let cut = self.cut_off.entry(zone).or_default();
         if lost && self.shared_limit.is_some() {
-            let doublings = cut.0.min(BACKOFF_DOUBLINGS + ZONE_DOUBLINGS);
-            *cut = (cut.0.saturating_add(1), now + ((first << doublings) >> ZONE_DOUBLINGS));
+            let doublings = cut.0.min(MAX_BACKOFF_DOUBLINGS + ZONE_BACKOFF_DOUBLINGS);
+            *cut = (cut.0.saturating_add(1), now + ((first << doublings) >> ZONE_BACKOFF_DOUBLINGS));
         } else if !outcome.is_neutral() && outcome != Outcome::TimedOut {
             *cut = (0, 0);
         }
@@ -103,14 +103,14 @@
         // So does what one connection did: now and then an answer is spoilt or breaks off at any
         // server.
         let weight = match outcome {
-            Outcome::TimedOut if thin => POOL_LATE_WEIGHT,
-            Outcome::TimedOut | Outcome::Unknown | Outcome::Reset => FAIL_WEIGHT / 2.0,
-            _ => FAIL_WEIGHT,
+            Outcome::TimedOut if thin => SHARED_TIMEOUT_SMOOTHING,
+            Outcome::TimedOut | Outcome::Unknown | Outcome::Reset => FAILURE_RATE_SMOOTHING / 2.0,
+            _ => FAILURE_RATE_SMOOTHING,
         };
         endpoint.failing += (if failed { 1.0 } else { 0.0 } - endpoint.failing) * weight;
         // Few answers a second must not make the strain a memory of long ago.
         let gap = now.saturating_sub(endpoint.heard) as f64 / longest_latency_objective;
-        let weight = SMOOTHING.max(1.0 - (-gap).exp());
+        let weight = LATENCY_SMOOTHING.max(1.0 - (-gap).exp());
         endpoint.heard = now;
         let before = endpoint.latency_pressure;
         if !failed {
@@ -127,12 +127,14 @@
         // Latency well above an unloaded server's is the sign, beside refusals, of too much in
         // flight.
         if outcome == Outcome::Rejected {
-            endpoint.budget.cut(CUT_FULL, true);
+            endpoint.budget.cut(REJECTION_CUT_FACTOR, true);
             // Fast refusals leave it looking idle: without a pause it would draw in call after
             // call.
             endpoint.not_before = endpoint.not_before.max(now + longest as Micros);
         } else if endpoint.latency_pressure > 1.0 && endpoint.settled(now, longest) {
-            endpoint.budget.cut(1.0 / endpoint.latency_pressure, endpoint.latency_pressure > STRAIN_DEEP);
+            endpoint
+                .budget
+                .cut(1.0 / endpoint.latency_pressure, endpoint.latency_pressure > DEEP_CUT_LATENCY_PRESSURE);
             // The cut answers for part of it: one jam is cut for once.
             endpoint.latency_pressure = endpoint.latency_pressure.sqrt();
             (endpoint.answers_since, endpoint.changed) = (0, now);
@@ -142,13 +144,13 @@
         // step goes when one more breaks soon after, and the last step with the server's share of
         // failures.
         let lively = endpoint.answered > 0 && now.saturating_sub(endpoint.answered) <= first;
-        let proof = endpoint.failing > FAIL_LIMIT / 2.0 && endpoint.budget.steps > 1;
+        let proof = endpoint.failing > EJECTION_FAILURE_RATE / 2.0 && endpoint.budget.steps > 1;
         endpoint.budget.steps -= u32::from(lost && was_up && (proof || !lively));
         endpoint.budget.trial_out &= trial != Trial::Endpoint;
         if trial == Trial::Endpoint {
             if outcome != Outcome::Served {
                 endpoint.budget.back_off(now, first);
-            } else if was_up || endpoint.failing < FAIL_LIMIT / 2.0 {
+            } else if was_up || endpoint.failing < EJECTION_FAILURE_RATE / 2.0 {
                 endpoint.budget.trial_served();
                 (endpoint.answers_since, endpoint.changed) = (0, now);
                 if !was_up {
@@ -159,13 +161,19 @@
         // Fast errors and refusals make a server look idle: its budget alone would draw calls in.
         // One that is slow under a shared budget is crowded by all: it recovers only when all leave
         // it alone.
-        let most = self.shared_limit.as_ref().map(|p| EJECT_STRAIN.max(p.latency_pressure * EJECT_TIMES));
+        let most = self
+            .shared_limit
+            .as_ref()
+            .map(|p| EJECTION_LATENCY_PRESSURE.max(p.latency_pressure * EJECTION_SHARED_PRESSURE_MULTIPLE));
         let warm = endpoint.warm_up(now, &self.settings.slow_start) >= 1.0;
         let slow = warm
             && !failed
-            && before > EJECT_BEFORE
+            && before > EJECTION_PRIOR_LATENCY_PRESSURE
             && most.is_some_and(|most| endpoint.latency_pressure > most);
-        if was_up && (slow || endpoint.failing > FAIL_LIMIT) && (self.ejected_count + 1) * 2 <= self.listed {
+        if was_up
+            && (slow || endpoint.failing > EJECTION_FAILURE_RATE)
+            && (self.ejected_count + 1) * 2 <= self.listed
+        {
             endpoint.budget.steps = 0;
         }
         if was_up && endpoint.budget.steps == 0 {
@@ -177,7 +185,7 @@
         // Many balancers that each try it now and then are no rest: it is tried by a part of the
         // usual calls, at first a quarter of its share of them.
         if self.shared_limit.is_some() && (outcome == Outcome::Rejected || endpoint.budget.steps == 0) {
-            endpoint.rest = self.served + ((per as u64) << (REST_DOUBLINGS + endpoint.budget.doublings));
+            endpoint.rest = self.served + ((per as u64) << (COOL_DOWN_DOUBLINGS + endpoint.budget.doublings));
         }
         if outcome == Outcome::Served {
             self.earn_slow_start_credit(now);
--- a/balancer/src/forwarding.rs
+++ b/balancer/src/forwarding.rs
@@ -38,7 +38,7 @@
         // be late.
         let first = self.first_backoff();
         let endpoint = &mut self.endpoints[place];
-        if let Some(cut) = self.cut_off.get_mut(&endpoint.zone).filter(|cut| cut.0 > ZONE_DOUBLINGS) {
+        if let Some(cut) = self.cut_off.get_mut(&endpoint.zone).filter(|cut| cut.0 > ZONE_BACKOFF_DOUBLINGS) {
             cut.1 = now + first;
         }
         endpoint.budget.trial_out |= trial == Trial::Endpoint;
@@ -62,7 +62,8 @@
         actions.push(Action::Forward { request: id, endpoint, start_within });
         // The latest moment at which a second copy can still be in time, but not before the first
         // is late.
-        let copy_at = (latency_objective as f64 - SPARE_TIMES * typical_latency).max(arrived as f64 + tail);
+        let copy_at =
+            (latency_objective as f64 - SLACK_TYPICAL_LATENCIES * typical_latency).max(arrived as f64 + tail);
         // A shared budget tells nothing of one server: the copy would only add to the work.
         let copies =
             copies == 1 && !non_replayable && self.settings.limits.hedging && self.shared_limit.is_none();
--- a/balancer/src/hedging.rs
+++ b/balancer/src/hedging.rs
@@ -18,7 +18,7 @@
                 && request.may_go(now, s, clock_resolution)
                 && request.untried(s.id)
         };
-        let slack = self.retries >= RETRY_KEPT + 1.0 && self.queue.is_empty();
+        let slack = self.retries >= HEDGING_RETRY_RESERVE + 1.0 && self.queue.is_empty();
         if !more || !slack || !self.endpoints.iter().any(some) {
             return;
         }
--- a/balancer/src/latency.rs
+++ b/balancer/src/latency.rs
@@ -1,28 +1,28 @@
 //! How long answers of a class take.
 
-use crate::concurrency_limit::SMOOTHING;
+use crate::concurrency_limit::LATENCY_SMOOTHING;
 use crate::Micros;
 
 /// Time over which a class's unloaded answer time may drift up to its present mean.
-const BASE_DRIFT: f64 = 120e6;
+const BASE_DRIFT_US: f64 = 120e6;
 /// Share of a class's answers that come before a call counts as late.
-const TAIL_SHARE: f64 = 0.95;
+const TAIL_QUANTILE: f64 = 0.95;
 
 /// An answer is strained beyond this many times its class's unloaded time: about two calls a core.
-const STRAIN_TIMES: f64 = 3.0;
+const LIMIT_BASE_MULTIPLE: f64 = 3.0;
 /// ... or beyond this share of its aim, whichever is shorter.
-const STRAIN_AIM: f64 = 0.33;
+const LIMIT_OBJECTIVE_FRACTION: f64 = 0.33;
 /// The same under a shared budget, of what the aim leaves for waiting. No balancer sees a server
 /// often enough to spare the one that is crowded: all have to stay well below what crowds it.
-const POOL_STRAIN_AIM: f64 = 0.2;
+const SHARED_LIMIT_SLACK_FRACTION: f64 = 0.2;
 /// ... but not below this many times the unloaded time, as at two cores that are nearly three
 /// fifths busy (M/M/2), nor beyond this share of what the aim leaves: near aims would make an idle
 /// fleet look crowded.
-const POOL_STRAIN_TIMES: f64 = 1.5;
-const POOL_STRAIN_AIM_MOST: f64 = 0.5;
+const SHARED_MIN_LIMIT_BASE_MULTIPLE: f64 = 1.5;
+const SHARED_MIN_LIMIT_SLACK_FRACTION: f64 = 0.5;
 /// Strain for which one answer counts there at the most: a few that met slow servers are no sign of
 /// all.
-const POOL_STRAIN_MOST: f64 = 2.0;
+const MAX_SHARED_LATENCY_PRESSURE: f64 = 2.0;
 
 /// Answer times of a class: the present mean and the least it has been, which stands for an
 /// unloaded server.
@@ -43,16 +43,20 @@
 impl LatencyEstimate {
     /// How long an answer of this class may take before its server counts as strained.
     pub(crate) fn limit(&self) -> f64 {
-        (self.base * STRAIN_TIMES).min(self.latency_objective as f64 * STRAIN_AIM).max(self.base)
+        (self.base * LIMIT_BASE_MULTIPLE)
+            .min(self.latency_objective as f64 * LIMIT_OBJECTIVE_FRACTION)
+            .max(self.base)
     }
 
     /// How long it took, over what is allowed under a shared budget. That cannot spare the one
     /// server that is slow: it heeds what the aim leaves for waiting.
     pub(crate) fn pool_strain(&self, elapsed: f64) -> f64 {
         let slack = (self.latency_objective as f64 - self.base).max(0.0);
-        let busy = (self.base * POOL_STRAIN_TIMES).min(self.base + slack * POOL_STRAIN_AIM_MOST);
-        let limit = (self.base * STRAIN_TIMES).min(self.base + slack * POOL_STRAIN_AIM).max(busy);
-        (elapsed / limit).min(POOL_STRAIN_MOST)
+        let busy = (self.base * SHARED_MIN_LIMIT_BASE_MULTIPLE)
+            .min(self.base + slack * SHARED_MIN_LIMIT_SLACK_FRACTION);
+        let limit =
+            (self.base * LIMIT_BASE_MULTIPLE).min(self.base + slack * SHARED_LIMIT_SLACK_FRACTION).max(busy);
+        (elapsed / limit).min(MAX_SHARED_LATENCY_PRESSURE)
     }
 
     pub(crate) fn answered(&mut self, now: Micros, elapsed: f64) {
@@ -63,10 +67,10 @@
         // Of the first calls the quick ones are answered first: their mean is under what is usual.
         let early = self.seen <= 8 || now < self.fair_from;
         let sample = if !early { elapsed.min(8.0 * self.base) } else { elapsed };
-        let above = if elapsed > self.tail { TAIL_SHARE } else { TAIL_SHARE - 1.0 };
-        self.tail *= 1.0 + above * SMOOTHING;
-        self.mean += (sample - self.mean) * (1.0 / f64::from(self.seen)).max(SMOOTHING / 2.0);
-        let drift = (now.saturating_sub(self.at) as f64 / BASE_DRIFT).min(1.0);
+        let above = if elapsed > self.tail { TAIL_QUANTILE } else { TAIL_QUANTILE - 1.0 };
+        self.tail *= 1.0 + above * LATENCY_SMOOTHING;
+        self.mean += (sample - self.mean) * (1.0 / f64::from(self.seen)).max(LATENCY_SMOOTHING / 2.0);
+        let drift = (now.saturating_sub(self.at) as f64 / BASE_DRIFT_US).min(1.0);
         self.at = now;
         let drifted = if early { self.mean } else { self.base + (self.mean - self.base) * drift };
         self.base = self.mean.min(drifted).max(1.0);
--- a/balancer/src/list_polling.rs
+++ b/balancer/src/list_polling.rs
@@ -5,15 +5,15 @@
 
 /// Part of the longest time without asking after which a subscription that was open is asked for
 /// again.
-const RESUME_PART: Micros = 64;
+const WATCH_RESUME_DIVISOR: Micros = 64;
 /// The next call begins within this part of the time after which a change counts as told. The rest
 /// is for noticing that a subscription was lost or that a call failed, and for one answer.
-const ASK_PART: Micros = 2;
+const POLL_WINDOW_DIVISOR: Micros = 2;
 /// Part of the time after which a change counts as told that is left for the answer of the last
 /// call.
-const ANSWER_PART: Micros = 12;
+const RESPONSE_TIME_DIVISOR: Micros = 12;
 /// Less than this part of what is left for calls is not worth keeping to: it would not spread them.
-const SPREAD_PART: Micros = 12;
+const MIN_SPREAD_DIVISOR: Micros = 12;
 
 /// The next call for the list, and how the last ones ended.
 #[derive(Debug)]
@@ -48,25 +48,25 @@
         many: bool,
         kind: ListUpdate,
     ) -> (Micros, Micros) {
-        let longest = discovery.notification_deadline.min(discovery.max_poll_interval) / ASK_PART;
+        let longest = discovery.notification_deadline.min(discovery.max_poll_interval) / POLL_WINDOW_DIVISOR;
         match kind {
             ListUpdate::WatchLost => (self.by, self.failures) = (now + longest, 0),
             // The list was current until now: no time has gone by for noticing that it is not.
             ListUpdate::WatchFlapping => {
-                self.by =
-                    now + discovery.notification_deadline - discovery.notification_deadline / ANSWER_PART
+                self.by = now + discovery.notification_deadline
+                    - discovery.notification_deadline / RESPONSE_TIME_DIVISOR
             }
             _ => {}
         }
         let left = self.by.saturating_sub(now);
-        let most = if left * SPREAD_PART < longest { longest } else { left.min(longest) };
+        let most = if left * MIN_SPREAD_DIVISOR < longest { longest } else { left.min(longest) };
         let few = |failures: u32| {
             let wait = (discovery.max_poll_interval / 32) << failures.min(3);
             (wait / 2, wait * 3 / 2)
         };
         let bounds = match (kind, many) {
             (ListUpdate::WatchLost, _) => {
-                let wait = discovery.max_poll_interval / RESUME_PART;
+                let wait = discovery.max_poll_interval / WATCH_RESUME_DIVISOR;
                 ((wait / 2).min(most / 16), (wait * 3 / 2).min(most / 8))
             }
             // Half of the longest wait leaves time for a call that is silent, and for another.
--- a/balancer/src/queue_dispatch.rs
+++ b/balancer/src/queue_dispatch.rs
@@ -40,7 +40,7 @@
                 && self.is_zone_reachable(now, endpoint)
             {
                 // Only a call that never went: a bound one may go to some servers alone.
-                let mut queued = self.queue.iter().take(SCAN_LIMIT);
+                let mut queued = self.queue.iter().take(MAX_QUEUE_SCAN);
                 let endpoint = &self.endpoints[place];
                 let fits = |c: &Request| {
                     c.attempts.is_empty() && !c.non_replayable && endpoint.accepts_class(c.class_id, now)
@@ -63,7 +63,7 @@
                     self.give_up(id, retry_after, FailureReason::NoEndpoint, actions)
                 }
                 // Arrival order: the first that stays keeps the rest, unless bound to some servers.
-                Route::Queue if self.is_bound(now, id) && index < SCAN_LIMIT => index += 1,
+                Route::Queue if self.is_bound(now, id) && index < MAX_QUEUE_SCAN => index += 1,
                 Route::Queue => break,
             }
         }
--- a/balancer/src/shared_limit.rs
+++ b/balancer/src/shared_limit.rs
@@ -26,9 +26,10 @@
 impl SharedLimit {
     pub(crate) fn new(balancer_count: u32) -> Option<Self> {
         let of_all = |concurrency: f64| concurrency / f64::from(balancer_count.max(1));
-        let (concurrency, floor) = (of_all(POOL_START), of_all(POOL_FLOOR));
+        let (concurrency, floor) = (of_all(SHARED_INITIAL_CONCURRENCY), of_all(SHARED_CONCURRENCY_FLOOR));
         let budget = ConcurrencyLimit { steps: 1, concurrency, floor, ..ConcurrencyLimit::default() };
-        (of_all(START_CONCURRENCY) < POOL_UNDER).then(|| SharedLimit { budget, ..SharedLimit::default() })
+        (of_all(INITIAL_CONCURRENCY) < MIN_ENDPOINT_CONCURRENCY)
+            .then(|| SharedLimit { budget, ..SharedLimit::default() })
     }
 
     pub(crate) fn total(&self) -> f64 {
@@ -46,7 +47,8 @@
         if f64::from(self.out) + 1.0 <= self.total() {
             return self.at;
         }
-        let over = (self.debt - POOL_BURST * typical_latency).max(0.0) / self.total().max(f64::MIN_POSITIVE);
+        let over = (self.debt - SHARED_BURST_REQUESTS * typical_latency).max(0.0)
+            / self.total().max(f64::MIN_POSITIVE);
         self.at.saturating_add(over as Micros)
     }
 
@@ -56,13 +58,14 @@
     pub(crate) fn learn(&mut self, now: Micros, sent: Micros, latency_pressure: f64, elapsed: f64) {
         let gap = now.saturating_sub(self.heard) as f64;
         self.heard = now;
-        self.used = self.used * (-gap / RATE_MEMORY).exp() + elapsed / RATE_MEMORY;
+        self.used = self.used * (-gap / UTILIZATION_MEMORY_US).exp() + elapsed / UTILIZATION_MEMORY_US;
         if sent < self.changed {
             return;
         }
         let start_within = |memory: f64| 1.0 - (-gap / memory).exp();
-        let weight =
-            start_within(POOL_MEMORY).clamp(POOL_SMOOTHING, SMOOTHING).max(start_within(RATE_MEMORY));
+        let weight = start_within(SHARED_PRESSURE_MEMORY_US)
+            .clamp(MIN_SHARED_PRESSURE_SMOOTHING, LATENCY_SMOOTHING)
+            .max(start_within(UTILIZATION_MEMORY_US));
         self.latency_pressure += (latency_pressure - self.latency_pressure) * weight;
         self.weighed += weight;
         if self.latency_pressure > 1.0 && self.weighed >= 1.0 {
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -1,6 +1,6 @@
 //! How many requests an endpoint gets that is warming up.
 
-use crate::balancer::{Balancer, COLD_PART, FAIL_LIMIT};
+use crate::balancer::{Balancer, EJECTION_FAILURE_RATE, SLOW_START_OVERLOAD_FRACTION};
 use crate::endpoint::Endpoint;
 use crate::Micros;
 
@@ -25,7 +25,7 @@
                 // needed. One that was ejected as slow is only left alone for a while: all others
                 // answer the more for it.
                 if endpoint.budget.steps > 0
-                    || self.shared_limit.is_some() && endpoint.failing < FAIL_LIMIT / 2.0
+                    || self.shared_limit.is_some() && endpoint.failing < EJECTION_FAILURE_RATE / 2.0
                 {
                     let warm_up = endpoint.warm_up(now, slow_start);
                     (work, warm, up) = (work + endpoint.weight * warm_up, warm + warm_up, up + 1.0);
@@ -37,7 +37,7 @@
         // they can do. A list may weigh servers by what they hold: one that has just started is
         // idle, and yet no larger.
         let (part, most) = match &self.shared_limit {
-            Some(_) => (slow_start.overload_multiple * COLD_PART / work, work / warm),
+            Some(_) => (slow_start.overload_multiple * SLOW_START_OVERLOAD_FRACTION / work, work / warm),
             None => (1.0 / work, work / up),
         };
         for i in reach {
--- a/balancer/src/subset.rs
+++ b/balancer/src/subset.rs
@@ -6,8 +6,8 @@
     /// How many servers calls are spread over: a thin balancer that went to all would open a
     /// connection for nearly every call, past what servers accept, and would learn of none of them.
     pub(crate) fn subset_size(&self) -> usize {
-        let busy = self.shared_limit.as_ref().map_or(f64::MAX, |p| p.used / SUBSET_LOAD);
-        (busy as usize).max(SUBSET_MIN_SIZE).min(self.endpoints.len())
+        let busy = self.shared_limit.as_ref().map_or(f64::MAX, |p| p.used / SUBSET_REQUESTS_PER_ENDPOINT);
+        (busy as usize).max(MIN_SUBSET_SIZE).min(self.endpoints.len())
     }
 
     /// All servers from this balancer's place on: places are at even distances on the ring of
