--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -6,15 +6,15 @@
 use crate::*;
 
 impl Balancer {
-    pub(crate) fn request(&mut self, now: Micros, id: RequestId, class: ClassId, left: Micros) {
+    pub(crate) fn receive_request(&mut self, now: Micros, id: RequestId, class: ClassId, left: Micros) {
         // A class that the settings do not name is unsafe and wanted while the client waits.
         let unknown = Class { latency_objective: left, deadline: left, ..Class::default() };
         let spec = self.settings.classes.get(class.0).copied().unwrap_or(unknown);
         let deadline = now.saturating_add(left);
         let (class, class_id, arrived) = (spec, class.0, now);
         self.requests.insert(id, Request { class, class_id, arrived, deadline, ..Request::default() });
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
-        self.latencies.iter_mut().skip(class_id).take(1).for_each(|p| p.asked += 1.0);
+        self.retry_budget = (self.retry_budget + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
+        self.latencies.iter_mut().skip(class_id).take(1).for_each(|p| p.request_count += 1.0);
     }
 
     /// Lets a new call join the hold, unless it would wait too long there.
@@ -27,8 +27,8 @@
     ) {
         let is_over_quota = tenant.is_some_and(|t| self.is_over_quota(t));
         let waited = self.queue.front().map_or(0, |head| now.saturating_sub(self.requests[head].arrived));
-        if waited > self.wait_limit(id, is_over_quota) {
-            self.give_up(id, waited, FailureReason::QueueFull, actions);
+        if waited > self.queue_wait_limit(id, is_over_quota) {
+            self.abandon(id, waited, FailureReason::QueueFull, actions);
         } else {
             self.enqueue(now, id, false);
         }
@@ -37,7 +37,7 @@
     /// How long may the hold's head have waited for this call to join? Without a bound all would be
     /// served late. Classes whose worth for their work outweighs the goal's part of the worst class
     /// wait longest.
-    pub(crate) fn wait_limit(&self, id: RequestId, is_over_quota: bool) -> Micros {
+    pub(crate) fn queue_wait_limit(&self, id: RequestId, is_over_quota: bool) -> Micros {
         let request = &self.requests[&id];
         let typical_latency = self.typical_latency(request.class_id, request.class.latency_objective);
         let latency_objective = request.objective_at().saturating_sub(request.arrived) as f64;
@@ -52,8 +52,9 @@
 
     pub(crate) fn is_high_priority(&self, request: &Request) -> bool {
         let all = self.latencies.iter().zip(&self.settings.classes);
-        let (priority_weight, work) =
-            all.fold((0.0, 0.0), |(w, t), (p, c)| (w + p.asked * c.priority_weight, t + p.asked * p.base));
+        let (priority_weight, work) = all.fold((0.0, 0.0), |(w, t), (p, c)| {
+            (w + p.request_count * c.priority_weight, t + p.request_count * p.base)
+        });
         let base = self.latencies.get(request.class_id).map_or(f64::MAX, |p| p.base);
         let density = request.class.priority_weight / base * work / priority_weight.max(f64::MIN_POSITIVE);
         let score_weights = &self.settings.score_weights;
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -1,6 +1,6 @@
 //! All decisions of the balancer. Its interface (settings, events, actions) is
 //! `balancer/src/api.rs`; the mechanism and the condition of each departure from it are in
-//! `docs/design.md`. Endpoints are in `endpoint.rs`, budgets in `budget.rs`, calls for the list in
+//! `docs/design.md`. Endpoints are in `endpoint.rs`, budgets in `limit.rs`, calls for the list in
 //! `polling.rs`.
 //!
 //! A call goes to the less-loaded of two random servers under their in-flight budgets, waits in the
@@ -85,16 +85,16 @@
     pub(crate) endpoints: Vec<Endpoint>,
     pub(crate) shared_limit: Option<SharedLimit>,
     /// By zone: connections that failed in a row, and until when it is passed over.
-    pub(crate) cut_off: BTreeMap<ZoneId, (u32, Micros)>,
+    pub(crate) zone_outages: BTreeMap<ZoneId, (u32, Micros)>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) queue: VecDeque<RequestId>,
-    pub(crate) wakes: BTreeSet<(Micros, RequestId)>,
+    pub(crate) request_timers: BTreeSet<(Micros, RequestId)>,
     pub(crate) latencies: Vec<LatencyEstimate>,
     pub(crate) tenants: Vec<f64>,
-    pub(crate) retries: f64,
+    pub(crate) retry_budget: f64,
     pub(crate) listed: usize,
     pub(crate) ejected_count: usize,
-    pub(crate) sends: u64,
+    pub(crate) forwarded_count: u64,
     pub(crate) served: u64,
     pub(crate) timer_at: Micros,
     pub(crate) polling: ListPolling,
@@ -121,14 +121,14 @@
             shared_limit: SharedLimit::new(settings.balancer_count),
             settings,
             endpoints: Vec::new(),
-            cut_off: BTreeMap::new(),
+            zone_outages: BTreeMap::new(),
             requests: BTreeMap::new(),
             queue: VecDeque::new(),
-            wakes: BTreeSet::new(),
-            retries: MAX_RETRY_BUDGET,
+            request_timers: BTreeSet::new(),
+            retry_budget: MAX_RETRY_BUDGET,
             listed: 0,
             ejected_count: 0,
-            sends: 0,
+            forwarded_count: 0,
             served: 0,
             timer_at: Micros::MAX,
             polling: ListPolling::default(),
@@ -144,12 +144,12 @@
             Event::Start if self.settings.discovery.mode == DiscoveryMode::Poll => {
                 actions.push(Action::Subscribe)
             }
-            Event::EndpointList { kind, entries } => self.members(now, kind, &entries),
-            Event::Heartbeat => self.endpoint_starts.is_current(now),
+            Event::EndpointList { kind, entries } => self.update_endpoint_list(now, kind, &entries),
+            Event::Heartbeat => self.endpoint_starts.confirm_current(now),
             Event::RequestReceived { request, class, tenant, time_left, non_replayable, .. }
                 if !self.requests.contains_key(&request) =>
             {
-                self.request(now, request, class, time_left);
+                self.receive_request(now, request, class, time_left);
                 self.requests
                     .get_mut(&request)
                     .into_iter()
@@ -157,36 +157,36 @@
                 self.admit(now, request, tenant, actions);
             }
             Event::AttemptEnded { request, attempt, outcome, elapsed, request_finished, load } => {
-                self.report(request, attempt, load);
-                if let Some(tried) = self.outcome(request, attempt, outcome) {
+                self.record_load_report(request, attempt, load);
+                if let Some(tried) = self.record_outcome(request, attempt, outcome) {
                     if tried.streaming {
                         self.begin_work(now, &tried);
                     }
-                    self.learn(now, tried, outcome, elapsed, actions);
-                    self.proceed(now, request, outcome, request_finished, actions);
+                    self.learn_from_attempt(now, tried, outcome, elapsed, actions);
+                    self.continue_request(now, request, outcome, request_finished, actions);
                 }
             }
-            Event::RequestCompleted { request, time_left } => self.uploaded(now, request, time_left),
+            Event::RequestCompleted { request, time_left } => self.complete_upload(now, request, time_left),
             Event::ShutdownStarted { time_left } => {
                 self.shorten_deadlines(now, now.saturating_add(time_left))
             }
             Event::ResponseStarted { request, attempt } => {
                 // The client has its answer: nothing more is owed.
-                self.end(request);
+                self.finish_request(request);
                 self.cancel_others(request, Some(attempt), actions);
             }
             Event::RequestCancelled { request } => {
-                self.end(request);
+                self.finish_request(request);
                 self.cancel_others(request, None, actions);
-                self.forget(request);
+                self.remove_if_finished(request);
             }
             // Of several alarms only the one due now counts: else each would set another for good.
             Event::Timer if now >= self.timer_at => self.timer_at = Micros::MAX,
             Event::Timer | Event::Start | Event::HealthChecked { .. } | Event::RequestReceived { .. } => {}
         }
-        self.wake_calls(now, actions);
+        self.fire_request_timers(now, actions);
         if !stands {
-            self.drain_hold(now, actions);
+            self.dispatch_queue(now, actions);
         }
         if now >= self.polling.at {
             self.polling.at = Micros::MAX;
@@ -199,35 +199,35 @@
         self.latencies.get(class_id).map_or(latency_objective as f64 / 4.0, |p| p.mean)
     }
 
-    pub(crate) fn wake_calls(&mut self, now: Micros, actions: &mut Actions) {
-        while let Some(&(_, id)) = self.wakes.first().filter(|wake| wake.0 <= now) {
-            self.set_wake(id, 0);
+    pub(crate) fn fire_request_timers(&mut self, now: Micros, actions: &mut Actions) {
+        while let Some(&(_, id)) = self.request_timers.first().filter(|wake| wake.0 <= now) {
+            self.set_request_timer(id, 0);
             if self.requests[&id].queued {
                 let waited = now.saturating_sub(self.requests[&id].arrived);
-                self.give_up(id, waited, FailureReason::QueueTimeout, actions);
+                self.abandon(id, waited, FailureReason::QueueTimeout, actions);
             } else {
-                self.send_hedge(now, id, actions);
+                self.forward_hedge(now, id, actions);
             }
         }
     }
 
-    pub(crate) fn set_wake(&mut self, id: RequestId, at: Micros) {
+    pub(crate) fn set_request_timer(&mut self, id: RequestId, at: Micros) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if request.wake != 0 {
-            self.wakes.remove(&(request.wake, id));
+        if request.timer_at != 0 {
+            self.request_timers.remove(&(request.timer_at, id));
         }
-        request.wake = at;
+        request.timer_at = at;
         if at != 0 {
-            self.wakes.insert((at, id));
+            self.request_timers.insert((at, id));
         }
     }
 
     /// One timer for everything that is due by time alone.
     pub(crate) fn set_timer(&mut self, now: Micros, actions: &mut Actions) {
-        let mut next = self.polling.at.min(self.wakes.first().map_or(Micros::MAX, |w| w.0));
+        let mut next = self.polling.at.min(self.request_timers.first().map_or(Micros::MAX, |w| w.0));
         if !self.queue.is_empty() {
             // Budgets, backoffs and pauses end at no event: held calls are looked at now and then.
-            next = next.min(now + self.settings.clock_resolution.max(self.first_backoff() / 8));
+            next = next.min(now + self.settings.clock_resolution.max(self.initial_backoff() / 8));
         }
         if next < self.timer_at {
             self.timer_at = next;
@@ -235,7 +235,7 @@
         }
     }
 
-    pub(crate) fn first_backoff(&self) -> Micros {
+    pub(crate) fn initial_backoff(&self) -> Micros {
         ((self.longest_latency_objective() * INITIAL_BACKOFF_OBJECTIVE_FRACTION) as Micros).max(1_000)
     }
 
--- a/balancer/src/concurrency_limit.rs
+++ b/balancer/src/concurrency_limit.rs
@@ -46,8 +46,8 @@
     pub(crate) concurrency: f64,
     /// The budget that cuts leave at the least.
     pub(crate) floor: f64,
-    pub(crate) trial_out: bool,
-    pub(crate) doublings: u32,
+    pub(crate) trial_in_flight: bool,
+    pub(crate) backoff_doublings: u32,
     pub(crate) backoff_end: Micros,
 }
 
@@ -59,11 +59,11 @@
     }
 
     pub(crate) fn trial_ready(&self, now: Micros) -> bool {
-        !self.trial_out && now >= self.backoff_end
+        !self.trial_in_flight && now >= self.backoff_end
     }
 
     pub(crate) fn trial_served(&mut self) {
-        self.doublings = 0;
+        self.backoff_doublings = 0;
         if self.steps < MAX_STEPS {
             self.steps += 1;
         } else {
@@ -74,8 +74,8 @@
     }
 
     pub(crate) fn back_off(&mut self, now: Micros, first: Micros) {
-        self.backoff_end = now + (first << self.doublings);
-        self.doublings = (self.doublings + 1).min(MAX_BACKOFF_DOUBLINGS);
+        self.backoff_end = now + (first << self.backoff_doublings);
+        self.backoff_doublings = (self.backoff_doublings + 1).min(MAX_BACKOFF_DOUBLINGS);
     }
 
     /// A cut ends at the floor, and comes up to it after a deep one. Deep are a refusal as full,
--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -18,49 +18,49 @@
     /// Its start as the list stamps it, which tells its processes apart; 0: long ago.
     pub(crate) started_at: Micros,
     /// The same in this balancer's time.
-    pub(crate) began: Micros,
+    pub(crate) local_start: Micros,
     pub(crate) in_flight: u32,
-    pub(crate) budget: ConcurrencyLimit,
+    pub(crate) limit: ConcurrencyLimit,
     pub(crate) weight: f64,
     /// Time that this balancer's calls lately spent there: it breaks the pick's ties.
-    pub(crate) busy: f64,
-    pub(crate) busy_at: u64,
+    pub(crate) recent_busy: f64,
+    pub(crate) recent_busy_at: u64,
     /// Answer times over what its classes allow; 1 is the limit.
     pub(crate) latency_pressure: f64,
-    pub(crate) answers_since: u32,
+    pub(crate) samples_since_change: u32,
     /// Its last report, as strain.
     pub(crate) reported_load: f64,
     /// When its budget last changed, when an attempt there last ended, and when it last served.
     pub(crate) changed: Micros,
     pub(crate) heard: Micros,
-    pub(crate) answered: Micros,
+    pub(crate) last_served_at: Micros,
     /// Recent share of failures.
-    pub(crate) failing: f64,
+    pub(crate) failure_rate: f64,
     /// It is sent nothing before this time and that many answers of this balancer: it has refused
     /// or failed.
     pub(crate) not_before: Micros,
-    pub(crate) rest: u64,
+    pub(crate) cool_down_until: u64,
     /// While cold it is sent a call when this balancer's answers have earned it one, or after this
     /// time.
     pub(crate) slow_start_credit: f64,
-    pub(crate) slow_start_due: Micros,
+    pub(crate) slow_start_due_at: Micros,
     /// By class.
     pub(crate) rejections_by_class: Vec<ClassRejections>,
 }
 
 impl Endpoint {
-    pub(crate) fn new(entry: &EndpointEntry, began: Micros, settings: &Settings) -> Self {
+    pub(crate) fn new(entry: &EndpointEntry, local_start: Micros, settings: &Settings) -> Self {
         let &EndpointEntry { endpoint: id, zone, cell, started_at, .. } = entry;
-        let (budget, weight) = (ConcurrencyLimit::new(settings.balancer_count), 1.0);
+        let (limit, weight) = (ConcurrencyLimit::new(settings.balancer_count), 1.0);
         let rejections_by_class = vec![ClassRejections::default(); settings.classes.len()];
         Endpoint {
             id,
             zone,
             cell,
             started_at,
-            began,
+            local_start,
             weight,
-            budget,
+            limit,
             rejections_by_class,
             ..Endpoint::default()
         }
@@ -102,18 +102,20 @@
 
     /// With few calls there are none in flight at most servers: recent past and listed size tell
     /// them apart.
-    pub(crate) fn recent_load(&self, sends: f64, per: f64) -> f64 {
-        self.busy * (-(sends - self.busy_at as f64) / (per * RECENT_LOAD_MEMORY_ROUNDS)).exp() / self.weight
+    pub(crate) fn recent_load(&self, forwarded_count: f64, per: f64) -> f64 {
+        self.recent_busy
+            * (-(forwarded_count - self.recent_busy_at as f64) / (per * RECENT_LOAD_MEMORY_ROUNDS)).exp()
+            / self.weight
     }
 
-    pub(crate) fn kept_busy(&mut self, time: f64, sends: u64, per: f64) {
-        self.busy = self.recent_load(sends as f64, per) * self.weight + time;
-        self.busy_at = sends;
+    pub(crate) fn record_busy_time(&mut self, time: f64, forwarded_count: u64, per: f64) {
+        self.recent_busy = self.recent_load(forwarded_count as f64, per) * self.weight + time;
+        self.recent_busy_at = forwarded_count;
     }
 
     /// Share of its capacity that a server has at the least, by the rules' cold share and time.
     pub(crate) fn warm_up(&self, now: Micros, slow_start: &SlowStart) -> f64 {
-        let age = now.saturating_sub(self.began);
+        let age = now.saturating_sub(self.local_start);
         if self.started_at == 0 || age >= slow_start.duration {
             return 1.0;
         }
@@ -121,31 +123,31 @@
             + (1.0 - slow_start.initial_capacity) * age as f64 / slow_start.duration as f64
     }
 
-    pub(crate) fn full(&self, now: Micros, slow_start: &SlowStart) -> bool {
-        let budget = f64::from(self.budget.steps) * self.budget.concurrency * self.warm_up(now, slow_start);
-        self.in_flight >= (budget + 0.5).max(1.0) as u32
+    pub(crate) fn is_full(&self, now: Micros, slow_start: &SlowStart) -> bool {
+        let limit = f64::from(self.limit.steps) * self.limit.concurrency * self.warm_up(now, slow_start);
+        self.in_flight >= (limit + 0.5).max(1.0) as u32
     }
 
-    pub(crate) fn open(&self, now: Micros, served: u64, slow_start: &SlowStart) -> bool {
+    pub(crate) fn accepts_requests(&self, now: Micros, served: u64, slow_start: &SlowStart) -> bool {
         let paced = self.slow_start_credit >= 1.0
-            || now >= self.slow_start_due
+            || now >= self.slow_start_due_at
             || self.warm_up(now, slow_start) >= 1.0;
-        let rested =
-            served >= self.rest || now.saturating_sub(self.heard) as f64 >= 3.0 * UTILIZATION_MEMORY_US;
+        let rested = served >= self.cool_down_until
+            || now.saturating_sub(self.heard) as f64 >= 3.0 * UTILIZATION_MEMORY_US;
         self.listed && now >= self.not_before && paced && rested
     }
 
-    pub(crate) fn usable(&self, now: Micros, served: u64, slow_start: &SlowStart) -> bool {
-        self.budget.steps > 0 && self.open(now, served, slow_start)
+    pub(crate) fn is_usable(&self, now: Micros, served: u64, slow_start: &SlowStart) -> bool {
+        self.limit.steps > 0 && self.accepts_requests(now, served, slow_start)
     }
 
-    pub(crate) fn settled(&self, now: Micros, typical_latency: f64) -> bool {
-        let answers = self.answers_since;
+    pub(crate) fn is_settled(&self, now: Micros, typical_latency: f64) -> bool {
+        let answers = self.samples_since_change;
         answers >= self.in_flight.max(1) && enough(answers, now.saturating_sub(self.changed), typical_latency)
     }
 
-    pub(crate) fn returning(&self, now: Micros, served: u64, slow_start: &SlowStart) -> bool {
-        self.budget.steps == 0 && self.budget.trial_ready(now) && self.open(now, served, slow_start)
+    pub(crate) fn is_awaiting_trial(&self, now: Micros, served: u64, slow_start: &SlowStart) -> bool {
+        self.limit.steps == 0 && self.limit.trial_ready(now) && self.accepts_requests(now, served, slow_start)
     }
 }
 
--- a/balancer/src/endpoint_start.rs
+++ b/balancer/src/endpoint_start.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Start {
     stamp: Micros,
-    began: Micros,
+    local_start: Micros,
     /// When it was last in the list.
     listed_at: Micros,
 }
@@ -40,7 +40,7 @@
 impl EndpointStarts {
     /// The list in hand is current: what is subscribed to is what has changed since its version,
     /// also that of a saved one.
-    pub(crate) fn is_current(&mut self, now: Micros) {
+    pub(crate) fn confirm_current(&mut self, now: Micros) {
         self.current_at = Some(now);
     }
 
@@ -52,8 +52,8 @@
             match known.filter(|start| entry.started_at == 0 || entry.started_at == start.stamp) {
                 Some(start) => start.listed_at = now,
                 None => {
-                    let began = self.began_within_bounds(now, entry.started_at, ahead);
-                    let start = Start { stamp: entry.started_at, began, listed_at: now };
+                    let local_start = self.local_start_within_bounds(now, entry.started_at, ahead);
+                    let start = Start { stamp: entry.started_at, local_start, listed_at: now };
                     self.starts.insert(entry.endpoint, start);
                 }
             }
@@ -63,7 +63,7 @@
         }
     }
 
-    fn began_within_bounds(&self, now: Micros, stamp: Micros, ahead: Micros) -> Micros {
+    fn local_start_within_bounds(&self, now: Micros, stamp: Micros, ahead: Micros) -> Micros {
         match self.current_at {
             Some(since) => stamp.clamp(since.saturating_sub(MAX_LIST_LAG_US).min(now), now),
             None => stamp.saturating_sub(ahead),
@@ -71,8 +71,8 @@
     }
 
     /// When the present process of a server that was listed began.
-    pub(crate) fn began(&self, endpoint: EndpointId) -> Micros {
-        self.starts.get(&endpoint).map_or(0, |start| start.began)
+    pub(crate) fn local_start(&self, endpoint: EndpointId) -> Micros {
+        self.starts.get(&endpoint).map_or(0, |start| start.local_start)
     }
 
     /// Forgets servers that have not been listed for long.
--- a/balancer/src/feedback.rs
+++ b/balancer/src/feedback.rs
@@ -9,7 +9,7 @@
     /// What a server says of itself: as many waiting as in work, or nearly all cores busy, is as
     /// much as an answer at its limit. It tells a crowded server from one whose calls mostly wait
     /// on others.
-    pub(crate) fn report(&mut self, id: RequestId, attempt: u32, load: LoadReport) {
+    pub(crate) fn record_load_report(&mut self, id: RequestId, attempt: u32, load: LoadReport) {
         let Some(tried) = self.requests.get(&id).and_then(|c| c.attempts.get(attempt as usize)) else {
             return;
         };
@@ -26,7 +26,7 @@
     }
 
     /// What a server's answer, or its absence, teaches.
-    pub(crate) fn learn(
+    pub(crate) fn learn_from_attempt(
         &mut self,
         now: Micros,
         tried: Attempt,
@@ -37,7 +37,7 @@
         let Attempt { endpoint: id, zone, started_at, class_id, sent, trial, streaming, .. } = tried;
         let elapsed = if streaming { 0 } else { took.max(now.saturating_sub(sent)) };
         let (first, longest, longest_latency_objective) =
-            (self.first_backoff(), self.longest_typical_latency(), self.longest_latency_objective());
+            (self.initial_backoff(), self.longest_typical_latency(), self.longest_latency_objective());
         let per = self.subset_size() as f64;
         let typical_latency = self.typical_latency(
             class_id,
@@ -45,29 +45,30 @@
         );
         let latency = self.latencies.get_mut(class_id);
         let limit = latency.as_ref().map_or(f64::MAX, |p| p.limit());
-        let pool_strain = latency.as_ref().map_or(0.0, |p| p.pool_strain(elapsed as f64));
+        let shared_latency_pressure =
+            latency.as_ref().map_or(0.0, |p| p.shared_latency_pressure(elapsed as f64));
         if let Some(shared_limit) = &mut self.shared_limit {
-            shared_limit.out = shared_limit.out.saturating_sub(1);
+            shared_limit.in_flight = shared_limit.in_flight.saturating_sub(1);
             shared_limit.charge(now, elapsed as f64 - typical_latency);
-            shared_limit.budget.trial_out &= trial != Trial::Shared;
+            shared_limit.limit.trial_in_flight &= trial != Trial::Shared;
             // A refusal is one server's word, mostly of one that drains: a full fleet shows in its
             // answers.
             if !outcome.is_neutral() && !outcome.never_ran() {
-                shared_limit.learn(now, sent, pool_strain, elapsed as f64);
+                shared_limit.learn(now, sent, shared_latency_pressure, elapsed as f64);
             }
             match outcome {
                 _ if trial != Trial::Shared => {}
-                Outcome::Served => shared_limit.budget.trial_served(),
-                _ => shared_limit.budget.back_off(now, first),
+                Outcome::Served => shared_limit.limit.trial_served(),
+                _ => shared_limit.limit.back_off(now, first),
             }
         }
         // A zone that is cut off fails server by server: after a few in a row it is passed over as
         // a whole.
         let lost = matches!(outcome, Outcome::ConnectFailed | Outcome::Truncated | Outcome::Reset);
-        let cut = self.cut_off.entry(zone).or_default();
+        let cut = self.zone_outages.entry(zone).or_default();
         if lost && self.shared_limit.is_some() {
-            let doublings = cut.0.min(MAX_BACKOFF_DOUBLINGS + ZONE_BACKOFF_DOUBLINGS);
-            *cut = (cut.0.saturating_add(1), now + ((first << doublings) >> ZONE_BACKOFF_DOUBLINGS));
+            let backoff_doublings = cut.0.min(MAX_BACKOFF_DOUBLINGS + ZONE_BACKOFF_DOUBLINGS);
+            *cut = (cut.0.saturating_add(1), now + ((first << backoff_doublings) >> ZONE_BACKOFF_DOUBLINGS));
         } else if !outcome.is_neutral() && outcome != Outcome::TimedOut {
             *cut = (0, 0);
         }
@@ -81,7 +82,7 @@
         // look idle.
         let fair = matches!(outcome, Outcome::Served | Outcome::Stale | Outcome::Invalid);
         let least = if fair { 0.0 } else { longest_latency_objective };
-        endpoint.kept_busy(least.max(elapsed as f64), self.sends, per);
+        endpoint.record_busy_time(least.max(elapsed as f64), self.forwarded_count, per);
         let latency_pressure = (elapsed as f64 / limit).min(4.0);
         // A client in a hurry gave up before most answers come: that tells of the client. A thin
         // balancer calls a server so seldom that it cannot wait for more: it heeds each time-out.
@@ -92,9 +93,9 @@
             Outcome::Served => false,
             // Late while others are answered: the server is slow, not gone, and is sent less, not
             // nothing.
-            Outcome::TimedOut if endpoint.answered > sent && !hurried && !thin => false,
+            Outcome::TimedOut if endpoint.last_served_at > sent && !hurried && !thin => false,
             _ if outcome.is_neutral() || hurried || alone => {
-                endpoint.budget.trial_out &= trial != Trial::Endpoint;
+                endpoint.limit.trial_in_flight &= trial != Trial::Endpoint;
                 return;
             }
             _ => true,
@@ -107,7 +108,7 @@
             Outcome::TimedOut | Outcome::Unknown | Outcome::Reset => FAILURE_RATE_SMOOTHING / 2.0,
             _ => FAILURE_RATE_SMOOTHING,
         };
-        endpoint.failing += (if failed { 1.0 } else { 0.0 } - endpoint.failing) * weight;
+        endpoint.failure_rate += (if failed { 1.0 } else { 0.0 } - endpoint.failure_rate) * weight;
         // Few answers a second must not make the strain a memory of long ago.
         let gap = now.saturating_sub(endpoint.heard) as f64 / longest_latency_objective;
         let weight = LATENCY_SMOOTHING.max(1.0 - (-gap).exp());
@@ -116,43 +117,43 @@
         if !failed {
             endpoint.latency_pressure +=
                 (latency_pressure.max(endpoint.reported_load) - endpoint.latency_pressure) * weight;
-            endpoint.answers_since += 1;
+            endpoint.samples_since_change += 1;
         }
         // Answers alone would make the mean that of the lucky: late ones count for what was waited.
-        latency.filter(|_| !failed).into_iter().for_each(|p| p.answered(now, elapsed as f64));
+        latency.filter(|_| !failed).into_iter().for_each(|p| p.record(now, elapsed as f64));
         if outcome == Outcome::Served {
-            endpoint.answered = now;
+            endpoint.last_served_at = now;
             self.served += 1;
         }
         // Latency well above an unloaded server's is the sign, beside refusals, of too much in
         // flight.
         if outcome == Outcome::Rejected {
-            endpoint.budget.cut(REJECTION_CUT_FACTOR, true);
+            endpoint.limit.cut(REJECTION_CUT_FACTOR, true);
             // Fast refusals leave it looking idle: without a pause it would draw in call after
             // call.
             endpoint.not_before = endpoint.not_before.max(now + longest as Micros);
-        } else if endpoint.latency_pressure > 1.0 && endpoint.settled(now, longest) {
+        } else if endpoint.latency_pressure > 1.0 && endpoint.is_settled(now, longest) {
             endpoint
-                .budget
+                .limit
                 .cut(1.0 / endpoint.latency_pressure, endpoint.latency_pressure > DEEP_CUT_LATENCY_PRESSURE);
             // The cut answers for part of it: one jam is cut for once.
             endpoint.latency_pressure = endpoint.latency_pressure.sqrt();
-            (endpoint.answers_since, endpoint.changed) = (0, now);
+            (endpoint.samples_since_change, endpoint.changed) = (0, now);
         }
-        let was_up = endpoint.budget.steps > 0;
+        let was_up = endpoint.limit.steps > 0;
         // One connection that broke is no proof against a server that has only just answered: a
         // step goes when one more breaks soon after, and the last step with the server's share of
         // failures.
-        let lively = endpoint.answered > 0 && now.saturating_sub(endpoint.answered) <= first;
-        let proof = endpoint.failing > EJECTION_FAILURE_RATE / 2.0 && endpoint.budget.steps > 1;
-        endpoint.budget.steps -= u32::from(lost && was_up && (proof || !lively));
-        endpoint.budget.trial_out &= trial != Trial::Endpoint;
+        let lively = endpoint.last_served_at > 0 && now.saturating_sub(endpoint.last_served_at) <= first;
+        let proof = endpoint.failure_rate > EJECTION_FAILURE_RATE / 2.0 && endpoint.limit.steps > 1;
+        endpoint.limit.steps -= u32::from(lost && was_up && (proof || !lively));
+        endpoint.limit.trial_in_flight &= trial != Trial::Endpoint;
         if trial == Trial::Endpoint {
             if outcome != Outcome::Served {
-                endpoint.budget.back_off(now, first);
-            } else if was_up || endpoint.failing < EJECTION_FAILURE_RATE / 2.0 {
-                endpoint.budget.trial_served();
-                (endpoint.answers_since, endpoint.changed) = (0, now);
+                endpoint.limit.back_off(now, first);
+            } else if was_up || endpoint.failure_rate < EJECTION_FAILURE_RATE / 2.0 {
+                endpoint.limit.trial_served();
+                (endpoint.samples_since_change, endpoint.changed) = (0, now);
                 if !was_up {
                     actions.push(Action::Log(LogEvent::EndpointReadmitted(endpoint.id)));
                 }
@@ -171,25 +172,26 @@
             && before > EJECTION_PRIOR_LATENCY_PRESSURE
             && most.is_some_and(|most| endpoint.latency_pressure > most);
         if was_up
-            && (slow || endpoint.failing > EJECTION_FAILURE_RATE)
+            && (slow || endpoint.failure_rate > EJECTION_FAILURE_RATE)
             && (self.ejected_count + 1) * 2 <= self.listed
         {
-            endpoint.budget.steps = 0;
+            endpoint.limit.steps = 0;
         }
-        if was_up && endpoint.budget.steps == 0 {
-            endpoint.budget.back_off(now, first);
+        if was_up && endpoint.limit.steps == 0 {
+            endpoint.limit.back_off(now, first);
             // What it showed before says nothing of how it will be when it comes back.
             endpoint.latency_pressure = 1.0;
             actions.push(Action::Log(LogEvent::EndpointEjected(endpoint.id)));
         }
         // Many balancers that each try it now and then are no rest: it is tried by a part of the
         // usual calls, at first a quarter of its share of them.
-        if self.shared_limit.is_some() && (outcome == Outcome::Rejected || endpoint.budget.steps == 0) {
-            endpoint.rest = self.served + ((per as u64) << (COOL_DOWN_DOUBLINGS + endpoint.budget.doublings));
+        if self.shared_limit.is_some() && (outcome == Outcome::Rejected || endpoint.limit.steps == 0) {
+            endpoint.cool_down_until =
+                self.served + ((per as u64) << (COOL_DOWN_DOUBLINGS + endpoint.limit.backoff_doublings));
         }
         if outcome == Outcome::Served {
-            self.earn_slow_start_credit(now);
+            self.grant_slow_start_credit(now);
         }
-        self.count();
+        self.refresh_counts();
     }
 }
--- a/balancer/src/latency.rs
+++ b/balancer/src/latency.rs
@@ -32,12 +32,12 @@
     pub(crate) base: f64,
     /// Nearly all answers come within this: a percentile that is followed step by step.
     pub(crate) tail: f64,
-    pub(crate) seen: u32,
+    pub(crate) sample_count: u32,
     /// The class's aim, and when an aim has gone by since the first answer.
     pub(crate) latency_objective: Micros,
-    pub(crate) fair_from: Micros,
+    pub(crate) unbiased_from: Micros,
     pub(crate) at: Micros,
-    pub(crate) asked: f64,
+    pub(crate) request_count: f64,
 }
 
 impl LatencyEstimate {
@@ -50,7 +50,7 @@
 
     /// How long it took, over what is allowed under a shared budget. That cannot spare the one
     /// server that is slow: it heeds what the aim leaves for waiting.
-    pub(crate) fn pool_strain(&self, elapsed: f64) -> f64 {
+    pub(crate) fn shared_latency_pressure(&self, elapsed: f64) -> f64 {
         let slack = (self.latency_objective as f64 - self.base).max(0.0);
         let busy = (self.base * SHARED_MIN_LIMIT_BASE_MULTIPLE)
             .min(self.base + slack * SHARED_MIN_LIMIT_SLACK_FRACTION);
@@ -59,17 +59,17 @@
         (elapsed / limit).min(MAX_SHARED_LATENCY_PRESSURE)
     }
 
-    pub(crate) fn answered(&mut self, now: Micros, elapsed: f64) {
-        if self.seen == 0 {
-            self.fair_from = now.saturating_add(self.latency_objective);
+    pub(crate) fn record(&mut self, now: Micros, elapsed: f64) {
+        if self.sample_count == 0 {
+            self.unbiased_from = now.saturating_add(self.latency_objective);
         }
-        self.seen = self.seen.saturating_add(1);
+        self.sample_count = self.sample_count.saturating_add(1);
         // Of the first calls the quick ones are answered first: their mean is under what is usual.
-        let early = self.seen <= 8 || now < self.fair_from;
+        let early = self.sample_count <= 8 || now < self.unbiased_from;
         let sample = if !early { elapsed.min(8.0 * self.base) } else { elapsed };
         let above = if elapsed > self.tail { TAIL_QUANTILE } else { TAIL_QUANTILE - 1.0 };
         self.tail *= 1.0 + above * LATENCY_SMOOTHING;
-        self.mean += (sample - self.mean) * (1.0 / f64::from(self.seen)).max(LATENCY_SMOOTHING / 2.0);
+        self.mean += (sample - self.mean) * (1.0 / f64::from(self.sample_count)).max(LATENCY_SMOOTHING / 2.0);
         let drift = (now.saturating_sub(self.at) as f64 / BASE_DRIFT_US).min(1.0);
         self.at = now;
         let drifted = if early { self.mean } else { self.base + (self.mean - self.base) * drift };
--- a/balancer/src/outlier_detection.rs
+++ b/balancer/src/outlier_detection.rs
@@ -9,9 +9,9 @@
     /// a zone passed over.
     pub fn avoided(&self, now: Micros) -> usize {
         let rests = |s: &Endpoint| {
-            s.budget.steps == 0
-                && !s.budget.trial_out
-                && !s.returning(now, self.served, &self.settings.slow_start)
+            s.limit.steps == 0
+                && !s.limit.trial_in_flight
+                && !s.is_awaiting_trial(now, self.served, &self.settings.slow_start)
         };
         let avoided = |s: &&Endpoint| s.listed && (rests(s) || !self.is_zone_reachable(now, s));
         self.endpoints.iter().filter(avoided).count()
@@ -19,6 +19,6 @@
 
     /// Whether a server's zone is not passed over.
     pub(crate) fn is_zone_reachable(&self, now: Micros, endpoint: &Endpoint) -> bool {
-        self.cut_off.get(&endpoint.zone).is_none_or(|cut| now >= cut.1)
+        self.zone_outages.get(&endpoint.zone).is_none_or(|cut| now >= cut.1)
     }
 }
--- a/balancer/src/queue_dispatch.rs
+++ b/balancer/src/queue_dispatch.rs
@@ -9,11 +9,11 @@
 impl Balancer {
     /// Puts a call into the hold; one that goes again is older than those waiting and goes to the
     /// front.
-    pub(crate) fn enqueue(&mut self, now: Micros, id: RequestId, retry_or_give_up: bool) {
+    pub(crate) fn enqueue(&mut self, now: Micros, id: RequestId, retry_or_abandon: bool) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.queued = true;
         self.set_queue_deadline(now, id);
-        self.queue.insert(if retry_or_give_up { 0 } else { self.queue.len() }, id);
+        self.queue.insert(if retry_or_abandon { 0 } else { self.queue.len() }, id);
     }
 
     /// A call leaves the hold when a usual answer could not come in time, before its client gives
@@ -29,14 +29,14 @@
             .objective_at()
             .saturating_sub(self.typical_latency(class_id, latency_objective) as Micros)
             .max(now + 1);
-        let closes = request.begin_before().unwrap_or(Micros::MAX);
-        self.set_wake(id, wake.min(last.max(now)).min(closes).max(1));
+        let closes = request.attempt_deadline().unwrap_or(Micros::MAX);
+        self.set_request_timer(id, wake.min(last.max(now)).min(closes).max(1));
     }
 
-    pub(crate) fn drain_hold(&mut self, now: Micros, actions: &mut Actions) {
+    pub(crate) fn dispatch_queue(&mut self, now: Micros, actions: &mut Actions) {
         for place in 0..self.endpoints.len() {
             let endpoint = &self.endpoints[place];
-            if endpoint.returning(now, self.served, &self.settings.slow_start)
+            if endpoint.is_awaiting_trial(now, self.served, &self.settings.slow_start)
                 && self.is_zone_reachable(now, endpoint)
             {
                 // Only a call that never went: a bound one may go to some servers alone.
@@ -47,8 +47,8 @@
                 };
                 if let Some(index) = queued.position(|id| fits(&self.requests[id])) {
                     let id = self.queue[index];
-                    self.take(index);
-                    self.send(now, id, place, Trial::Endpoint, actions);
+                    self.dequeue(index);
+                    self.forward(now, id, place, Trial::Endpoint, actions);
                 }
             }
         }
@@ -56,11 +56,11 @@
         while let Some(&id) = self.queue.get(index) {
             match self.route(now, id) {
                 Route::Forward { endpoint, trial } => {
-                    self.take(index);
-                    self.send(now, id, endpoint, trial, actions);
+                    self.dequeue(index);
+                    self.forward(now, id, endpoint, trial, actions);
                 }
                 Route::Reject { retry_after } => {
-                    self.give_up(id, retry_after, FailureReason::NoEndpoint, actions)
+                    self.abandon(id, retry_after, FailureReason::NoEndpoint, actions)
                 }
                 // Arrival order: the first that stays keeps the rest, unless bound to some servers.
                 Route::Queue if self.is_bound(now, id) && index < MAX_QUEUE_SCAN => index += 1,
@@ -73,11 +73,11 @@
     /// away.
     pub(crate) fn is_bound(&self, now: Micros, id: RequestId) -> bool {
         let request = &self.requests[&id];
-        request.binding().is_some()
+        request.first_possibly_executed().is_some()
             || self.endpoints.iter().any(|s| s.listed && !s.accepts_class(request.class_id, now))
     }
 
-    pub(crate) fn take(&mut self, index: usize) {
+    pub(crate) fn dequeue(&mut self, index: usize) {
         if let Some(request) = self.queue.remove(index).and_then(|id| self.requests.get_mut(&id)) {
             request.queued = false;
         }
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -18,20 +18,20 @@
     pub(crate) streaming: bool,
     pub(crate) ended: bool,
     /// When the call is looked at next; 0: not by time.
-    pub(crate) wake: Micros,
+    pub(crate) timer_at: Micros,
 }
 
 impl Request {
-    pub(crate) fn out(&self) -> usize {
+    pub(crate) fn in_flight_count(&self) -> usize {
         self.attempts.iter().filter(|a| a.outcome.is_none()).count()
     }
 
     /// The first attempt that may have run: the one that binds a guarded call.
-    pub(crate) fn binding(&self) -> Option<&Attempt> {
+    pub(crate) fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran))
     }
 
-    pub(crate) fn untried(&self, endpoint: EndpointId) -> bool {
+    pub(crate) fn is_untried(&self, endpoint: EndpointId) -> bool {
         self.attempts.iter().all(|a| a.endpoint != endpoint)
     }
 
@@ -46,8 +46,8 @@
 
     /// Before when a further attempt must begin: its class's window from the first one that may
     /// have run.
-    pub(crate) fn begin_before(&self) -> Option<Micros> {
-        match (self.binding(), self.class.idempotency) {
+    pub(crate) fn attempt_deadline(&self) -> Option<Micros> {
+        match (self.first_possibly_executed(), self.class.idempotency) {
             (Some(first), Idempotency::Keyed { window, .. }) => Some(first.sent.saturating_add(window)),
             _ => None,
         }
@@ -55,8 +55,8 @@
 
     /// May this call go again, here? Proof over all its attempts decides, never the last outcome
     /// alone.
-    pub(crate) fn may_go(&self, now: Micros, endpoint: &Endpoint, clock_resolution: Micros) -> bool {
-        match (self.binding(), self.class.idempotency) {
+    pub(crate) fn may_attempt(&self, now: Micros, endpoint: &Endpoint, clock_resolution: Micros) -> bool {
+        match (self.first_possibly_executed(), self.class.idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => true,
             (Some(_), Idempotency::NonIdempotent) => false,
             (Some(first), Idempotency::Keyed { scope, .. }) => {
@@ -65,16 +65,16 @@
                     DeduplicationScope::Zone => first.zone == endpoint.zone,
                     DeduplicationScope::Cell => first.cell == endpoint.cell,
                 };
-                inside && self.begin_before().is_none_or(|end| now.saturating_add(clock_resolution) < end)
+                inside && self.attempt_deadline().is_none_or(|end| now.saturating_add(clock_resolution) < end)
             }
         }
     }
 
-    pub(crate) fn may_be_refused(&self) -> bool {
+    pub(crate) fn may_be_rejected(&self) -> bool {
         let harmless = matches!(
             self.class.idempotency,
             Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. }
         );
-        harmless || self.binding().is_none()
+        harmless || self.first_possibly_executed().is_none()
     }
 }
--- a/balancer/src/request_lifecycle.rs
+++ b/balancer/src/request_lifecycle.rs
@@ -7,7 +7,7 @@
 impl Balancer {
     /// A call has come whole: its client's time begins, and the work of the server that it has gone
     /// to.
-    pub(crate) fn uploaded(&mut self, now: Micros, id: RequestId, left: Micros) {
+    pub(crate) fn complete_upload(&mut self, now: Micros, id: RequestId, left: Micros) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.streaming = false;
         (request.arrived, request.deadline) = (now, now.saturating_add(left));
@@ -29,7 +29,12 @@
     }
 
     /// Notes an attempt's end; late, double and unknown ones change nothing.
-    pub(crate) fn outcome(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Option<Attempt> {
+    pub(crate) fn record_outcome(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+    ) -> Option<Attempt> {
         let request = self.requests.get_mut(&id)?;
         let tried = request.attempts.get_mut(attempt as usize).filter(|a| a.outcome.is_none())?;
         tried.outcome = Some(outcome);
@@ -37,7 +42,7 @@
     }
 
     /// After an attempt's end: the call's end, another attempt, or nothing while a copy is out.
-    pub(crate) fn proceed(
+    pub(crate) fn continue_request(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -46,21 +51,21 @@
         actions: &mut Actions,
     ) {
         if request_finished || outcome == Outcome::Served {
-            self.end(id);
+            self.finish_request(id);
             self.cancel_others(id, None, actions);
-        } else if self.requests.get(&id).is_some_and(|c| !c.ended && !c.queued && c.out() == 0) {
+        } else if self.requests.get(&id).is_some_and(|c| !c.ended && !c.queued && c.in_flight_count() == 0) {
             if outcome == Outcome::Invalid {
                 // It would fare alike everywhere, and the client is not to come again with it.
                 actions.push(Action::Fail { request: id, reason: FailureReason::Invalid });
-                self.end(id);
+                self.finish_request(id);
             } else {
-                self.retry_or_give_up(now, id, outcome, actions);
+                self.retry_or_abandon(now, id, outcome, actions);
             }
         }
-        self.forget(id);
+        self.remove_if_finished(id);
     }
 
-    pub(crate) fn give_up(
+    pub(crate) fn abandon(
         &mut self,
         id: RequestId,
         retry_after: Micros,
@@ -68,19 +73,19 @@
         actions: &mut Actions,
     ) {
         let retry_after = retry_after.min(self.settings.limits.max_retry_after);
-        let refused = self.requests[&id].may_be_refused();
+        let refused = self.requests[&id].may_be_rejected();
         actions.push(if refused {
             Action::Reject { request: id, retry_after, reason }
         } else {
             Action::Fail { request: id, reason }
         });
-        self.end(id);
+        self.finish_request(id);
         self.cancel_others(id, None, actions);
-        self.forget(id);
+        self.remove_if_finished(id);
     }
 
-    pub(crate) fn end(&mut self, id: RequestId) {
-        self.set_wake(id, 0);
+    pub(crate) fn finish_request(&mut self, id: RequestId) {
+        self.set_request_timer(id, 0);
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.ended = true;
         if std::mem::take(&mut request.queued) {
@@ -98,8 +103,8 @@
         actions.extend(out.map(|(attempt, _)| Action::CancelAttempt { request: id, attempt }));
     }
 
-    pub(crate) fn forget(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|c| c.ended && c.out() == 0) {
+    pub(crate) fn remove_if_finished(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|c| c.ended && c.in_flight_count() == 0) {
             self.requests.remove(&id);
         }
     }
--- a/balancer/src/selection.rs
+++ b/balancer/src/selection.rs
@@ -19,33 +19,37 @@
         let (slow_start, clock_resolution) = (&self.settings.slow_start, self.settings.clock_resolution);
         let longest = self.longest_typical_latency();
         let ready = |s: &Endpoint| {
-            s.budget.trial_ready(now)
+            s.limit.trial_ready(now)
                 && s.latency_pressure <= 1.0
-                && (s.changed == 0 || s.settled(now, longest))
+                && (s.changed == 0 || s.is_settled(now, longest))
                 && s.warm_up(now, slow_start) >= 1.0
         };
-        let full_pool = self.shared_limit.as_ref().filter(|p| p.up > 0.0 && p.room_at(longest) > now);
+        let full_pool = self
+            .shared_limit
+            .as_ref()
+            .filter(|p| p.available_endpoints > 0.0 && p.available_at(longest) > now);
         let pool_full = full_pool.is_some();
-        if full_pool.is_some_and(|p| p.latency_pressure > 1.0 || !p.budget.trial_ready(now)) {
+        if full_pool.is_some_and(|p| p.latency_pressure > 1.0 || !p.limit.trial_ready(now)) {
             return Route::Queue;
         }
-        let open = |s: &Endpoint| s.usable(now, self.served, slow_start) && self.is_zone_reachable(now, s);
-        let allowed = |s: &Endpoint| open(s) && request.may_go(now, s, clock_resolution);
+        let open = |s: &Endpoint| s.is_usable(now, self.served, slow_start) && self.is_zone_reachable(now, s);
+        let allowed = |s: &Endpoint| open(s) && request.may_attempt(now, s, clock_resolution);
         let subset_ring = || self.subset_ring().filter(|&i| allowed(&self.endpoints[i]));
         let taken = subset_ring().any(|i| self.endpoints[i].accepts_class(request.class_id, now));
         let subset_ring =
             || subset_ring().filter(|&i| !taken || self.endpoints[i].accepts_class(request.class_id, now));
-        let fresh = subset_ring().any(|i| request.untried(self.endpoints[i].id));
-        let untried = subset_ring().filter(|&i| !fresh || request.untried(self.endpoints[i].id));
+        let fresh = subset_ring().any(|i| request.is_untried(self.endpoints[i].id));
+        let untried = subset_ring().filter(|&i| !fresh || request.is_untried(self.endpoints[i].id));
         // A burst of one balancer spills over to further servers: at most one of its calls is out
         // at each.
-        let has_room = |i: &usize| !self.endpoints[*i].full(now, slow_start);
+        let has_room = |i: &usize| !self.endpoints[*i].is_full(now, slow_start);
         let spills = self.shared_limit.is_some() && untried.clone().any(|i| has_room(&i));
-        let up: Vec<usize> = untried.filter(|i| !spills || has_room(i)).take(self.subset_size()).collect();
+        let up: Vec<usize> =
+            untried.filter(|i| !spills || has_room(i)).take(self.subset_size()).collect();
         let of = |room: &dyn Fn(&Endpoint) -> bool| {
             up.iter().copied().filter(|&i| room(&self.endpoints[i])).collect()
         };
-        let (room, trials): (Vec<_>, Vec<_>) = (of(&|s| !s.full(now, slow_start)), of(&ready));
+        let (room, trials): (Vec<_>, Vec<_>) = (of(&|s| !s.is_full(now, slow_start)), of(&ready));
         let trial = if pool_full { Trial::Shared } else { Trial::None };
         match self.two_choices(&up).filter(|endpoint| room.contains(endpoint)) {
             Some(endpoint) => Route::Forward { endpoint, trial },
@@ -55,10 +59,10 @@
                 (None, Some(endpoint)) => Route::Forward { endpoint, trial: Trial::Endpoint },
                 (None, None) => {
                     let all = self.endpoints.iter().filter(|s| s.listed);
-                    let down = all.clone().all(|s| s.budget.steps == 0);
-                    let first = all.map(|s| s.budget.backoff_end).min().filter(|_| down);
+                    let down = all.clone().all(|s| s.limit.steps == 0);
+                    let first = all.map(|s| s.limit.backoff_end).min().filter(|_| down);
                     first.map_or(Route::Queue, |at| Route::Reject {
-                        retry_after: at.saturating_sub(now).max(self.first_backoff()),
+                        retry_after: at.saturating_sub(now).max(self.initial_backoff()),
                     })
                 }
             },
@@ -72,10 +76,10 @@
         let first = self.below(len);
         let a = *among.get(first as usize)?;
         let b = among[((first + 1 + self.below(len - 1)) % len) as usize];
-        let (sends, per) = (self.sends as f64, self.subset_size() as f64);
+        let (forwarded_count, per) = (self.forwarded_count as f64, self.subset_size() as f64);
         let tie = |s: &Endpoint| {
             if self.shared_limit.is_some() {
-                s.recent_load(sends, per)
+                s.recent_load(forwarded_count, per)
             } else {
                 s.latency_pressure
             }
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -9,7 +9,7 @@
     /// warm ones do, and a part of the slow_start' limit. Any number of balancers keep it safe so.
     /// Refusals earn nothing, nor do servers out of reach: calls saved up for them would all go
     /// when they come into it. Each is within the reach of as many balancers as any other.
-    pub(crate) fn earn_slow_start_credit(&mut self, now: Micros) {
+    pub(crate) fn grant_slow_start_credit(&mut self, now: Micros) {
         let slow_start = &self.settings.slow_start;
         if self.endpoints.iter().all(|s| !s.listed || s.warm_up(now, slow_start) >= 1.0) {
             return;
@@ -24,13 +24,13 @@
                 // none, and counted among them it would starve the cold ones just when they are
                 // needed. One that was ejected as slow is only left alone for a while: all others
                 // answer the more for it.
-                if endpoint.budget.steps > 0
-                    || self.shared_limit.is_some() && endpoint.failing < EJECTION_FAILURE_RATE / 2.0
+                if endpoint.limit.steps > 0
+                    || self.shared_limit.is_some() && endpoint.failure_rate < EJECTION_FAILURE_RATE / 2.0
                 {
                     let warm_up = endpoint.warm_up(now, slow_start);
                     (work, warm, up) = (work + endpoint.weight * warm_up, warm + warm_up, up + 1.0);
                 }
-                left -= usize::from(endpoint.usable(now, self.served, slow_start));
+                left -= usize::from(endpoint.is_usable(now, self.served, slow_start));
             }
         }
         // Where most of very many servers are cold, an even part of the calls is far under what
--- a/balancer/src/subset.rs
+++ b/balancer/src/subset.rs
@@ -6,7 +6,8 @@
     /// How many servers calls are spread over: a thin balancer that went to all would open a
     /// connection for nearly every call, past what servers accept, and would learn of none of them.
     pub(crate) fn subset_size(&self) -> usize {
-        let busy = self.shared_limit.as_ref().map_or(f64::MAX, |p| p.used / SUBSET_REQUESTS_PER_ENDPOINT);
+        let busy =
+            self.shared_limit.as_ref().map_or(f64::MAX, |p| p.mean_in_flight / SUBSET_REQUESTS_PER_ENDPOINT);
         (busy as usize).max(MIN_SUBSET_SIZE).min(self.endpoints.len())
     }
 
