--- a/proxy/src/body/mod.rs
+++ b/proxy/src/body/mod.rs
@@ -236,10 +236,10 @@
         let piece = ready!(self.source.borrow_mut().poll_piece(context));
         match piece {
             Some(Err(fault)) => self.finish(Err(fault)),
-            None => self.finish(Ok(self.socket.came_at())),
+            None => self.finish(Ok(self.socket.earliest_arrival())),
             // The last byte of a known length is the end: none may ask for what follows it.
             Some(Ok(_)) if self.source.borrow().body.is_end_stream() => {
-                self.finish(Ok(self.socket.came_at()))
+                self.finish(Ok(self.socket.earliest_arrival()))
             }
             Some(Ok(_)) => {}
         }
@@ -321,7 +321,7 @@
 
     fn note_end(&self) {
         if self.is_end_stream() {
-            self.write_guard.set_ended();
+            self.write_guard.set_request_ended();
         }
     }
 }
@@ -408,7 +408,7 @@
             let Poll::Ready(frame) = Pin::new(&mut self.rest).poll_frame(context) else { break };
             if let Some((since, _)) = self.waiting.take() {
                 // It may have been there for long, while its client took nothing.
-                let took = self.socket.read_at().saturating_duration_since(since);
+                let took = self.socket.last_read_at().saturating_duration_since(since);
                 self.patience = self.patience.saturating_sub(took);
             }
             let Some(frame) = frame else { return Poll::Ready(None) };
--- a/proxy/src/control/in_flight.rs
+++ b/proxy/src/control/in_flight.rs
@@ -41,10 +41,10 @@
         *request.headers_mut() = self.headers.clone();
         let whole = self.payload.upload().is_none_or(|upload| upload.end().is_some());
         // All of one that is still being read may have come by now.
-        let until = if whole { until } else { self.client.came_at() + self.budget };
+        let until = if whole { until } else { self.client.earliest_arrival() + self.budget };
         let left = until.saturating_duration_since(Instant::now());
         let left = left.as_millis() as u64;
-        write_guard.tell(Duration::from_millis(left));
+        write_guard.advertise_timeout(Duration::from_millis(left));
         request.headers_mut().insert("x-budget-ms", HeaderValue::from(left.max(1)));
         request
     }
@@ -111,14 +111,16 @@
         events: &mut VecDeque<Event>,
         unwanted: impl Fn(&InFlightAttempt) -> bool,
     ) {
-        self.take_back(id, events, Outcome::NeverSent, |out| out.write_guard.written() == 0 && unwanted(out));
+        self.take_back(id, events, Outcome::NeverSent, |out| {
+            out.write_guard.bytes_written() == 0 && unwanted(out)
+        });
     }
 
     /// Ends the attempts of a call that is over of which a part is not written yet: nothing more is sent for it. No host
     /// begins with such an attempt.
     pub(crate) fn cut_off(&mut self, id: RequestId, events: &mut VecDeque<Event>) {
         self.withdraw(id, events, |_| true);
-        self.take_back(id, events, Outcome::Cancelled, |out| !out.write_guard.is_whole());
+        self.take_back(id, events, Outcome::Cancelled, |out| !out.write_guard.is_fully_written());
     }
 
     pub(crate) fn take_back(
@@ -131,8 +133,8 @@
         let closed = self.reply.is_none();
         for (attempt, out) in (0..).zip(&mut self.attempts) {
             if let Some(out) = out.take_if(|out| unwanted(out)) {
-                out.write_guard.bar();
-                out.write_guard.ended(outcome);
+                out.write_guard.withdraw();
+                out.write_guard.finish(outcome);
                 events.push_back(ended(id, attempt, outcome, out.sent.elapsed(), closed));
             }
         }
--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -69,8 +69,9 @@
 
 /// The end of an attempt that was not written whole as its client has left: no sign of the host's.
 fn left_behind(sending: AttemptContext<'_>) -> Option<AttemptEnd> {
-    let outcome = if sending.write_guard.written() == 0 { Outcome::NeverSent } else { Outcome::Cancelled };
-    sending.forward.client.has_left().then(|| AttemptEnd::without_answer(outcome))
+    let outcome =
+        if sending.write_guard.bytes_written() == 0 { Outcome::NeverSent } else { Outcome::Cancelled };
+    sending.forward.client.has_disconnected().then(|| AttemptEnd::without_answer(outcome))
 }
 
 /// What an attempt sends where, and until when it waits.
@@ -420,11 +421,13 @@
             // An answer that is there in the last instant is passed on.
             biased;
             end = self.exchange(sending, kept) => match end.outcome {
-                Outcome::ConnectFailed if write_guard.is_late() => AttemptEnd::without_answer(Outcome::NeverSent),
+                Outcome::ConnectFailed if write_guard.is_start_window_closed() => {
+                    AttemptEnd::without_answer(Outcome::NeverSent)
+                }
                 _ => end,
             },
-            () = write_guard.closed() => AttemptEnd::without_answer(Outcome::NeverSent),
-            () = expired => match write_guard.is_whole() {
+            () = write_guard.start_window_closed() => AttemptEnd::without_answer(Outcome::NeverSent),
+            () = expired => match write_guard.is_fully_written() {
                 true => AttemptEnd::without_answer(Outcome::TimedOut),
                 false if upload.is_some_and(|upload| upload.is_spent()) => AttemptEnd::without_answer(Outcome::Truncated),
                 false => AttemptEnd::without_answer(Outcome::ConnectFailed),
@@ -457,11 +460,11 @@
             if let Some(end) = end {
                 return end;
             }
-            write_guard.restart();
+            write_guard.reset_written();
         }
         // A part that a kept connection took is lost with it: what is written now is the beginning, and nothing new may
         // begin at a host that was told to be leaving since.
-        if write_guard.is_late() || !self.0.borrow().takes(to) {
+        if write_guard.is_start_window_closed() || !self.0.borrow().takes(to) {
             return AttemptEnd::without_answer(Outcome::NeverSent);
         }
         // It has not been written whole yet, so this is no second sending.
@@ -582,7 +585,7 @@
         let mut driver = self.0.borrow_mut();
         let Some(request) = driver.requests.get_mut(&id) else { return };
         let Some(out) = request.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
-        out.write_guard.ended(end.outcome);
+        out.write_guard.finish(end.outcome);
         if let Some(reply) = end.answer.take().and_then(|answer| Some((request.reply.take()?, answer))) {
             request.record.answered(AnswerKind::Served);
             // A client that has just gone has no use for it.
@@ -680,7 +683,7 @@
         let (now, keep) = (Instant::now(), self.keep());
         let Some(request) = self.requests.get_mut(&id) else { return };
         // Its client's end may have been told of and its connection's task not have come to its turn yet.
-        if request.forward.client.is_left() && request.reply.take().is_some() {
+        if request.forward.client.is_known_disconnected() && request.reply.take().is_some() {
             request.record.left();
             request.forward.client.close();
             self.events.push_back(Event::RequestCancelled { request: id });
@@ -726,8 +729,8 @@
     fn cancel(&mut self, id: RequestId, attempt: u32) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(out) = request.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
-        out.write_guard.bar();
-        out.write_guard.ended(Outcome::Cancelled);
+        out.write_guard.withdraw();
+        out.write_guard.finish(Outcome::Cancelled);
         let closed = request.reply.is_none();
         self.events.push_back(ended(id, attempt, Outcome::Cancelled, out.sent.elapsed(), closed));
         self.tidy(id);
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -30,7 +30,7 @@
 use tokio::time::{interval, sleep, sleep_until, timeout, Instant, MissedTickBehavior};
 
 /// Connections that may wait to be accepted: all of a crowd that comes at once. The system holds no more than its own limit.
-pub const BACKLOG: u32 = 4_096;
+pub const LISTEN_BACKLOG: u32 = 4_096;
 /// How long new connections are still taken after the order to stop; they come for up to 0.4 s.
 const STOP_DELAY: Duration = Duration::from_millis(500);
 /// How long accepting may fail without end until those that still wait are given up.
@@ -105,9 +105,10 @@
     fn has_come(self, socket: &Socket) -> bool {
         match self {
             Phase::New(since) | Phase::Begun(since) => {
-                Instant::now() < since + WHOLE_TIME && (socket.reads() > 0 || !socket.is_quiet())
+                Instant::now() < since + WHOLE_TIME
+                    && (socket.read_count() > 0 || !socket.has_no_unread_input())
             }
-            Phase::Idle(since) => socket.read_at() > since || !socket.is_quiet(),
+            Phase::Idle(since) => socket.last_read_at() > since || !socket.has_no_unread_input(),
             Phase::Open => true,
             Phase::Closing(_) => false,
         }
@@ -116,7 +117,7 @@
     /// Why a connection that is due is closed.
     fn close_when_due(self, socket: &Socket) -> ClientCloseReason {
         match self {
-            Phase::New(_) | Phase::Begun(_) if socket.reads() > 0 => ClientCloseReason::Slow,
+            Phase::New(_) | Phase::Begun(_) if socket.read_count() > 0 => ClientCloseReason::Slow,
             _ => ClientCloseReason::Idle,
         }
     }
@@ -125,7 +126,7 @@
     fn whole_by(self, socket: &Socket) -> Instant {
         match self {
             Phase::New(since) | Phase::Begun(since) => since + WHOLE_TIME,
-            Phase::Idle(_) | Phase::Open | Phase::Closing(_) => socket.read_at() + WHOLE_TIME,
+            Phase::Idle(_) | Phase::Open | Phase::Closing(_) => socket.last_read_at() + WHOLE_TIME,
         }
     }
 }
@@ -147,7 +148,7 @@
     fn drop(&mut self) {
         let now = Instant::now();
         // A part of the next request may have come meanwhile.
-        self.phase.set(if self.socket.is_between() { Phase::Idle(now) } else { Phase::Begun(now) });
+        self.phase.set(if self.socket.is_between_messages() { Phase::Idle(now) } else { Phase::Begun(now) });
     }
 }
 
@@ -194,12 +195,12 @@
             return false;
         }
         match self.phase.get() {
-            Phase::New(since) if self.socket.reads() == 0 => {
-                now >= since + times.silent && self.socket.is_quiet() || now >= since + WHOLE_TIME
+            Phase::New(since) if self.socket.read_count() == 0 => {
+                now >= since + times.silent && self.socket.has_no_unread_input() || now >= since + WHOLE_TIME
             }
             Phase::New(since) | Phase::Begun(since) => now >= since + WHOLE_TIME,
             // What has come and was not read may be a whole request.
-            Phase::Idle(since) => now >= since + times.idle && self.socket.is_quiet(),
+            Phase::Idle(since) => now >= since + times.idle && self.socket.has_no_unread_input(),
             Phase::Open | Phase::Closing(_) => false,
         }
     }
@@ -207,7 +208,7 @@
     /// Whether it takes nothing of an answer, which may have been handed over whole, for too long. Until then what is
     /// left of the answer keeps it open.
     fn is_stuck(&self, now: Instant) -> Option<bool> {
-        self.socket.blocked_since().map(|since| now >= since + BLOCKED_MOST)
+        self.socket.write_blocked_since().map(|since| now >= since + BLOCKED_MOST)
     }
 
     /// How well it can be spared, those with the least number first; `None`: not at all. A new one is given time
@@ -218,17 +219,18 @@
         }
         let (rank, since) = match self.phase.get() {
             Phase::Closing(since) => return Some((0, since)),
-            Phase::New(since) if self.socket.reads() == 0 => (0, since),
+            Phase::New(since) if self.socket.read_count() == 0 => (0, since),
             Phase::Idle(since) if now >= since + IDLE_LEAST => (1, since),
             // Those that come back keep theirs before those that have asked once, and may never again.
-            Phase::Idle(since) if self.socket.reads() <= 1 => (2, since),
+            Phase::Idle(since) if self.socket.read_count() <= 1 => (2, since),
             // Half a request may become one: the longer it has taken, the less likely.
             Phase::New(since) | Phase::Begun(since) => (3, since),
             Phase::Idle(since) => (4, since),
             Phase::Open => return None,
         };
         // What has come and was not read may be a whole request, also on a new one whose task has had no turn yet.
-        let unread = matches!(self.phase.get(), Phase::New(_) | Phase::Idle(_)) && !self.socket.is_quiet();
+        let unread =
+            matches!(self.phase.get(), Phase::New(_) | Phase::Idle(_)) && !self.socket.has_no_unread_input();
         (now >= since + BEGUN && !unread).then_some((rank, since))
     }
 
@@ -237,7 +239,7 @@
         self.metrics.count().closed(why);
         tracing::debug!(socket = ?self.socket, phase = ?self.phase.get(), reason = ?why, "closed");
         let unanswered = matches!(self.phase.get(), Phase::Open) && why != ClientCloseReason::Stuck;
-        if unanswered && !self.socket.has_left() {
+        if unanswered && !self.socket.has_disconnected() {
             self.metrics.count().violation(Violation::ClosedUnanswered);
             log::line(&format!("invariant violated: a connection with an open request was closed: {why:?}"));
         }
@@ -257,9 +259,9 @@
         }
         match self.phase.get() {
             // Its task has been told; this is for a system that tells of ends only when it is asked.
-            Phase::Open if self.socket.is_left() => self.close(ClientCloseReason::Left),
-            Phase::Idle(since) if self.socket.read_at() > since => {
-                self.phase.set(Phase::Begun(self.socket.read_at()));
+            Phase::Open if self.socket.is_known_disconnected() => self.close(ClientCloseReason::Left),
+            Phase::Idle(since) if self.socket.last_read_at() > since => {
+                self.phase.set(Phase::Begun(self.socket.last_read_at()));
             }
             _ if self.is_due(now, times) => self.end.notify_one(),
             _ => {}
@@ -413,14 +415,14 @@
         if let Err(error) = stream.set_nodelay(true) {
             log::line(&format!("nodelay: {error}"));
         }
-        let socket = Socket::of_client(stream);
+        let socket = Socket::for_client(stream);
         let phase = Rc::new(Cell::new(Phase::New(Instant::now())));
         let (driver, state, read) = (self.driver.clone(), phase.clone(), socket.clone());
         let (crowded, asked) = (self.crowded.clone(), Rc::new(Cell::new(0)));
         let stopping = self.stopping.clone();
         let service = service_fn(move |request| {
             let number = asked.replace(asked.get() + 1);
-            let doubtful = read.is_doubtful(number);
+            let doubtful = read.is_framing_ambiguous(number);
             let arrival = Arrival { whole_by: state.get().whole_by(&read), socket: read.clone(), doubtful };
             let (crowded, first) = (crowded.clone(), number == 0);
             let (driver, stopping) = (driver.clone(), stopping.clone());
@@ -447,7 +449,7 @@
             // Nobody waits for the answer. hyper sees that only where it has read all that came before; where no request
             // is open it reads on, and what begins one comes to its turn before this.
             let left = poll_fn(|context| {
-                ready!(closing.poll_left(context));
+                ready!(closing.poll_disconnected(context));
                 if matches!(last.get(), Phase::Open) {
                     Poll::Ready(())
                 } else {
@@ -474,7 +476,7 @@
                 () = due => metrics.count().closed(last.get().close_when_due(&closing)),
             }
             last.set(Phase::Closing(Instant::now()));
-            closing.linger(LINGER).await;
+            closing.lingering_close(LINGER).await;
         });
         let metrics = self.driver.metrics();
         self.open.push(ClientConnection { task, socket, phase, end: ending, metrics });
@@ -496,7 +498,7 @@
     #[tokio::test]
     async fn a_client_that_has_not_taken_its_answer_is_not_idle() {
         let (far, near) = pair().await;
-        let mut socket = Socket::of_client(near);
+        let mut socket = Socket::for_client(near);
         let since = Instant::now() - IDLE_MOST;
         let (task, phase) = (tokio::spawn(std::future::pending()), Rc::new(Cell::new(Phase::Idle(since))));
         let client = ClientConnection {
@@ -524,14 +526,14 @@
         let phase = Rc::new(Cell::new(Phase::New(now - BEGUN)));
         let client = ClientConnection {
             task,
-            socket: Socket::of_client(near),
+            socket: Socket::for_client(near),
             phase,
             end: Rc::default(),
             metrics: Metrics::default(),
         };
         assert!(client.spare(now).is_some(), "it has said nothing");
         far.try_write(b"GET /api HTTP/1.1\r\n").expect("written");
-        while client.socket.is_quiet() {
+        while client.socket.has_no_unread_input() {
             yield_now().await;
         }
         assert!(client.spare(now).is_none());
@@ -565,10 +567,10 @@
         let (endpoint, config) = one_host().await;
         let test = async {
             let (far, near) = pair().await;
-            let client = Socket::of_client(near);
+            let client = Socket::for_client(near);
             far.try_write(b"GET /").expect("written");
             drop(far);
-            while !client.is_left() {
+            while !client.is_known_disconnected() {
                 yield_now().await;
             }
             let payload = RequestBody::Whole(Bytes::new());
@@ -658,7 +660,10 @@
                 while driver.figures()["pending"] != 0 {
                     yield_now().await;
                 }
-                assert!(clients.open.pop().is_some_and(|client| client.socket.is_left()), "closed");
+                assert!(
+                    clients.open.pop().is_some_and(|client| client.socket.is_known_disconnected()),
+                    "closed"
+                );
                 assert_eq!(driver.figures()["upstream_requests"], sent);
             }
         };
--- a/proxy/src/downstream/request.rs
+++ b/proxy/src/downstream/request.rs
@@ -75,7 +75,7 @@
         gathered = upload.gather(&memory) => gathered.map_err(UploadError::status)?,
     };
     // It may have waited to be accepted or read for longer than its client has.
-    if socket.has_left() {
+    if socket.has_disconnected() {
         return Ok(driver.refuse(descriptor.class));
     }
     let budget = budget - WAY_BACK.min(budget / WAY_BACK_PART);
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -77,7 +77,7 @@
             () = &mut stop => return Ok(()),
             () = may_listen(&driver) => {}
         }
-        downstream::serve(listeners.clients.listen(downstream::BACKLOG)?, driver.clone(), stop).await;
+        downstream::serve(listeners.clients.listen(downstream::LISTEN_BACKLOG)?, driver.clone(), stop).await;
         driver.log_counts();
         Ok(())
     };
--- a/proxy/src/socket/framing.rs
+++ b/proxy/src/socket/framing.rs
@@ -38,12 +38,12 @@
 
 impl Framing {
     /// Whether the request of this number, from 0, can't be relied on to end where it seems to.
-    pub fn is_doubtful(&self, number: u64) -> bool {
+    pub fn is_framing_ambiguous(&self, number: u64) -> bool {
         self.doubtful.is_some_and(|doubtful| number >= doubtful)
     }
 
     /// Whether nothing has come of a message whose end has not.
-    pub fn is_between(&self) -> bool {
+    pub fn is_between_messages(&self) -> bool {
         matches!(self.state, State::Head) && !self.begun && self.line.is_empty()
     }
 
@@ -151,9 +151,9 @@
         for message in CLEAR {
             let mut framing = Framing::default();
             framing.read(&message.as_bytes()[..message.len() - 1]);
-            assert!(!framing.is_between(), "{message}");
+            assert!(!framing.is_between_messages(), "{message}");
             framing.read(b"\n");
-            assert!(framing.is_between(), "{message}");
+            assert!(framing.is_between_messages(), "{message}");
         }
     }
 
--- a/proxy/src/socket/mod.rs
+++ b/proxy/src/socket/mod.rs
@@ -84,7 +84,7 @@
     }
 
     /// Wraps the stream of a client, whose messages are followed and whose end is waited for.
-    pub fn of_client(stream: TcpStream) -> Socket {
+    pub fn for_client(stream: TcpStream) -> Socket {
         let stream = Rc::new(stream);
         let end = end_of(stream.clone());
         Socket::wrap(stream, Some(RefCell::default()), Some(Box::pin(end)))
@@ -121,55 +121,55 @@
     }
 
     /// From here on, written bytes are counted here.
-    pub fn count(&self, write_guard: &WriteGuard) {
+    pub fn set_write_guard(&self, write_guard: &WriteGuard) {
         self.0.write_guard.replace(write_guard.clone());
     }
 
     /// The next byte is not written if something has come before it, an end or what would be taken for an answer: however
     /// long ago that was looked for, the last look is the writing's own.
-    pub fn guard(&self) {
+    pub fn forbid_write_on_unread_input(&self) {
         self.0.guarded.set(true);
     }
 
     fn may_write(&self) -> io::Result<()> {
-        let is_quiet = self.0.guarded.replace(false).then(|| self.is_quiet());
+        let is_quiet = self.0.guarded.replace(false).then(|| self.has_no_unread_input());
         Ok(self.0.write_guard.borrow().may_write(is_quiet)?)
     }
 
     /// How often something was read, its end included.
-    pub fn reads(&self) -> u64 {
+    pub fn read_count(&self) -> u64 {
         self.0.reads.get()
     }
 
     /// When something was last read; at first, when it was opened.
-    pub fn read_at(&self) -> Instant {
+    pub fn last_read_at(&self) -> Instant {
         self.0.read_at.get()
     }
 
     /// The earliest that what was read last can have come. While nobody reads, it may have been there since the read before
     /// that brought something; only a read that had to wait tells when it came.
-    pub fn came_at(&self) -> Instant {
+    pub fn earliest_arrival(&self) -> Instant {
         self.0.came_at.get()
     }
 
     /// Since when what is to be written could not be, if it can't now.
-    pub fn blocked_since(&self) -> Option<Instant> {
+    pub fn write_blocked_since(&self) -> Option<Instant> {
         self.0.blocked.get()
     }
 
     /// Whether the request of this number, from 0, can't be relied on to end where it seems to.
-    pub fn is_doubtful(&self, number: u64) -> bool {
-        self.0.framing.as_ref().is_some_and(|framing| framing.borrow().is_doubtful(number))
+    pub fn is_framing_ambiguous(&self, number: u64) -> bool {
+        self.0.framing.as_ref().is_some_and(|framing| framing.borrow().is_framing_ambiguous(number))
     }
 
     /// Whether nothing has come of a request whose end has not.
-    pub fn is_between(&self) -> bool {
-        self.0.framing.as_ref().is_none_or(|framing| framing.borrow().is_between())
+    pub fn is_between_messages(&self) -> bool {
+        self.0.framing.as_ref().is_none_or(|framing| framing.borrow().is_between_messages())
     }
 
     fn wrote(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(count)) = written {
-            self.0.write_guard.borrow().wrote(count);
+            self.0.write_guard.borrow().record_written(count);
         }
         let since = self.0.blocked.get().unwrap_or_else(Instant::now);
         self.0.blocked.set(written.is_pending().then_some(since));
@@ -178,7 +178,7 @@
 
     /// Whether it is open and nothing waits in it to be read, not even its end. This asks the system: what has
     /// come since the stream's task was last polled shows nowhere else.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_no_unread_input(&self) -> bool {
         self.peek().is_some_and(|peeked| peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock))
     }
 }
@@ -209,7 +209,7 @@
 
     /// Whether the other side is known to have ended its sending, or to have broken the connection, also behind bytes that
     /// nobody has read: hyper finds an end only when it has read all that came before it.
-    pub fn is_left(&self) -> bool {
+    pub fn is_known_disconnected(&self) -> bool {
         let io = self.0.io.borrow();
         let Some(io) = io.as_ref() else { return true };
         // What the system has told of ends stays known until the stream is closed.
@@ -222,7 +222,7 @@
 
     /// Ready once a client is known to have left, as soon as the system tells, whatever has come before and is unread.
     /// One task alone may ask.
-    pub fn poll_left(&self, context: &mut Context<'_>) -> Poll<()> {
+    pub fn poll_disconnected(&self, context: &mut Context<'_>) -> Poll<()> {
         let mut end = self.0.end.borrow_mut();
         if let Some(waiting) = end.as_mut() {
             ready!(waiting.as_mut().poll(context));
@@ -232,9 +232,9 @@
     }
 
     /// The same, and asks the system: its word may not have been heard yet.
-    pub fn has_left(&self) -> bool {
+    pub fn has_disconnected(&self) -> bool {
         let peeked = self.peek();
-        self.is_left()
+        self.is_known_disconnected()
             || peeked.is_none_or(|peeked| match peeked {
                 Ok(count) => count == 0,
                 Err(error) => error.kind() != io::ErrorKind::WouldBlock,
@@ -243,7 +243,7 @@
 
     /// Ends the sending and reads what still comes, until the other side ends too, for so long at the most. Closed on bytes
     /// that nobody has read, the connection would be reset, and an answer on its way be lost with it.
-    pub async fn linger(self, most: Duration) {
+    pub async fn lingering_close(self, most: Duration) {
         let ended = async {
             let shutdown = self.end_sending();
             while shutdown.is_ok() && poll_fn(|context| self.poll_discard(context)).await.is_ok_and(|n| n > 0)
@@ -382,7 +382,7 @@
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         // hyper flushes when it has nothing left to write; the stream itself holds nothing back.
         if self.0.io.borrow().is_some() {
-            self.0.write_guard.borrow().flushed();
+            self.0.write_guard.borrow().record_flush();
         }
         Poll::Ready(Ok(()))
     }
@@ -416,11 +416,11 @@
     #[tokio::test]
     async fn what_has_come_shows_without_being_polled_for() {
         let (socket, mut far) = pair();
-        assert!(socket.is_quiet());
+        assert!(socket.has_no_unread_input());
         far.write_all(b"x").expect("written");
-        assert!(!socket.is_quiet());
+        assert!(!socket.has_no_unread_input());
         socket.close();
-        assert!(!socket.is_quiet());
+        assert!(!socket.has_no_unread_input());
         assert!(
             std::io::Read::read(&mut far, &mut [0]).is_ok_and(|n| n == 0) || far.write_all(b"y").is_err()
         );
@@ -432,16 +432,16 @@
     async fn nothing_is_written_behind_what_has_come_since_the_connection_was_chosen() {
         for second in [Some(b"HTTP/1.1 200 OK\r\n\r\n"), None] {
             let ((mut socket, mut far), write_guard) = (pair(), WriteGuard::default());
-            socket.count(&write_guard);
-            socket.guard();
-            assert!(socket.is_quiet(), "chosen");
+            socket.set_write_guard(&write_guard);
+            socket.forbid_write_on_unread_input();
+            assert!(socket.has_no_unread_input(), "chosen");
             match second {
                 Some(bytes) => far.write_all(bytes).expect("written"),
                 None => far.shutdown(std::net::Shutdown::Write).expect("ended"),
             }
             let write = poll_fn(|context| Pin::new(&mut socket).poll_write(context, b"GET"));
             assert!(write.await.is_err());
-            assert_eq!(write_guard.written(), 0);
+            assert_eq!(write_guard.bytes_written(), 0);
         }
     }
 
@@ -449,14 +449,14 @@
     #[tokio::test]
     async fn what_comes_while_a_request_is_written_does_not_stop_it() {
         let ((mut socket, mut far), write_guard) = (pair(), WriteGuard::default());
-        socket.count(&write_guard);
-        socket.guard();
+        socket.set_write_guard(&write_guard);
+        socket.forbid_write_on_unread_input();
         for part in ["POST", "body"] {
             let write = poll_fn(|context| Pin::new(&mut socket).poll_write(context, part.as_bytes()));
             assert_eq!(write.await.expect("written"), 4);
             far.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").expect("written");
         }
-        assert_eq!(write_guard.written(), 8);
+        assert_eq!(write_guard.bytes_written(), 8);
     }
 
     fn write_guard(client: &Socket, begin_before: Option<Instant>) -> WriteGuard {
@@ -472,10 +472,10 @@
         let (client, _far) = pair();
         for (before, written) in [(0, 0), (2, 4)] {
             let ((mut socket, _far), write_guard) = (pair(), write_guard(&client, Some(Instant::now())));
-            write_guard.wrote(before);
-            socket.count(&write_guard);
+            write_guard.record_written(before);
+            socket.set_write_guard(&write_guard);
             let write = poll_fn(|context| Pin::new(&mut socket).poll_write(context, b"ST"));
-            assert_eq!((write.await.is_ok(), write_guard.written()), (before > 0, written));
+            assert_eq!((write.await.is_ok(), write_guard.bytes_written()), (before > 0, written));
         }
     }
 
@@ -483,20 +483,20 @@
     #[tokio::test]
     async fn an_attempt_is_not_whole_by_what_another_connection_took() {
         let ((mut first, _far), (mut second, _other), write_guard) = (pair(), pair(), WriteGuard::default());
-        first.count(&write_guard);
+        first.set_write_guard(&write_guard);
         let write = poll_fn(|context| Pin::new(&mut first).poll_write(context, b"GET"));
         assert_eq!(write.await.expect("written"), 3);
-        write_guard.set_ended();
-        write_guard.restart();
-        second.count(&write_guard);
+        write_guard.set_request_ended();
+        write_guard.reset_written();
+        second.set_write_guard(&write_guard);
         poll_fn(|context| Pin::new(&mut second).poll_flush(context)).await.expect("flushed");
-        assert!(!write_guard.is_whole());
+        assert!(!write_guard.is_fully_written());
     }
 
     fn client() -> (Socket, std::net::TcpStream) {
         let (socket, far) = pair();
         let stream = socket.0.io.borrow_mut().take().and_then(Rc::into_inner);
-        (Socket::of_client(stream.expect("unshared")), far)
+        (Socket::for_client(stream.expect("unshared")), far)
     }
 
     /// A client leaves by a close or a reset.
@@ -515,7 +515,7 @@
                 let (asked, seen) = (socket.clone(), looks.clone());
                 let left = spawn_local(poll_fn(move |context| {
                     seen.set(seen.get() + 1);
-                    asked.poll_left(context)
+                    asked.poll_disconnected(context)
                 }));
                 yield_now().await;
                 for _ in 0..behind {
@@ -523,10 +523,13 @@
                     // The system is asked before this goes on.
                     yield_now().await;
                 }
-                assert!((looks.get(), socket.is_left(), socket.is_quiet()) == (1, false, behind == 0));
+                assert!(
+                    (looks.get(), socket.is_known_disconnected(), socket.has_no_unread_input())
+                        == (1, false, behind == 0)
+                );
                 leave(far, reset);
                 left.await.expect("told");
-                assert!(looks.get() == 2 && socket.is_left());
+                assert!(looks.get() == 2 && socket.is_known_disconnected());
             }
         };
         let tasks = LocalSet::new();
@@ -540,17 +543,17 @@
             for begun in [false, true] {
                 let ((client, far), (mut endpoint, _far)) = (client(), pair());
                 let write_guard = write_guard(&client, None);
-                endpoint.count(&write_guard);
+                endpoint.set_write_guard(&write_guard);
                 if begun {
                     let write = poll_fn(|context| Pin::new(&mut endpoint).poll_write(context, b"POST"));
                     assert_eq!(write.await.expect("written"), 4);
                 }
                 leave(far, reset);
                 // No task has had a turn since, and the event queue was not asked.
-                assert!(!client.is_left() && client.has_left());
+                assert!(!client.is_known_disconnected() && client.has_disconnected());
                 let write = poll_fn(|context| Pin::new(&mut endpoint).poll_write(context, b"body"));
                 assert_eq!(write.await.is_ok(), begun, "reset: {reset}");
-                assert_eq!(write_guard.written(), if begun { 8 } else { 0 });
+                assert_eq!(write_guard.bytes_written(), if begun { 8 } else { 0 });
             }
         }
     }
--- a/proxy/src/upstream/mod.rs
+++ b/proxy/src/upstream/mod.rs
@@ -101,7 +101,7 @@
         if !matches!(timeout(REST, self.sender.ready()).await, Ok(Ok(()))) {
             return None;
         }
-        self.reads = self.socket.reads();
+        self.reads = self.socket.read_count();
         // Its task finds what it has read beyond the answer only when it is polled once more.
         yield_now().await;
         self.is_ready().then_some(self)
@@ -110,7 +110,7 @@
     /// Whether a request can be written to it now. Anything that has come since its last answer, its end or a
     /// second answer, makes it useless: it would be taken for the next request's.
     pub fn is_ready(&self) -> bool {
-        self.sender.is_ready() && self.socket.reads() == self.reads && self.socket.is_quiet()
+        self.sender.is_ready() && self.socket.read_count() == self.reads && self.socket.has_no_unread_input()
     }
 }
 
@@ -154,20 +154,25 @@
     terms: ExchangeContext<'_>,
 ) -> Option<AttemptEnd> {
     let ExchangeContext { payload, write_guard, memory, back } = terms;
-    connection.socket.count(write_guard);
+    connection.socket.set_write_guard(write_guard);
     let (kept, started) = (connection.reads > 0, Instant::now());
     if kept {
-        connection.socket.guard();
+        connection.socket.forbid_write_on_unread_input();
     }
     let response = match connection.sender.send_request(request).await {
         Ok(response) => response,
-        Err(_) if !write_guard.is_whole() && payload.upload().is_none_or(|upload| !upload.is_spent()) => {
+        Err(_)
+            if !write_guard.is_fully_written()
+                && payload.upload().is_none_or(|upload| !upload.is_spent()) =>
+        {
             return None
         }
-        Err(_) if !write_guard.is_whole() => return Some(AttemptEnd::without_answer(Outcome::Truncated)),
+        Err(_) if !write_guard.is_fully_written() => {
+            return Some(AttemptEnd::without_answer(Outcome::Truncated))
+        }
         Err(error) => {
             // The one read since is that of its end: nothing of an answer has come.
-            let unanswered = kept && connection.socket.reads() <= connection.reads + 1;
+            let unanswered = kept && connection.socket.read_count() <= connection.reads + 1;
             let outcome = broken(&error);
             let stale = outcome == Outcome::Reset && unanswered && started.elapsed() < CROSSING;
             return Some(AttemptEnd::without_answer(if stale { Outcome::Stale } else { outcome }));
--- a/proxy/src/write_guard.rs
+++ b/proxy/src/write_guard.rs
@@ -82,7 +82,7 @@
     pub fn may_write(&self, is_quiet: Option<bool>) -> Result<(), WriteDenial> {
         let denial = match () {
             () if self.0.barred.get() => WriteDenial::Withdrawn,
-            () if self.is_late() => WriteDenial::StartWindowClosed,
+            () if self.is_start_window_closed() => WriteDenial::StartWindowClosed,
             () if self.is_unwanted() => WriteDenial::ClientDisconnected,
             () if is_quiet == Some(false) => WriteDenial::ConnectionUsed,
             () => return Ok(()),
@@ -93,70 +93,70 @@
     }
 
     /// Whether the attempt has not begun, and may no longer.
-    pub fn is_late(&self) -> bool {
-        self.written() == 0 && self.0.begin_before.is_some_and(|end| Instant::now() >= end)
+    pub fn is_start_window_closed(&self) -> bool {
+        self.bytes_written() == 0 && self.0.begin_before.is_some_and(|end| Instant::now() >= end)
     }
 
     /// Returns once the time for its beginning is over, if it has not begun by then.
-    pub async fn closed(&self) {
+    pub async fn start_window_closed(&self) {
         match self.0.begin_before {
             Some(end) => sleep_until(end).await,
             None => pending().await,
         }
-        if self.written() > 0 {
+        if self.bytes_written() > 0 {
             pending().await
         }
     }
 
     /// Whether the attempt may not be begun as its client has left. The last look is the writing's own.
     fn is_unwanted(&self) -> bool {
-        self.written() == 0 && self.0.client.upgrade().is_some_and(|client| client.has_left())
+        self.bytes_written() == 0 && self.0.client.upgrade().is_some_and(|client| client.has_disconnected())
     }
 
     /// Bytes written so far: none means that no host can have seen the attempt.
-    pub fn written(&self) -> usize {
+    pub fn bytes_written(&self) -> usize {
         self.0.bytes.get()
     }
 
     /// The time that the request tells its host to be left.
-    pub fn tell(&self, left: Duration) {
+    pub fn advertise_timeout(&self, left: Duration) {
         self.0.record.iter().for_each(|record| record.tell(left));
     }
 
     /// The end of the request has been handed over; what is flushed after that is all of it.
-    pub fn set_ended(&self) {
+    pub fn set_request_ended(&self) {
         self.0.ended.set(true);
     }
 
     /// Nothing more of the attempt is written from here on: the tasks that have it at hand may still come to their turns.
-    pub fn bar(&self) {
+    pub fn withdraw(&self) {
         self.0.barred.set(true);
     }
 
     /// What was written broke off before its end: all of it is written again.
-    pub fn restart(&self) {
+    pub fn reset_written(&self) {
         self.0.bytes.set(0);
     }
 
     /// So many bytes have been written.
-    pub fn wrote(&self, bytes: usize) {
+    pub fn record_written(&self, bytes: usize) {
         if bytes > 0 && self.0.bytes.replace(self.0.bytes.get() + bytes) == 0 {
             self.0.record.iter().for_each(AttemptRecord::begun);
         }
     }
 
     /// It is over.
-    pub fn ended(&self, outcome: Outcome) {
-        self.0.record.iter().for_each(|record| record.ended(outcome, self.is_whole()));
+    pub fn finish(&self, outcome: Outcome) {
+        self.0.record.iter().for_each(|record| record.ended(outcome, self.is_fully_written()));
     }
 
     /// Whether all of the attempt is written. Without its last byte no host begins with it.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_fully_written(&self) -> bool {
         self.0.whole.get()
     }
 
     /// Nothing of what was handed over is left to be written.
-    pub fn flushed(&self) {
+    pub fn record_flush(&self) {
         if self.0.ended.get() && self.0.bytes.get() > 0 && !self.0.whole.replace(true) {
             self.0.metrics.count().sent_whole();
         }
