--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -702,7 +702,8 @@
         };
         let begin_before = start_within.map(|start_within| now + start_within);
         let record = request.record.attempt(endpoint.target.clone());
-        let write_guard = WriteGuard::new(&self.metrics, &request.forward.client, begin_before, record);
+        let write_guard =
+            WriteGuard::new(&self.metrics, request.forward.client.client_presence(), begin_before, record);
         let forward = request.forward.clone();
         let to =
             EndpointProcess { endpoint_id, address: endpoint.address, started_at_ms: endpoint.started_at_ms };
--- a/proxy/src/socket/mod.rs
+++ b/proxy/src/socket/mod.rs
@@ -4,7 +4,7 @@
 pub(crate) mod framing;
 
 use crate::socket::framing::Framing;
-use crate::write_guard::WriteGuard;
+use crate::write_guard::{ClientPresence, WriteGuard};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -50,17 +50,6 @@
 #[derive(Clone)]
 pub struct Socket(Rc<Inner>);
 
-/// The stream for as long as others have it.
-#[derive(Clone, Debug, Default)]
-pub struct WeakSocket(Weak<Inner>);
-
-impl WeakSocket {
-    /// The stream, if others have it.
-    pub fn upgrade(&self) -> Option<Socket> {
-        self.0.upgrade().map(Socket)
-    }
-}
-
 impl fmt::Debug for Inner {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
@@ -71,6 +60,38 @@
     }
 }
 
+impl Inner {
+    /// Whether the other side is known to have ended its sending, or to have broken the connection, also behind bytes that
+    /// nobody has read: hyper finds an end only when it has read all that came before it.
+    pub fn is_known_disconnected(&self) -> bool {
+        let io = self.io.borrow();
+        let Some(io) = io.as_ref() else { return true };
+        // What the system has told of ends stays known until the stream is closed.
+        let ready = pin!(io.ready(Interest::READABLE));
+        match ready.poll(&mut Context::from_waker(Waker::noop())) {
+            Poll::Ready(ready) => ready.is_ok_and(|ready| ready.is_read_closed()),
+            Poll::Pending => false,
+        }
+    }
+
+    /// `None`: it is closed.
+    fn peek(&self) -> Option<io::Result<usize>> {
+        let mut byte = [MaybeUninit::uninit()];
+        self.io.borrow().as_ref().map(|io| SockRef::from(&**io).peek(&mut byte))
+    }
+}
+
+impl ClientPresence for Inner {
+    fn has_disconnected(&self) -> bool {
+        let peeked = self.peek();
+        self.is_known_disconnected()
+            || peeked.is_none_or(|peeked| match peeked {
+                Ok(count) => count == 0,
+                Err(error) => error.kind() != io::ErrorKind::WouldBlock,
+            })
+    }
+}
+
 impl fmt::Debug for Socket {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(formatter)
@@ -109,9 +130,10 @@
         }))
     }
 
-    /// The stream for as long as others have it.
-    pub fn downgrade(&self) -> WeakSocket {
-        WeakSocket(Rc::downgrade(&self.0))
+    /// What a write for this client's request asks whether the client is still there. It does not keep the stream.
+    pub fn client_presence(&self) -> Weak<dyn ClientPresence> {
+        let stream: Rc<dyn ClientPresence> = self.0.clone();
+        Rc::downgrade(&stream)
     }
 
     /// Closes it. Its descriptor is free when this returns; an aborted task would hold it for a while yet.
@@ -179,7 +201,7 @@
     /// Whether it is open and nothing waits in it to be read, not even its end. This asks the system: what has
     /// come since the stream's task was last polled shows nowhere else.
     pub fn has_no_unread_input(&self) -> bool {
-        self.peek().is_some_and(|peeked| peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock))
+        self.0.peek().is_some_and(|peeked| peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock))
     }
 }
 
@@ -207,19 +229,6 @@
         }
     }
 
-    /// Whether the other side is known to have ended its sending, or to have broken the connection, also behind bytes that
-    /// nobody has read: hyper finds an end only when it has read all that came before it.
-    pub fn is_known_disconnected(&self) -> bool {
-        let io = self.0.io.borrow();
-        let Some(io) = io.as_ref() else { return true };
-        // What the system has told of ends stays known until the stream is closed.
-        let ready = pin!(io.ready(Interest::READABLE));
-        match ready.poll(&mut Context::from_waker(Waker::noop())) {
-            Poll::Ready(ready) => ready.is_ok_and(|ready| ready.is_read_closed()),
-            Poll::Pending => false,
-        }
-    }
-
     /// Ready once a client is known to have left, as soon as the system tells, whatever has come before and is unread.
     /// One task alone may ask.
     pub fn poll_disconnected(&self, context: &mut Context<'_>) -> Poll<()> {
@@ -231,14 +240,14 @@
         Poll::Ready(())
     }
 
+    /// Whether the other side is known to have ended its sending, or to have broken the connection.
+    pub fn is_known_disconnected(&self) -> bool {
+        self.0.is_known_disconnected()
+    }
+
     /// The same, and asks the system: its word may not have been heard yet.
     pub fn has_disconnected(&self) -> bool {
-        let peeked = self.peek();
-        self.is_known_disconnected()
-            || peeked.is_none_or(|peeked| match peeked {
-                Ok(count) => count == 0,
-                Err(error) => error.kind() != io::ErrorKind::WouldBlock,
-            })
+        self.0.has_disconnected()
     }
 
     /// Ends the sending and reads what still comes, until the other side ends too, for so long at the most. Closed on bytes
@@ -272,12 +281,6 @@
         ready!(poll_receive(io, context, &mut piece))?;
         Poll::Ready(Ok(piece.filled().len()))
     }
-
-    /// `None`: it is closed.
-    fn peek(&self) -> Option<io::Result<usize>> {
-        let mut byte = [MaybeUninit::uninit()];
-        self.0.io.borrow().as_ref().map(|io| SockRef::from(&**io).peek(&mut byte))
-    }
 }
 
 impl Read for Socket {
@@ -463,7 +466,12 @@
         let (id, idempotency) = (HeaderValue::from_static("1"), Idempotency::Idempotent);
         let policy = RequestPolicy { idempotency, attempts: 1, copies: false, drain_grace: Duration::MAX };
         let request = RequestRecord::new(Metrics::default(), id, policy, None);
-        WriteGuard::new(&Metrics::default(), client, begin_before, request.attempt(AttemptTarget::default()))
+        WriteGuard::new(
+            &Metrics::default(),
+            client.client_presence(),
+            begin_before,
+            request.attempt(AttemptTarget::default()),
+        )
     }
 
     /// The look at the time is the writing's own too; what has begun in time is written to its end.
--- a/proxy/src/write_guard.rs
+++ b/proxy/src/write_guard.rs
@@ -2,13 +2,12 @@
 
 use crate::invariants::AttemptRecord;
 use crate::metrics::Metrics;
-use crate::socket::{Socket, WeakSocket};
 use balancer::Outcome;
 use std::cell::Cell;
 use std::fmt;
 use std::future::pending;
 use std::io;
-use std::rc::Rc;
+use std::rc::{Rc, Weak};
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
@@ -39,6 +38,13 @@
     }
 }
 
+/// The connection of the client that a request came on, as far as a write has to know it.
+pub trait ClientPresence: fmt::Debug {
+    /// Whether the client has closed or broken its connection. Asks the operating system, whose
+    /// readiness event may not have been delivered yet.
+    fn has_disconnected(&self) -> bool;
+}
+
 #[derive(Debug, Default)]
 struct Written {
     bytes: Cell<usize>,
@@ -47,8 +53,8 @@
     barred: Cell<bool>,
     /// Before when the first byte must be written, if that is bounded.
     begin_before: Option<Instant>,
-    /// Whose request it is.
-    client: WeakSocket,
+    /// Whose request it is; `None`: no client's.
+    client: Option<Weak<dyn ClientPresence>>,
     /// `None`: no request has it.
     record: Option<AttemptRecord>,
     metrics: Metrics,
@@ -63,15 +69,14 @@
     /// None is, if its first would be only at `begin_before` or later.
     pub fn new(
         metrics: &Metrics,
-        client: &Socket,
+        client: Weak<dyn ClientPresence>,
         begin_before: Option<Instant>,
         record: AttemptRecord,
     ) -> WriteGuard {
-        let (metrics, client) = (metrics.clone(), client.downgrade());
         WriteGuard(Rc::new(Written {
             begin_before,
-            metrics,
-            client,
+            metrics: metrics.clone(),
+            client: Some(client),
             record: Some(record),
             ..Written::default()
         }))
@@ -110,7 +115,8 @@
 
     /// Whether the attempt may not be begun as its client has left. The last look is the writing's own.
     fn is_unwanted(&self) -> bool {
-        self.bytes_written() == 0 && self.0.client.upgrade().is_some_and(|client| client.has_disconnected())
+        let client = self.0.client.as_ref().and_then(Weak::upgrade);
+        self.bytes_written() == 0 && client.is_some_and(|client| client.has_disconnected())
     }
 
     /// Bytes written so far: none means that no host can have seen the attempt.
