--- a/proxy/src/body/mod.rs
+++ b/proxy/src/body/mod.rs
@@ -21,9 +21,9 @@
 use tokio::time::{sleep, timeout, Instant, Sleep};
 
 /// Most bytes of a body that is gathered.
-pub const SMALL_MOST: usize = 64 << 10;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
 /// Most bytes of any body.
-pub const BODY_MOST: u64 = 40 << 20;
+pub const MAX_BODY_BYTES: u64 = 40 << 20;
 /// What an honest client sends in a second at the least, with some slack, and the most that it can be ahead of that: one that
 /// stops, however much it has sent, is owed its error within 3 s.
 const PACE: f64 = 48_000.0;
@@ -91,8 +91,8 @@
 impl BufferedBody {
     /// For a body of this length, if it is known; `None` if it is too long, or there is no room for it.
     pub fn new(memory: &BodyMemory, length: Option<u64>) -> Option<BufferedBody> {
-        let length = length.map_or(Some(SMALL_MOST), |length| usize::try_from(length).ok());
-        let room = memory.reserve(length.filter(|length| *length <= SMALL_MOST)?)?;
+        let length = length.map_or(Some(MAX_BUFFERED_BODY_BYTES), |length| usize::try_from(length).ok());
+        let room = memory.reserve(length.filter(|length| *length <= MAX_BUFFERED_BODY_BYTES)?)?;
         Some(BufferedBody { bytes: Vec::new(), room })
     }
 
@@ -114,9 +114,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UploadError {
     /// It came too slowly.
-    Slow,
+    TooSlow,
     /// It is too long.
-    Long,
+    TooLong,
     /// It could not be read, or broke off.
     Unreadable,
 }
@@ -125,8 +125,8 @@
     /// What the client is told.
     pub fn status(self) -> StatusCode {
         match self {
-            UploadError::Slow => StatusCode::REQUEST_TIMEOUT,
-            UploadError::Long => StatusCode::PAYLOAD_TOO_LARGE,
+            UploadError::TooSlow => StatusCode::REQUEST_TIMEOUT,
+            UploadError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
             UploadError::Unreadable => StatusCode::BAD_REQUEST,
         }
     }
@@ -179,17 +179,17 @@
     }
 
     /// Whether something of it was handed on, and can't be had again.
-    pub fn is_spent(&self) -> bool {
+    pub fn is_consumed(&self) -> bool {
         self.spent.get()
     }
 
     /// How it ended, if it has.
-    pub fn end(&self) -> Option<Result<Instant, UploadError>> {
+    pub fn result(&self) -> Option<Result<Instant, UploadError>> {
         self.end.get()
     }
 
     /// Returns once it has ended, and how.
-    pub async fn ended(&self) -> Result<Instant, UploadError> {
+    pub async fn finished(&self) -> Result<Instant, UploadError> {
         loop {
             let ended = self.ended.notified();
             match self.end.get() {
@@ -201,7 +201,7 @@
 
     /// Gathers it, if it is short: then this is all of it. `None`: it is long; what was read of it comes first when it
     /// is read again.
-    pub async fn gather(&self, memory: &BodyMemory) -> Result<Option<Bytes>, UploadError> {
+    pub async fn buffer(&self, memory: &BodyMemory) -> Result<Option<Bytes>, UploadError> {
         let Some(mut gathered) = BufferedBody::new(memory, self.length) else { return Ok(None) };
         while let Some(piece) = poll_fn(|context| self.poll_piece(context)).await {
             if !gathered.push(&piece?) {
@@ -213,7 +213,7 @@
     }
 
     /// Reads on and throws away, within bounds.
-    pub async fn drain(&self) {
+    pub async fn discard(&self) {
         let rest = async { while let Some(Ok(_)) = poll_fn(|context| self.poll_piece(context)).await {} };
         let _ = timeout(DRAIN_TIME, rest).await;
     }
@@ -260,8 +260,8 @@
             // What follows the last chunk is not passed on.
             let Ok(data) = data else { continue };
             self.read += data.len() as u64;
-            if self.read > BODY_MOST {
-                return Poll::Ready(Some(Err(UploadError::Long)));
+            if self.read > MAX_BODY_BYTES {
+                return Poll::Ready(Some(Err(UploadError::TooLong)));
             }
             let earned = Duration::from_secs_f64(data.len() as f64 / PACE);
             self.patience = (self.patience + earned).min(PATIENCE_MOST);
@@ -270,7 +270,7 @@
         let patience = self.patience;
         let (_, timer) = self.waiting.get_or_insert_with(|| (Instant::now(), Box::pin(sleep(patience))));
         ready!(timer.as_mut().poll(context));
-        Poll::Ready(Some(Err(UploadError::Slow)))
+        Poll::Ready(Some(Err(UploadError::TooSlow)))
     }
 
     fn stop_waiting(&mut self) {
@@ -284,7 +284,7 @@
 #[derive(Clone, Debug)]
 pub enum RequestBody {
     /// All of it.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// As it comes; it can be had once.
     Upload(Rc<Upload>),
 }
@@ -293,7 +293,7 @@
     /// Whether it can be had once only.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
-            RequestBody::Whole(_) => None,
+            RequestBody::Buffered(_) => None,
             RequestBody::Upload(upload) => Some(upload),
         }
     }
@@ -311,7 +311,7 @@
     /// For an attempt with this meter.
     pub fn new(payload: &RequestBody, write_guard: &WriteGuard) -> AttemptBody {
         let (whole, upload) = match payload {
-            RequestBody::Whole(bytes) => (Full::new(bytes.clone()), None),
+            RequestBody::Buffered(bytes) => (Full::new(bytes.clone()), None),
             RequestBody::Upload(upload) => (Full::default(), Some(upload.clone())),
         };
         let outgoing = AttemptBody { whole, upload, write_guard: write_guard.clone() };
@@ -348,7 +348,7 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.upload {
-            Some(upload) => matches!(upload.end(), Some(Ok(_))) && upload.source.borrow().first.is_none(),
+            Some(upload) => matches!(upload.result(), Some(Ok(_))) && upload.source.borrow().first.is_none(),
             None => self.whole.is_end_stream(),
         }
     }
@@ -414,7 +414,7 @@
             let Some(frame) = frame else { return Poll::Ready(None) };
             let Ok(data) = frame?.into_data() else { continue };
             self.read += data.len() as u64;
-            if self.read > BODY_MOST {
+            if self.read > MAX_BODY_BYTES {
                 return Poll::Ready(Some(Err("the answer is too long".into())));
             }
             let earned = Duration::from_secs_f64(data.len() as f64 / ANSWER_PACE);
@@ -439,12 +439,12 @@
 
 impl ResponseBody {
     /// All of it.
-    pub fn whole(bytes: Bytes) -> ResponseBody {
+    pub fn buffered(bytes: Bytes) -> ResponseBody {
         ResponseBody::Buffered(Full::new(bytes))
     }
 
     /// Ends the request when the answer has been passed on: at once if it is there.
-    pub fn ends(&mut self, taken: RequestTracker) {
+    pub fn track(&mut self, taken: RequestTracker) {
         match self {
             ResponseBody::Buffered(_) => taken.end(RequestEnd::Completed),
             ResponseBody::Streamed(stream) => stream.taken = Some(taken),
--- a/proxy/src/config.rs
+++ b/proxy/src/config.rs
@@ -219,8 +219,8 @@
     /// How long a watch of the list is waited for.
     pub fn watch_patience(&self) -> WatchTimeouts {
         match self.settings.discovery.mode {
-            DiscoveryMode::Poll => WatchTimeouts::for_asking(),
-            DiscoveryMode::Push => WatchTimeouts::for_pushes(self.drain_grace),
+            DiscoveryMode::Poll => WatchTimeouts::for_polling(),
+            DiscoveryMode::Push => WatchTimeouts::for_push(self.drain_grace),
         }
     }
 
--- a/proxy/src/control/in_flight.rs
+++ b/proxy/src/control/in_flight.rs
@@ -39,7 +39,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
         *request.headers_mut() = self.headers.clone();
-        let whole = self.payload.upload().is_none_or(|upload| upload.end().is_some());
+        let whole = self.payload.upload().is_none_or(|upload| upload.result().is_some());
         // All of one that is still being read may have come by now.
         let until = if whole { until } else { self.client.came_at() + self.budget };
         let left = until.saturating_duration_since(Instant::now());
@@ -91,7 +91,7 @@
 impl InFlightRequest {
     /// Whether the client's time has begun: all of its request has come.
     pub(crate) fn is_whole(&self) -> bool {
-        self.forward.payload.upload().is_none_or(|upload| upload.end().is_some())
+        self.forward.payload.upload().is_none_or(|upload| upload.result().is_some())
     }
 
     /// How long an attempt has taken so far; not while its request is still coming.
--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -70,7 +70,7 @@
 /// The end of an attempt that was not written whole as its client has left: no sign of the host's.
 fn left_behind(sending: AttemptContext<'_>) -> Option<AttemptEnd> {
     let outcome = if sending.write_guard.written() == 0 { Outcome::NeverSent } else { Outcome::Cancelled };
-    sending.forward.client.has_left().then(|| AttemptEnd::without_answer(outcome))
+    sending.forward.client.has_left().then(|| AttemptEnd::without_response(outcome))
 }
 
 /// What an attempt sends where, and until when it waits.
@@ -141,7 +141,7 @@
         let mut reply = (&mut self.reply).await.unwrap_or(Reply::Failed);
         if let Some(taken) = self.taken.take() {
             match &mut reply {
-                Reply::Served(answer) => answer.body_mut().ends(taken),
+                Reply::Served(answer) => answer.body_mut().track(taken),
                 Reply::Rejected(_) => taken.end(RequestEnd::Rejected),
                 Reply::Failed => taken.end(RequestEnd::Failed),
             }
@@ -399,7 +399,7 @@
         let AttemptContext { forward, until, write_guard, .. } = sending;
         let upload = forward.payload.upload();
         let expired = async {
-            match upload.map(|upload| upload.ended()) {
+            match upload.map(|upload| upload.finished()) {
                 None => sleep_until(until).await,
                 Some(ended) => match ended.await {
                     Ok(whole) => {
@@ -420,19 +420,19 @@
             // An answer that is there in the last instant is passed on.
             biased;
             end = self.exchange(sending, kept) => match end.outcome {
-                Outcome::ConnectFailed if write_guard.is_late() => AttemptEnd::without_answer(Outcome::NeverSent),
+                Outcome::ConnectFailed if write_guard.is_late() => AttemptEnd::without_response(Outcome::NeverSent),
                 _ => end,
             },
-            () = write_guard.closed() => AttemptEnd::without_answer(Outcome::NeverSent),
+            () = write_guard.closed() => AttemptEnd::without_response(Outcome::NeverSent),
             () = expired => match write_guard.is_whole() {
-                true => AttemptEnd::without_answer(Outcome::TimedOut),
-                false if upload.is_some_and(|upload| upload.is_spent()) => AttemptEnd::without_answer(Outcome::Truncated),
-                false => AttemptEnd::without_answer(Outcome::ConnectFailed),
+                true => AttemptEnd::without_response(Outcome::TimedOut),
+                false if upload.is_some_and(|upload| upload.is_consumed()) => AttemptEnd::without_response(Outcome::Truncated),
+                false => AttemptEnd::without_response(Outcome::ConnectFailed),
             },
         };
         // What the client did is no sign of the host's.
-        match upload.and_then(|upload| upload.end()) {
-            Some(Err(_)) => AttemptEnd::without_answer(Outcome::Cancelled),
+        match upload.and_then(|upload| upload.result()) {
+            Some(Err(_)) => AttemptEnd::without_response(Outcome::Cancelled),
             _ => end,
         }
     }
@@ -442,8 +442,13 @@
         let memory = self.0.borrow().memory.clone();
         let terms = || {
             let handle = self.clone();
-            let back = Box::new(move |connection| handle.give_back(to, connection));
-            ExchangeContext { payload: &forward.payload, write_guard, memory: &memory, back }
+            let return_connection = Box::new(move |connection| handle.give_back(to, connection));
+            ExchangeContext {
+                request_body: &forward.payload,
+                write_guard,
+                memory: &memory,
+                return_connection,
+            }
         };
         if let Some((since, connection)) = settled(kept).await {
             let idle = since.elapsed();
@@ -453,7 +458,7 @@
             }
             let broken = end.as_ref().is_none_or(|end| end.outcome == Outcome::Stale);
             self.metrics().count().broken_reuse += u64::from(broken);
-            self.0.borrow_mut().idle.used(idle, broken);
+            self.0.borrow_mut().idle.record_reuse(idle, broken);
             if let Some(end) = end {
                 return end;
             }
@@ -462,11 +467,11 @@
         // A part that a kept connection took is lost with it: what is written now is the beginning, and nothing new may
         // begin at a host that was told to be leaving since.
         if write_guard.is_late() || !self.0.borrow().takes(to) {
-            return AttemptEnd::without_answer(Outcome::NeverSent);
+            return AttemptEnd::without_response(Outcome::NeverSent);
         }
         // It has not been written whole yet, so this is no second sending.
         let Some(slot) = self.0.borrow_mut().slot() else {
-            return AttemptEnd::without_answer(Outcome::NeverSent);
+            return AttemptEnd::without_response(Outcome::NeverSent);
         };
         let limit = self.config().connect_timeout;
         let opened = Connection::open(to.address, limit, slot).await;
@@ -477,17 +482,19 @@
                 let end = upstream::exchange(connection, forward.request(until, write_guard), terms()).await;
                 end.or_else(|| left_behind(sending))
             }
-            Err(error) if upstream::is_local(&error) => Some(AttemptEnd::without_answer(Outcome::NeverSent)),
+            Err(error) if upstream::is_local(&error) => {
+                Some(AttemptEnd::without_response(Outcome::NeverSent))
+            }
             Err(_) => None,
         };
-        end.unwrap_or_else(|| AttemptEnd::without_answer(Outcome::ConnectFailed))
+        end.unwrap_or_else(|| AttemptEnd::without_response(Outcome::ConnectFailed))
     }
 
     /// Keeps the connection of a large answer that has been passed on.
     fn give_back(&self, to: EndpointProcess, connection: Connection) {
         let handle = self.clone();
         spawn_local(async move {
-            if let Some(connection) = connection.settled().await {
+            if let Some(connection) = connection.into_reusable().await {
                 handle.0.borrow_mut().keep_idle(to, connection);
             }
         });
@@ -583,7 +590,7 @@
         let Some(request) = driver.requests.get_mut(&id) else { return };
         let Some(out) = request.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
         out.write_guard.ended(end.outcome);
-        if let Some(reply) = end.answer.take().and_then(|answer| Some((request.reply.take()?, answer))) {
+        if let Some(reply) = end.response.take().and_then(|answer| Some((request.reply.take()?, answer))) {
             request.record.answered(AnswerKind::Served);
             // A client that has just gone has no use for it.
             let _ = reply.0.send(Reply::Served(reply.1));
@@ -799,8 +806,8 @@
             let kind = handle.0.borrow_mut().note_lost(&ended);
             handle.run([Event::EndpointList { kind, entries: Vec::new() }]);
             // Where the list is pushed the module never asks for it.
-            if let Some(pause) = patience.pause {
-                tokio::time::sleep(pause.saturating_sub(ended.lasted.unwrap_or_default())).await;
+            if let Some(pause) = patience.reopen_delay {
+                tokio::time::sleep(pause.saturating_sub(ended.open_for.unwrap_or_default())).await;
                 handle.0.borrow_mut().subscribe(&handle);
             }
         }));
@@ -809,13 +816,13 @@
     /// Logs why a watch ended, and of calls that fail one after the other the first. Tells whether it was lost, so that the
     /// next one is opened soon, or with a pause where one after the other ends as soon as it is open.
     fn note_lost(&mut self, ended: &discovery::WatchEnd) -> ListUpdate {
-        if ended.lasted.is_some() || !self.watch_lost {
+        if ended.open_for.is_some() || !self.watch_lost {
             crate::log::line(&format!("discovery: {}", ended.reason));
         }
-        self.watch_lost = ended.lasted.is_none();
+        self.watch_lost = ended.open_for.is_none();
         let brief_again = ended.was_brief() && self.watch_was_brief;
         self.watch_was_brief = ended.was_brief() || self.watch_was_brief && self.watch_lost;
-        match ended.lasted {
+        match ended.open_for {
             Some(_) if brief_again => ListUpdate::WatchFlapping,
             Some(_) => ListUpdate::WatchLost,
             None => ListUpdate::PollFailed,
@@ -900,7 +907,7 @@
 
     /// Closes connections that have stood idle for nearly as long as they hold.
     fn sweep(&mut self) {
-        self.idle.fade();
+        self.idle.decay();
         let keep = self.keep();
         for endpoint in self.endpoints.values_mut() {
             endpoint
--- a/proxy/src/discovery/mod.rs
+++ b/proxy/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! The list of hosts: its form, and the watch that brings its changes.
 
 use crate::socket::Socket;
-use crate::transient_errors::retried;
+use crate::transient_errors::retry_transient;
 use crate::upstream::{self, BoxError, ScopedTask};
 use balancer::EndpointState;
 use http_body_util::{BodyExt, Empty};
@@ -99,20 +99,20 @@
     /// From the call to the head of its answer.
     answer: Duration,
     /// Until a watch that has ended is opened again; `None`: the decision module says when.
-    pub pause: Option<Duration>,
+    pub reopen_delay: Option<Duration>,
 }
 
 impl WatchTimeouts {
     /// Where the list is asked for: calls may have to wait for their turn.
-    pub fn for_asking() -> WatchTimeouts {
-        WatchTimeouts { answer: SILENCE, pause: None }
+    pub fn for_polling() -> WatchTimeouts {
+        WatchTimeouts { answer: SILENCE, reopen_delay: None }
     }
 
     /// Where the list is pushed to an agent on this machine.
-    pub fn for_pushes(drain_grace: Duration) -> WatchTimeouts {
+    pub fn for_push(drain_grace: Duration) -> WatchTimeouts {
         let answer = (drain_grace / ANSWER_PART).clamp(ANSWER_LEAST, ANSWER_MOST);
         let pause = (drain_grace / PAUSE_PART).clamp(PAUSE_LEAST, PAUSE_MOST);
-        WatchTimeouts { answer, pause: Some(pause) }
+        WatchTimeouts { answer, reopen_delay: Some(pause) }
     }
 }
 
@@ -122,13 +122,13 @@
     /// The connection broke or ended, the answer was not 200, what came was no list, or nothing came for too long.
     pub reason: BoxError,
     /// How long it had been open; `None`: it never was.
-    pub lasted: Option<Duration>,
+    pub open_for: Option<Duration>,
 }
 
 impl WatchEnd {
     /// Whether it had been open, but for hardly any time.
     pub fn was_brief(&self) -> bool {
-        self.lasted.is_some_and(|lasted| lasted < BRIEF)
+        self.open_for.is_some_and(|lasted| lasted < BRIEF)
     }
 }
 
@@ -153,14 +153,14 @@
         Ok((body, _connection)) => {
             let opened = Instant::now();
             let reason = follow(body, &mut news).await;
-            WatchEnd { reason, lasted: Some(opened.elapsed()) }
+            WatchEnd { reason, open_for: Some(opened.elapsed()) }
         }
-        Err(reason) => WatchEnd { reason, lasted: None },
+        Err(reason) => WatchEnd { reason, open_for: None },
     }
 }
 
 async fn open(discovery: SocketAddr, since: Option<u64>) -> Result<(Incoming, ScopedTask), BoxError> {
-    let stream = retried(SILENCE, async || upstream::dial(discovery).await).await?;
+    let stream = retry_transient(SILENCE, async || upstream::dial(discovery).await).await?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(Socket::new(stream)).await?;
     let connection = upstream::spawn(connection);
     let since = since.map(|seq| format!("&since={seq}")).unwrap_or_default();
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -8,10 +8,10 @@
 use crate::invariants::Violation;
 use crate::log;
 use crate::metrics::{ClientCloseReason, Metrics};
-use crate::process_handoff::lead_away;
+use crate::process_handoff::steer_to_newer_process;
 use crate::socket::Socket;
 use crate::transient_errors::ErrorClass;
-use crate::upstream::{BoxError, HEAD_MOST};
+use crate::upstream::{BoxError, MAX_HEAD_BYTES};
 use hyper::body::{Body, Bytes, Frame, SizeHint};
 use hyper::header::{self, HeaderValue};
 use hyper::service::service_fn;
@@ -346,9 +346,9 @@
     /// connection that ended before it was accepted is no reason to wait, nor is a signal.
     fn accept_failed(&mut self, error: &io::Error) -> Instant {
         match ErrorClass::of(error) {
-            ErrorClass::Momentary => return Instant::now(),
-            ErrorClass::NoRoom => drop(self.evict()),
-            ErrorClass::Peer | ErrorClass::Lasting => {}
+            ErrorClass::Temporary => return Instant::now(),
+            ErrorClass::ResourcesExhausted => drop(self.evict()),
+            ErrorClass::Peer | ErrorClass::Permanent => {}
         }
         log::line(&format!("accept: {error}"));
         Instant::now() + ACCEPT_PAUSE
@@ -360,7 +360,7 @@
         self.driver.set_accepting(false);
         self.driver.stop(stop);
         self.driver.share(2);
-        if let Err(error) = lead_away(listener) {
+        if let Err(error) = steer_to_newer_process(listener) {
             log::line(&format!("connections go on coming here: {error}"));
         }
     }
@@ -439,7 +439,7 @@
         let connection = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(None)
-            .max_buf_size(HEAD_MOST)
+            .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(socket.clone(), service);
         let (ending, closing, last) = (Rc::new(Notify::new()), socket.clone(), phase.clone());
         let (ended, metrics) = (ending.clone(), self.driver.metrics());
@@ -571,7 +571,7 @@
             while !client.is_left() {
                 yield_now().await;
             }
-            let payload = RequestBody::Whole(Bytes::new());
+            let payload = RequestBody::Buffered(Bytes::new());
             let (target, headers, budget) =
                 (Uri::from_static("/api"), HeaderMap::new(), Duration::from_secs(4));
             let forward = ForwardedRequest { method: Method::GET, target, headers, payload, budget, client };
--- a/proxy/src/downstream/request.rs
+++ b/proxy/src/downstream/request.rs
@@ -1,6 +1,6 @@
 //! What a client's request says and whether it can be used, and the answers that clients get.
 
-use crate::body::{RequestBody, ResponseBody, Upload, UploadError, BODY_MOST};
+use crate::body::{RequestBody, ResponseBody, Upload, UploadError, MAX_BODY_BYTES};
 use crate::control::in_flight::{ForwardedRequest, Reply, RequestDescriptor};
 use crate::control::Control;
 use crate::socket::Socket;
@@ -49,8 +49,8 @@
         },
         _ => unusable(StatusCode::NOT_FOUND),
     };
-    if upload.end().is_none() {
-        spawn_local(async move { upload.drain().await });
+    if upload.result().is_none() {
+        spawn_local(async move { upload.discard().await });
     }
     answer
 }
@@ -65,27 +65,27 @@
 ) -> Result<Reply, StatusCode> {
     let usable = usable(driver, &head.method, &head.headers, upload.length() == Some(0));
     let (descriptor, budget) = usable.ok_or(StatusCode::BAD_REQUEST)?;
-    if upload.length().is_some_and(|length| length > BODY_MOST) {
+    if upload.length().is_some_and(|length| length > MAX_BODY_BYTES) {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
     let memory = driver.memory();
     let gathered = tokio::select! {
         biased;
         () = driver.closed() => return Ok(driver.refuse(descriptor.class)),
-        gathered = upload.gather(&memory) => gathered.map_err(UploadError::status)?,
+        gathered = upload.buffer(&memory) => gathered.map_err(UploadError::status)?,
     };
     // It may have waited to be accepted or read for longer than its client has.
     if socket.has_left() {
         return Ok(driver.refuse(descriptor.class));
     }
     let budget = budget - WAY_BACK.min(budget / WAY_BACK_PART);
-    let deadline = match upload.end() {
+    let deadline = match upload.result() {
         Some(Ok(whole)) => whole + budget,
         _ => Instant::now() + budget,
     };
     let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
     let large = gathered.is_none();
-    let payload = gathered.map_or_else(|| RequestBody::Upload(upload.clone()), RequestBody::Whole);
+    let payload = gathered.map_or_else(|| RequestBody::Upload(upload.clone()), RequestBody::Buffered);
     let (headers, client) = (end_to_end(head.headers), socket.clone());
     let forward = ForwardedRequest { method: head.method, target, headers, payload, budget, client };
     let class = descriptor.class;
@@ -94,7 +94,7 @@
     if large {
         tokio::select! {
             biased;
-            ended = upload.ended() => match ended {
+            ended = upload.finished() => match ended {
                 Ok(whole) => waiting.uploaded((whole + budget).saturating_duration_since(Instant::now())),
                 Err(fault) => return Err(fault.status()),
             },
@@ -189,7 +189,7 @@
 }
 
 fn plain(status: StatusCode) -> Answer {
-    let mut answer = Response::new(ResponseBody::whole(Bytes::new()));
+    let mut answer = Response::new(ResponseBody::buffered(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -118,6 +118,6 @@
         log::line(if shared { "another process serves too" } else { "no other process serves any more" });
         driver.share(if shared { 2 } else { 1 });
     };
-    let Err(error) = process_handoff::keep_presence(&folder, shared).await;
+    let Err(error) = process_handoff::maintain_presence(&folder, shared).await;
     log::line(&format!("{}: {error}", folder.display()));
 }
--- a/proxy/src/log.rs
+++ b/proxy/src/log.rs
@@ -55,7 +55,7 @@
 }
 
 /// Logs the course of every request, one JSON object a line: what is decided, sent, ended, closed, and why.
-pub fn follow_requests() {
+pub fn enable_request_trace() {
     let events = tracing_subscriber::fmt().json().with_max_level(tracing::Level::DEBUG);
     // There is one already where a test has set it.
     let _ = events.with_writer(|| Writer).try_init();
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -2,7 +2,7 @@
 #![forbid(unsafe_code)]
 
 use client_proxy::config::{Config, LoadError};
-use client_proxy::transient_errors::{retried, ErrorClass, RETRY_PAUSE};
+use client_proxy::transient_errors::{retry_transient, ErrorClass, RETRY_DELAY};
 use client_proxy::{log, operators, process_handoff, Listeners};
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 
 fn start() -> Result<(), String> {
     if std::env::var_os("ROUTER_TRACE").is_some_and(|wanted| wanted == "1") {
-        log::follow_requests();
+        log::enable_request_trace();
     }
     let path = std::env::var_os("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
     let path = Path::new(&path);
@@ -46,11 +46,11 @@
         let named_file = |error: LoadError| format!("{}: {error}", path.display());
         let config = first_configuration(path).await.map_err(named_file)?;
         let named = |address: SocketAddr| move |error: io::Error| format!("{address}: {error}");
-        let clients = retried(START_PATIENCE, async || process_handoff::bind(config.listen)).await;
+        let clients = retry_transient(START_PATIENCE, async || process_handoff::bind(config.listen)).await;
         let clients = clients.map_err(named(config.listen))?;
         let operators = match admin(&config)? {
             Some(address) => {
-                let listener = retried(START_PATIENCE, async || operators::listen(address)).await;
+                let listener = retry_transient(START_PATIENCE, async || operators::listen(address)).await;
                 Some(listener.map_err(named(address))?)
             }
             None => None,
@@ -72,8 +72,8 @@
     let end = Instant::now() + START_PATIENCE;
     loop {
         match runtime::Builder::new_current_thread().enable_all().build() {
-            Err(error) if ErrorClass::of(&error).passes() && Instant::now() < end => {
-                std::thread::sleep(RETRY_PAUSE);
+            Err(error) if ErrorClass::of(&error).is_retryable() && Instant::now() < end => {
+                std::thread::sleep(RETRY_DELAY);
             }
             built => return built,
         }
@@ -81,7 +81,7 @@
 }
 
 async fn handled(kind: SignalKind) -> Result<Signal, String> {
-    retried(START_PATIENCE, async || signal(kind)).await.map_err(|e| e.to_string())
+    retry_transient(START_PATIENCE, async || signal(kind)).await.map_err(|e| e.to_string())
 }
 
 /// The configuration at the start: a file that is there and can't be read for the moment is read again.
@@ -89,8 +89,10 @@
     let end = Instant::now() + START_PATIENCE;
     loop {
         match Config::load(path) {
-            Err(LoadError::Unreadable(error)) if ErrorClass::of(&error).passes() && Instant::now() < end => {
-                sleep(RETRY_PAUSE).await;
+            Err(LoadError::Unreadable(error))
+                if ErrorClass::of(&error).is_retryable() && Instant::now() < end =>
+            {
+                sleep(RETRY_DELAY).await;
             }
             loaded => return loaded,
         }
--- a/proxy/src/process_handoff.rs
+++ b/proxy/src/process_handoff.rs
@@ -34,7 +34,7 @@
 /// Leads all further connections to the process that came to this listener's address after its own, if there is
 /// one. The kernel numbers the listeners of an address as they come, and the last takes the number of one that goes:
 /// the older of two is always 0. A number that is not there makes it choose as before.
-pub fn lead_away(listener: impl AsFd) -> io::Result<()> {
+pub fn steer_to_newer_process(listener: impl AsFd) -> io::Result<()> {
     const NEWER: u32 = 1;
     let code = (libc::BPF_RET | libc::BPF_K) as u16;
     let mut filter = [libc::sock_filter { code, jt: 0, jf: 0, k: NEWER }];
@@ -44,7 +44,7 @@
 
 /// Shows this process's presence in a folder for as long as the returned file is kept, and calls `shared` with whether
 /// another is there as well: at once if so, and when that ends.
-pub async fn show_presence(folder: &Path, mut shared: impl FnMut(bool)) -> io::Result<File> {
+pub async fn announce_presence(folder: &Path, mut shared: impl FnMut(bool)) -> io::Result<File> {
     let path = folder.join(LOCK);
     let mut told = false;
     loop {
@@ -68,7 +68,7 @@
 /// Goes on showing this process's presence for as long as this runs, also when the file is deleted or replaced, as folders
 /// for passing files are cleaned now and then. While the folder fails for the moment, another process may be there unseen:
 /// `shared` is told so. It ends only where the folder can't be used at all.
-pub async fn keep_presence(folder: &Path, mut shared: impl FnMut(bool)) -> io::Result<Infallible> {
+pub async fn maintain_presence(folder: &Path, mut shared: impl FnMut(bool)) -> io::Result<Infallible> {
     let mut told = false;
     let mut tell = |is_shared| {
         if std::mem::replace(&mut told, is_shared) != is_shared {
@@ -76,14 +76,14 @@
         }
     };
     loop {
-        match show_presence(folder, &mut tell).await {
+        match announce_presence(folder, &mut tell).await {
             Ok(file) => {
                 tell(false);
                 while is_at(&file, &folder.join(LOCK)) {
                     sleep(LOOK_AGAIN).await;
                 }
             }
-            Err(error) if ErrorClass::of(&error).passes() => {
+            Err(error) if ErrorClass::of(&error).is_retryable() => {
                 tell(true);
                 sleep(LOOK).await;
             }
--- a/proxy/src/upstream/idle_timeout.rs
+++ b/proxy/src/upstream/idle_timeout.rs
@@ -30,14 +30,14 @@
 
 impl IdleTimeoutEstimate {
     /// Notes that a connection was used after it had been idle for this long, and whether it broke at once.
-    pub fn used(&mut self, idle: Duration, broken: bool) {
+    pub fn record_reuse(&mut self, idle: Duration, broken: bool) {
         let used = &mut self.0[span(idle)];
         used.all += 1.0;
         used.broken += f64::from(u8::from(broken));
     }
 
     /// Another second has passed.
-    pub fn fade(&mut self) {
+    pub fn decay(&mut self) {
         for used in &mut self.0 {
             (used.all, used.broken) = (used.all * MEMORY, used.broken * MEMORY);
         }
@@ -61,21 +61,21 @@
     fn idle_times_after_which_many_break_are_given_up_until_that_is_forgotten() {
         let mut idle = IdleTimeoutEstimate::default();
         for _ in 0..10 {
-            idle.used(MS(20), false);
-            idle.used(MS(150), false);
-            idle.used(MS(150), true);
+            idle.record_reuse(MS(20), false);
+            idle.record_reuse(MS(150), false);
+            idle.record_reuse(MS(150), true);
         }
         assert_eq!(idle.limit(), Some(MS(128)));
-        (0..100).for_each(|_| idle.fade());
+        (0..100).for_each(|_| idle.decay());
         assert_eq!(idle.limit(), None);
     }
 
     #[test]
     fn a_few_that_break_at_any_time_give_nothing_up() {
         let mut idle = IdleTimeoutEstimate::default();
-        idle.used(MS(0), true);
+        idle.record_reuse(MS(0), true);
         for ms in [0, 5, 50, 500, 5_000] {
-            (0..100).for_each(|n| idle.used(MS(ms), n % 10 == 0));
+            (0..100).for_each(|n| idle.record_reuse(MS(ms), n % 10 == 0));
         }
         assert_eq!(idle.limit(), None);
     }
--- a/proxy/src/upstream/mod.rs
+++ b/proxy/src/upstream/mod.rs
@@ -3,10 +3,11 @@
 pub(crate) mod idle_timeout;
 
 use crate::body::{
-    AttemptBody, BodyMemory, BufferedBody, RequestBody, ResponseBody, StreamedResponse, BODY_MOST, SMALL_MOST,
+    AttemptBody, BodyMemory, BufferedBody, RequestBody, ResponseBody, StreamedResponse, MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
 };
 use crate::socket::Socket;
-use crate::transient_errors::{retried, ErrorClass};
+use crate::transient_errors::{retry_transient, ErrorClass};
 use crate::write_guard::WriteGuard;
 use balancer::{LoadReport, Outcome};
 use http_body_util::{BodyExt, Limited};
@@ -26,7 +27,7 @@
 
 /// Most bytes of a head that are kept. Every connection may hold so much: with all of them at it, it must fit
 /// into the least memory.
-pub const HEAD_MOST: usize = 16 << 10;
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// Most requests that a host can be thought to hold or to keep waiting: what reports more is no report.
 const LOAD_MOST: f64 = 10_000.0;
 /// Time for the rest of an answer that is not passed on; past it the connection is given up instead.
@@ -64,7 +65,9 @@
 
 /// Whether a connection did not come up for a reason of this machine's own, which tells nothing of the host.
 pub fn is_local(error: &BoxError) -> bool {
-    error.downcast_ref::<io::Error>().is_some_and(|error| ErrorClass::of(error) == ErrorClass::NoRoom)
+    error
+        .downcast_ref::<io::Error>()
+        .is_some_and(|error| ErrorClass::of(error) == ErrorClass::ResourcesExhausted)
 }
 
 /// A connection to a host. It is closed when this is dropped, also with a request out on it.
@@ -88,16 +91,16 @@
 impl Connection {
     /// Opens a connection; `slot` is held for as long as it is open.
     pub async fn open(address: SocketAddr, limit: Duration, slot: Rc<()>) -> Result<Connection, BoxError> {
-        let opened = timeout(limit, retried(limit, async || dial(address).await)).await;
+        let opened = timeout(limit, retry_transient(limit, async || dial(address).await)).await;
         let socket = Socket::new(opened.map_err(io::Error::from)??);
-        let builder = http1::Builder::new().max_buf_size(HEAD_MOST).handshake(socket.clone());
+        let builder = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(socket.clone());
         let (sender, connection) = builder.await?;
         Ok(Connection { sender, socket, reads: 0, _task: spawn(connection), _slot: slot })
     }
 
     /// The connection, if it can be used again after an answer that was read whole. Ready again before the outcome is
     /// told: else the next request would find no idle connection.
-    pub async fn settled(mut self) -> Option<Connection> {
+    pub async fn into_reusable(mut self) -> Option<Connection> {
         if !matches!(timeout(REST, self.sender.ready()).await, Ok(Ok(()))) {
             return None;
         }
@@ -122,28 +125,28 @@
     /// The host's report on its load.
     pub load: LoadReport,
     /// The answer to pass on, where it served.
-    pub answer: Option<Response<ResponseBody>>,
+    pub response: Option<Response<ResponseBody>>,
     /// The connection, if it can be used again.
     pub connection: Option<Connection>,
 }
 
 impl AttemptEnd {
     /// An end without an answer.
-    pub fn without_answer(outcome: Outcome) -> AttemptEnd {
-        AttemptEnd { outcome, load: LoadReport::default(), answer: None, connection: None }
+    pub fn without_response(outcome: Outcome) -> AttemptEnd {
+        AttemptEnd { outcome, load: LoadReport::default(), response: None, connection: None }
     }
 }
 
 /// What is needed for an exchange besides its connection.
 pub struct ExchangeContext<'a> {
     /// What is sent.
-    pub payload: &'a RequestBody,
+    pub request_body: &'a RequestBody,
     /// Counts what is written.
     pub write_guard: &'a WriteGuard,
     /// Room for answers.
     pub memory: &'a BodyMemory,
     /// Gets the connection when a large answer has been read to its end.
-    pub back: Box<dyn FnOnce(Connection)>,
+    pub return_connection: Box<dyn FnOnce(Connection)>,
 }
 
 /// Sends a request on a connection and reads the answer, if it is small; of a large one the beginning. `None`: the
@@ -153,7 +156,7 @@
     request: Request<AttemptBody>,
     terms: ExchangeContext<'_>,
 ) -> Option<AttemptEnd> {
-    let ExchangeContext { payload, write_guard, memory, back } = terms;
+    let ExchangeContext { request_body, write_guard, memory, return_connection } = terms;
     connection.socket.count(write_guard);
     let (kept, started) = (connection.reads > 0, Instant::now());
     if kept {
@@ -161,29 +164,32 @@
     }
     let response = match connection.sender.send_request(request).await {
         Ok(response) => response,
-        Err(_) if !write_guard.is_whole() && payload.upload().is_none_or(|upload| !upload.is_spent()) => {
+        Err(_)
+            if !write_guard.is_whole()
+                && request_body.upload().is_none_or(|upload| !upload.is_consumed()) =>
+        {
             return None
         }
-        Err(_) if !write_guard.is_whole() => return Some(AttemptEnd::without_answer(Outcome::Truncated)),
+        Err(_) if !write_guard.is_whole() => return Some(AttemptEnd::without_response(Outcome::Truncated)),
         Err(error) => {
             // The one read since is that of its end: nothing of an answer has come.
             let unanswered = kept && connection.socket.reads() <= connection.reads + 1;
             let outcome = broken(&error);
             let stale = outcome == Outcome::Reset && unanswered && started.elapsed() < CROSSING;
-            return Some(AttemptEnd::without_answer(if stale { Outcome::Stale } else { outcome }));
+            return Some(AttemptEnd::without_response(if stale { Outcome::Stale } else { outcome }));
         }
     };
     let (head, body) = response.into_parts();
     let load = report(&head.headers);
     if head.status != StatusCode::OK {
         // The outcome is known: a rest that breaks or stalls must not change it.
-        let rest = Limited::new(body, SMALL_MOST).collect();
+        let rest = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect();
         let whole = matches!(timeout(REST, rest).await, Ok(Ok(_)));
-        let connection = if whole { connection.settled().await } else { None };
+        let connection = if whole { connection.into_reusable().await } else { None };
         return Some(AttemptEnd {
             outcome: refusal(head.status, &head.headers),
             load,
-            answer: None,
+            response: None,
             connection,
         });
     }
@@ -193,11 +199,12 @@
     };
     let (outcome, answer, connection) = match body {
         Ok(Answer::Whole(bytes)) => {
-            (Outcome::Served, Some(ResponseBody::whole(bytes)), connection.settled().await)
+            (Outcome::Served, Some(ResponseBody::buffered(bytes)), connection.into_reusable().await)
         }
         Ok(Answer::Long { first, rest }) => {
             let socket = connection.socket.clone();
-            let stream = StreamedResponse::new(first, rest, socket, Box::new(move || back(connection)));
+            let stream =
+                StreamedResponse::new(first, rest, socket, Box::new(move || return_connection(connection)));
             (Outcome::Served, Some(ResponseBody::Streamed(Box::new(stream))), None)
         }
         // It has run, and what it said is lost.
@@ -206,7 +213,7 @@
     Some(AttemptEnd {
         outcome,
         load,
-        answer: answer.map(|body| Response::from_parts(head, body)),
+        response: answer.map(|body| Response::from_parts(head, body)),
         connection,
     })
 }
@@ -223,7 +230,7 @@
     /// go again only while nothing of it is passed on.
     async fn read(mut body: Incoming, ending: BodyFraming, memory: &BodyMemory) -> Result<Answer, BoxError> {
         let length = body.size_hint().exact();
-        if length.is_some_and(|length| length > BODY_MOST) {
+        if length.is_some_and(|length| length > MAX_BODY_BYTES) {
             return Err(io::Error::from(io::ErrorKind::InvalidData).into());
         }
         let Some(mut gathered) = BufferedBody::new(memory, length) else {
--- a/proxy/tests/process_handoff.rs
+++ b/proxy/tests/process_handoff.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use client_proxy::process_handoff::keep_presence;
+use client_proxy::process_handoff::maintain_presence;
 use common::*;
 use std::cell::RefCell;
 use std::fs::{self, File};
@@ -38,7 +38,7 @@
         let (folder, told) = (folder.to_owned(), Rc::<RefCell<Vec<bool>>>::default());
         let log = told.clone();
         let task = spawn_local(async move {
-            let _ = keep_presence(&folder, |shared| log.borrow_mut().push(shared)).await;
+            let _ = maintain_presence(&folder, |shared| log.borrow_mut().push(shared)).await;
         });
         Presence { task, told }
     }
@@ -117,7 +117,7 @@
         fs::write(folder.join("file"), "").expect("a file in the place of the folder");
         for unusable in ["missing", "taken", "file"] {
             let mut told = false;
-            let shown = keep_presence(&folder.join(unusable), |_| told = true).await;
+            let shown = maintain_presence(&folder.join(unusable), |_| told = true).await;
             assert!(shown.is_err() && !told, "{unusable}");
         }
     });
--- a/proxy/tests/stop.rs
+++ b/proxy/tests/stop.rs
@@ -161,9 +161,9 @@
             let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("unlisted-{beside}"));
             std::fs::create_dir_all(&folder).expect("a folder");
             let other = match beside {
-                true => {
-                    Some(client_proxy::process_handoff::show_presence(&folder, |_| ()).await.expect("shown"))
-                }
+                true => Some(
+                    client_proxy::process_handoff::announce_presence(&folder, |_| ()).await.expect("shown"),
+                ),
                 false => None,
             };
             let discovery = Discovery::quiet().await;
@@ -211,7 +211,7 @@
         let old = bind("127.0.0.3:0".parse().expect("an address")).listen(64).expect("it listens");
         let address = old.local_addr().expect("an address");
         let new = bind(address).listen(64).expect("it listens too");
-        client_proxy::process_handoff::lead_away(&old).expect("led away");
+        client_proxy::process_handoff::steer_to_newer_process(&old).expect("led away");
         for _ in 0..32 {
             let _client = TcpStream::connect(address).await.expect("connected");
             new.accept().await.expect("accepted");
@@ -228,7 +228,7 @@
     run(async {
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("listless");
         std::fs::create_dir_all(&folder).expect("a folder");
-        let other = client_proxy::process_handoff::show_presence(&folder, |_| ()).await.expect("shown");
+        let other = client_proxy::process_handoff::announce_presence(&folder, |_| ()).await.expect("shown");
         let config = configuration(Discovery::quiet().await.address, &[], |_| ());
         let config = client_proxy::config::Config::parse(&config).expect("a good configuration");
         let clients = client_proxy::process_handoff::bind(config.listen).expect("bound");
@@ -252,7 +252,7 @@
     run(async {
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("presence");
         std::fs::create_dir_all(&folder).expect("a folder");
-        use client_proxy::process_handoff::show_presence as show;
+        use client_proxy::process_handoff::announce_presence as show;
         let first = show(&folder, |_| panic!("it is alone")).await.expect("shown");
         let told = std::cell::RefCell::new(Vec::new());
         let mut first = Some(first);
