--- a/balancer/src/selection.rs
+++ b/balancer/src/selection.rs
@@ -44,8 +44,7 @@
         // at each.
         let has_room = |i: &usize| !self.endpoints[*i].is_full(now, slow_start);
         let spills = self.shared_limit.is_some() && untried.clone().any(|i| has_room(&i));
-        let up: Vec<usize> =
-            untried.filter(|i| !spills || has_room(i)).take(self.subset_size()).collect();
+        let up: Vec<usize> = untried.filter(|i| !spills || has_room(i)).take(self.subset_size()).collect();
         let of = |room: &dyn Fn(&Endpoint) -> bool| {
             up.iter().copied().filter(|&i| room(&self.endpoints[i])).collect()
         };
