--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -1,74 +1,98 @@
-//! Which requests join the pending queue.
+//! Which requests join the pending queue, by the time that others have waited in it, their priority
+//! and their tenant's quota.
 
-use crate::balancer::*;
-use crate::concurrency_limit::LATENCY_SMOOTHING;
+use crate::balancer::Balancer;
+use crate::latency::SLACK_TYPICAL_LATENCIES;
 use crate::request::Request;
-use crate::*;
+use crate::{Action, Class, ClassId, FailureReason, Micros, RequestId, TenantId};
+
+/// Time in the queue beyond which new requests are rejected, as a fraction of their objective.
+const QUEUE_WAIT_OBJECTIVE_FRACTION: f64 = 0.1;
+/// The same for tenants over their quota, as a fraction of that.
+const OVER_QUOTA_WAIT_FRACTION: f64 = 0.5;
 
 impl Balancer {
-    pub(crate) fn receive_request(&mut self, now: Micros, id: RequestId, class: ClassId, left: Micros) {
-        // A class that the settings do not name is unsafe and wanted while the client waits.
-        let unknown = Class { latency_objective: left, deadline: left, ..Class::default() };
-        let spec = self.settings.classes.get(class.0).copied().unwrap_or(unknown);
-        let deadline = now.saturating_add(left);
-        let (class, class_id, arrived) = (spec, class.0, now);
-        self.requests.insert(id, Request { class, class_id, arrived, deadline, ..Request::default() });
-        self.retry_budget = (self.retry_budget + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
-        self.latencies.iter_mut().skip(class_id).take(1).for_each(|p| p.request_count += 1.0);
+    /// Adds a request that has arrived. A class that the settings do not name counts as
+    /// non-idempotent, with an objective of the time that its client waits.
+    pub(crate) fn add_request(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        class: ClassId,
+        time_left: Micros,
+        is_non_replayable: bool,
+    ) {
+        let class_id = class.0;
+        let unknown = Class { latency_objective: time_left, deadline: time_left, ..Class::default() };
+        let request = Request {
+            class: self.settings.classes.get(class_id).copied().unwrap_or(unknown),
+            class_id,
+            arrived_at: now,
+            deadline: now.saturating_add(time_left),
+            is_non_replayable,
+            is_uploading: is_non_replayable,
+            ..Request::default()
+        };
+        self.requests.insert(id, request);
+        self.retry_budget.add_request();
+        if let Some(estimate) = self.latencies.get_mut(class_id) {
+            estimate.request_count += 1.0;
+        }
     }
 
-    /// Lets a new call join the hold, unless it would wait too long there.
+    /// Queues a new request, or sheds it if it would wait too long.
     pub(crate) fn admit(
         &mut self,
         now: Micros,
         id: RequestId,
         tenant: Option<TenantId>,
-        actions: &mut Actions,
+        actions: &mut Vec<Action>,
     ) {
-        let is_over_quota = tenant.is_some_and(|t| self.is_over_quota(t));
-        let waited = self.queue.front().map_or(0, |head| now.saturating_sub(self.requests[head].arrived));
-        if waited > self.queue_wait_limit(id, is_over_quota) {
+        let is_over_quota =
+            tenant.is_some_and(|tenant| self.tenant_usage.record(tenant, &self.settings.tenants));
+        let waited =
+            self.queue.front().map_or(0, |first| now.saturating_sub(self.requests[&first].arrived_at));
+        if waited > self.max_queue_wait(id, is_over_quota) {
             self.abandon(id, waited, FailureReason::QueueFull, actions);
         } else {
-            self.enqueue(now, id, false);
+            self.enqueue(now, id);
         }
     }
 
-    /// How long may the hold's head have waited for this call to join? Without a bound all would be
-    /// served late. Classes whose worth for their work outweighs the goal's part of the worst class
-    /// wait longest.
-    pub(crate) fn queue_wait_limit(&self, id: RequestId, is_over_quota: bool) -> Micros {
+    /// How long the first queued request may have waited for this one to join the queue. Without a
+    /// bound all would be served late.
+    fn max_queue_wait(&self, id: RequestId, is_over_quota: bool) -> Micros {
         let request = &self.requests[&id];
-        let typical_latency = self.typical_latency(request.class_id, request.class.latency_objective);
-        let latency_objective = request.objective_at().saturating_sub(request.arrived) as f64;
-        let limit = match is_over_quota {
-            true => latency_objective * QUEUE_WAIT_OBJECTIVE_FRACTION / 2.0,
-            false if self.is_high_priority(request) => (latency_objective * QUEUE_WAIT_OBJECTIVE_FRACTION)
-                .max(latency_objective - SLACK_TYPICAL_LATENCIES * typical_latency),
-            false => latency_objective * QUEUE_WAIT_OBJECTIVE_FRACTION,
+        let typical_latency = self.typical_latency(request);
+        let latency_objective = request.objective_at().saturating_sub(request.arrived_at) as f64;
+        let fraction = latency_objective * QUEUE_WAIT_OBJECTIVE_FRACTION;
+        let limit = if is_over_quota {
+            fraction * OVER_QUOTA_WAIT_FRACTION
+        } else if self.is_high_priority(request) {
+            fraction.max(latency_objective - SLACK_TYPICAL_LATENCIES * typical_latency)
+        } else {
+            fraction
         };
         limit.min(latency_objective - typical_latency).max(0.0) as Micros
     }
 
-    pub(crate) fn is_high_priority(&self, request: &Request) -> bool {
-        let all = self.latencies.iter().zip(&self.settings.classes);
-        let (priority_weight, work) = all.fold((0.0, 0.0), |(w, t), (p, c)| {
-            (w + p.request_count * c.priority_weight, t + p.request_count * p.base)
-        });
-        let base = self.latencies.get(request.class_id).map_or(f64::MAX, |p| p.base);
-        let density = request.class.priority_weight / base * work / priority_weight.max(f64::MIN_POSITIVE);
+    /// Whether a class's priority weight for its work, relative to that of all requests, outweighs
+    /// the score's part for the class that is served worst.
+    fn is_high_priority(&self, request: &Request) -> bool {
+        let mut total_weight = 0.0;
+        let mut total_work = 0.0;
+        for (estimate, class) in self.latencies.iter().zip(&self.settings.classes) {
+            total_weight += estimate.request_count * class.priority_weight;
+            total_work += estimate.request_count * estimate.base;
+        }
+        let base = self.latencies.get(request.class_id).map_or(f64::MAX, |estimate| estimate.base);
+        let density = request.class.priority_weight / base * total_work / total_weight.max(f64::MIN_POSITIVE);
         let score_weights = &self.settings.score_weights;
         score_weights.overall * density > score_weights.overall + score_weights.worst_class
     }
 
-    /// Counts a tenant's call and tells whether it asks for more than its share of this balancer's
-    /// calls.
-    pub(crate) fn is_over_quota(&mut self, tenant: TenantId) -> bool {
-        let Some(share) = self.settings.tenants.get(tenant.0).map(|t| t.quota) else { return true };
-        for (index, asked) in self.tenants.iter_mut().enumerate() {
-            *asked += (if index == tenant.0 { 1.0 } else { 0.0 } - *asked) * LATENCY_SMOOTHING / 10.0;
-        }
-        let all: f64 = self.tenants.iter().sum();
-        self.tenants[tenant.0] > all * share * 1.1
+    /// Mean latency of a request's class, in microseconds.
+    pub(crate) fn typical_latency(&self, request: &Request) -> f64 {
+        self.latencies.typical(request.class_id, request.class.latency_objective)
     }
 }
--- a/balancer/src/attempt.rs
+++ b/balancer/src/attempt.rs
@@ -1,12 +1,15 @@
-//! An attempt of a request.
+//! An attempt to have a request served by an endpoint.
 
-use crate::*;
+use crate::{CellId, EndpointId, Micros, Outcome, ZoneId};
 
-/// Which budget a trial call may raise: its server's, or the one that all servers share.
+/// Which concurrency limit an attempt exceeds as a trial that may raise it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Trial {
+    /// None: it is within the limits.
     None,
+    /// The endpoint's.
     Endpoint,
+    /// The one that all endpoints share.
     Shared,
 }
 
@@ -14,14 +17,21 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointId,
+    /// Start of the endpoint's process that it was sent to, by the list's clock.
     pub(crate) started_at: Micros,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) class_id: usize,
-    pub(crate) sent: Micros,
+    pub(crate) sent_at: Micros,
     pub(crate) trial: Trial,
-    /// It is being written as its call comes: its server has nothing to work on yet.
-    pub(crate) streaming: bool,
-    /// `None`: it is out.
+    /// The request is still arriving: the endpoint has nothing to work on yet.
+    pub(crate) is_uploading: bool,
+    /// `None`: it is in flight.
     pub(crate) outcome: Option<Outcome>,
 }
+
+impl Attempt {
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.outcome.is_none()
+    }
+}
--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -1,119 +1,89 @@
-//! A server as one balancer sees it: what it was sent, what came of that, and whether it takes
-//! more.
+//! An endpoint as this balancer sees it: what was sent to it, how that ended, and whether it can
+//! take more.
 
-use crate::concurrency_limit::{enough, ConcurrencyLimit, MAX_BACKOFF_DOUBLINGS, UTILIZATION_MEMORY_US};
-use crate::*;
+use crate::class_rejections::ClassRejections;
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::latency::LATENCY_SMOOTHING;
+use crate::shared_limit::UTILIZATION_MEMORY_US;
+use crate::{CellId, EndpointEntry, EndpointId, Micros, Settings, SlowStart, ZoneId};
 
-/// Memory of how busy a server was kept, in sends of this balancer for each server: calls differ in
-/// their work far more than servers in their speed.
+/// Memory of an endpoint's recent load, in requests that this balancer forwards per endpoint:
+/// requests differ in their work far more than endpoints in their speed.
 const RECENT_LOAD_MEMORY_ROUNDS: f64 = 16.0;
+/// Typical latencies after which a changed limit has taken effect, however few attempts have ended.
+const SETTLING_TYPICAL_LATENCIES: f64 = 2.0;
+/// A cool-down ends this long after the last attempt, even if nothing was served meanwhile.
+const MAX_COOL_DOWN_US: f64 = 3.0 * UTILIZATION_MEMORY_US;
 
-/// A server as this balancer sees it.
+/// State of an endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct Endpoint {
     pub(crate) id: EndpointId,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
-    pub(crate) listed: bool,
-    /// Its start as the list stamps it, which tells its processes apart; 0: long ago.
+    /// Whether the list has it as ready.
+    pub(crate) is_listed: bool,
+    /// Its start by the list's clock, which tells its processes apart; 0: long ago.
     pub(crate) started_at: Micros,
-    /// The same in this balancer's time.
+    /// Its start by this balancer's clock.
     pub(crate) local_start: Micros,
     pub(crate) in_flight: u32,
     pub(crate) limit: ConcurrencyLimit,
     pub(crate) weight: f64,
-    /// Time that this balancer's calls lately spent there: it breaks the pick's ties.
-    pub(crate) recent_busy: f64,
-    pub(crate) recent_busy_at: u64,
-    /// Answer times over what its classes allow; 1 is the limit.
+    /// Time that attempts recently took there, decaying; in microseconds.
+    recent_busy_us: f64,
+    /// Number of requests that had been forwarded when that was updated.
+    recent_busy_updated: u64,
+    /// Time of responses relative to what their classes allow; 1 is the limit.
     pub(crate) latency_pressure: f64,
-    pub(crate) samples_since_change: u32,
-    /// Its last report, as strain.
+    /// Load that it last reported, on the scale of the latency pressure.
     pub(crate) reported_load: f64,
-    /// When its budget last changed, when an attempt there last ended, and when it last served.
-    pub(crate) changed: Micros,
-    pub(crate) heard: Micros,
+    pub(crate) samples_since_limit_change: u32,
+    pub(crate) limit_changed_at: Micros,
+    /// When an attempt last ended there.
+    pub(crate) last_ended_at: Micros,
     pub(crate) last_served_at: Micros,
-    /// Recent share of failures.
+    /// Recent fraction of attempts that failed.
     pub(crate) failure_rate: f64,
-    /// It is sent nothing before this time and that many answers of this balancer: it has refused
-    /// or failed.
-    pub(crate) not_before: Micros,
-    pub(crate) cool_down_until: u64,
-    /// While cold it is sent a call when this balancer's answers have earned it one, or after this
-    /// time.
+    /// Nothing is sent to it before this time.
+    pub(crate) paused_until: Micros,
+    /// Nothing is sent to it before this balancer has had that many requests served.
+    pub(crate) cool_down_until_served: u64,
+    /// While it warms up, a request may be sent to it for one unit of credit, or at the due time.
     pub(crate) slow_start_credit: f64,
     pub(crate) slow_start_due_at: Micros,
-    /// By class.
-    pub(crate) rejections_by_class: Vec<ClassRejections>,
+    pub(crate) class_rejections: ClassRejections,
 }
 
 impl Endpoint {
     pub(crate) fn new(entry: &EndpointEntry, local_start: Micros, settings: &Settings) -> Self {
-        let &EndpointEntry { endpoint: id, zone, cell, started_at, .. } = entry;
-        let (limit, weight) = (ConcurrencyLimit::new(settings.balancer_count), 1.0);
-        let rejections_by_class = vec![ClassRejections::default(); settings.classes.len()];
         Endpoint {
-            id,
-            zone,
-            cell,
-            started_at,
+            id: entry.endpoint,
+            zone: entry.zone,
+            cell: entry.cell,
+            started_at: entry.started_at,
             local_start,
-            weight,
-            limit,
-            rejections_by_class,
+            weight: 1.0,
+            limit: ConcurrencyLimit::new(settings.balancer_count),
+            class_rejections: ClassRejections::new(settings.classes.len()),
             ..Endpoint::default()
         }
     }
 
-    pub(crate) fn accepts_class(&self, class_id: usize, now: Micros) -> bool {
-        self.rejections_by_class.get(class_id).is_none_or(|m| now >= m.not_before)
+    /// Recent busy time relative to the endpoint's weight. `forwarded_count` is the number of
+    /// requests that this balancer has forwarded, to `endpoint_count` endpoints.
+    pub(crate) fn recent_load(&self, forwarded_count: f64, endpoint_count: f64) -> f64 {
+        let age = forwarded_count - self.recent_busy_updated as f64;
+        let memory = endpoint_count * RECENT_LOAD_MEMORY_ROUNDS;
+        self.recent_busy_us * (-age / memory).exp() / self.weight
     }
 
-    /// Notes what became of a call of a class, and tells whether the server turns that class alone
-    /// away: it refused more than one, and served calls of others that were sent after the first.
-    pub(crate) fn rejects_only_class(
-        &mut self,
-        class_id: usize,
-        outcome: Outcome,
-        sent: Micros,
-        now: Micros,
-        first: Micros,
-    ) -> bool {
-        let others = self.rejections_by_class.iter().enumerate().filter(|(class, _)| *class != class_id);
-        let served = others.map(|(_, m)| m.served).max().unwrap_or(0);
-        let Some(rejections) = self.rejections_by_class.get_mut(class_id) else { return false };
-        match outcome {
-            Outcome::Served => *rejections = ClassRejections { served: sent, ..ClassRejections::default() },
-            Outcome::Rejected => {
-                rejections.refused = rejections.refused.saturating_add(1);
-                if rejections.refused == 1 {
-                    rejections.since = sent;
-                } else if served > rejections.since {
-                    rejections.not_before =
-                        now + (first << (rejections.refused - 2).min(MAX_BACKOFF_DOUBLINGS));
-                    return true;
-                }
-            }
-            _ => {}
-        }
-        false
-    }
-
-    /// With few calls there are none in flight at most servers: recent past and listed size tell
-    /// them apart.
-    pub(crate) fn recent_load(&self, forwarded_count: f64, per: f64) -> f64 {
-        self.recent_busy
-            * (-(forwarded_count - self.recent_busy_at as f64) / (per * RECENT_LOAD_MEMORY_ROUNDS)).exp()
-            / self.weight
+    pub(crate) fn record_busy_time(&mut self, time: f64, forwarded_count: u64, endpoints: f64) {
+        self.recent_busy_us = self.recent_load(forwarded_count as f64, endpoints) * self.weight + time;
+        self.recent_busy_updated = forwarded_count;
     }
 
-    pub(crate) fn record_busy_time(&mut self, time: f64, forwarded_count: u64, per: f64) {
-        self.recent_busy = self.recent_load(forwarded_count as f64, per) * self.weight + time;
-        self.recent_busy_at = forwarded_count;
-    }
-
-    /// Share of its capacity that a server has at the least, by the rules' cold share and time.
+    /// Fraction of its capacity, 0 to 1, that it has at the least while it warms up.
     pub(crate) fn warm_up(&self, now: Micros, slow_start: &SlowStart) -> f64 {
         let age = now.saturating_sub(self.local_start);
         if self.started_at == 0 || age >= slow_start.duration {
@@ -123,42 +93,55 @@
             + (1.0 - slow_start.initial_capacity) * age as f64 / slow_start.duration as f64
     }
 
+    pub(crate) fn is_warm(&self, now: Micros, slow_start: &SlowStart) -> bool {
+        self.warm_up(now, slow_start) >= 1.0
+    }
+
+    pub(crate) fn is_ejected(&self) -> bool {
+        self.limit.steps == 0
+    }
+
+    /// Whether it has as many requests in flight as its limit allows.
     pub(crate) fn is_full(&self, now: Micros, slow_start: &SlowStart) -> bool {
-        let limit = f64::from(self.limit.steps) * self.limit.concurrency * self.warm_up(now, slow_start);
+        let limit = self.limit.total() * self.warm_up(now, slow_start);
         self.in_flight >= (limit + 0.5).max(1.0) as u32
     }
 
-    pub(crate) fn accepts_requests(&self, now: Micros, served: u64, slow_start: &SlowStart) -> bool {
-        let paced = self.slow_start_credit >= 1.0
-            || now >= self.slow_start_due_at
-            || self.warm_up(now, slow_start) >= 1.0;
-        let rested = served >= self.cool_down_until
-            || now.saturating_sub(self.heard) as f64 >= 3.0 * UTILIZATION_MEMORY_US;
-        self.listed && now >= self.not_before && paced && rested
+    /// Whether it is listed and no pause, cool-down or slow start excludes it now. `served_count`
+    /// is the number of requests that this balancer has had served.
+    fn accepts_requests(&self, now: Micros, served_count: u64, slow_start: &SlowStart) -> bool {
+        let is_due =
+            self.slow_start_credit >= 1.0 || now >= self.slow_start_due_at || self.is_warm(now, slow_start);
+        let has_cooled_down = served_count >= self.cool_down_until_served
+            || now.saturating_sub(self.last_ended_at) as f64 >= MAX_COOL_DOWN_US;
+        self.is_listed && now >= self.paused_until && is_due && has_cooled_down
     }
 
-    pub(crate) fn is_usable(&self, now: Micros, served: u64, slow_start: &SlowStart) -> bool {
-        self.limit.steps > 0 && self.accepts_requests(now, served, slow_start)
+    /// Whether requests may be sent to it within its limit.
+    pub(crate) fn is_usable(&self, now: Micros, served_count: u64, slow_start: &SlowStart) -> bool {
+        !self.is_ejected() && self.accepts_requests(now, served_count, slow_start)
     }
 
-    pub(crate) fn is_settled(&self, now: Micros, typical_latency: f64) -> bool {
-        let answers = self.samples_since_change;
-        answers >= self.in_flight.max(1) && enough(answers, now.saturating_sub(self.changed), typical_latency)
+    /// Whether it is ejected and a request may be sent to it to find out whether it has recovered.
+    pub(crate) fn is_awaiting_trial(&self, now: Micros, served_count: u64, slow_start: &SlowStart) -> bool {
+        self.is_ejected()
+            && self.limit.is_trial_ready(now)
+            && self.accepts_requests(now, served_count, slow_start)
     }
 
-    pub(crate) fn is_awaiting_trial(&self, now: Micros, served: u64, slow_start: &SlowStart) -> bool {
-        self.limit.steps == 0 && self.limit.trial_ready(now) && self.accepts_requests(now, served, slow_start)
+    /// Whether enough attempts have ended, or enough time has passed, since its limit was changed
+    /// to tell what the change did.
+    pub(crate) fn is_settled(&self, now: Micros, typical_latency: f64) -> bool {
+        let samples = self.samples_since_limit_change;
+        let since_change = now.saturating_sub(self.limit_changed_at) as f64;
+        samples >= self.in_flight.max(1)
+            && (f64::from(samples) * LATENCY_SMOOTHING >= 1.0
+                || since_change >= SETTLING_TYPICAL_LATENCIES * typical_latency)
     }
-}
 
-/// What a server makes of the calls of one class.
-#[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ClassRejections {
-    /// Turned away in a row, and when the first of those was sent.
-    pub(crate) refused: u32,
-    pub(crate) since: Micros,
-    /// When the last one that was served had been sent.
-    pub(crate) served: Micros,
-    /// Others are tried first before this time.
-    pub(crate) not_before: Micros,
+    /// Starts a new count of samples after its limit was changed.
+    pub(crate) fn mark_limit_changed(&mut self, now: Micros) {
+        self.samples_since_limit_change = 0;
+        self.limit_changed_at = now;
+    }
 }
--- a/balancer/src/endpoint_list.rs
+++ b/balancer/src/endpoint_list.rs
@@ -1,68 +1,88 @@
 //! Updates of the endpoint list.
 
-use crate::balancer::*;
+use crate::balancer::Balancer;
 use crate::endpoint::Endpoint;
-use crate::*;
+use crate::{Action, DiscoveryMode, EndpointEntry, EndpointState, ListUpdate, Micros};
+
+/// Resolution of the random slow-start credit that a new endpoint begins with.
+const INITIAL_CREDIT_STEPS: u64 = 1 << 20;
 
 impl Balancer {
+    /// Opens a watch of the list, where it is polled.
+    pub(crate) fn subscribe_if_polled(&self, actions: &mut Vec<Action>) {
+        if self.settings.discovery.mode == DiscoveryMode::Poll {
+            actions.push(Action::Subscribe);
+        }
+    }
+
+    /// Applies an update of the list, or schedules the next poll if there was none.
     pub(crate) fn update_endpoint_list(&mut self, now: Micros, kind: ListUpdate, entries: &[EndpointEntry]) {
-        if matches!(kind, ListUpdate::WatchLost | ListUpdate::WatchFlapping | ListUpdate::PollFailed) {
-            self.schedule_poll(now, kind);
-            return;
+        match kind {
+            ListUpdate::WatchLost | ListUpdate::WatchFlapping | ListUpdate::PollFailed => {
+                self.schedule_poll(now, kind);
+                return;
+            }
+            ListUpdate::Full | ListUpdate::Cached => self.endpoints.unlist_all(),
+            ListUpdate::Delta => {}
         }
-        self.polling.heard(kind == ListUpdate::Cached);
-        self.endpoint_starts.heard(now, kind, entries);
-        self.endpoints.iter_mut().for_each(|s| s.listed &= kind == ListUpdate::Delta);
+        self.polling.record_update(kind);
+        self.endpoint_starts.record_update(now, kind, entries);
         for entry in entries {
-            let found = self.endpoints.binary_search_by_key(&entry.endpoint, |s| s.id);
-            let place = found.unwrap_or_else(|place| place);
-            // A restart under the same number is a new, cold process: nothing learned of the old
-            // one holds.
-            let restarted = |known: &Endpoint| entry.started_at != 0 && entry.started_at != known.started_at;
-            if found.is_err() || restarted(&self.endpoints[place]) {
-                let mut endpoint =
-                    Endpoint::new(entry, self.endpoint_starts.local_start(entry.endpoint), &self.settings);
-                endpoint.record_busy_time(self.longest_typical_latency(), self.forwarded_count, 1.0);
-                // Balancers hear of a cold server together: each waits a random part before its
-                // first call.
-                endpoint.slow_start_credit =
-                    self.below(INITIAL_CREDIT_STEPS) as f64 / INITIAL_CREDIT_STEPS as f64;
-                endpoint.slow_start_due_at =
-                    now.saturating_add(self.below(self.slow_start_interval(now, &endpoint)));
-                self.endpoints.splice(place..place + usize::from(found.is_ok()), [endpoint]);
-            }
-            let endpoint = &mut self.endpoints[place];
-            endpoint.listed = entry.state == EndpointState::Ready;
-            (endpoint.zone, endpoint.cell) = (entry.zone, entry.cell);
-            endpoint.weight = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
+            self.apply_entry(now, entry);
         }
-        self.endpoints.retain(|s| s.listed || s.in_flight > 0);
-        let Balancer { endpoint_starts, endpoints, .. } = self;
-        endpoint_starts.forget(now, |id| endpoints.binary_search_by_key(&id, |s| s.id).is_ok());
-        self.refresh_counts();
+        self.endpoints.remove_unused();
+        let endpoints = &self.endpoints;
+        self.endpoint_starts.forget_unlisted(now, |id| endpoints.index_of(id).is_some());
+        self.refresh_endpoint_counts();
     }
 
-    /// Jitter keeps balancers that lost the list together from asking together again.
-    pub(crate) fn schedule_poll(&mut self, now: Micros, kind: ListUpdate) {
+    fn apply_entry(&mut self, now: Micros, entry: &EndpointEntry) {
+        let is_same_process =
+            |known: &Endpoint| entry.started_at == 0 || entry.started_at == known.started_at;
+        let known = self.endpoints.index_of(entry.endpoint);
+        if !known.is_some_and(|index| is_same_process(&self.endpoints[index])) {
+            let endpoint = self.new_endpoint(now, entry);
+            self.endpoints.insert(endpoint);
+        }
+        let Some(index) = self.endpoints.index_of(entry.endpoint) else { return };
+        let endpoint = &mut self.endpoints[index];
+        endpoint.is_listed = entry.state == EndpointState::Ready;
+        endpoint.zone = entry.zone;
+        endpoint.cell = entry.cell;
+        let is_valid = entry.weight.is_finite() && entry.weight > 0.0;
+        endpoint.weight = if is_valid { entry.weight } else { 1.0 };
+    }
+
+    fn new_endpoint(&mut self, now: Micros, entry: &EndpointEntry) -> Endpoint {
+        let local_start = self.endpoint_starts.local_start(entry.endpoint);
+        let mut endpoint = Endpoint::new(entry, local_start, &self.settings);
+        endpoint.record_busy_time(self.latencies.longest_typical(), self.forwarded_count, 1.0);
+        // All balancers are notified of a new endpoint together: each waits for a random time
+        // before its first request.
+        let credit = self.random_below(INITIAL_CREDIT_STEPS);
+        endpoint.slow_start_credit = credit as f64 / INITIAL_CREDIT_STEPS as f64;
+        let wait = self.random_below(self.slow_start_interval(now, &endpoint));
+        endpoint.slow_start_due_at = now.saturating_add(wait);
+        endpoint
+    }
+
+    /// Random delays keep balancers that lost the list together from polling together.
+    fn schedule_poll(&mut self, now: Micros, kind: ListUpdate) {
         if self.settings.discovery.mode == DiscoveryMode::Poll {
-            let (least, most) =
-                self.polling.wait(now, &self.settings.discovery, self.shared_limit.is_some(), kind);
-            self.polling.at = now + least + self.below(most - least);
+            let has_many_peers = self.shared_limit.is_some();
+            let discovery = &self.settings.discovery;
+            let delay = self.polling.next_delay(now, discovery, has_many_peers, kind);
+            self.polling.due_at = now + delay.min + self.random_below(delay.max - delay.min);
         }
     }
 
-    /// Trouble seen at most of the fleet is not the servers' own: never are most set aside.
-    pub(crate) fn refresh_counts(&mut self) {
-        self.listed = self.endpoints.iter().filter(|s| s.listed).count();
-        self.ejected_count = self.endpoints.iter().filter(|s| s.listed && s.limit.steps == 0).count();
-        // Servers of a lost zone get no calls: counted as up, their going from the list would halve
-        // a budget that those left have already been found to bear.
-        let lost =
-            |s: &&Endpoint| self.zone_outages.get(&s.zone).is_some_and(|cut| cut.0 > ZONE_BACKOFF_DOUBLINGS);
-        let zone_outages =
-            self.endpoints.iter().filter(|s| s.listed && s.limit.steps > 0).filter(lost).count();
-        self.shared_limit
-            .iter_mut()
-            .for_each(|p| p.available_endpoints = (self.listed - self.ejected_count - zone_outages) as f64);
+    /// Counts the available endpoints anew after one was listed, unlisted, ejected or readmitted.
+    /// Those of a zone that is out don't count towards the shared limit: else it would fall when
+    /// they leave the list, though the others have been found to bear it.
+    pub(crate) fn refresh_endpoint_counts(&mut self) {
+        let available = self.endpoints.refresh_counts(&self.zone_outages);
+        if let Some(shared_limit) = &mut self.shared_limit {
+            shared_limit.available_endpoints = available as f64;
+        }
     }
 }
--- a/balancer/src/event.rs
+++ b/balancer/src/event.rs
@@ -36,9 +36,9 @@
 pub enum ListUpdate {
     /// Changed entries only.
     Delta,
-    /// The whole list.
+    /// The complete list.
     Full,
-    /// The whole list as the proxy last had it, possibly outdated.
+    /// The complete list as the proxy last had it, possibly outdated.
     Cached,
     /// No update: a poll failed, or the watch could not be opened.
     PollFailed,
@@ -56,12 +56,12 @@
     Start,
     /// An update of the endpoint list.
     EndpointList {
-        /// What the update holds.
+        /// Which entries the update contains.
         kind: ListUpdate,
         /// The entries.
         entries: Vec<EndpointEntry>,
     },
-    /// The watch is alive and nothing has changed: the list at hand is current.
+    /// The watch is alive and nothing has changed: the present list is current.
     Heartbeat,
     /// A request has arrived.
     RequestReceived {
--- a/balancer/src/feedback.rs
+++ b/balancer/src/feedback.rs
@@ -1,197 +1,203 @@
-//! What an attempt's outcome teaches.
+//! What an attempt's outcome teaches about its endpoint, its zone and the limits, step by step.
 
 use crate::attempt::{Attempt, Trial};
-use crate::balancer::*;
-use crate::concurrency_limit::{LATENCY_SMOOTHING, MAX_BACKOFF_DOUBLINGS};
-use crate::*;
+use crate::balancer::Balancer;
+use crate::ended_attempt::{EndedAttempt, Verdict, MAX_LATENCY_PRESSURE};
+use crate::latency::LATENCY_SMOOTHING;
+use crate::{Action, LoadReport, Micros, Outcome, RequestId};
+
+/// Factor of the cut after a rejection.
+const REJECTION_CUT_FACTOR: f64 = 0.8;
+/// Latency pressure beyond which a cut goes below the floor.
+const DEEP_CUT_LATENCY_PRESSURE: f64 = 1.5;
+/// Reported CPU utilization that counts like a latency pressure of 1: queues grow steeply above it.
+const FULL_CPU_UTILIZATION: f64 = 0.9;
 
 impl Balancer {
-    /// What a server says of itself: as many waiting as in work, or nearly all cores busy, is as
-    /// much as an answer at its limit. It tells a crowded server from one whose calls mostly wait
-    /// on others.
+    /// Records an endpoint's load report: as many requests queued as executed, or nearly all cores
+    /// busy, count like a latency pressure of 1.
     pub(crate) fn record_load_report(&mut self, id: RequestId, attempt: u32, load: LoadReport) {
-        let Some(tried) = self.requests.get(&id).and_then(|c| c.attempts.get(attempt as usize)) else {
+        let request = self.requests.get(&id);
+        let Some(attempt) = request.and_then(|request| request.attempts.get(attempt as usize)) else {
             return;
         };
-        let Ok(place) = self.endpoints.binary_search_by_key(&tried.endpoint, |s| s.id) else { return };
-        let reported_load = match load {
+        let Some(index) = self.endpoints.index_of(attempt.endpoint) else { return };
+        let pressure = match load {
             LoadReport { in_flight: Some(in_flight), queued: Some(queued), .. } => {
                 queued / (in_flight - queued).max(1.0)
             }
             LoadReport { cpu_utilization: Some(busy), .. } => busy / FULL_CPU_UTILIZATION,
             _ => return,
         };
-        self.endpoints[place].reported_load =
-            if reported_load.is_finite() { reported_load.clamp(0.0, 4.0) } else { 0.0 };
+        let is_valid = pressure.is_finite();
+        self.endpoints[index].reported_load =
+            if is_valid { pressure.clamp(0.0, MAX_LATENCY_PRESSURE) } else { 0.0 };
     }
 
-    /// What a server's answer, or its absence, teaches.
+    /// Updates everything that an ended attempt tells of. `took` is its duration as measured by the
+    /// proxy.
     pub(crate) fn learn_from_attempt(
         &mut self,
         now: Micros,
-        tried: Attempt,
+        attempt: Attempt,
         outcome: Outcome,
         took: Micros,
-        actions: &mut Actions,
+        actions: &mut Vec<Action>,
     ) {
-        let Attempt { endpoint: id, zone, started_at, class_id, sent, trial, streaming, .. } = tried;
-        let elapsed = if streaming { 0 } else { took.max(now.saturating_sub(sent)) };
-        let (first, longest, longest_latency_objective) =
-            (self.initial_backoff(), self.longest_typical_latency(), self.longest_latency_objective());
-        let per = self.subset_size() as f64;
-        let typical_latency = self.typical_latency(
-            class_id,
-            self.settings.classes.get(class_id).map_or(0, |c| c.latency_objective),
-        );
-        let latency = self.latencies.get_mut(class_id);
-        let limit = latency.as_ref().map_or(f64::MAX, |p| p.limit());
-        let shared_latency_pressure =
-            latency.as_ref().map_or(0.0, |p| p.shared_latency_pressure(elapsed as f64));
-        if let Some(shared_limit) = &mut self.shared_limit {
-            shared_limit.in_flight = shared_limit.in_flight.saturating_sub(1);
-            shared_limit.charge(now, elapsed as f64 - typical_latency);
-            shared_limit.limit.trial_in_flight &= trial != Trial::Shared;
-            // A refusal is one server's word, mostly of one that drains: a full fleet shows in its
-            // answers.
-            if !outcome.is_neutral() && !outcome.never_ran() {
-                shared_limit.learn(now, sent, shared_latency_pressure, elapsed as f64);
-            }
-            match outcome {
-                _ if trial != Trial::Shared => {}
-                Outcome::Served => shared_limit.limit.trial_served(),
-                _ => shared_limit.limit.back_off(now, first),
-            }
+        if attempt.is_uploading {
+            self.begin_work(now, &attempt);
         }
-        // A zone that is cut off fails server by server: after a few in a row it is passed over as
-        // a whole.
-        let lost = matches!(outcome, Outcome::ConnectFailed | Outcome::Truncated | Outcome::Reset);
-        let cut = self.zone_outages.entry(zone).or_default();
-        if lost && self.shared_limit.is_some() {
-            let backoff_doublings = cut.0.min(MAX_BACKOFF_DOUBLINGS + ZONE_BACKOFF_DOUBLINGS);
-            *cut = (cut.0.saturating_add(1), now + ((first << backoff_doublings) >> ZONE_BACKOFF_DOUBLINGS));
-        } else if !outcome.is_neutral() && outcome != Outcome::TimedOut {
-            *cut = (0, 0);
+        let ended = self.ended_attempt(now, attempt, outcome, took);
+        self.update_shared_limit(&ended);
+        self.update_zone_health(&ended);
+        let Some(index) = self.endpoints.index_of(attempt.endpoint) else { return };
+        if self.endpoints[index].started_at != attempt.started_at {
+            return; // The endpoint has restarted: its last process says nothing of the new one.
         }
-        let Ok(place) = self.endpoints.binary_search_by_key(&id, |s| s.id) else { return };
-        let endpoint = &mut self.endpoints[place];
-        if endpoint.started_at != started_at {
-            return; // What a server's last process did says nothing of the new one.
+        self.release_slot(&ended, index);
+        let verdict = self.classify(&ended, index);
+        if verdict == Verdict::Neutral {
+            self.endpoints[index].limit.trial_in_flight &= attempt.trial != Trial::Endpoint;
+            return;
         }
-        endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-        // What was not served counts as a whole aim: quick refusals and errors must not make it
-        // look idle.
-        let fair = matches!(outcome, Outcome::Served | Outcome::Stale | Outcome::Invalid);
-        let least = if fair { 0.0 } else { longest_latency_objective };
-        endpoint.record_busy_time(least.max(elapsed as f64), self.forwarded_count, per);
-        let latency_pressure = (elapsed as f64 / limit).min(4.0);
-        // A client in a hurry gave up before most answers come: that tells of the client. A thin
-        // balancer calls a server so seldom that it cannot wait for more: it heeds each time-out.
-        let (timed_out, thin) = (outcome == Outcome::TimedOut, self.shared_limit.is_some());
-        let hurried = timed_out && !thin && latency.as_ref().is_some_and(|p| (elapsed as f64) < p.tail);
-        let alone = endpoint.rejects_only_class(class_id, outcome, sent, now, first);
-        let failed = match outcome {
-            Outcome::Served => false,
-            // Late while others are answered: the server is slow, not gone, and is sent less, not
-            // nothing.
-            Outcome::TimedOut if endpoint.last_served_at > sent && !hurried && !thin => false,
-            _ if outcome.is_neutral() || hurried || alone => {
-                endpoint.limit.trial_in_flight &= trial != Trial::Endpoint;
-                return;
-            }
-            _ => true,
-        };
-        // A time-out proves less than an error: a crowded server may owe a lone call for that long.
-        // So does what one connection did: now and then an answer is spoilt or breaks off at any
-        // server.
-        let weight = match outcome {
-            Outcome::TimedOut if thin => SHARED_TIMEOUT_SMOOTHING,
-            Outcome::TimedOut | Outcome::Unknown | Outcome::Reset => FAILURE_RATE_SMOOTHING / 2.0,
-            _ => FAILURE_RATE_SMOOTHING,
-        };
-        endpoint.failure_rate += (if failed { 1.0 } else { 0.0 } - endpoint.failure_rate) * weight;
-        // Few answers a second must not make the strain a memory of long ago.
-        let gap = now.saturating_sub(endpoint.heard) as f64 / longest_latency_objective;
-        let weight = LATENCY_SMOOTHING.max(1.0 - (-gap).exp());
-        endpoint.heard = now;
-        let before = endpoint.latency_pressure;
-        if !failed {
-            endpoint.latency_pressure +=
-                (latency_pressure.max(endpoint.reported_load) - endpoint.latency_pressure) * weight;
-            endpoint.samples_since_change += 1;
+        self.update_failure_rate(&ended, index, verdict);
+        let previous_pressure = self.update_latency(&ended, index, verdict);
+        self.update_concurrency_limit(&ended, index);
+        let was_ejected = self.endpoints[index].is_ejected();
+        self.update_steps(&ended, index);
+        self.end_endpoint_trial(&ended, index, was_ejected, actions);
+        if !was_ejected {
+            self.eject_outlier(&ended, index, verdict, previous_pressure, actions);
         }
-        // Answers alone would make the mean that of the lucky: late ones count for what was waited.
-        latency.filter(|_| !failed).into_iter().for_each(|p| p.record(now, elapsed as f64));
-        if outcome == Outcome::Served {
-            endpoint.last_served_at = now;
-            self.served += 1;
+        self.cool_down(&ended, index);
+        if ended.is_served() {
+            self.grant_slow_start_credit(now);
         }
-        // Latency well above an unloaded server's is the sign, beside refusals, of too much in
-        // flight.
-        if outcome == Outcome::Rejected {
-            endpoint.limit.cut(REJECTION_CUT_FACTOR, true);
-            // Fast refusals leave it looking idle: without a pause it would draw in call after
-            // call.
-            endpoint.not_before = endpoint.not_before.max(now + longest as Micros);
-        } else if endpoint.latency_pressure > 1.0 && endpoint.is_settled(now, longest) {
-            endpoint
-                .limit
-                .cut(1.0 / endpoint.latency_pressure, endpoint.latency_pressure > DEEP_CUT_LATENCY_PRESSURE);
-            // The cut answers for part of it: one jam is cut for once.
-            endpoint.latency_pressure = endpoint.latency_pressure.sqrt();
-            (endpoint.samples_since_change, endpoint.changed) = (0, now);
+        self.refresh_endpoint_counts();
+    }
+
+    fn ended_attempt(&self, now: Micros, attempt: Attempt, outcome: Outcome, took: Micros) -> EndedAttempt {
+        let since_sent = now.saturating_sub(attempt.sent_at);
+        let elapsed = if attempt.is_uploading { 0.0 } else { took.max(since_sent) as f64 };
+        let estimate = self.latencies.get(attempt.class_id);
+        let limit = estimate.map_or(f64::MAX, |estimate| estimate.limit());
+        EndedAttempt {
+            now,
+            attempt,
+            outcome,
+            elapsed,
+            initial_backoff: self.initial_backoff(),
+            longest_latency_objective: self.settings.longest_latency_objective(),
+            longest_typical_latency: self.latencies.longest_typical(),
+            typical_latency: self.typical_latency_of_attempt(&attempt),
+            subset_size: self.subset_size(),
+            latency_pressure: (elapsed / limit).min(MAX_LATENCY_PRESSURE),
+            shared_latency_pressure: estimate
+                .map_or(0.0, |estimate| estimate.shared_latency_pressure(elapsed)),
+            // Under a shared limit a balancer uses an endpoint so seldom that each timeout counts.
+            has_short_deadline: outcome == Outcome::TimedOut
+                && self.shared_limit.is_none()
+                && estimate.is_some_and(|estimate| elapsed < estimate.tail),
         }
-        let was_up = endpoint.limit.steps > 0;
-        // One connection that broke is no proof against a server that has only just answered: a
-        // step goes when one more breaks soon after, and the last step with the server's share of
-        // failures.
-        let lively = endpoint.last_served_at > 0 && now.saturating_sub(endpoint.last_served_at) <= first;
-        let proof = endpoint.failure_rate > EJECTION_FAILURE_RATE / 2.0 && endpoint.limit.steps > 1;
-        endpoint.limit.steps -= u32::from(lost && was_up && (proof || !lively));
-        endpoint.limit.trial_in_flight &= trial != Trial::Endpoint;
-        if trial == Trial::Endpoint {
-            if outcome != Outcome::Served {
-                endpoint.limit.back_off(now, first);
-            } else if was_up || endpoint.failure_rate < EJECTION_FAILURE_RATE / 2.0 {
-                endpoint.limit.trial_served();
-                (endpoint.samples_since_change, endpoint.changed) = (0, now);
-                if !was_up {
-                    actions.push(Action::Log(LogEvent::EndpointReadmitted(endpoint.id)));
-                }
-            }
+    }
+
+    fn update_shared_limit(&mut self, ended: &EndedAttempt) {
+        let Some(shared_limit) = &mut self.shared_limit else { return };
+        let EndedAttempt { now, attempt, outcome, elapsed, .. } = ended;
+        shared_limit.end_attempt(*now, *elapsed, ended.typical_latency);
+        // A rejection says something of one endpoint alone, mostly of one that drains.
+        if !outcome.is_neutral() && !outcome.never_ran() {
+            let pressure = ended.shared_latency_pressure;
+            shared_limit.record_latency(*now, attempt.sent_at, pressure, *elapsed);
         }
-        // Fast errors and refusals make a server look idle: its budget alone would draw calls in.
-        // One that is slow under a shared budget is crowded by all: it recovers only when all leave
-        // it alone.
-        let most = self
-            .shared_limit
-            .as_ref()
-            .map(|p| EJECTION_LATENCY_PRESSURE.max(p.latency_pressure * EJECTION_SHARED_PRESSURE_MULTIPLE));
-        let warm = endpoint.warm_up(now, &self.settings.slow_start) >= 1.0;
-        let slow = warm
-            && !failed
-            && before > EJECTION_PRIOR_LATENCY_PRESSURE
-            && most.is_some_and(|most| endpoint.latency_pressure > most);
-        if was_up
-            && (slow || endpoint.failure_rate > EJECTION_FAILURE_RATE)
-            && (self.ejected_count + 1) * 2 <= self.listed
-        {
-            endpoint.limit.steps = 0;
+        shared_limit.end_trial(*now, attempt, *outcome, ended.initial_backoff);
+    }
+
+    fn update_zone_health(&mut self, ended: &EndedAttempt) {
+        let zone = ended.attempt.zone;
+        if ended.is_connection_lost() && self.shared_limit.is_some() {
+            self.zone_outages.record_failure(zone, ended.now, ended.initial_backoff);
+        } else if !ended.outcome.is_neutral() && ended.outcome != Outcome::TimedOut {
+            self.zone_outages.record_success(zone);
         }
-        if was_up && endpoint.limit.steps == 0 {
-            endpoint.limit.back_off(now, first);
-            // What it showed before says nothing of how it will be when it comes back.
-            endpoint.latency_pressure = 1.0;
-            actions.push(Action::Log(LogEvent::EndpointEjected(endpoint.id)));
+    }
+
+    fn release_slot(&mut self, ended: &EndedAttempt, index: usize) {
+        let endpoint = &mut self.endpoints[index];
+        endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
+        // Fast errors and rejections must not make an endpoint look idle.
+        let is_response = matches!(ended.outcome, Outcome::Served | Outcome::Stale | Outcome::Invalid);
+        let min_time = if is_response { 0.0 } else { ended.longest_latency_objective };
+        let busy_time = min_time.max(ended.elapsed);
+        endpoint.record_busy_time(busy_time, self.forwarded_count, ended.subset_size as f64);
+    }
+
+    fn classify(&mut self, ended: &EndedAttempt, index: usize) -> Verdict {
+        let EndedAttempt { now, ref attempt, outcome, has_short_deadline, .. } = *ended;
+        let endpoint = &mut self.endpoints[index];
+        let rejects_only_class = endpoint.class_rejections.record(
+            attempt.class_id,
+            outcome,
+            attempt.sent_at,
+            now,
+            ended.initial_backoff,
+        );
+        // Late while others were served: the endpoint is slow and should get less, not nothing.
+        let is_only_slow = outcome == Outcome::TimedOut
+            && endpoint.last_served_at > attempt.sent_at
+            && self.shared_limit.is_none();
+        if outcome == Outcome::Served {
+            Verdict::Healthy
+        } else if outcome.is_neutral() || has_short_deadline || rejects_only_class {
+            Verdict::Neutral
+        } else if is_only_slow {
+            Verdict::Healthy
+        } else {
+            Verdict::Failed
         }
-        // Many balancers that each try it now and then are no rest: it is tried by a part of the
-        // usual calls, at first a quarter of its share of them.
-        if self.shared_limit.is_some() && (outcome == Outcome::Rejected || endpoint.limit.steps == 0) {
-            endpoint.cool_down_until =
-                self.served + ((per as u64) << (COOL_DOWN_DOUBLINGS + endpoint.limit.backoff_doublings));
+    }
+
+    /// Returns the endpoint's latency pressure from before.
+    fn update_latency(&mut self, ended: &EndedAttempt, index: usize, verdict: Verdict) -> f64 {
+        let endpoint = &mut self.endpoints[index];
+        let previous_pressure = endpoint.latency_pressure;
+        let gap = ended.now.saturating_sub(endpoint.last_ended_at) as f64;
+        endpoint.last_ended_at = ended.now;
+        if verdict == Verdict::Healthy {
+            // A sample weighs more where few arrive: else old ones would count for too long.
+            let age = gap / ended.longest_latency_objective;
+            let weight = LATENCY_SMOOTHING.max(1.0 - (-age).exp());
+            let pressure = ended.latency_pressure.max(endpoint.reported_load);
+            endpoint.latency_pressure += (pressure - previous_pressure) * weight;
+            endpoint.samples_since_limit_change += 1;
+            // Timeouts count by their time too: else the mean would be that of quick responses.
+            if let Some(estimate) = self.latencies.get_mut(ended.attempt.class_id) {
+                estimate.record(ended.now, ended.elapsed);
+            }
         }
-        if outcome == Outcome::Served {
-            self.grant_slow_start_credit(now);
+        if ended.is_served() {
+            endpoint.last_served_at = ended.now;
+            self.served_count += 1;
+        }
+        previous_pressure
+    }
+
+    /// Cuts the endpoint's limit after a rejection or when its responses take too long.
+    fn update_concurrency_limit(&mut self, ended: &EndedAttempt, index: usize) {
+        let endpoint = &mut self.endpoints[index];
+        if ended.outcome == Outcome::Rejected {
+            endpoint.limit.cut(REJECTION_CUT_FACTOR, true);
+            // Fast rejections make it look idle: it would attract one request after the other.
+            let pause_end = ended.now + ended.longest_typical_latency as Micros;
+            endpoint.paused_until = endpoint.paused_until.max(pause_end);
+        } else if endpoint.latency_pressure > 1.0
+            && endpoint.is_settled(ended.now, ended.longest_typical_latency)
+        {
+            let is_deep = endpoint.latency_pressure > DEEP_CUT_LATENCY_PRESSURE;
+            endpoint.limit.cut(1.0 / endpoint.latency_pressure, is_deep);
+            // The cut is expected to relieve a part of it.
+            endpoint.latency_pressure = endpoint.latency_pressure.sqrt();
+            endpoint.mark_limit_changed(ended.now);
         }
-        self.refresh_counts();
     }
 }
--- a/balancer/src/forwarding.rs
+++ b/balancer/src/forwarding.rs
@@ -1,75 +1,79 @@
-//! Forwards a request to an endpoint.
+//! Forwards a request to the endpoint that was selected, and accounts for it.
 
 use crate::attempt::{Attempt, Trial};
-use crate::balancer::*;
-use crate::endpoint::Endpoint;
-use crate::*;
+use crate::balancer::Balancer;
+use crate::{Action, Micros, RequestId};
 
 impl Balancer {
-    /// From here on a server is taken to work on an attempt.
-    pub(crate) fn begin_work(&mut self, now: Micros, attempt: &Attempt) {
-        if let Ok(place) = self.endpoints.binary_search_by_key(&attempt.endpoint, |s| s.id) {
-            let endpoint = &mut self.endpoints[place];
-            endpoint.in_flight += u32::from(endpoint.started_at == attempt.started_at);
-        }
-        let latency_objective =
-            self.settings.classes.get(attempt.class_id).map_or(0, |c| c.latency_objective);
-        let typical_latency = self.typical_latency(attempt.class_id, latency_objective);
-        if let Some(shared_limit) = &mut self.shared_limit {
-            shared_limit.in_flight += 1;
-            shared_limit.charge(now, typical_latency);
-        }
-    }
-
+    /// Forwards a request. The attempt runs for as long as its client waits: the endpoint would
+    /// work on one abandoned earlier all the same, but uncounted.
     pub(crate) fn forward(
         &mut self,
         now: Micros,
         id: RequestId,
-        place: usize,
+        index: usize,
         trial: Trial,
-        actions: &mut Actions,
+        actions: &mut Vec<Action>,
     ) {
-        let span = self.slow_start_interval(now, &self.endpoints[place]);
-        let endpoint = &mut self.endpoints[place];
-        endpoint.slow_start_credit = (endpoint.slow_start_credit - 1.0).max(0.0);
-        endpoint.slow_start_due_at = now.saturating_add(span);
         self.forwarded_count += 1;
-        // A lost zone is tried by one call: those of the time that a connection takes to fail would
-        // be late.
-        let first = self.initial_backoff();
-        let endpoint = &mut self.endpoints[place];
-        if let Some(cut) =
-            self.zone_outages.get_mut(&endpoint.zone).filter(|cut| cut.0 > ZONE_BACKOFF_DOUBLINGS)
-        {
-            cut.1 = now + first;
-        }
-        endpoint.limit.trial_in_flight |= trial == Trial::Endpoint;
+        self.account_for_slow_start(now, index);
+        let initial_backoff = self.initial_backoff();
+        self.mark_trial(index, trial);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let start_within =
-            request.attempt_deadline().map(|end| end.saturating_sub(now + self.settings.clock_resolution));
-        let &mut Endpoint { id: endpoint, started_at, zone, cell, .. } = endpoint;
-        let (class_id, sent, streaming, outcome) = (request.class_id, now, request.streaming, None);
-        let attempt = Attempt { endpoint, started_at, zone, cell, class_id, sent, trial, streaming, outcome };
+        let endpoint = &self.endpoints[index];
+        self.zone_outages.begin_trial(endpoint.zone, now, initial_backoff);
+        let earliest = now + self.settings.clock_resolution;
+        let start_within = request.attempt_deadline().map(|end| end.saturating_sub(earliest));
+        let attempt = Attempt {
+            endpoint: endpoint.id,
+            started_at: endpoint.started_at,
+            zone: endpoint.zone,
+            cell: endpoint.cell,
+            class_id: request.class_id,
+            sent_at: now,
+            trial,
+            is_uploading: request.is_uploading,
+            outcome: None,
+        };
         request.attempts.push(attempt);
-        let (copies, non_replayable) = (request.attempts.len(), request.non_replayable);
-        let tail = self.latencies.get(class_id).map_or(f64::MAX, |p| p.tail);
-        let (latency_objective, arrived) = (request.objective_at(), request.arrived);
-        let typical_latency = self.typical_latency(class_id, self.requests[&id].class.latency_objective);
-        if !streaming {
+        if !attempt.is_uploading {
             self.begin_work(now, &attempt);
         }
-        self.shared_limit.iter_mut().for_each(|p| p.limit.trial_in_flight |= trial == Trial::Shared);
-        // It runs for as long as its client waits. Given up earlier, its server would work on all
-        // the same, but uncounted: the next call would take a place that is not free.
-        actions.push(Action::Forward { request: id, endpoint, start_within });
-        // The latest moment at which a second copy can still be in time, but not before the first
-        // is late.
-        let copy_at =
-            (latency_objective as f64 - SLACK_TYPICAL_LATENCIES * typical_latency).max(arrived as f64 + tail);
-        // A shared budget tells nothing of one server: the copy would only add to the work.
-        let copies =
-            copies == 1 && !non_replayable && self.settings.limits.hedging && self.shared_limit.is_none();
-        let copy = copies && copy_at + typical_latency <= latency_objective as f64;
-        self.set_request_timer(id, if copy { (copy_at as Micros).max(now + 1) } else { 0 });
+        actions.push(Action::Forward { request: id, endpoint: attempt.endpoint, start_within });
+        let hedge_at = self.hedge_at(now, &self.requests[&id]);
+        self.set_request_timer(id, hedge_at);
+    }
+
+    fn mark_trial(&mut self, index: usize, trial: Trial) {
+        match trial {
+            Trial::None => {}
+            Trial::Endpoint => self.endpoints[index].limit.trial_in_flight = true,
+            Trial::Shared => {
+                if let Some(shared_limit) = &mut self.shared_limit {
+                    shared_limit.limit.trial_in_flight = true;
+                }
+            }
+        }
+    }
+
+    /// Counts an attempt as work of its endpoint from now on.
+    pub(crate) fn begin_work(&mut self, now: Micros, attempt: &Attempt) {
+        if let Some(index) = self.endpoints.index_of(attempt.endpoint) {
+            let endpoint = &mut self.endpoints[index];
+            if endpoint.started_at == attempt.started_at {
+                endpoint.in_flight += 1;
+            }
+        }
+        let typical_latency = self.typical_latency_of_attempt(attempt);
+        if let Some(shared_limit) = &mut self.shared_limit {
+            shared_limit.begin_attempt(now, typical_latency);
+        }
+    }
+
+    /// Mean latency of an attempt's class, in microseconds.
+    pub(crate) fn typical_latency_of_attempt(&self, attempt: &Attempt) -> f64 {
+        let class = self.settings.classes.get(attempt.class_id);
+        let latency_objective = class.map_or(0, |class| class.latency_objective);
+        self.latencies.typical(attempt.class_id, latency_objective)
     }
 }
--- a/balancer/src/hedging.rs
+++ b/balancer/src/hedging.rs
@@ -1,30 +1,52 @@
-//! Hedged requests.
+//! Hedged requests: a second attempt for a request whose first may be at a stalled endpoint.
 
 use crate::attempt::Trial;
-use crate::balancer::*;
+use crate::balancer::Balancer;
 use crate::endpoint::Endpoint;
+use crate::latency::SLACK_TYPICAL_LATENCIES;
+use crate::request::Request;
 use crate::selection::Route;
-use crate::*;
+use crate::{Action, Micros, RequestId};
 
 impl Balancer {
-    /// A second copy for a call that is late on a server that may have stalled, while others have
-    /// room.
-    pub(crate) fn forward_hedge(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
+    /// When to hedge a request that was forwarded for the first time: at the latest moment at which
+    /// a second attempt can be in time, but not before the first is late. Under a shared limit a
+    /// balancer knows too little of single endpoints: a second attempt would only add load.
+    pub(crate) fn hedge_at(&self, now: Micros, request: &Request) -> Option<Micros> {
+        let is_allowed = request.attempts.len() == 1
+            && !request.is_non_replayable
+            && self.settings.limits.hedging
+            && self.shared_limit.is_none();
+        if !is_allowed {
+            return None;
+        }
+        let tail = self.latencies.get(request.class_id).map_or(f64::MAX, |estimate| estimate.tail);
+        let typical_latency = self.typical_latency(request);
+        let objective_at = request.objective_at() as f64;
+        let hedge_at =
+            (objective_at - SLACK_TYPICAL_LATENCIES * typical_latency).max(request.arrived_at as f64 + tail);
+        (hedge_at + typical_latency <= objective_at).then(|| (hedge_at as Micros).max(now + 1))
+    }
+
+    /// Hedges a request if nothing is queued, the retry budget allows it, and an endpoint that it
+    /// has not been sent to has capacity.
+    pub(crate) fn forward_hedge(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let request = &self.requests[&id];
-        let clock_resolution = self.settings.clock_resolution;
-        let more = (request.attempts.len() as u32) < self.settings.limits.max_attempts
-            && request.in_flight_count() == 1;
-        let some = |s: &Endpoint| {
-            s.is_usable(now, self.served, &self.settings.slow_start)
-                && request.may_attempt(now, s, clock_resolution)
-                && request.is_untried(s.id)
+        let is_candidate = |endpoint: &Endpoint| {
+            endpoint.is_usable(now, self.served_count, &self.settings.slow_start)
+                && request.may_attempt(now, endpoint, self.settings.clock_resolution)
+                && request.is_untried(endpoint.id)
         };
-        let slack = self.retry_budget >= HEDGING_RETRY_RESERVE + 1.0 && self.queue.is_empty();
-        if !more || !slack || !self.endpoints.iter().any(some) {
+        let is_allowed = self.has_attempts_left(request)
+            && request.in_flight_count() == 1
+            && self.retry_budget.allows_hedge()
+            && self.queue.is_empty()
+            && self.endpoints.iter().any(is_candidate);
+        if !is_allowed {
             return;
         }
         if let Route::Forward { endpoint, trial: Trial::None } = self.route(now, id) {
-            self.retry_budget -= 1.0;
+            self.retry_budget.spend();
             self.forward(now, id, endpoint, Trial::None, actions);
         }
     }
--- a/balancer/src/latency.rs
+++ b/balancer/src/latency.rs
@@ -1,78 +1,139 @@
-//! How long answers of a class take.
+//! Estimates of how long responses of each class take.
 
-use crate::concurrency_limit::LATENCY_SMOOTHING;
-use crate::Micros;
+use crate::{Class, Micros};
 
-/// Time over which a class's unloaded answer time may drift up to its present mean.
+/// Weight of a new sample in a moving average of latencies.
+pub(crate) const LATENCY_SMOOTHING: f64 = 0.1;
+/// Typical latencies that must be left before the objective when a request is hedged, or when one
+/// of high priority is queued.
+pub(crate) const SLACK_TYPICAL_LATENCIES: f64 = 2.0;
+/// Estimates before the first response, as fractions of the class's latency objective.
+const INITIAL_MEAN_OBJECTIVE_FRACTION: f64 = 0.25;
+const INITIAL_TAIL_OBJECTIVE_FRACTION: f64 = 0.5;
+/// Number of first samples that are taken as they are, as quick responses arrive before slow ones.
+const BIASED_SAMPLES: u32 = 8;
+/// A later sample counts for at most this multiple of the unloaded latency.
+const MAX_SAMPLE_BASE_MULTIPLE: f64 = 8.0;
+/// Time over which the unloaded latency may drift up to the present mean.
 const BASE_DRIFT_US: f64 = 120e6;
-/// Share of a class's answers that come before a call counts as late.
+/// Fraction of a class's responses that arrive before a request counts as late.
 const TAIL_QUANTILE: f64 = 0.95;
 
-/// An answer is strained beyond this many times its class's unloaded time: about two calls a core.
+/// A response that takes longer than this multiple of its class's unloaded latency shows pressure,
 const LIMIT_BASE_MULTIPLE: f64 = 3.0;
-/// ... or beyond this share of its aim, whichever is shorter.
+/// ... or one longer than this fraction of its latency objective, whichever is shorter.
 const LIMIT_OBJECTIVE_FRACTION: f64 = 0.33;
-/// The same under a shared budget, of what the aim leaves for waiting. No balancer sees a server
-/// often enough to spare the one that is crowded: all have to stay well below what crowds it.
+/// The same under the shared concurrency limit, as a fraction of the slack: the time that the
+/// objective leaves for waiting. No balancer sees an endpoint often enough to spare the one that is
+/// overloaded, so all have to stay well below what overloads it.
 const SHARED_LIMIT_SLACK_FRACTION: f64 = 0.2;
-/// ... but not below this many times the unloaded time, as at two cores that are nearly three
-/// fifths busy (M/M/2), nor beyond this share of what the aim leaves: near aims would make an idle
-/// fleet look crowded.
+/// ... but not below this multiple of the unloaded latency, nor beyond this fraction of the slack:
+/// tight objectives would make idle endpoints look overloaded.
 const SHARED_MIN_LIMIT_BASE_MULTIPLE: f64 = 1.5;
 const SHARED_MIN_LIMIT_SLACK_FRACTION: f64 = 0.5;
-/// Strain for which one answer counts there at the most: a few that met slow servers are no sign of
-/// all.
+/// Maximum latency pressure of one response there: a few from slow endpoints say nothing of all.
 const MAX_SHARED_LATENCY_PRESSURE: f64 = 2.0;
 
-/// Answer times of a class: the present mean and the least it has been, which stands for an
-/// unloaded server.
+/// Latency of a class without an estimate of its own.
+fn default_latency(latency_objective: Micros) -> f64 {
+    latency_objective as f64 * INITIAL_MEAN_OBJECTIVE_FRACTION
+}
+
+/// Latency of a class's responses: the present mean, and the unloaded latency. In microseconds.
 #[derive(Debug, Default)]
 pub(crate) struct LatencyEstimate {
     pub(crate) mean: f64,
+    /// The lowest that the mean has been, which stands for an unloaded endpoint.
     pub(crate) base: f64,
-    /// Nearly all answers come within this: a percentile that is followed step by step.
+    /// An estimate of the quantile [`TAIL_QUANTILE`].
     pub(crate) tail: f64,
-    pub(crate) sample_count: u32,
-    /// The class's aim, and when an aim has gone by since the first answer.
-    pub(crate) latency_objective: Micros,
-    pub(crate) unbiased_from: Micros,
-    pub(crate) at: Micros,
+    /// Requests of the class that have arrived.
     pub(crate) request_count: f64,
+    sample_count: u32,
+    latency_objective: Micros,
+    /// From when on slow responses are among the samples too.
+    unbiased_from: Micros,
+    updated_at: Micros,
 }
 
 impl LatencyEstimate {
-    /// How long an answer of this class may take before its server counts as strained.
+    fn new(class: &Class) -> Self {
+        let mean = default_latency(class.latency_objective);
+        LatencyEstimate {
+            mean,
+            base: mean,
+            tail: class.latency_objective as f64 * INITIAL_TAIL_OBJECTIVE_FRACTION,
+            latency_objective: class.latency_objective,
+            ..LatencyEstimate::default()
+        }
+    }
+
+    /// How long a response may take without showing pressure at its endpoint.
     pub(crate) fn limit(&self) -> f64 {
-        (self.base * LIMIT_BASE_MULTIPLE)
-            .min(self.latency_objective as f64 * LIMIT_OBJECTIVE_FRACTION)
-            .max(self.base)
+        let of_objective = self.latency_objective as f64 * LIMIT_OBJECTIVE_FRACTION;
+        (self.base * LIMIT_BASE_MULTIPLE).min(of_objective).max(self.base)
     }
 
-    /// How long it took, over what is allowed under a shared budget. That cannot spare the one
-    /// server that is slow: it heeds what the aim leaves for waiting.
+    /// A response's time relative to its limit under the shared concurrency limit.
     pub(crate) fn shared_latency_pressure(&self, elapsed: f64) -> f64 {
         let slack = (self.latency_objective as f64 - self.base).max(0.0);
-        let busy = (self.base * SHARED_MIN_LIMIT_BASE_MULTIPLE)
+        let min_limit = (self.base * SHARED_MIN_LIMIT_BASE_MULTIPLE)
             .min(self.base + slack * SHARED_MIN_LIMIT_SLACK_FRACTION);
-        let limit =
-            (self.base * LIMIT_BASE_MULTIPLE).min(self.base + slack * SHARED_LIMIT_SLACK_FRACTION).max(busy);
+        let limit = (self.base * LIMIT_BASE_MULTIPLE)
+            .min(self.base + slack * SHARED_LIMIT_SLACK_FRACTION)
+            .max(min_limit);
         (elapsed / limit).min(MAX_SHARED_LATENCY_PRESSURE)
     }
 
+    /// Records how long a response took.
     pub(crate) fn record(&mut self, now: Micros, elapsed: f64) {
         if self.sample_count == 0 {
             self.unbiased_from = now.saturating_add(self.latency_objective);
         }
         self.sample_count = self.sample_count.saturating_add(1);
-        // Of the first calls the quick ones are answered first: their mean is under what is usual.
-        let early = self.sample_count <= 8 || now < self.unbiased_from;
-        let sample = if !early { elapsed.min(8.0 * self.base) } else { elapsed };
-        let above = if elapsed > self.tail { TAIL_QUANTILE } else { TAIL_QUANTILE - 1.0 };
-        self.tail *= 1.0 + above * LATENCY_SMOOTHING;
-        self.mean += (sample - self.mean) * (1.0 / f64::from(self.sample_count)).max(LATENCY_SMOOTHING / 2.0);
-        let drift = (now.saturating_sub(self.at) as f64 / BASE_DRIFT_US).min(1.0);
-        self.at = now;
-        let drifted = if early { self.mean } else { self.base + (self.mean - self.base) * drift };
+        let is_biased = self.sample_count <= BIASED_SAMPLES || now < self.unbiased_from;
+        let sample = if is_biased { elapsed } else { elapsed.min(MAX_SAMPLE_BASE_MULTIPLE * self.base) };
+        let tail_step = if elapsed > self.tail { TAIL_QUANTILE } else { TAIL_QUANTILE - 1.0 };
+        self.tail *= 1.0 + tail_step * LATENCY_SMOOTHING;
+        let weight = (1.0 / f64::from(self.sample_count)).max(LATENCY_SMOOTHING / 2.0);
+        self.mean += (sample - self.mean) * weight;
+        let drift = (now.saturating_sub(self.updated_at) as f64 / BASE_DRIFT_US).min(1.0);
+        self.updated_at = now;
+        let drifted = if is_biased { self.mean } else { self.base + (self.mean - self.base) * drift };
         self.base = self.mean.min(drifted).max(1.0);
     }
 }
+
+/// The latency estimates of all classes.
+#[derive(Debug)]
+pub(crate) struct Latencies {
+    by_class: Vec<LatencyEstimate>,
+}
+
+impl Latencies {
+    pub(crate) fn new(classes: &[Class]) -> Self {
+        Latencies { by_class: classes.iter().map(LatencyEstimate::new).collect() }
+    }
+
+    pub(crate) fn get(&self, class_id: usize) -> Option<&LatencyEstimate> {
+        self.by_class.get(class_id)
+    }
+
+    pub(crate) fn get_mut(&mut self, class_id: usize) -> Option<&mut LatencyEstimate> {
+        self.by_class.get_mut(class_id)
+    }
+
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &LatencyEstimate> {
+        self.by_class.iter()
+    }
+
+    /// Mean latency of a class; a fraction of its objective if the settings don't name the class.
+    pub(crate) fn typical(&self, class_id: usize, latency_objective: Micros) -> f64 {
+        self.get(class_id).map_or(default_latency(latency_objective), |estimate| estimate.mean)
+    }
+
+    /// The largest mean latency of all classes.
+    pub(crate) fn longest_typical(&self) -> f64 {
+        self.iter().map(|estimate| estimate.mean).fold(1.0, f64::max)
+    }
+}
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -14,7 +14,8 @@
 //! balancer.handle(0, Event::Start, &mut actions);
 //! let state = EndpointState::Ready;
 //! let entry = EndpointEntry { endpoint: EndpointId(1), state, ..EndpointEntry::default() };
-//! balancer.handle(0, Event::EndpointList { kind: ListUpdate::Full, entries: vec![entry] }, &mut actions);
+//! let event = Event::EndpointList { kind: ListUpdate::Full, entries: vec![entry] };
+//! balancer.handle(0, event, &mut actions);
 //! let event = Event::RequestReceived {
 //!     request: RequestId(1),
 //!     class: ClassId(0),
@@ -26,7 +27,7 @@
 //! balancer.handle(1_000, event, &mut actions);
 //! for action in actions.drain(..) {
 //!     match action {
-//!         Action::Forward { request, endpoint, .. } => println!("forward {request:?} to {endpoint:?}"),
+//!         Action::Forward { request, endpoint, .. } => println!("{request:?} to {endpoint:?}"),
 //!         Action::SetTimer { after } => println!("send Event::Timer in {after} us"),
 //!         other => println!("{other:?}"),
 //!     }
@@ -37,11 +38,15 @@
 mod action;
 mod admission;
 mod attempt;
+mod backoff;
 mod balancer;
+mod class_rejections;
 mod concurrency_limit;
+mod ended_attempt;
 mod endpoint;
 mod endpoint_list;
-mod endpoint_start;
+mod endpoint_starts;
+mod endpoints;
 mod event;
 mod feedback;
 mod forwarding;
@@ -51,15 +56,20 @@
 mod list_polling;
 mod outcome;
 mod outlier_detection;
+mod pending_queue;
 mod queue_dispatch;
 mod request;
 mod request_lifecycle;
 mod retry;
+mod retry_budget;
 mod selection;
 mod settings;
 mod shared_limit;
 mod slow_start;
 mod subset;
+mod tenant_usage;
+mod timers;
+mod zone_outages;
 
 pub use action::{Action, LogEvent};
 pub use balancer::Balancer;
--- a/balancer/src/queue_dispatch.rs
+++ b/balancer/src/queue_dispatch.rs
@@ -1,85 +1,123 @@
-//! Forwards queued requests as capacity appears.
+//! Forwards queued requests as capacity becomes available.
 
 use crate::attempt::Trial;
-use crate::balancer::*;
+use crate::balancer::Balancer;
 use crate::request::Request;
 use crate::selection::Route;
-use crate::*;
+use crate::{Action, FailureReason, Micros, RequestId};
+
+/// Queued requests that are inspected beyond the first at an event: it bounds the CPU time that a
+/// long queue costs.
+const MAX_QUEUE_SCAN: usize = 16;
 
 impl Balancer {
-    /// Puts a call into the hold; one that goes again is older than those waiting and goes to the
-    /// front.
-    pub(crate) fn enqueue(&mut self, now: Micros, id: RequestId, retry_or_abandon: bool) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        request.queued = true;
-        self.set_queue_deadline(now, id);
-        self.queue.insert(if retry_or_abandon { 0 } else { self.queue.len() }, id);
+    /// Queues a request that has just arrived.
+    pub(crate) fn enqueue(&mut self, now: Micros, id: RequestId) {
+        self.queue.push_back(id);
+        self.mark_queued(now, id);
+    }
+
+    /// Queues a request for another attempt, ahead of others as it is older.
+    pub(crate) fn enqueue_retry(&mut self, now: Micros, id: RequestId) {
+        self.queue.push_front(id);
+        self.mark_queued(now, id);
     }
 
-    /// A call leaves the hold when a usual answer could not come in time, before its client gives
-    /// up, and a repeat also when its window is over, as it can go nowhere from then on.
+    fn mark_queued(&mut self, now: Micros, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.is_queued = true;
+            self.set_queue_deadline(now, id);
+        }
+    }
+
+    /// Sets the timer for when a request leaves the queue without an attempt: when a typical
+    /// response would miss the objective, before its client stops waiting, and for a retry at the
+    /// end of its deduplication window.
     pub(crate) fn set_queue_deadline(&mut self, now: Micros, id: RequestId) {
         let request = &self.requests[&id];
-        let (class_id, latency_objective, last) = (
-            request.class_id,
-            request.class.latency_objective,
-            request.deadline.saturating_sub(self.settings.clock_resolution),
-        );
-        let wake = request
-            .objective_at()
-            .saturating_sub(self.typical_latency(class_id, latency_objective) as Micros)
-            .max(now + 1);
-        let closes = request.attempt_deadline().unwrap_or(Micros::MAX);
-        self.set_request_timer(id, wake.min(last.max(now)).min(closes).max(1));
+        let before_deadline = request.deadline.saturating_sub(self.settings.clock_resolution);
+        let in_time = request.objective_at().saturating_sub(self.typical_latency(request) as Micros);
+        let window_end = request.attempt_deadline().unwrap_or(Micros::MAX);
+        let at = in_time.max(now + 1).min(before_deadline.max(now)).min(window_end).max(1);
+        self.set_request_timer(id, Some(at));
     }
 
-    pub(crate) fn dispatch_queue(&mut self, now: Micros, actions: &mut Actions) {
-        for place in 0..self.endpoints.len() {
-            let endpoint = &self.endpoints[place];
-            if endpoint.is_awaiting_trial(now, self.served, &self.settings.slow_start)
-                && self.is_zone_reachable(now, endpoint)
-            {
-                // Only a call that never went: a bound one may go to some servers alone.
-                let mut queued = self.queue.iter().take(MAX_QUEUE_SCAN);
-                let endpoint = &self.endpoints[place];
-                let fits = |c: &Request| {
-                    c.attempts.is_empty() && !c.non_replayable && endpoint.accepts_class(c.class_id, now)
-                };
-                if let Some(index) = queued.position(|id| fits(&self.requests[id])) {
-                    let id = self.queue[index];
-                    self.dequeue(index);
-                    self.forward(now, id, place, Trial::Endpoint, actions);
-                }
+    /// Sends a queued request to each ejected endpoint that may be tried again.
+    pub(crate) fn forward_readmission_trials(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        for index in 0..self.endpoints.len() {
+            if let Some(position) = self.find_readmission_trial(now, index) {
+                self.forward_queued_at(now, position, index, Trial::Endpoint, actions);
             }
         }
-        let mut index = 0;
-        while let Some(&id) = self.queue.get(index) {
+    }
+
+    /// Position in the queue of a request to try an ejected endpoint with. It must not have been
+    /// attempted before: a retry may be restricted to some endpoints.
+    fn find_readmission_trial(&self, now: Micros, index: usize) -> Option<usize> {
+        let endpoint = &self.endpoints[index];
+        if !endpoint.is_awaiting_trial(now, self.served_count, &self.settings.slow_start)
+            || !self.zone_outages.is_reachable(endpoint.zone, now)
+        {
+            return None;
+        }
+        let is_suitable = |request: &Request| {
+            request.attempts.is_empty()
+                && !request.is_non_replayable
+                && endpoint.class_rejections.accepts(request.class_id, now)
+        };
+        self.queue.iter().take(MAX_QUEUE_SCAN).position(|id| is_suitable(&self.requests[&id]))
+    }
+
+    /// Forwards queued requests in order, until one has to wait that could go to any endpoint.
+    pub(crate) fn forward_queued(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let mut position = 0;
+        while let Some(id) = self.queue.get(position) {
             match self.route(now, id) {
                 Route::Forward { endpoint, trial } => {
-                    self.dequeue(index);
-                    self.forward(now, id, endpoint, trial, actions);
+                    self.forward_queued_at(now, position, endpoint, trial, actions);
                 }
                 Route::Reject { retry_after } => {
-                    self.abandon(id, retry_after, FailureReason::NoEndpoint, actions)
+                    self.abandon(id, retry_after, FailureReason::NoEndpoint, actions);
+                }
+                Route::Queue => {
+                    if position >= MAX_QUEUE_SCAN || !self.is_restricted(now, id) {
+                        break;
+                    }
+                    position += 1;
                 }
-                // Arrival order: the first that stays keeps the rest, unless bound to some servers.
-                Route::Queue if self.is_bound(now, id) && index < MAX_QUEUE_SCAN => index += 1,
-                Route::Queue => break,
             }
         }
     }
 
-    /// Whether a call may go to some servers alone, by what ran before or as others turn its class
-    /// away.
-    pub(crate) fn is_bound(&self, now: Micros, id: RequestId) -> bool {
+    fn forward_queued_at(
+        &mut self,
+        now: Micros,
+        position: usize,
+        endpoint: usize,
+        trial: Trial,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(id) = self.queue.get(position) else { return };
+        self.queue.remove_at(position);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.is_queued = false;
+        }
+        self.forward(now, id, endpoint, trial, actions);
+    }
+
+    /// Whether a request may be sent to some endpoints only, by its earlier attempts or as others
+    /// reject its class.
+    fn is_restricted(&self, now: Micros, id: RequestId) -> bool {
         let request = &self.requests[&id];
         request.first_possibly_executed().is_some()
-            || self.endpoints.iter().any(|s| s.listed && !s.accepts_class(request.class_id, now))
+            || self.endpoints.iter().any(|endpoint| {
+                endpoint.is_listed && !endpoint.class_rejections.accepts(request.class_id, now)
+            })
     }
 
-    pub(crate) fn dequeue(&mut self, index: usize) {
-        if let Some(request) = self.queue.remove(index).and_then(|id| self.requests.get_mut(&id)) {
-            request.queued = false;
-        }
+    /// Answers a request that has been queued for too long.
+    pub(crate) fn abandon_queued(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+        let waited = now.saturating_sub(self.requests[&id].arrived_at);
+        self.abandon(id, waited, FailureReason::QueueTimeout, actions);
     }
 }
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -1,80 +1,84 @@
-//! A request from its arrival until it has ended and no attempt is in flight.
+//! A request from its arrival until it is finished and has no attempt in flight.
 
 use crate::attempt::Attempt;
 use crate::endpoint::Endpoint;
-use crate::*;
+use crate::{Class, DeduplicationScope, EndpointId, Idempotency, Micros, Outcome};
 
-/// A call from its arrival until it has ended and no attempt is out.
+/// State of a request.
 #[derive(Debug, Default)]
 pub(crate) struct Request {
     pub(crate) class: Class,
     pub(crate) class_id: usize,
-    pub(crate) arrived: Micros,
+    pub(crate) arrived_at: Micros,
+    /// When its client stops waiting.
     pub(crate) deadline: Micros,
     pub(crate) attempts: Vec<Attempt>,
-    pub(crate) queued: bool,
-    /// What is sent of it can't be sent again; and whether it is still coming.
-    pub(crate) non_replayable: bool,
-    pub(crate) streaming: bool,
-    pub(crate) ended: bool,
-    /// When the call is looked at next; 0: not by time.
-    pub(crate) timer_at: Micros,
+    pub(crate) is_queued: bool,
+    /// What an endpoint has got of it cannot be sent to another.
+    pub(crate) is_non_replayable: bool,
+    /// It is still arriving.
+    pub(crate) is_uploading: bool,
+    /// Its client has a response, or needs none.
+    pub(crate) is_finished: bool,
+    pub(crate) timer_at: Option<Micros>,
 }
 
 impl Request {
     pub(crate) fn in_flight_count(&self) -> usize {
-        self.attempts.iter().filter(|a| a.outcome.is_none()).count()
+        self.attempts.iter().filter(|attempt| attempt.is_in_flight()).count()
     }
 
-    /// The first attempt that may have run: the one that binds a guarded call.
+    /// The first attempt that may have been executed, which restricts all further ones.
     pub(crate) fn first_possibly_executed(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran))
+        self.attempts.iter().find(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran))
     }
 
     pub(crate) fn is_untried(&self, endpoint: EndpointId) -> bool {
-        self.attempts.iter().all(|a| a.endpoint != endpoint)
+        self.attempts.iter().all(|attempt| attempt.endpoint != endpoint)
     }
 
+    /// Until when a response counts with its class's weight, or a fraction of it.
     pub(crate) fn objective_at(&self) -> Micros {
         let latency_objective = if self.class.late_weight_fraction > 0.0 {
             self.class.deadline
         } else {
             self.class.latency_objective
         };
-        self.deadline.min(self.arrived.saturating_add(latency_objective))
+        self.deadline.min(self.arrived_at.saturating_add(latency_objective))
     }
 
-    /// Before when a further attempt must begin: its class's window from the first one that may
-    /// have run.
+    /// Until when a further attempt may begin: the class's deduplication window, from the first
+    /// attempt that may have been executed.
     pub(crate) fn attempt_deadline(&self) -> Option<Micros> {
         match (self.first_possibly_executed(), self.class.idempotency) {
-            (Some(first), Idempotency::Keyed { window, .. }) => Some(first.sent.saturating_add(window)),
+            (Some(first), Idempotency::Keyed { window, .. }) => Some(first.sent_at.saturating_add(window)),
             _ => None,
         }
     }
 
-    /// May this call go again, here? Proof over all its attempts decides, never the last outcome
-    /// alone.
+    /// Whether the request may be attempted at an endpoint. That depends on all of its attempts.
     pub(crate) fn may_attempt(&self, now: Micros, endpoint: &Endpoint, clock_resolution: Micros) -> bool {
         match (self.first_possibly_executed(), self.class.idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => true,
             (Some(_), Idempotency::NonIdempotent) => false,
             (Some(first), Idempotency::Keyed { scope, .. }) => {
-                let inside = match scope {
+                let is_deduplicated = match scope {
                     DeduplicationScope::All => true,
                     DeduplicationScope::Zone => first.zone == endpoint.zone,
                     DeduplicationScope::Cell => first.cell == endpoint.cell,
                 };
-                inside && self.attempt_deadline().is_none_or(|end| now.saturating_add(clock_resolution) < end)
+                let earliest = now.saturating_add(clock_resolution);
+                is_deduplicated && self.attempt_deadline().is_none_or(|end| earliest < end)
             }
         }
     }
 
+    /// Whether it may be answered as rejected, which invites the client to retry.
     pub(crate) fn may_be_rejected(&self) -> bool {
-        let harmless = matches!(
+        let is_repeatable = matches!(
             self.class.idempotency,
             Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. }
         );
-        harmless || self.first_possibly_executed().is_none()
+        is_repeatable || self.first_possibly_executed().is_none()
     }
 }
--- a/balancer/src/request_lifecycle.rs
+++ b/balancer/src/request_lifecycle.rs
@@ -1,110 +1,122 @@
-//! A request's way from its arrival to its end.
+//! A request's way from its arrival to its end: uploads, ends of attempts, final answers.
 
 use crate::attempt::Attempt;
-use crate::balancer::*;
-use crate::*;
+use crate::balancer::Balancer;
+use crate::{Action, FailureReason, Micros, Outcome, RequestId};
 
 impl Balancer {
-    /// A call has come whole: its client's time begins, and the work of the server that it has gone
-    /// to.
-    pub(crate) fn complete_upload(&mut self, now: Micros, id: RequestId, left: Micros) {
+    /// Handles the last byte of a request that cannot be replayed: its client's time begins, and
+    /// the work of the endpoint that it has been sent to.
+    pub(crate) fn complete_upload(&mut self, now: Micros, id: RequestId, time_left: Micros) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.streaming = false;
-        (request.arrived, request.deadline) = (now, now.saturating_add(left));
-        let out = request.attempts.iter_mut().find(|a| a.outcome.is_none());
-        let Some(attempt) = out else { return };
-        (attempt.streaming, attempt.sent) = (false, now);
+        request.is_uploading = false;
+        request.arrived_at = now;
+        request.deadline = now.saturating_add(time_left);
+        let in_flight = request.attempts.iter_mut().find(|attempt| attempt.is_in_flight());
+        let Some(attempt) = in_flight else { return };
+        attempt.is_uploading = false;
+        attempt.sent_at = now;
         let attempt = *attempt;
         self.begin_work(now, &attempt);
     }
 
-    /// No call may wait for longer than `last`, held ones included.
-    pub(crate) fn shorten_deadlines(&mut self, now: Micros, last: Micros) {
-        let mut late = Vec::new();
-        for (&id, request) in self.requests.iter_mut().filter(|(_, request)| request.deadline > last) {
-            request.deadline = last;
-            late.extend(request.queued.then_some(id));
+    /// Lets no request wait beyond `deadline`, queued ones included.
+    pub(crate) fn shorten_deadlines(&mut self, now: Micros, deadline: Micros) {
+        let mut shortened = Vec::new();
+        for (&id, request) in &mut self.requests {
+            if request.deadline > deadline {
+                request.deadline = deadline;
+                if request.is_queued {
+                    shortened.push(id);
+                }
+            }
+        }
+        for id in shortened {
+            self.set_queue_deadline(now, id);
         }
-        late.into_iter().for_each(|id| self.set_queue_deadline(now, id));
     }
 
-    /// Notes an attempt's end; late, double and unknown ones change nothing.
-    pub(crate) fn record_outcome(
-        &mut self,
-        id: RequestId,
-        attempt: u32,
-        outcome: Outcome,
-    ) -> Option<Attempt> {
+    /// Records the end of an attempt; `None` if it is not in flight.
+    pub(crate) fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Option<Attempt> {
         let request = self.requests.get_mut(&id)?;
-        let tried = request.attempts.get_mut(attempt as usize).filter(|a| a.outcome.is_none())?;
-        tried.outcome = Some(outcome);
-        Some(*tried)
+        let ended = request.attempts.get_mut(attempt as usize).filter(|a| a.is_in_flight())?;
+        ended.outcome = Some(outcome);
+        Some(*ended)
     }
 
-    /// After an attempt's end: the call's end, another attempt, or nothing while a copy is out.
+    /// Decides what follows the end of an attempt: the request's end, a retry, or nothing while
+    /// another attempt is in flight.
     pub(crate) fn continue_request(
         &mut self,
         now: Micros,
         id: RequestId,
         outcome: Outcome,
-        request_finished: bool,
-        actions: &mut Actions,
+        is_finished: bool,
+        actions: &mut Vec<Action>,
     ) {
-        if request_finished || outcome == Outcome::Served {
+        let Some(request) = self.requests.get(&id) else { return };
+        let is_open = !request.is_finished && !request.is_queued && request.in_flight_count() == 0;
+        if is_finished || outcome == Outcome::Served {
             self.finish_request(id);
-            self.cancel_others(id, None, actions);
-        } else if self.requests.get(&id).is_some_and(|c| !c.ended && !c.queued && c.in_flight_count() == 0) {
-            if outcome == Outcome::Invalid {
-                // It would fare alike everywhere, and the client is not to come again with it.
-                actions.push(Action::Fail { request: id, reason: FailureReason::Invalid });
-                self.finish_request(id);
-            } else {
-                self.retry_or_abandon(now, id, outcome, actions);
-            }
+            self.cancel_attempts(id, None, actions);
+        } else if is_open && outcome == Outcome::Invalid {
+            // Any endpoint would find it invalid, and the client must not retry it.
+            actions.push(Action::Fail { request: id, reason: FailureReason::Invalid });
+            self.finish_request(id);
+        } else if is_open {
+            self.retry_or_abandon(now, id, outcome, actions);
         }
-        self.remove_if_finished(id);
+        self.remove_if_done(id);
     }
 
+    /// Answers a request that is not served: as rejected if a retry by its client is harmless, else
+    /// as failed.
     pub(crate) fn abandon(
         &mut self,
         id: RequestId,
         retry_after: Micros,
         reason: FailureReason,
-        actions: &mut Actions,
+        actions: &mut Vec<Action>,
     ) {
         let retry_after = retry_after.min(self.settings.limits.max_retry_after);
-        let refused = self.requests[&id].may_be_rejected();
-        actions.push(if refused {
+        actions.push(if self.requests[&id].may_be_rejected() {
             Action::Reject { request: id, retry_after, reason }
         } else {
             Action::Fail { request: id, reason }
         });
         self.finish_request(id);
-        self.cancel_others(id, None, actions);
-        self.remove_if_finished(id);
+        self.cancel_attempts(id, None, actions);
+        self.remove_if_done(id);
     }
 
+    /// Marks a request that needs no further attempt.
     pub(crate) fn finish_request(&mut self, id: RequestId) {
-        self.set_request_timer(id, 0);
+        self.set_request_timer(id, None);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.ended = true;
-        if std::mem::take(&mut request.queued) {
-            if let Some(index) = self.queue.iter().position(|&queued| queued == id) {
-                self.queue.remove(index);
-            }
+        request.is_finished = true;
+        if request.is_queued {
+            request.is_queued = false;
+            self.queue.remove(id);
         }
     }
 
-    pub(crate) fn cancel_others(&mut self, id: RequestId, but: Option<u32>, actions: &mut Actions) {
-        let Some(request) = self.requests.get(&id).filter(|_| self.settings.limits.cancellation) else {
+    /// Cancels the attempts in flight but `except`, where the deployment allows that.
+    pub(crate) fn cancel_attempts(&self, id: RequestId, except: Option<u32>, actions: &mut Vec<Action>) {
+        if !self.settings.limits.cancellation {
             return;
-        };
-        let out = (0..).zip(&request.attempts).filter(|(n, a)| a.outcome.is_none() && Some(*n) != but);
-        actions.extend(out.map(|(attempt, _)| Action::CancelAttempt { request: id, attempt }));
+        }
+        let Some(request) = self.requests.get(&id) else { return };
+        for (number, attempt) in (0..).zip(&request.attempts) {
+            if attempt.is_in_flight() && Some(number) != except {
+                actions.push(Action::CancelAttempt { request: id, attempt: number });
+            }
+        }
     }
 
-    pub(crate) fn remove_if_finished(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|c| c.ended && c.in_flight_count() == 0) {
+    /// Forgets a request that is finished and has no attempt in flight.
+    pub(crate) fn remove_if_done(&mut self, id: RequestId) {
+        let request = self.requests.get(&id);
+        if request.is_some_and(|request| request.is_finished && request.in_flight_count() == 0) {
             self.requests.remove(&id);
         }
     }
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -1,31 +1,42 @@
-//! Whether a request is retried after an attempt that failed.
+//! Whether a request is retried after an attempt that was not served.
 
-use crate::balancer::*;
-use crate::*;
+use crate::balancer::Balancer;
+use crate::request::Request;
+use crate::{Action, FailureReason, Micros, Outcome, RequestId};
 
 impl Balancer {
-    /// After an attempt that did not serve: again, or the end.
+    /// Queues a request for a retry, or answers it.
     pub(crate) fn retry_or_abandon(
         &mut self,
         now: Micros,
         id: RequestId,
         outcome: Outcome,
-        actions: &mut Actions,
+        actions: &mut Vec<Action>,
     ) {
-        let request = &self.requests[&id];
-        let in_time = now as f64 + self.typical_latency(request.class_id, request.class.latency_objective)
-            < request.objective_at() as f64;
-        let some = self
-            .endpoints
-            .iter()
-            .any(|s| s.listed && request.may_attempt(now, s, self.settings.clock_resolution));
-        let spent = request.non_replayable && !matches!(outcome, Outcome::ConnectFailed | Outcome::NeverSent);
-        let more = (request.attempts.len() as u32) < self.settings.limits.max_attempts && !spent;
-        if in_time && some && more && (self.retry_budget >= 1.0 || outcome == Outcome::ConnectFailed) {
-            self.retry_budget = (self.retry_budget - 1.0).max(0.0);
-            self.enqueue(now, id, true);
+        // A failed connection cost the endpoint nothing: it is retried without a budget too.
+        let is_paid = self.retry_budget.allows_retry() || outcome == Outcome::ConnectFailed;
+        if is_paid && self.may_retry(now, &self.requests[&id], outcome) {
+            self.retry_budget.spend();
+            self.enqueue_retry(now, id);
         } else {
             self.abandon(id, self.initial_backoff(), FailureReason::AttemptsExhausted, actions);
         }
     }
+
+    /// Whether a retry could be in time, is allowed, and has an endpoint to go to.
+    fn may_retry(&self, now: Micros, request: &Request, outcome: Outcome) -> bool {
+        let is_in_time = now as f64 + self.typical_latency(request) < request.objective_at() as f64;
+        let is_body_lost =
+            request.is_non_replayable && !matches!(outcome, Outcome::ConnectFailed | Outcome::NeverSent);
+        is_in_time
+            && !is_body_lost
+            && self.has_attempts_left(request)
+            && self.endpoints.iter().any(|endpoint| {
+                endpoint.is_listed && request.may_attempt(now, endpoint, self.settings.clock_resolution)
+            })
+    }
+
+    pub(crate) fn has_attempts_left(&self, request: &Request) -> bool {
+        (request.attempts.len() as u32) < self.settings.limits.max_attempts
+    }
 }
--- a/balancer/src/selection.rs
+++ b/balancer/src/selection.rs
@@ -3,97 +3,130 @@
 use crate::attempt::Trial;
 use crate::balancer::Balancer;
 use crate::endpoint::Endpoint;
-use crate::*;
+use crate::{Micros, RequestId};
 
-/// Where a call goes.
+/// Where a request goes.
 pub(crate) enum Route {
+    /// To an endpoint, given by its index.
     Forward { endpoint: usize, trial: Trial },
+    /// It waits, as nothing has capacity for it.
     Queue,
+    /// It is rejected, as all endpoints are ejected.
     Reject { retry_after: Micros },
 }
 
 impl Balancer {
-    /// Send, hold or refuse?
+    /// Selects an endpoint: one of two random candidates, then one of two with capacity, then one
+    /// to exceed its limit as a trial.
     pub(crate) fn route(&mut self, now: Micros, id: RequestId) -> Route {
+        let typical_latency = self.latencies.longest_typical();
+        let reached_limit =
+            self.shared_limit.as_ref().filter(|shared_limit| shared_limit.is_reached(now, typical_latency));
+        let needs_shared_trial = reached_limit.is_some();
+        if reached_limit.is_some_and(|shared_limit| {
+            shared_limit.latency_pressure > 1.0 || !shared_limit.limit.is_trial_ready(now)
+        }) {
+            return Route::Queue;
+        }
+        let trial = if needs_shared_trial { Trial::Shared } else { Trial::None };
+        let candidates = self.candidates(now, id);
+        let with_capacity =
+            self.filter(&candidates, |endpoint| !endpoint.is_full(now, &self.settings.slow_start));
+        let choice = self.pick_of_two(&candidates);
+        if let Some(endpoint) = choice.filter(|endpoint| with_capacity.contains(endpoint)) {
+            return Route::Forward { endpoint, trial };
+        }
+        let for_trial =
+            self.filter(&candidates, |endpoint| self.may_exceed_limit(now, endpoint, typical_latency));
+        // Both are drawn whether needed or not, so that the random sequence stays in step.
+        let within_limit = self.pick_of_two(&with_capacity);
+        let beyond_limit = self.pick_of_two(&for_trial);
+        match (within_limit, beyond_limit) {
+            (Some(endpoint), _) => Route::Forward { endpoint, trial },
+            (None, Some(_)) if needs_shared_trial => Route::Queue,
+            (None, Some(endpoint)) => Route::Forward { endpoint, trial: Trial::Endpoint },
+            (None, None) => self.queue_or_reject(now),
+        }
+    }
+
+    /// Indices of the endpoints to choose from: those of the subset that may serve the request.
+    /// Endpoints that accept its class, and then those that it has not been sent to, come first. A
+    /// burst under a shared limit spills over to further endpoints, with one request at each.
+    fn candidates(&self, now: Micros, id: RequestId) -> Vec<usize> {
         let request = &self.requests[&id];
-        let (slow_start, clock_resolution) = (&self.settings.slow_start, self.settings.clock_resolution);
-        let longest = self.longest_typical_latency();
-        let ready = |s: &Endpoint| {
-            s.limit.trial_ready(now)
-                && s.latency_pressure <= 1.0
-                && (s.changed == 0 || s.is_settled(now, longest))
-                && s.warm_up(now, slow_start) >= 1.0
+        let slow_start = &self.settings.slow_start;
+        let clock_resolution = self.settings.clock_resolution;
+        let is_allowed = |index: &usize| {
+            let endpoint = &self.endpoints[*index];
+            endpoint.is_usable(now, self.served_count, slow_start)
+                && self.zone_outages.is_reachable(endpoint.zone, now)
+                && request.may_attempt(now, endpoint, clock_resolution)
         };
-        let full_pool = self
-            .shared_limit
-            .as_ref()
-            .filter(|p| p.available_endpoints > 0.0 && p.available_at(longest) > now);
-        let pool_full = full_pool.is_some();
-        if full_pool.is_some_and(|p| p.latency_pressure > 1.0 || !p.limit.trial_ready(now)) {
+        let accepts_class =
+            |index: &usize| self.endpoints[*index].class_rejections.accepts(request.class_id, now);
+        let is_untried = |index: &usize| request.is_untried(self.endpoints[*index].id);
+        let has_capacity = |index: &usize| !self.endpoints[*index].is_full(now, slow_start);
+
+        let allowed = || self.subset_ring().filter(is_allowed);
+        let any_accepts = allowed().any(|index| accepts_class(&index));
+        let accepting = || allowed().filter(|index| !any_accepts || accepts_class(index));
+        let any_untried = accepting().any(|index| is_untried(&index));
+        let preferred = || accepting().filter(|index| !any_untried || is_untried(index));
+        let spills_over = self.shared_limit.is_some() && preferred().any(|index| has_capacity(&index));
+        preferred().filter(|index| !spills_over || has_capacity(index)).take(self.subset_size()).collect()
+    }
+
+    fn filter(&self, indices: &[usize], predicate: impl Fn(&Endpoint) -> bool) -> Vec<usize> {
+        indices.iter().copied().filter(|&index| predicate(&self.endpoints[index])).collect()
+    }
+
+    /// Whether a request may be sent to an endpoint beyond its limit, as the trial that may raise
+    /// it.
+    fn may_exceed_limit(&self, now: Micros, endpoint: &Endpoint, typical_latency: f64) -> bool {
+        endpoint.limit.is_trial_ready(now)
+            && endpoint.latency_pressure <= 1.0
+            && (endpoint.limit_changed_at == 0 || endpoint.is_settled(now, typical_latency))
+            && endpoint.is_warm(now, &self.settings.slow_start)
+    }
+
+    /// Queues a request that no endpoint can take, or rejects it until the first trial if all are
+    /// ejected.
+    fn queue_or_reject(&self, now: Micros) -> Route {
+        let listed = self.endpoints.iter().filter(|endpoint| endpoint.is_listed);
+        if !listed.clone().all(Endpoint::is_ejected) {
             return Route::Queue;
         }
-        let open = |s: &Endpoint| s.is_usable(now, self.served, slow_start) && self.is_zone_reachable(now, s);
-        let allowed = |s: &Endpoint| open(s) && request.may_attempt(now, s, clock_resolution);
-        let subset_ring = || self.subset_ring().filter(|&i| allowed(&self.endpoints[i]));
-        let taken = subset_ring().any(|i| self.endpoints[i].accepts_class(request.class_id, now));
-        let subset_ring =
-            || subset_ring().filter(|&i| !taken || self.endpoints[i].accepts_class(request.class_id, now));
-        let fresh = subset_ring().any(|i| request.is_untried(self.endpoints[i].id));
-        let untried = subset_ring().filter(|&i| !fresh || request.is_untried(self.endpoints[i].id));
-        // A burst of one balancer spills over to further servers: at most one of its calls is out
-        // at each.
-        let has_room = |i: &usize| !self.endpoints[*i].is_full(now, slow_start);
-        let spills = self.shared_limit.is_some() && untried.clone().any(|i| has_room(&i));
-        let up: Vec<usize> =
-            untried.filter(|i| !spills || has_room(i)).take(self.subset_size()).collect();
-        let of = |room: &dyn Fn(&Endpoint) -> bool| {
-            up.iter().copied().filter(|&i| room(&self.endpoints[i])).collect()
-        };
-        let (room, trials): (Vec<_>, Vec<_>) = (of(&|s| !s.is_full(now, slow_start)), of(&ready));
-        let trial = if pool_full { Trial::Shared } else { Trial::None };
-        match self.two_choices(&up).filter(|endpoint| room.contains(endpoint)) {
-            Some(endpoint) => Route::Forward { endpoint, trial },
-            None => match (self.two_choices(&room), self.two_choices(&trials)) {
-                (Some(endpoint), _) => Route::Forward { endpoint, trial },
-                (None, Some(_)) if pool_full => Route::Queue,
-                (None, Some(endpoint)) => Route::Forward { endpoint, trial: Trial::Endpoint },
-                (None, None) => {
-                    let all = self.endpoints.iter().filter(|s| s.listed);
-                    let down = all.clone().all(|s| s.limit.steps == 0);
-                    let first = all.map(|s| s.limit.backoff_end).min().filter(|_| down);
-                    first.map_or(Route::Queue, |at| Route::Reject {
-                        retry_after: at.saturating_sub(now).max(self.initial_backoff()),
-                    })
-                }
-            },
+        match listed.map(|endpoint| endpoint.limit.backoff_end).min() {
+            None => Route::Queue,
+            Some(first_trial) => {
+                Route::Reject { retry_after: first_trial.saturating_sub(now).max(self.initial_backoff()) }
+            }
         }
     }
 
-    /// The less loaded of two random ones by own calls in flight; then the near one, then the
-    /// recent past.
-    pub(crate) fn two_choices(&mut self, among: &[usize]) -> Option<usize> {
-        let len = among.len() as u64;
-        let first = self.below(len);
-        let a = *among.get(first as usize)?;
-        let b = among[((first + 1 + self.below(len - 1)) % len) as usize];
-        let (forwarded_count, per) = (self.forwarded_count as f64, self.subset_size() as f64);
-        let tie = |s: &Endpoint| {
-            if self.shared_limit.is_some() {
-                s.recent_load(forwarded_count, per)
+    /// The less loaded of two random endpoints: by requests in flight, then the one in this
+    /// balancer's zone, then by latency. Under a shared limit nearly every choice is a tie, and a
+    /// zone with more balancers than endpoints would be overloaded: there the one without latency
+    /// pressure, then by recent load.
+    fn pick_of_two(&mut self, candidates: &[usize]) -> Option<usize> {
+        let len = candidates.len() as u64;
+        let offset = self.random_below(len);
+        let first = *candidates.get(offset as usize)?;
+        let step = 1 + self.random_below(len - 1);
+        let second = candidates[((offset + step) % len) as usize];
+        let forwarded_count = self.forwarded_count as f64;
+        let subset_size = self.subset_size() as f64;
+        let load = |index: usize| {
+            let endpoint = &self.endpoints[index];
+            let (is_second_choice, tie_breaker) = if self.shared_limit.is_some() {
+                let recent_load = endpoint.recent_load(forwarded_count, subset_size);
+                (endpoint.latency_pressure > 1.0, recent_load)
             } else {
-                s.latency_pressure
-            }
-        };
-        // Nearly every pick of a thin balancer is a tie: a zone that has more calls than servers
-        // would get most of them from all balancers in it, and their answers alone can tell them
-        // so.
-        let near_first = self.settings.zone.filter(|_| self.shared_limit.is_none());
-        let far = |s: &Endpoint| near_first.is_some_and(|zone| zone != s.zone);
-        let strained = |s: &Endpoint| self.shared_limit.is_some() && s.latency_pressure > 1.0;
-        let load = |i: usize| {
-            let endpoint = &self.endpoints[i];
-            (endpoint.in_flight, far(endpoint) || strained(endpoint), tie(endpoint))
+                let is_remote = self.settings.zone.is_some_and(|zone| zone != endpoint.zone);
+                (is_remote, endpoint.latency_pressure)
+            };
+            (endpoint.in_flight, is_second_choice, tie_breaker)
         };
-        Some(if load(b) < load(a) { b } else { a })
+        Some(if load(second) < load(first) { second } else { first })
     }
 }
--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -96,7 +96,7 @@
 pub enum DiscoveryMode {
     /// An agent on the same machine pushes updates.
     Push,
-    /// Each balancer asks for updates.
+    /// Each balancer polls for updates.
     Poll,
 }
 
@@ -121,7 +121,7 @@
     pub worst_class: f64,
 }
 
-/// Settings of a balancer, for its whole life.
+/// Settings of a balancer, for all of its life.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Number of balancers that send to these endpoints, this one included.
@@ -146,6 +146,13 @@
     pub score_weights: ScoreWeights,
 }
 
+impl Settings {
+    /// The longest latency objective of all classes, in microseconds and at least 1.
+    pub(crate) fn longest_latency_objective(&self) -> f64 {
+        self.classes.iter().map(|class| class.latency_objective).max().unwrap_or(0).max(1) as f64
+    }
+}
+
 impl Default for Settings {
     /// One balancer, a pushed list, and one non-idempotent class with an objective of 0.5 s.
     fn default() -> Self {
--- a/balancer/src/subset.rs
+++ b/balancer/src/subset.rs
@@ -1,22 +1,29 @@
-//! The subset of the endpoints that this balancer sends to.
+//! The subset of the endpoints that this balancer sends to under a shared limit. One of very many
+//! balancers that sent to all would open a connection for nearly every request and learn nothing of
+//! single endpoints.
 
-use crate::balancer::*;
+use crate::balancer::Balancer;
+
+const MIN_SUBSET_SIZE: usize = 8;
+/// Mean number of requests in flight per endpoint beyond which the subset grows.
+const SUBSET_REQUESTS_PER_ENDPOINT: f64 = 0.8;
 
 impl Balancer {
-    /// How many servers calls are spread over: a thin balancer that went to all would open a
-    /// connection for nearly every call, past what servers accept, and would learn of none of them.
+    /// Number of endpoints that requests are spread over.
     pub(crate) fn subset_size(&self) -> usize {
-        let busy =
-            self.shared_limit.as_ref().map_or(f64::MAX, |p| p.mean_in_flight / SUBSET_REQUESTS_PER_ENDPOINT);
-        (busy as usize).max(MIN_SUBSET_SIZE).min(self.endpoints.len())
+        let needed = self
+            .shared_limit
+            .as_ref()
+            .map_or(f64::MAX, |shared_limit| shared_limit.mean_in_flight / SUBSET_REQUESTS_PER_ENDPOINT);
+        (needed as usize).max(MIN_SUBSET_SIZE).min(self.endpoints.len())
     }
 
-    /// All servers from this balancer's place on: places are at even distances on the ring of
-    /// servers.
+    /// Indices of all endpoints, as a ring from this balancer's place on. The balancers' places are
+    /// at even distances.
     pub(crate) fn subset_ring(&self) -> impl Iterator<Item = usize> + Clone {
         let len = self.endpoints.len();
-        let start =
-            self.settings.balancer_index as usize * len / self.settings.balancer_count.max(1) as usize;
-        (start..start + len).map(move |i| i % len)
+        let balancer_index = self.settings.balancer_index as usize;
+        let start = balancer_index * len / self.settings.balancer_count.max(1) as usize;
+        (start..start + len).map(move |index| index % len)
     }
 }
--- /dev/null
+++ b/balancer/src/timers.rs
@@ -0,0 +1,34 @@
+//! Timers of requests: when one leaves the pending queue, or is hedged.
+
+use crate::request::Request;
+use crate::{Micros, RequestId};
+use std::collections::BTreeSet;
+
+/// At most one timer for each request, in the order of their times.
+#[derive(Debug, Default)]
+pub(crate) struct RequestTimers {
+    due: BTreeSet<(Micros, RequestId)>,
+}
+
+impl RequestTimers {
+    /// Sets a request's timer in place of the one that it has; `None`: it needs none.
+    pub(crate) fn set(&mut self, id: RequestId, request: &mut Request, at: Option<Micros>) {
+        if let Some(previous) = request.timer_at {
+            self.due.remove(&(previous, id));
+        }
+        request.timer_at = at;
+        if let Some(at) = at {
+            self.due.insert((at, id));
+        }
+    }
+
+    /// When the first timer is due; `Micros::MAX` if there is none.
+    pub(crate) fn next_at(&self) -> Micros {
+        self.due.first().map_or(Micros::MAX, |timer| timer.0)
+    }
+
+    /// A request whose timer is due.
+    pub(crate) fn first_due(&self, now: Micros) -> Option<RequestId> {
+        self.due.first().filter(|timer| timer.0 <= now).map(|timer| timer.1)
+    }
+}
