--- a/proxy/src/body/mod.rs
+++ b/proxy/src/body/mod.rs
@@ -1,6 +1,7 @@
 //! Bodies on their way through: a client's as it comes, one attempt's as it goes out, an answer's as it is passed on.
 //! Small ones are gathered, larger ones are never held whole.
 
+use crate::message_limits::MAX_BODY_BYTES;
 use crate::metrics::{RequestEnd, RequestTracker};
 use crate::socket::Socket;
 use crate::upstream::BoxError;
@@ -22,8 +23,6 @@
 
 /// Most bytes of a body that is gathered.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
-/// Most bytes of any body.
-pub const MAX_BODY_BYTES: u64 = 40 << 20;
 /// What an honest client sends in a second at the least, with some slack, and the most that it can be ahead of that: one that
 /// stops, however much it has sent, is owed its error within 3 s.
 const PACE: f64 = 48_000.0;
--- /dev/null
+++ b/proxy/src/connect.rs
@@ -0,0 +1,12 @@
+//! Opening TCP connections, as the proxy does to endpoints and to discovery.
+
+use std::io;
+use std::net::SocketAddr;
+use tokio::net::TcpStream;
+
+/// Opens a TCP connection without Nagle's delay.
+pub(crate) async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
+    let stream = TcpStream::connect(address).await?;
+    stream.set_nodelay(true)?;
+    Ok(stream)
+}
--- a/proxy/src/control/in_flight.rs
+++ b/proxy/src/control/in_flight.rs
@@ -4,7 +4,7 @@
 use crate::control::endpoints::EndpointProcess;
 use crate::invariants::RequestRecord;
 use crate::socket::Socket;
-use crate::upstream;
+use crate::task::ScopedTask;
 use crate::write_guard::WriteGuard;
 use balancer::{ClassId, Event, LoadReport, Micros, Outcome, RequestId, TenantId};
 use hyper::header::{HeaderMap, HeaderValue};
@@ -157,5 +157,5 @@
     pub(crate) sent: Instant,
     pub(crate) write_guard: WriteGuard,
     /// Ends the exchange and closes its connection when dropped.
-    pub(crate) _task: upstream::ScopedTask,
+    pub(crate) _task: ScopedTask,
 }
--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -15,6 +15,7 @@
 use crate::discovery::{self, EndpointList, ListedState, WatchEvent};
 use crate::invariants::{AnswerKind, AttemptTarget, RequestPolicy, RequestRecord};
 use crate::metrics::{EndpointCloseReason, Metrics, RequestEnd, RequestTracker};
+use crate::task::{spawn, ScopedTask};
 use crate::upstream::idle_timeout::IdleTimeoutEstimate;
 use crate::upstream::{self, AttemptEnd, Connection, ExchangeContext};
 use crate::write_guard::WriteGuard;
@@ -97,7 +98,7 @@
     listed: bool,
     /// A list was waited for long enough: clients are taken without one.
     unlisted: bool,
-    watch: Option<upstream::ScopedTask>,
+    watch: Option<ScopedTask>,
     /// Number of the present watch: what an earlier one still has to say no longer counts.
     watches: u64,
     /// The last call to discovery brought no watch.
@@ -717,7 +718,7 @@
         let kept = endpoint.take_idle();
         let task = {
             let (handle, write_guard) = (handle.clone(), write_guard.clone());
-            upstream::spawn(async move {
+            spawn(async move {
                 let sending = AttemptContext { to, forward: &forward, until, write_guard: &write_guard };
                 let end = handle.attempt(sending, kept).await;
                 handle.finish(id, attempt, end);
@@ -794,7 +795,7 @@
         self.watches += 1;
         let watch = self.watches;
         // The task of the last watch, if there is one, ends here.
-        self.watch = Some(upstream::spawn(async move {
+        self.watch = Some(spawn(async move {
             let news = |news| match news {
                 WatchEvent::List(list) => handle.members(list, Some(watch)),
                 WatchEvent::Heartbeat => handle.heartbeat(watch),
--- a/proxy/src/discovery/mod.rs
+++ b/proxy/src/discovery/mod.rs
@@ -1,8 +1,10 @@
 //! The list of hosts: its form, and the watch that brings its changes.
 
+use crate::connect::connect;
 use crate::socket::Socket;
+use crate::task::{spawn, ScopedTask};
 use crate::transient_errors::retry_transient;
-use crate::upstream::{self, BoxError, ScopedTask};
+use crate::upstream::BoxError;
 use balancer::EndpointState;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Bytes, Incoming};
@@ -160,9 +162,9 @@
 }
 
 async fn open(discovery: SocketAddr, since: Option<u64>) -> Result<(Incoming, ScopedTask), BoxError> {
-    let stream = retry_transient(SILENCE, async || upstream::dial(discovery).await).await?;
+    let stream = retry_transient(SILENCE, async || connect(discovery).await).await?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(Socket::new(stream)).await?;
-    let connection = upstream::spawn(connection);
+    let connection = spawn(connection);
     let since = since.map(|seq| format!("&since={seq}")).unwrap_or_default();
     let request = Request::get(format!("/catalog/members?follow=1{since}"))
         .header(header::HOST, discovery.to_string())
--- a/proxy/src/downstream/request.rs
+++ b/proxy/src/downstream/request.rs
@@ -1,8 +1,9 @@
 //! What a client's request says and whether it can be used, and the answers that clients get.
 
-use crate::body::{RequestBody, ResponseBody, Upload, UploadError, MAX_BODY_BYTES};
+use crate::body::{RequestBody, ResponseBody, Upload, UploadError};
 use crate::control::in_flight::{ForwardedRequest, Reply, RequestDescriptor};
 use crate::control::Control;
+use crate::message_limits::MAX_BODY_BYTES;
 use crate::socket::Socket;
 use balancer::{ClassId, Idempotency, TenantId};
 use hyper::body::{Bytes, Incoming};
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -5,15 +5,18 @@
 
 mod body;
 pub mod config;
+mod connect;
 pub mod control;
 pub mod discovery;
 pub mod downstream;
 mod invariants;
 pub mod log;
+mod message_limits;
 pub mod metrics;
 pub mod operators;
 pub mod process_handoff;
 mod socket;
+mod task;
 pub mod transient_errors;
 pub mod upstream;
 mod write_guard;
@@ -56,7 +59,7 @@
 ) -> io::Result<()> {
     let driver = control::Control::start(Rc::new(config));
     let operators =
-        listeners.operators.map(|listener| upstream::spawn(operators::serve(listener, driver.clone())));
+        listeners.operators.map(|listener| task::spawn(operators::serve(listener, driver.clone())));
     let reloads = async {
         while let Some(config) = reload().await {
             match config {
@@ -67,8 +70,8 @@
         }
         std::future::pending().await
     };
-    let _readiness = upstream::spawn(be_ready(driver.clone()));
-    let _presence = folder.map(|folder| upstream::spawn(share(folder, driver.clone())));
+    let _readiness = task::spawn(be_ready(driver.clone()));
+    let _presence = folder.map(|folder| task::spawn(share(folder, driver.clone())));
     let serving = async {
         let mut stop = pin!(stop);
         tokio::select! {
--- a/proxy/src/upstream/mod.rs
+++ b/proxy/src/upstream/mod.rs
@@ -3,10 +3,13 @@
 pub(crate) mod idle_timeout;
 
 use crate::body::{
-    AttemptBody, BodyMemory, BufferedBody, RequestBody, ResponseBody, StreamedResponse, MAX_BODY_BYTES,
+    AttemptBody, BodyMemory, BufferedBody, RequestBody, ResponseBody, StreamedResponse,
     MAX_BUFFERED_BODY_BYTES,
 };
+use crate::connect::connect;
+use crate::message_limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::socket::Socket;
+use crate::task::{spawn, ScopedTask};
 use crate::transient_errors::{retry_transient, ErrorClass};
 use crate::write_guard::WriteGuard;
 use balancer::{LoadReport, Outcome};
@@ -16,18 +19,13 @@
 use hyper::header::{self, HeaderMap};
 use hyper::{Request, Response, StatusCode};
 use std::error::Error;
-use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::TcpStream;
-use tokio::task::{yield_now, AbortHandle};
+use tokio::task::yield_now;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Most bytes of a head that are kept. Every connection may hold so much: with all of them at it, it must fit
-/// into the least memory.
-pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// Most requests that a host can be thought to hold or to keep waiting: what reports more is no report.
 const LOAD_MOST: f64 = 10_000.0;
 /// Time for the rest of an answer that is not passed on; past it the connection is given up instead.
@@ -41,28 +39,6 @@
 /// Any failure, in words.
 pub type BoxError = Box<dyn Error + Send + Sync>;
 
-/// A task that ends with its owner.
-#[derive(Debug)]
-pub struct ScopedTask(AbortHandle);
-
-impl Drop for ScopedTask {
-    fn drop(&mut self) {
-        self.0.abort();
-    }
-}
-
-/// Runs a future on this thread for as long as the returned task is kept.
-pub fn spawn(future: impl Future + 'static) -> ScopedTask {
-    ScopedTask(tokio::task::spawn_local(async move { drop(future.await) }).abort_handle())
-}
-
-/// Opens a TCP connection without Nagle's delay.
-pub async fn dial(address: SocketAddr) -> io::Result<TcpStream> {
-    let stream = TcpStream::connect(address).await?;
-    stream.set_nodelay(true)?;
-    Ok(stream)
-}
-
 /// Whether a connection did not come up for a reason of this machine's own, which tells nothing of the host.
 pub fn is_local(error: &BoxError) -> bool {
     error
@@ -91,7 +67,7 @@
 impl Connection {
     /// Opens a connection; `slot` is held for as long as it is open.
     pub async fn open(address: SocketAddr, limit: Duration, slot: Rc<()>) -> Result<Connection, BoxError> {
-        let opened = timeout(limit, retry_transient(limit, async || dial(address).await)).await;
+        let opened = timeout(limit, retry_transient(limit, async || connect(address).await)).await;
         let socket = Socket::new(opened.map_err(io::Error::from)??);
         let builder = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(socket.clone());
         let (sender, connection) = builder.await?;
