--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -3,18 +3,18 @@
 
 use balancer::*;
 
-pub const MS: Micros = 1_000;
+pub(crate) const MS: Micros = 1_000;
 
 /// A proxy that carries out nothing and remembers everything.
-pub struct Proxy {
-    pub balancer: Balancer,
-    pub now: Micros,
-    pub actions: Vec<Action>,
+pub(crate) struct Proxy {
+    pub(crate) balancer: Balancer,
+    pub(crate) now: Micros,
+    pub(crate) actions: Vec<Action>,
     next: u64,
 }
 
 /// Settings with one class of the given kind: wanted in 500 ms, given up after 1.2 s.
-pub fn settings(idempotency: Idempotency) -> Settings {
+pub(crate) fn settings(idempotency: Idempotency) -> Settings {
     let class = Class {
         latency_objective: 500 * MS,
         deadline: 1_200 * MS,
@@ -31,17 +31,17 @@
 }
 
 /// A list that is polled.
-pub fn polled() -> Discovery {
+pub(crate) fn polled() -> Discovery {
     Discovery { mode: DiscoveryMode::Poll, ..Settings::default().discovery }
 }
 
-pub fn ready(endpoint: u32) -> EndpointEntry {
+pub(crate) fn ready(endpoint: u32) -> EndpointEntry {
     EndpointEntry { endpoint: EndpointId(endpoint), state: EndpointState::Ready, ..EndpointEntry::default() }
 }
 
 impl Proxy {
     /// A started proxy that knows of `endpoints` ready, warm servers, numbered from 1.
-    pub fn new(settings: Settings, endpoints: u32) -> Proxy {
+    pub(crate) fn new(settings: Settings, endpoints: u32) -> Proxy {
         let mut proxy =
             Proxy { balancer: Balancer::new(7, settings), now: 1_000_000, actions: Vec::new(), next: 0 };
         proxy.event(Event::Start);
@@ -49,18 +49,18 @@
         proxy
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         self.actions.extend(actions.iter().cloned());
         actions
     }
 
-    pub fn list(&mut self, kind: ListUpdate, entries: Vec<EndpointEntry>) -> Vec<Action> {
+    pub(crate) fn list(&mut self, kind: ListUpdate, entries: Vec<EndpointEntry>) -> Vec<Action> {
         self.event(Event::EndpointList { kind, entries })
     }
 
-    pub fn call_of(&mut self, class: usize) -> (RequestId, Vec<Action>) {
+    pub(crate) fn call_of(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let request = RequestId(self.next);
         let class = ClassId(class);
@@ -75,11 +75,11 @@
         (request, self.event(event))
     }
 
-    pub fn request(&mut self) -> (RequestId, Vec<Action>) {
+    pub(crate) fn request(&mut self) -> (RequestId, Vec<Action>) {
         self.call_of(0)
     }
 
-    pub fn end(
+    pub(crate) fn end(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -98,7 +98,7 @@
     }
 
     /// A call that is sent and served after `elapsed`; tells where it went.
-    pub fn serve(&mut self, elapsed: Micros) -> Option<EndpointId> {
+    pub(crate) fn serve(&mut self, elapsed: Micros) -> Option<EndpointId> {
         let (request, actions) = self.request();
         let endpoint = sent(&actions).first().map(|s| s.1);
         self.now += elapsed;
@@ -106,13 +106,13 @@
         endpoint
     }
 
-    pub fn wait(&mut self, span: Micros) -> Vec<Action> {
+    pub(crate) fn wait(&mut self, span: Micros) -> Vec<Action> {
         self.now += span;
         self.event(Event::Timer)
     }
 }
 
-pub fn sent(actions: &[Action]) -> Vec<(RequestId, EndpointId)> {
+pub(crate) fn sent(actions: &[Action]) -> Vec<(RequestId, EndpointId)> {
     actions
         .iter()
         .filter_map(|a| match a {
@@ -122,10 +122,46 @@
         .collect()
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
+pub(crate) fn refused(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
+pub(crate) fn failed(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { request, .. } if *request == id))
 }
+
+/// One of a hundred, before sixty servers.
+pub(crate) fn one_of_many() -> Proxy {
+    Proxy::new(Settings { balancer_count: 100, ..settings(Idempotency::Idempotent) }, 60)
+}
+
+/// Sends `requests` calls at once and tells which of them went.
+pub(crate) fn burst(proxy: &mut Proxy, requests: usize) -> Vec<RequestId> {
+    let requests: Vec<(RequestId, Vec<Action>)> = (0..requests).map(|_| proxy.request()).collect();
+    requests
+        .into_iter()
+        .filter(|(_, actions)| !sent(actions).is_empty())
+        .map(|(request, _)| request)
+        .collect()
+}
+
+/// Serves calls after `elapsed`, and in their turn those that they let go.
+pub(crate) fn serve_all(proxy: &mut Proxy, requests: Vec<RequestId>, elapsed: Micros) {
+    let mut out = requests;
+    while !out.is_empty() {
+        proxy.now += elapsed;
+        let ended = std::mem::take(&mut out);
+        for request in ended {
+            out.extend(sent(&proxy.end(request, 0, Outcome::Served, elapsed)).into_iter().map(|s| s.0));
+        }
+    }
+}
+
+/// Bursts that are answered soon, until the balancer has grown to what they need.
+pub(crate) fn grow(proxy: &mut Proxy) {
+    for _ in 0..20 {
+        let out = burst(proxy, 40);
+        serve_all(proxy, out, 40 * MS);
+        proxy.wait(300 * MS);
+    }
+}
--- a/balancer/tests/discovery.rs
+++ b/balancer/tests/list_polling.rs
@@ -3,40 +3,12 @@
 //! wait in turn, and one that has waited too long is refused, which may take as much of the capacity as an answer.
 
 mod common;
+#[path = "models/discovery.rs"]
+mod model;
+
 use balancer::*;
 use common::*;
-use std::collections::VecDeque;
-
-const S: Micros = 1_000 * MS;
-/// How long the proxy goes without a word of a watch, or of the head of its answer, until it gives it up.
-const SILENCE: Micros = 2_500 * MS;
-/// How long a call waits for its turn at discovery before it is refused.
-const TURN: Micros = 2 * S;
-/// When a change counts as told; the drain grace, which comes on top of it, is left for the answer of an idle discovery.
-const TOLD: Micros = 6 * S;
-/// And after a new configuration.
-const TOLD_AFTER_MOVE: Micros = 4 * S;
-/// What a connection, the head and the first object of an answer may take together.
-const ANSWER: Micros = 500 * MS;
-const MANY: u32 = 300;
-
-fn asking(balancer_count: u32, balancer_index: u32) -> Balancer {
-    Balancer::new(
-        u64::from(balancer_index) * 7 + 1,
-        Settings { balancer_count, balancer_index, discovery: polled(), ..settings(Idempotency::Idempotent) },
-    )
-}
-
-/// What discovery does with a call.
-#[derive(Clone, Copy, PartialEq)]
-enum Way {
-    /// Answers in turn.
-    Up,
-    /// Nobody listens.
-    Refuses,
-    /// Nothing is heard of it.
-    Silent,
-}
+use model::*;
 
 /// A proxy alone: the list is lost, then each call takes so long to fail. Tells when each call began.
 fn calls_of(balancer: &mut Balancer, lost: Option<Micros>, fails: &[Micros]) -> Vec<Micros> {
@@ -178,158 +150,6 @@
     assert!(grown >= S && anew <= 480 * MS, "{grown} and {anew}");
 }
 
-/// Discovery and those that ask it.
-struct Fleet {
-    now: Micros,
-    way: Way,
-    /// Calls a second, and what a refusal takes of one.
-    capacity: u64,
-    refusal: f64,
-    /// Who waits, and since when.
-    queue: VecDeque<(usize, Micros)>,
-    free_at: Micros,
-    proxies: Vec<Asking>,
-    /// When each call was made, and whether it brought a list.
-    requests: Vec<(Micros, bool)>,
-}
-
-/// A proxy that has no watch.
-struct Asking {
-    balancer: Balancer,
-    wake: Micros,
-    /// When its call was made.
-    request: Option<Micros>,
-    /// When it takes its watch for dead.
-    notices: Micros,
-    told: Option<Micros>,
-}
-
-impl Fleet {
-    /// All watches are open; `notices` says when each is found to be lost.
-    fn new(count: u32, capacity: u64, refusal: f64, notices: impl Fn(u32) -> Micros) -> Fleet {
-        let proxy = |balancer_index: u32| {
-            let mut balancer = asking(count, balancer_index);
-            let (mut actions, entries) = (Vec::new(), (1..=60).map(ready).collect());
-            balancer.handle(0, Event::Start, &mut actions);
-            balancer.handle(0, Event::EndpointList { kind: ListUpdate::Full, entries }, &mut actions);
-            let notices = notices(balancer_index);
-            Asking { balancer, wake: Micros::MAX, request: None, notices, told: None }
-        };
-        let proxies = (0..count).map(proxy).collect();
-        let (queue, requests) = Default::default();
-        Fleet { now: 0, way: Way::Up, capacity, refusal, queue, free_at: 0, proxies, requests }
-    }
-
-    fn event(&mut self, who: usize, event: Event) {
-        let mut actions = Vec::new();
-        let proxy = &mut self.proxies[who];
-        proxy.balancer.handle(self.now, event, &mut actions);
-        for action in actions {
-            match action {
-                Action::SetTimer { after } => proxy.wake = self.now + after,
-                Action::Subscribe => {
-                    proxy.request = Some(self.now);
-                    self.requests.push((self.now, false));
-                    if self.way == Way::Up {
-                        self.queue.push_back((who, self.now));
-                    }
-                }
-                _ => {}
-            }
-        }
-    }
-
-    fn list(&mut self, who: usize, kind: ListUpdate) {
-        self.event(who, Event::EndpointList { kind, entries: Vec::new() });
-    }
-
-    fn fail(&mut self, who: usize) {
-        self.proxies[who].request = None;
-        self.list(who, ListUpdate::PollFailed);
-    }
-
-    fn answer(&mut self) {
-        while self.free_at <= self.now {
-            let Some((who, since)) = self.queue.pop_front() else { return };
-            // One that was given up has left.
-            if self.proxies[who].request != Some(since) {
-                continue;
-            }
-            let served = self.now - since <= TURN;
-            let takes = if served { 1.0 } else { self.refusal };
-            self.free_at =
-                self.free_at.max(self.now - MS) + (takes * S as f64 / self.capacity as f64) as Micros;
-            if served {
-                self.proxies[who].request = None;
-                self.proxies[who].told = Some(self.now);
-                self.requests
-                    .iter_mut()
-                    .filter(|request| **request == (since, false))
-                    .take(1)
-                    .for_each(|request| request.1 = true);
-                self.list(who, ListUpdate::Delta);
-            } else {
-                self.fail(who);
-            }
-        }
-    }
-
-    /// Plays up to `until`.
-    fn play(&mut self, until: Micros) {
-        while self.now < until {
-            self.now += MS;
-            if self.way == Way::Up {
-                self.answer();
-            }
-            for who in 0..self.proxies.len() {
-                let Asking { wake, request, notices, .. } = self.proxies[who];
-                let over = match self.way {
-                    Way::Refuses => 0,
-                    Way::Up | Way::Silent => SILENCE,
-                };
-                if notices <= self.now {
-                    self.proxies[who].notices = Micros::MAX;
-                    self.list(who, ListUpdate::WatchLost);
-                } else if request.is_some_and(|since| self.now >= since + over) {
-                    self.fail(who);
-                } else if wake <= self.now {
-                    self.proxies[who].wake = Micros::MAX;
-                    self.event(who, Event::Timer);
-                }
-            }
-        }
-    }
-
-    /// All proxies are killed and come up again with an old list.
-    fn restart(&mut self) {
-        for (who, balancer_index) in (0..).zip(0..self.proxies.len() as u32) {
-            self.proxies[who].balancer = asking(MANY, balancer_index + MANY);
-            self.event(who, Event::Start);
-            let entries = (1..=60).map(ready).collect();
-            self.event(who, Event::EndpointList { kind: ListUpdate::Cached, entries });
-        }
-    }
-
-    /// How many were not told within `span` from `from` on.
-    fn late(&self, from: Micros, span: Micros) -> usize {
-        self.proxies.iter().filter(|p| p.told.is_none_or(|told| told > from + span)).count()
-    }
-
-    /// Most calls in a second from `from` on, and the share of all that failed.
-    fn load(&self, from: Micros) -> (usize, f64) {
-        let requests: Vec<_> = self.requests.iter().filter(|request| request.0 >= from).collect();
-        let most =
-            (0..30).map(|s| requests.iter().filter(|request| (request.0 - from) / S == s).count()).max();
-        let failed = requests.iter().filter(|request| !request.1).count();
-        (most.unwrap_or(0), failed as f64 / requests.len().max(1) as f64)
-    }
-}
-
-/// Very many, all of whose watches are lost in the same instant.
-fn lost_at(notices: Micros, capacity: u64, refusal: f64) -> Fleet {
-    Fleet::new(MANY, capacity, refusal, |_| notices)
-}
-
 /// None is late where discovery could answer all in time; where by far it can't, the calls that fail don't keep it from
 /// answering.
 #[test]
@@ -379,3 +199,81 @@
         assert!(most <= 150 && failed < 0.1, "{most} calls in a second, {failed} failed");
     }
 }
+
+#[test]
+fn a_lost_subscription_is_asked_for_again_with_a_pause() {
+    let mut proxy = Proxy::new(Settings { discovery: polled(), ..settings(Idempotency::Idempotent) }, 2);
+    assert!(proxy.actions.contains(&Action::Subscribe), "at the start");
+    let actions = proxy.list(ListUpdate::PollFailed, vec![]);
+    assert!(!actions.contains(&Action::Subscribe), "not at once");
+    let after =
+        actions.iter().find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
+    assert!(proxy.wait(after.expect("a timer")).contains(&Action::Subscribe));
+    assert_eq!(proxy.serve(MS).map(|s| s.0 <= 2), Some(true), "the old list stands");
+    let mut push = Proxy::new(settings(Idempotency::Idempotent), 1);
+    push.list(ListUpdate::PollFailed, vec![]);
+    push.wait(60_000 * MS);
+    assert!(!push.actions.contains(&Action::Subscribe), "only where the list must be asked for");
+}
+
+/// After how long one of so many asks for the list again, each time that asking has failed.
+fn waits_to_ask(balancer_count: u32, balancer_index: u32) -> Vec<Micros> {
+    let settings =
+        Settings { balancer_count, balancer_index, discovery: polled(), ..settings(Idempotency::Idempotent) };
+    let mut proxy = one_of_many();
+    proxy.balancer = Balancer::new(u64::from(balancer_index), settings);
+    let waits = (0..4).map(|_| {
+        proxy.list(ListUpdate::PollFailed, Vec::new());
+        let failed = proxy.now;
+        while !proxy.wait(10 * MS).contains(&Action::Subscribe) {
+            assert!(proxy.now < failed + 40_000 * MS, "it never asks again");
+        }
+        proxy.now - failed
+    });
+    waits.collect()
+}
+
+/// They spread their calls over all the time that there is until a change counts as told: half of it, as the other half
+/// goes by until a call is given up and in its answer. What that comes to at discovery is in `tests/discovery.rs`.
+#[test]
+fn very_many_balancers_leave_discovery_the_time_to_answer() {
+    let discovery = settings(Idempotency::Idempotent).discovery;
+    let most = discovery.notification_deadline / 2;
+    let many: Vec<_> = (0..100).map(|balancer_index| waits_to_ask(100, balancer_index)).collect();
+    assert!(many.iter().flatten().all(|wait| *wait <= most + 10 * MS), "past the time: {many:?}");
+    let mean = |number: usize| many.iter().map(|waits| waits[number]).sum::<Micros>() / 100;
+    assert!(mean(0) >= most * 2 / 5, "the first: {}", mean(0));
+    for tenth in 0..10 {
+        let part = most * tenth / 10..most * (tenth + 1) / 10;
+        let first = many.iter().filter(|waits| part.contains(&waits[0])).count();
+        assert!(first <= 20, "{first} of 100 at once, {part:?} after the first call that failed");
+    }
+    for number in 1..4 {
+        assert!(many.iter().all(|waits| waits[number] >= most / 2), "{many:?}");
+        assert!(mean(number) >= most * 7 / 10, "{}", mean(number));
+    }
+    let few = waits_to_ask(5, 0);
+    assert!(few[0] < discovery.max_poll_interval / 16, "a few do not crowd it: {few:?}");
+    assert!(few.iter().all(|wait| *wait <= most + 10 * MS), "past the time: {few:?}");
+}
+
+/// What a subscription misses that fell silent counts as told 6 s after that, 2.5 s of which go by until it is noticed.
+#[test]
+fn a_subscription_that_was_open_is_asked_for_again_soon() {
+    for balancer_count in [5, 100] {
+        let mut proxy = Proxy::new(
+            Settings { balancer_count, discovery: polled(), ..settings(Idempotency::Idempotent) },
+            60,
+        );
+        let every = settings(Idempotency::Idempotent).discovery.max_poll_interval;
+        for _ in 0..10 {
+            let lost = proxy.now;
+            let actions = proxy.list(ListUpdate::WatchLost, Vec::new());
+            assert!(!actions.contains(&Action::Subscribe), "not all at once");
+            while !proxy.wait(10 * MS).contains(&Action::Subscribe) {
+                assert!(proxy.now < lost + every / 32, "{balancer_count} balancers");
+            }
+            proxy.list(ListUpdate::Full, (1..=60).map(ready).collect());
+        }
+    }
+}
--- /dev/null
+++ b/balancer/tests/models/discovery.rs
@@ -0,0 +1,188 @@
+//! A model of discovery, which answers polls in turn, and of the proxies that poll it.
+
+use crate::common::{polled, ready, settings, MS};
+use balancer::*;
+use std::collections::VecDeque;
+
+pub(crate) const S: Micros = 1_000 * MS;
+/// How long the proxy goes without a word of a watch, or of the head of its answer, until it gives it up.
+pub(crate) const SILENCE: Micros = 2_500 * MS;
+/// How long a call waits for its turn at discovery before it is refused.
+pub(crate) const TURN: Micros = 2 * S;
+/// When a change counts as told; the drain grace, which comes on top of it, is left for the answer of an idle discovery.
+pub(crate) const TOLD: Micros = 6 * S;
+/// And after a new configuration.
+pub(crate) const TOLD_AFTER_MOVE: Micros = 4 * S;
+/// What a connection, the head and the first object of an answer may take together.
+pub(crate) const ANSWER: Micros = 500 * MS;
+pub(crate) const MANY: u32 = 300;
+
+pub(crate) fn asking(balancer_count: u32, balancer_index: u32) -> Balancer {
+    Balancer::new(
+        u64::from(balancer_index) * 7 + 1,
+        Settings { balancer_count, balancer_index, discovery: polled(), ..settings(Idempotency::Idempotent) },
+    )
+}
+
+/// What discovery does with a call.
+#[derive(Clone, Copy, PartialEq)]
+pub(crate) enum Way {
+    /// Answers in turn.
+    Up,
+    /// Nobody listens.
+    Refuses,
+    /// Nothing is heard of it.
+    Silent,
+}
+
+/// Discovery and those that ask it.
+pub(crate) struct Fleet {
+    now: Micros,
+    pub(crate) way: Way,
+    /// Calls a second, and what a refusal takes of one.
+    capacity: u64,
+    refusal: f64,
+    /// Who waits, and since when.
+    queue: VecDeque<(usize, Micros)>,
+    free_at: Micros,
+    proxies: Vec<Asking>,
+    /// When each call was made, and whether it brought a list.
+    requests: Vec<(Micros, bool)>,
+}
+
+/// A proxy that has no watch.
+struct Asking {
+    balancer: Balancer,
+    wake: Micros,
+    /// When its call was made.
+    request: Option<Micros>,
+    /// When it takes its watch for dead.
+    notices: Micros,
+    told: Option<Micros>,
+}
+
+impl Fleet {
+    /// All watches are open; `notices` says when each is found to be lost.
+    fn new(count: u32, capacity: u64, refusal: f64, notices: impl Fn(u32) -> Micros) -> Fleet {
+        let proxy = |balancer_index: u32| {
+            let mut balancer = asking(count, balancer_index);
+            let (mut actions, entries) = (Vec::new(), (1..=60).map(ready).collect());
+            balancer.handle(0, Event::Start, &mut actions);
+            balancer.handle(0, Event::EndpointList { kind: ListUpdate::Full, entries }, &mut actions);
+            let notices = notices(balancer_index);
+            Asking { balancer, wake: Micros::MAX, request: None, notices, told: None }
+        };
+        let proxies = (0..count).map(proxy).collect();
+        let (queue, requests) = Default::default();
+        Fleet { now: 0, way: Way::Up, capacity, refusal, queue, free_at: 0, proxies, requests }
+    }
+
+    fn event(&mut self, who: usize, event: Event) {
+        let mut actions = Vec::new();
+        let proxy = &mut self.proxies[who];
+        proxy.balancer.handle(self.now, event, &mut actions);
+        for action in actions {
+            match action {
+                Action::SetTimer { after } => proxy.wake = self.now + after,
+                Action::Subscribe => {
+                    proxy.request = Some(self.now);
+                    self.requests.push((self.now, false));
+                    if self.way == Way::Up {
+                        self.queue.push_back((who, self.now));
+                    }
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn list(&mut self, who: usize, kind: ListUpdate) {
+        self.event(who, Event::EndpointList { kind, entries: Vec::new() });
+    }
+
+    fn fail(&mut self, who: usize) {
+        self.proxies[who].request = None;
+        self.list(who, ListUpdate::PollFailed);
+    }
+
+    fn answer(&mut self) {
+        while self.free_at <= self.now {
+            let Some((who, since)) = self.queue.pop_front() else { return };
+            // One that was given up has left.
+            if self.proxies[who].request != Some(since) {
+                continue;
+            }
+            let served = self.now - since <= TURN;
+            let takes = if served { 1.0 } else { self.refusal };
+            self.free_at =
+                self.free_at.max(self.now - MS) + (takes * S as f64 / self.capacity as f64) as Micros;
+            if served {
+                self.proxies[who].request = None;
+                self.proxies[who].told = Some(self.now);
+                self.requests
+                    .iter_mut()
+                    .filter(|request| **request == (since, false))
+                    .take(1)
+                    .for_each(|request| request.1 = true);
+                self.list(who, ListUpdate::Delta);
+            } else {
+                self.fail(who);
+            }
+        }
+    }
+
+    /// Plays up to `until`.
+    pub(crate) fn play(&mut self, until: Micros) {
+        while self.now < until {
+            self.now += MS;
+            if self.way == Way::Up {
+                self.answer();
+            }
+            for who in 0..self.proxies.len() {
+                let Asking { wake, request, notices, .. } = self.proxies[who];
+                let over = match self.way {
+                    Way::Refuses => 0,
+                    Way::Up | Way::Silent => SILENCE,
+                };
+                if notices <= self.now {
+                    self.proxies[who].notices = Micros::MAX;
+                    self.list(who, ListUpdate::WatchLost);
+                } else if request.is_some_and(|since| self.now >= since + over) {
+                    self.fail(who);
+                } else if wake <= self.now {
+                    self.proxies[who].wake = Micros::MAX;
+                    self.event(who, Event::Timer);
+                }
+            }
+        }
+    }
+
+    /// All proxies are killed and come up again with an old list.
+    pub(crate) fn restart(&mut self) {
+        for (who, balancer_index) in (0..).zip(0..self.proxies.len() as u32) {
+            self.proxies[who].balancer = asking(MANY, balancer_index + MANY);
+            self.event(who, Event::Start);
+            let entries = (1..=60).map(ready).collect();
+            self.event(who, Event::EndpointList { kind: ListUpdate::Cached, entries });
+        }
+    }
+
+    /// How many were not told within `span` from `from` on.
+    pub(crate) fn late(&self, from: Micros, span: Micros) -> usize {
+        self.proxies.iter().filter(|p| p.told.is_none_or(|told| told > from + span)).count()
+    }
+
+    /// Most calls in a second from `from` on, and the share of all that failed.
+    pub(crate) fn load(&self, from: Micros) -> (usize, f64) {
+        let requests: Vec<_> = self.requests.iter().filter(|request| request.0 >= from).collect();
+        let most =
+            (0..30).map(|s| requests.iter().filter(|request| (request.0 - from) / S == s).count()).max();
+        let failed = requests.iter().filter(|request| !request.1).count();
+        (most.unwrap_or(0), failed as f64 / requests.len().max(1) as f64)
+    }
+}
+
+/// Very many, all of whose watches are lost in the same instant.
+pub(crate) fn lost_at(notices: Micros, capacity: u64, refusal: f64) -> Fleet {
+    Fleet::new(MANY, capacity, refusal, |_| notices)
+}
--- a/balancer/tests/recovery.rs
+++ b/balancer/tests/models/outage.rs
@@ -1,6 +1,4 @@
-//! A fleet in virtual time, fixed by its seed: many balancers before servers that queue, refuse when they are full and
-//! slow down for long when they were crowded for some seconds. A zone is lost and comes back cold while another is cut
-//! off; clients come again when they were refused. What is counted is who was answered in time.
+//! A model of many balancers and of endpoints that queue, reject and slow down, in virtual time.
 
 use balancer::*;
 use rand_core::{RngCore, SeedableRng};
@@ -121,7 +119,7 @@
     to: Vec<usize>,
 }
 
-struct Fleet {
+pub(crate) struct Fleet {
     now: Micros,
     next: BinaryHeap<Reverse<(Micros, u64, What)>>,
     number: u64,
@@ -135,11 +133,11 @@
     connections: HashSet<(usize, usize)>,
     cut: bool,
     /// By second: requests, those answered in time, and connections opened.
-    seconds: Vec<[u32; 3]>,
+    pub(crate) seconds: Vec<[u32; 3]>,
 }
 
 impl Fleet {
-    fn new(seed: u64, balancer_count: usize, endpoints: usize, load: f64) -> Fleet {
+    pub(crate) fn new(seed: u64, balancer_count: usize, endpoints: usize, load: f64) -> Fleet {
         let mut fleet = Fleet {
             now: START,
             next: BinaryHeap::new(),
@@ -453,7 +451,7 @@
         }
     }
 
-    fn run(mut self) -> Fleet {
+    pub(crate) fn run(mut self) -> Fleet {
         while let Some(Reverse((when, _, what))) = self.next.pop() {
             if when >= END + SECOND {
                 break;
@@ -465,28 +463,8 @@
     }
 
     /// The share of requests of some seconds that were answered in time.
-    fn in_time(&self, from: usize, to: usize) -> f64 {
+    pub(crate) fn in_time(&self, from: usize, to: usize) -> f64 {
         let sum = |what: usize| self.seconds[from..to].iter().map(|second| second[what]).sum::<u32>();
         f64::from(sum(1)) / f64::from(sum(0))
     }
 }
-
-/// Held down by calls that come too late at servers that are slow because they are crowded, a fleet stays down long
-/// after the servers are back.
-#[test]
-fn a_fleet_recovers_soon_after_a_lost_zone_is_back() {
-    let fleets: Vec<Fleet> = (1..=3).map(|seed| Fleet::new(seed, 100, 60, 0.85).run()).collect();
-    let mean = |from, to| fleets.iter().map(|fleet| fleet.in_time(from, to)).sum::<f64>() / 3.0;
-    let (before, apart, soon, later) = (mean(0, 4), mean(5, 11), mean(12, 16), mean(16, 22));
-    let opened: u32 = fleets.iter().flat_map(|fleet| &fleet.seconds).map(|second| second[2]).sum();
-    println!("in time {before:.3}, apart {apart:.3}, back {soon:.3}, later {later:.3}; {opened} connections");
-    assert!(before >= 0.85, "no trouble yet: {before:.3}");
-    assert!(soon >= 0.68, "within 5 s of the return: {soon:.3}");
-    assert!(later >= 0.8, "later: {later:.3}");
-}
-
-#[test]
-fn the_same_seed_gives_the_same_day() {
-    let seconds = || Fleet::new(1, 30, 20, 0.85).run().seconds;
-    assert_eq!(seconds(), seconds());
-}
--- a/balancer/tests/cold.rs
+++ b/balancer/tests/models/slow_start_fleet.rs
@@ -1,19 +1,17 @@
-//! A model of a whole fleet over cold servers, in virtual time and drawn from a seed: what all balancers send to
-//! one cold server together, against what its rule allows.
+//! A model of many balancers and their endpoints, some of which warm up, in virtual time.
 
-mod common;
+use crate::common::{ready, settings, MS};
 use balancer::*;
-use common::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-const SECOND: Micros = 1_000 * MS;
+pub(crate) const SECOND: Micros = 1_000 * MS;
 /// Calls come from here on, and servers start cold.
 const BEGIN: Micros = 100 * SECOND;
-const START: Micros = BEGIN + 2 * SECOND;
-const COLD_TIME: Micros = 8 * SECOND;
+pub(crate) const START: Micros = BEGIN + 2 * SECOND;
+pub(crate) const COLD_TIME: Micros = 8 * SECOND;
 const COLD_SHARE: f64 = 0.1;
 const MULTIPLE: f64 = 4.0;
 /// Time in which a cold server falls.
@@ -23,7 +21,7 @@
 const CORES: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Restart {
+pub(crate) enum Restart {
     No,
     /// Killed twice in the ramp; the next process knows only the list.
     Killed,
@@ -32,33 +30,33 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Scenario {
-    balancer_count: u32,
-    warm: u32,
-    cold: u32,
+pub(crate) struct Scenario {
+    pub(crate) balancer_count: u32,
+    pub(crate) warm: u32,
+    pub(crate) cold: u32,
     /// Coming back under ids that had been warm.
-    back: bool,
+    pub(crate) back: bool,
     /// Told by a whole list, cold servers first.
-    whole: bool,
+    pub(crate) whole: bool,
     /// Calls while the servers are cold, as a multiple of before.
-    burst: f64,
-    uneven: bool,
-    restart: Restart,
+    pub(crate) burst: f64,
+    pub(crate) uneven: bool,
+    pub(crate) restart: Restart,
     /// Over how long the list reaches the balancers.
-    spread: Micros,
+    pub(crate) spread: Micros,
     /// Share of the warm servers' capacity that is asked for before.
-    asked: f64,
+    pub(crate) asked: f64,
     /// Of cold servers when they are warm, beside the mean; until when it is played.
-    speed: f64,
-    until: Micros,
+    pub(crate) speed: f64,
+    pub(crate) until: Micros,
     /// Weight of the warm ones in the list, beside that of cold ones.
-    weight: f64,
+    pub(crate) weight: f64,
     /// How many calls may wait at a server; it refuses others.
-    waiting: usize,
+    pub(crate) waiting: usize,
 }
 
 /// A server joins while calls come three times as often.
-const BURST: Scenario = Scenario {
+pub(crate) const BURST: Scenario = Scenario {
     balancer_count: 1,
     warm: 100,
     cold: 1,
@@ -119,7 +117,7 @@
     requests: BTreeMap<u64, (Micros, f64, u32)>,
 }
 
-struct Fleet {
+pub(crate) struct Fleet {
     scenario: Scenario,
     random: Pcg32,
     now: Micros,
@@ -143,7 +141,7 @@
 }
 
 impl Fleet {
-    fn new(scenario: Scenario, seed: u64) -> Fleet {
+    pub(crate) fn new(scenario: Scenario, seed: u64) -> Fleet {
         let mut fleet = Fleet {
             scenario,
             random: Pcg32::seed_from_u64(seed),
@@ -385,7 +383,7 @@
         }
     }
 
-    fn run(mut self) -> Fleet {
+    pub(crate) fn run(mut self) -> Fleet {
         let gap = self.gap();
         self.later(self.now + gap, What::Come);
         self.later(START, What::Start);
@@ -418,7 +416,7 @@
 
     /// The most that one cold server was sent by balancers that had been told, over what the rule allows; and what
     /// all cold servers were sent, over what they could do.
-    fn figures(&self) -> (f64, f64) {
+    pub(crate) fn figures(&self) -> (f64, f64) {
         let (mut worst, mut given, mut could) = (0.0_f64, 0.0, 0.0);
         let rate = CORES as f64 / MEAN_WORK * self.scenario.speed;
         let played = self.scenario.until - START;
@@ -442,95 +440,3 @@
         (worst, given / could)
     }
 }
-
-/// Plays a scenario with few and with many balancers: no cold server is sent what makes it fall in any window, and
-/// yet they are put to use.
-fn holds(scenario: Scenario) {
-    for (balancer_count, warm, seeds) in [(1, 9, 1..=1), (6, 9, 1..=2), (30, 9, 1..=2), (300, 29, 1..=1)] {
-        let warm = scenario.warm.min(warm);
-        for seed in seeds {
-            let (most, used) =
-                Fleet::new(Scenario { balancer_count, warm, ..scenario }, seed).run().figures();
-            println!("{balancer_count} balancers, seed {seed}: {most:.2} of what it bears, {used:.2} used");
-            assert!(
-                most <= 1.0,
-                "{balancer_count} balancers, seed {seed}: {most:.2} of what a cold server bears"
-            );
-            assert!(used >= 0.2, "{balancer_count} balancers, seed {seed}: {used:.2} of what they can do");
-        }
-    }
-}
-
-#[test]
-fn a_server_that_joins_under_a_burst_is_not_pushed_over_by_all_balancers_together() {
-    holds(BURST);
-}
-
-#[test]
-fn a_server_that_is_the_first_of_a_whole_list_is_not_pushed_over() {
-    holds(Scenario { whole: true, ..BURST });
-}
-
-#[test]
-fn a_server_of_which_all_hear_at_once_is_not_pushed_over() {
-    holds(Scenario { whole: true, spread: 1, burst: 2.0, ..BURST });
-}
-
-#[test]
-fn a_server_of_which_balancers_hear_one_after_another_is_not_pushed_over() {
-    holds(Scenario { spread: 2 * SECOND, ..BURST });
-}
-
-#[test]
-fn a_server_that_comes_back_is_not_pushed_over() {
-    holds(Scenario { back: true, ..BURST });
-    holds(Scenario { back: true, whole: true, ..BURST });
-}
-
-#[test]
-fn uneven_traffic_pushes_no_cold_server_over() {
-    holds(Scenario { uneven: true, ..BURST });
-}
-
-#[test]
-fn balancers_killed_in_the_ramp_push_no_cold_server_over() {
-    holds(Scenario { restart: Restart::Killed, ..BURST });
-}
-
-#[test]
-fn both_processes_of_an_upgrade_push_no_cold_server_over() {
-    holds(Scenario { restart: Restart::Upgraded, ..BURST });
-}
-
-#[test]
-fn several_cold_servers_among_few_warm_ones_are_not_pushed_over() {
-    holds(Scenario { cold: 6, warm: 3, asked: 0.9, ..BURST });
-}
-
-#[test]
-fn a_cold_server_at_which_many_calls_may_wait_is_not_pushed_over() {
-    holds(Scenario { waiting: 40, ..BURST });
-}
-
-#[test]
-fn all_of_it_together_pushes_no_cold_server_over() {
-    holds(Scenario { back: true, whole: true, uneven: true, restart: Restart::Killed, ..BURST });
-}
-
-/// A thin balancer reaches few servers, and many more when its calls come faster: what all have saved up for a cold
-/// server out of their reach must not come to it together, nor what they earn by the share of a few servers.
-#[test]
-fn balancers_that_reach_more_servers_in_a_burst_push_no_slow_cold_one_over() {
-    for (seed, weight, waiting) in
-        [(1, 1.0, 40), (2, 1.0, 40), (1, 1.0, 3), (2, 1.0, 3), (1, 0.3, 40), (1, 0.3, 3)]
-    {
-        let wide = Scenario { balancer_count: 100, warm: 54, cold: 6, back: true, weight, waiting, ..BURST };
-        let slow = Scenario { speed: 0.7, until: START + 4 * SECOND, ..wide };
-        let (most, used) = Fleet::new(slow, seed).run().figures();
-        println!(
-            "weight {weight}, {waiting} may wait, seed {seed}: {most:.2} of what it bears, {used:.2} used"
-        );
-        assert!(most <= 1.0, "weight {weight}, seed {seed}: {most:.2} of what a cold server bears");
-        assert!(used >= 0.3, "weight {weight}, seed {seed}: {used:.2} of what cold servers can do");
-    }
-}
--- /dev/null
+++ b/balancer/tests/selection.rs
@@ -0,0 +1,159 @@
+//! Which endpoint a request is sent to, and the subset of the endpoints.
+
+mod common;
+use balancer::*;
+use common::*;
+use std::collections::BTreeMap;
+
+#[test]
+fn the_less_loaded_of_two_is_chosen() {
+    let mut proxy = Proxy::new(Settings { balancer_count: 1, ..settings(Idempotency::NonIdempotent) }, 2);
+    let mut load: BTreeMap<EndpointId, u32> = BTreeMap::new();
+    for _ in 0..10 {
+        let endpoint = sent(&proxy.request().1)[0].1;
+        *load.entry(endpoint).or_default() += 1;
+    }
+    assert_eq!(load[&EndpointId(1)], 5);
+    assert_eq!(load[&EndpointId(2)], 5);
+}
+
+/// Of 400 single calls, how many went to server 2, by how long (and how) each server ends them.
+fn second_of_two(entries: Vec<EndpointEntry>, end: impl Fn(EndpointId) -> (Outcome, Micros)) -> usize {
+    let limits = Limits { max_attempts: 1, ..Settings::default().limits };
+    // A hundred balancers: a server's first budget is far under a call.
+    let mut proxy =
+        Proxy::new(Settings { balancer_count: 100, limits, ..settings(Idempotency::NonIdempotent) }, 2);
+    proxy.list(ListUpdate::Full, entries);
+    let mut second = 0;
+    for _ in 0..400 {
+        proxy.now += 100 * MS;
+        let (request, actions) = proxy.request();
+        let Some(&(_, endpoint)) = sent(&actions).first() else { continue };
+        second += usize::from(endpoint == EndpointId(2));
+        let (outcome, elapsed) = end(endpoint);
+        proxy.now += elapsed;
+        proxy.end(request, 0, outcome, elapsed);
+    }
+    second
+}
+
+#[test]
+fn ties_go_to_the_server_where_calls_lately_spent_less_time() {
+    let two = || vec![ready(1), ready(2)];
+    let slow_first = |s| (Outcome::Served, if s == EndpointId(1) { 200 * MS } else { 40 * MS });
+    assert!(second_of_two(two(), slow_first) > 300, "five times as fast: five calls to one");
+    let alike = second_of_two(two(), |_| (Outcome::Served, 40 * MS));
+    assert!((180..=220).contains(&alike), "{alike}");
+}
+
+#[test]
+fn ties_go_by_the_listed_size_and_quick_errors_count_as_a_whole_aim() {
+    let sized = vec![ready(1), EndpointEntry { weight: 2.0, ..ready(2) }];
+    let double = second_of_two(sized, |_| (Outcome::Served, 40 * MS));
+    assert!((250..=290).contains(&double), "two thirds to the server of twice the size: {double}");
+    // Odd sizes count as 1.
+    let two = || vec![ready(1), ready(2)];
+    let odd =
+        vec![EndpointEntry { weight: f64::NAN, ..ready(1) }, EndpointEntry { weight: -3.0, ..ready(2) }];
+    let alike = second_of_two(odd, |_| (Outcome::Served, 40 * MS));
+    assert!((180..=220).contains(&alike), "{alike}");
+    let full = |s| if s == EndpointId(1) { (Outcome::Rejected, MS) } else { (Outcome::Served, 40 * MS) };
+    let shunned = second_of_two(two(), full);
+    assert!(shunned > 300, "a quick refusal is not a quick answer: {shunned}");
+}
+
+/// Calls to another zone cost more and take longer: of two servers with as many calls, the near one is taken, also
+/// where the other answered faster.
+#[test]
+fn ties_go_to_the_balancers_own_zone() {
+    let (near, far) = (ZoneId(1), ZoneId(2));
+    let mut proxy = Proxy::new(Settings { zone: Some(near), ..settings(Idempotency::NonIdempotent) }, 0);
+    let zoned = |id, zone| EndpointEntry { zone, ..ready(id) };
+    proxy.list(ListUpdate::Full, vec![zoned(1, far), zoned(2, near)]);
+    for _ in 0..20 {
+        assert_eq!(proxy.serve(40 * MS), Some(EndpointId(2)));
+    }
+    assert_eq!(sent(&proxy.request().1)[0].1, EndpointId(2));
+    assert_eq!(sent(&proxy.request().1)[0].1, EndpointId(1), "it has fewer");
+}
+
+#[test]
+fn a_pick_at_full_budget_is_redrawn_among_servers_under_budget() {
+    // One of twenty has room: two random choices alone would rarely meet it, and a trial would be needed.
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 20);
+    let endpoints: std::collections::BTreeSet<EndpointId> =
+        (0..20).map(|_| sent(&proxy.request().1)[0].1).collect();
+    assert_eq!(endpoints.len(), 20, "every budget is used before any is passed");
+}
+
+#[test]
+fn a_thin_balancer_keeps_to_a_window_of_servers_that_is_even_over_all_balancers() {
+    let mut windows: BTreeMap<EndpointId, u32> = BTreeMap::new();
+    for balancer_index in 0..100 {
+        let mut proxy = Proxy::new(
+            Settings { balancer_count: 100, balancer_index, ..settings(Idempotency::Idempotent) },
+            50,
+        );
+        let mut met = std::collections::BTreeSet::new();
+        for _ in 0..60 {
+            proxy.now += 500 * MS;
+            met.extend(proxy.serve(20 * MS));
+        }
+        assert_eq!(met.len(), 8, "few servers, each met often: connections stay open");
+        met.into_iter().for_each(|s| *windows.entry(s).or_default() += 1);
+    }
+    assert_eq!(windows.len(), 50);
+    assert!(windows.values().all(|n| *n == 16), "100 windows of 8 over 50 servers: {windows:?}");
+}
+
+#[test]
+fn a_window_moves_past_servers_that_are_down() {
+    let mut proxy = Proxy::new(Settings { balancer_count: 100, ..settings(Idempotency::Idempotent) }, 50);
+    proxy.list(ListUpdate::Full, (1..=50).filter(|i| *i > 8).map(ready).collect());
+    assert!((0..20).all(|_| (proxy.wait(500 * MS), proxy.serve(20 * MS)).1.is_some_and(|s| s.0 > 8)));
+}
+
+#[test]
+fn ties_of_a_thin_balancer_leave_a_near_zone_that_is_slower() {
+    let (near, far) = (ZoneId(1), ZoneId(2));
+    let settings = Settings { balancer_count: 100, zone: Some(near), ..settings(Idempotency::Idempotent) };
+    let mut proxy = Proxy::new(settings, 0);
+    let zoned = |id, zone| EndpointEntry { zone, ..ready(id) };
+    proxy.list(ListUpdate::Full, vec![zoned(1, near), zoned(2, far)]);
+    let mut crossed = 0;
+    for _ in 0..400 {
+        proxy.now += 100 * MS;
+        let (request, actions) = proxy.request();
+        let endpoint = sent(&actions)[0].1;
+        let elapsed = if endpoint == EndpointId(1) { 120 * MS } else { 40 * MS };
+        crossed += usize::from(endpoint == EndpointId(2));
+        proxy.now += elapsed;
+        proxy.end(request, 0, Outcome::Served, elapsed);
+    }
+    assert!((250..350).contains(&crossed), "three times as fast, three of four calls: {crossed} of 400");
+}
+
+/// Calls differ in their work far more than servers in their speed: a few answers each are chance.
+#[test]
+fn a_thin_balancer_tells_a_slower_server_by_more_than_its_last_few_answers() {
+    let (mut slow, mut all) = (0, 0);
+    for balancer_index in 0..100 {
+        let mut proxy = Proxy::new(
+            Settings { balancer_count: 100, balancer_index, ..settings(Idempotency::Idempotent) },
+            60,
+        );
+        for step in 0..200_u64 {
+            let (request, actions) = proxy.request();
+            let is_slow = sent(&actions)[0].1 .0.is_multiple_of(2);
+            // Every fifth call takes ten times as long as others.
+            let work = if (step * 7 + u64::from(balancer_index)) % 5 == 0 { 100 * MS } else { 10 * MS };
+            let elapsed = if is_slow { 2 * work } else { work };
+            proxy.now += elapsed;
+            proxy.end(request, 0, Outcome::Served, elapsed);
+            if step >= 100 {
+                (slow, all) = (slow + usize::from(is_slow), all + 1);
+            }
+        }
+    }
+    assert!(slow * 5 < all * 2, "{slow} of {all} calls went to the half that is twice as slow");
+}
--- /dev/null
+++ b/balancer/tests/slow_start_fleet.rs
@@ -0,0 +1,100 @@
+//! A model of a whole fleet over cold servers, in virtual time and drawn from a seed: what all balancers send to
+//! one cold server together, against what its rule allows.
+
+mod common;
+#[path = "models/slow_start_fleet.rs"]
+mod model;
+
+use model::*;
+
+/// Plays a scenario with few and with many balancers: no cold server is sent what makes it fall in any window, and
+/// yet they are put to use.
+fn holds(scenario: Scenario) {
+    for (balancer_count, warm, seeds) in [(1, 9, 1..=1), (6, 9, 1..=2), (30, 9, 1..=2), (300, 29, 1..=1)] {
+        let warm = scenario.warm.min(warm);
+        for seed in seeds {
+            let (most, used) =
+                Fleet::new(Scenario { balancer_count, warm, ..scenario }, seed).run().figures();
+            println!("{balancer_count} balancers, seed {seed}: {most:.2} of what it bears, {used:.2} used");
+            assert!(
+                most <= 1.0,
+                "{balancer_count} balancers, seed {seed}: {most:.2} of what a cold server bears"
+            );
+            assert!(used >= 0.2, "{balancer_count} balancers, seed {seed}: {used:.2} of what they can do");
+        }
+    }
+}
+
+#[test]
+fn a_server_that_joins_under_a_burst_is_not_pushed_over_by_all_balancers_together() {
+    holds(BURST);
+}
+
+#[test]
+fn a_server_that_is_the_first_of_a_whole_list_is_not_pushed_over() {
+    holds(Scenario { whole: true, ..BURST });
+}
+
+#[test]
+fn a_server_of_which_all_hear_at_once_is_not_pushed_over() {
+    holds(Scenario { whole: true, spread: 1, burst: 2.0, ..BURST });
+}
+
+#[test]
+fn a_server_of_which_balancers_hear_one_after_another_is_not_pushed_over() {
+    holds(Scenario { spread: 2 * SECOND, ..BURST });
+}
+
+#[test]
+fn a_server_that_comes_back_is_not_pushed_over() {
+    holds(Scenario { back: true, ..BURST });
+    holds(Scenario { back: true, whole: true, ..BURST });
+}
+
+#[test]
+fn uneven_traffic_pushes_no_cold_server_over() {
+    holds(Scenario { uneven: true, ..BURST });
+}
+
+#[test]
+fn balancers_killed_in_the_ramp_push_no_cold_server_over() {
+    holds(Scenario { restart: Restart::Killed, ..BURST });
+}
+
+#[test]
+fn both_processes_of_an_upgrade_push_no_cold_server_over() {
+    holds(Scenario { restart: Restart::Upgraded, ..BURST });
+}
+
+#[test]
+fn several_cold_servers_among_few_warm_ones_are_not_pushed_over() {
+    holds(Scenario { cold: 6, warm: 3, asked: 0.9, ..BURST });
+}
+
+#[test]
+fn a_cold_server_at_which_many_calls_may_wait_is_not_pushed_over() {
+    holds(Scenario { waiting: 40, ..BURST });
+}
+
+#[test]
+fn all_of_it_together_pushes_no_cold_server_over() {
+    holds(Scenario { back: true, whole: true, uneven: true, restart: Restart::Killed, ..BURST });
+}
+
+/// A thin balancer reaches few servers, and many more when its calls come faster: what all have saved up for a cold
+/// server out of their reach must not come to it together, nor what they earn by the share of a few servers.
+#[test]
+fn balancers_that_reach_more_servers_in_a_burst_push_no_slow_cold_one_over() {
+    for (seed, weight, waiting) in
+        [(1, 1.0, 40), (2, 1.0, 40), (1, 1.0, 3), (2, 1.0, 3), (1, 0.3, 40), (1, 0.3, 3)]
+    {
+        let wide = Scenario { balancer_count: 100, warm: 54, cold: 6, back: true, weight, waiting, ..BURST };
+        let slow = Scenario { speed: 0.7, until: START + 4 * SECOND, ..wide };
+        let (most, used) = Fleet::new(slow, seed).run().figures();
+        println!(
+            "weight {weight}, {waiting} may wait, seed {seed}: {most:.2} of what it bears, {used:.2} used"
+        );
+        assert!(most <= 1.0, "weight {weight}, seed {seed}: {most:.2} of what a cold server bears");
+        assert!(used >= 0.3, "weight {weight}, seed {seed}: {used:.2} of what cold servers can do");
+    }
+}
