--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! A small driver of the balancer for tests: it plays the proxy and records what it is told to do.
+//! A proxy for tests: it passes events to a balancer and records the actions.
 #![allow(dead_code)]
 
 use balancer::*;
 
 pub(crate) const MS: Micros = 1_000;
 
-/// A proxy that carries out nothing and remembers everything.
+/// A proxy that carries out nothing and records everything.
 pub(crate) struct Proxy {
     pub(crate) balancer: Balancer,
     pub(crate) now: Micros,
@@ -13,7 +13,8 @@
     next: u64,
 }
 
-/// Settings with one class of the given kind: wanted in 500 ms, given up after 1.2 s.
+/// Settings with one class of the given idempotency: an objective of 500 ms and a deadline of 1.2
+/// s.
 pub(crate) fn settings(idempotency: Idempotency) -> Settings {
     let class = Class {
         latency_objective: 500 * MS,
@@ -30,7 +31,7 @@
     }
 }
 
-/// A list that is polled.
+/// Discovery that is polled.
 pub(crate) fn polled_discovery() -> Discovery {
     Discovery { mode: DiscoveryMode::Poll, ..Settings::default().discovery }
 }
@@ -40,7 +41,7 @@
 }
 
 impl Proxy {
-    /// A started proxy that knows of `endpoints` ready, warm servers, numbered from 1.
+    /// A started proxy with `endpoints` ready, warm endpoints, numbered from 1.
     pub(crate) fn new(settings: Settings, endpoints: u32) -> Proxy {
         let mut proxy =
             Proxy { balancer: Balancer::new(7, settings), now: 1_000_000, actions: Vec::new(), next: 0 };
@@ -97,7 +98,7 @@
         })
     }
 
-    /// A call that is sent and served after `elapsed`; tells where it went.
+    /// Has a request served after `elapsed`; returns where it was forwarded to.
     pub(crate) fn serve_request(&mut self, elapsed: Micros) -> Option<EndpointId> {
         let (request, actions) = self.request();
         let endpoint = forwarded(&actions).first().map(|s| s.1);
@@ -130,12 +131,12 @@
     actions.iter().any(|a| matches!(a, Action::Fail { request, .. } if *request == id))
 }
 
-/// One of a hundred, before sixty servers.
+/// One of a hundred balancers, with sixty endpoints.
 pub(crate) fn one_of_many() -> Proxy {
     Proxy::new(Settings { balancer_count: 100, ..settings(Idempotency::Idempotent) }, 60)
 }
 
-/// Sends `requests` calls at once and tells which of them went.
+/// Sends `requests` requests at once and returns those that were forwarded.
 pub(crate) fn request_burst(proxy: &mut Proxy, requests: usize) -> Vec<RequestId> {
     let requests: Vec<(RequestId, Vec<Action>)> = (0..requests).map(|_| proxy.request()).collect();
     requests
@@ -145,7 +146,7 @@
         .collect()
 }
 
-/// Serves calls after `elapsed`, and in their turn those that they let go.
+/// Serves requests after `elapsed`, and in their turn the queued ones that are forwarded then.
 pub(crate) fn serve_forwarded(proxy: &mut Proxy, requests: Vec<RequestId>, elapsed: Micros) {
     let mut out = requests;
     while !out.is_empty() {
@@ -159,7 +160,7 @@
     }
 }
 
-/// Bursts that are answered soon, until the balancer has grown to what they need.
+/// Bursts that are served soon, until the balancer's limit has grown to what they need.
 pub(crate) fn raise_shared_limit(proxy: &mut Proxy) {
     for _ in 0..20 {
         let out = request_burst(proxy, 40);
--- a/balancer/tests/concurrency_limit.rs
+++ b/balancer/tests/concurrency_limit.rs
@@ -1,10 +1,11 @@
-//! The mechanism of the design, each part by itself.
+//! How an endpoint's concurrency limit grows with trials and falls with rejections and latency.
 
 mod common;
 use balancer::*;
 use common::*;
 
-/// Fills a single server's first budget (1 step x 1 call with seven balancers) and leaves the call out.
+/// Reaches a single endpoint's first limit (one request with seven balancers) and leaves the
+/// request in flight.
 fn endpoint_at_its_limit(idempotency: Idempotency) -> (Proxy, RequestId) {
     let mut proxy = Proxy::new(settings(idempotency), 1);
     let (first, actions) = proxy.request();
@@ -30,8 +31,8 @@
     let actions = proxy.end_attempt(trial, 1, Outcome::Served, 50 * MS);
     assert!(forwarded(&actions).is_empty(), "an attempt that was never made has no outcome");
     let actions = proxy.end_attempt(trial, 0, Outcome::Served, 50 * MS);
-    // Two steps of one call each, one in use: the first that waits goes, and no trial before the step has shown
-    // what it does.
+    // Two steps of one request each, one in use: the first queued request is forwarded, and no
+    // trial before the step has shown its effect.
     assert_eq!(forwarded(&actions), [(a, EndpointId(1))]);
     proxy.now += 100 * MS;
     proxy.end_attempt(a, 0, Outcome::Served, 100 * MS);
@@ -43,7 +44,7 @@
     assert!(went.ends_with(&[b, c, d]) && !went.contains(&e), "then one is the next trial: {went:?}");
 }
 
-/// Lets calls come until one is sent; tells after how long, and which.
+/// Sends requests until one is forwarded; returns after how long, and which.
 fn run_until_trial(proxy: &mut Proxy) -> (Micros, RequestId) {
     let began = proxy.now;
     loop {
@@ -83,7 +84,7 @@
     while let Some(&(request, _)) = forwarded(&proxy.request().1).first() {
         next = request;
     }
-    assert_ne!(next, trial, "the last that went, at a full budget, is the next trial");
+    assert_ne!(next, trial, "the last that went, at a full limit, is the next trial");
     proxy.end_attempt(next, 0, Outcome::Error, MS);
     assert!(run_until_trial(&mut proxy).0.abs_diff(125 * MS) <= 10 * MS);
 }
@@ -104,8 +105,8 @@
     assert_eq!(order[..], waiting[..order.len()]);
 }
 
-/// How many calls a fresh server is sent at once, of which the last is a trial, after seven that it served but for
-/// one that ended so.
+/// How many requests an endpoint is sent at once, of which the last is a trial, after seven of
+/// which one ended with `outcome` and the others were served.
 fn concurrency_after(outcome: Outcome) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy =
@@ -127,7 +128,8 @@
     assert_eq!(concurrency_after(Outcome::Rejected), 7, "four fifths of seven, and a trial");
 }
 
-/// Sends calls until one waits, and has all of them served after 40 ms; tells how many went at once.
+/// Sends requests until one is queued, and has all of them served after 40 ms; returns how many
+/// were forwarded at once.
 fn fill(proxy: &mut Proxy) -> usize {
     let mut requests = vec![proxy.request()];
     while !forwarded(&requests[requests.len() - 1].1).is_empty() {
@@ -148,7 +150,7 @@
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { limits, ..settings(Idempotency::NonIdempotent) }, 1);
     let grown: Vec<usize> = (0..30).map(|_| fill(&mut proxy)).collect();
-    assert!(grown[29] > 13, "at the clamp the concurrency grows instead: {grown:?}");
+    assert!(grown[29] > 13, "at the maximum the concurrency grows instead: {grown:?}");
     for _ in 0..9 {
         let (request, actions) = proxy.request();
         assert_eq!(forwarded(&actions).len(), 1);
@@ -174,11 +176,12 @@
     assert_eq!(forwarded(&proxy.request().1).len(), 1);
     assert!(
         (0..5).all(|_| forwarded(&proxy.request().1).is_empty()),
-        "a second call at once would be a trial"
+        "a second request at once would be a trial"
     );
 }
 
-/// Answers of 40 ms with the given report; then: does a second call at once pass the full budget as a trial?
+/// Serves requests in 40 ms with the given report, and returns whether a second request at once
+/// exceeds the limit as a trial.
 fn trial_after(load: LoadReport) -> bool {
     let mut proxy = Proxy::new(Settings { balancer_count: 12, ..settings(Idempotency::NonIdempotent) }, 1);
     for _ in 0..40 {
@@ -195,7 +198,7 @@
         });
         proxy.advance(100 * MS);
     }
-    assert_eq!(forwarded(&proxy.request().1).len(), 1, "the budget's own call");
+    assert_eq!(forwarded(&proxy.request().1).len(), 1, "the limit's own request");
     forwarded(&proxy.request().1).len() == 1
 }
 
@@ -205,5 +208,5 @@
     let queue = |w| LoadReport { in_flight: Some(10.0), queued: Some(w), ..LoadReport::default() };
     assert!(trial_after(LoadReport::default()) && trial_after(busy(0.5)) && trial_after(queue(1.0)));
     assert!(!trial_after(busy(1.0)), "cores that are all busy");
-    assert!(!trial_after(queue(5.5)), "more waiting than in work");
+    assert!(!trial_after(queue(5.5)), "more queued than executed");
 }
--- a/balancer/tests/endpoint_starts.rs
+++ b/balancer/tests/endpoint_starts.rs
@@ -1,4 +1,4 @@
-//! How long ago a server started, where the proxy's wall clock or the server's cannot be relied on.
+//! How long ago an endpoint started, where the proxy's wall clock or the endpoint's is wrong.
 
 mod common;
 use balancer::*;
@@ -9,7 +9,8 @@
 const WARM: u32 = 3;
 const NEW: EndpointId = EndpointId(WARM + 1);
 
-/// A proxy that has had calls for a while at warm servers and then hears of a new one with this start time.
+/// A proxy that has forwarded requests to warm endpoints for a while and is then notified of a new
+/// one with this start time.
 fn with_new_endpoint(started_at: impl Fn(Micros) -> Micros) -> Proxy {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), WARM);
     proxy.now += 2 * HOUR;
@@ -22,7 +23,7 @@
     proxy
 }
 
-/// How many of the calls in this time go to the new server.
+/// Fraction of the requests in this time that are forwarded to the new endpoint.
 fn fraction_to_new(proxy: &mut Proxy, time: Micros) -> f64 {
     let (end, mut requests, mut to_new) = (proxy.now + time, 0, 0);
     while proxy.now < end {
@@ -32,33 +33,34 @@
     f64::from(to_new) / f64::from(requests)
 }
 
-/// With the proxy's wall clock an hour back each replaced server seems to start in an hour. It is warm after the usual time
-/// all the same.
+/// With the proxy's wall clock an hour behind each replaced endpoint seems to start in an hour. It
+/// is warm after the normal time all the same.
 #[test]
 fn an_endpoint_with_a_start_time_in_the_future_warms_up() {
     let duration = Settings::default().slow_start.duration;
     for ahead in [0, SECOND, HOUR] {
         let mut proxy = with_new_endpoint(|now| now + ahead);
         fraction_to_new(&mut proxy, duration);
-        let share = fraction_to_new(&mut proxy, 10 * SECOND);
-        assert!(share > 0.5 / f64::from(WARM + 1), "{share} of the calls, {ahead} us ahead");
+        let fraction = fraction_to_new(&mut proxy, 10 * SECOND);
+        assert!(fraction > 0.5 / f64::from(WARM + 1), "{fraction} of the requests, {ahead} us ahead");
     }
 }
-/// With the proxy's wall clock an hour ahead a server that has just started seems to have run for long. It is new in a list
-/// that follows another, so it is as cold as one whose start time is right.
+/// With the proxy's wall clock an hour ahead an endpoint that has just started seems to have run
+/// for long. It is new in a list that follows another, so it warms up like one whose start time is
+/// right.
 #[test]
 fn a_new_endpoint_warms_up_whatever_its_start_time_says() {
     let right = fraction_to_new(&mut with_new_endpoint(|now| now - SECOND), 2 * SECOND);
     for behind in [10 * SECOND, 60 * SECOND, HOUR] {
-        let share = fraction_to_new(&mut with_new_endpoint(|now| now - behind), 2 * SECOND);
+        let fraction = fraction_to_new(&mut with_new_endpoint(|now| now - behind), 2 * SECOND);
         assert!(
-            share <= right + 0.1,
-            "{share} of the calls, {behind} us behind, {right} with the right time"
+            fraction <= right + 0.1,
+            "{fraction} of the requests, {behind} us behind, {right} with the right time"
         );
     }
 }
 
-/// A start time that changes, also to an earlier one, is that of another process: it is cold.
+/// A start time that changes, also to an earlier one, is that of another process: it warms up.
 #[test]
 fn an_earlier_start_time_is_that_of_another_process() {
     let mut proxy = with_new_endpoint(|now| now - SECOND);
@@ -66,11 +68,12 @@
     let started_at = proxy.now - HOUR;
     proxy.handle(Event::Heartbeat);
     proxy.update_list(ListUpdate::Delta, vec![EndpointEntry { started_at, ..ready(NEW.0) }]);
-    let share = fraction_to_new(&mut proxy, 5 * SECOND);
-    assert!(share < 0.5 / f64::from(WARM + 1), "{share} of the calls");
+    let fraction = fraction_to_new(&mut proxy, 5 * SECOND);
+    assert!(fraction < 0.5 / f64::from(WARM + 1), "{fraction} of the requests");
 }
 
-/// A server that leaves the list for a moment and comes back with its start time is as warm as it was.
+/// An endpoint that leaves the list for a moment and returns with its start time is as warm as it
+/// was.
 #[test]
 fn an_endpoint_that_returns_to_the_list_with_its_start_time_is_warm() {
     let mut proxy = with_new_endpoint(|now| now - SECOND);
@@ -83,12 +86,12 @@
     fraction_to_new(&mut proxy, 10 * SECOND);
     proxy.handle(Event::Heartbeat);
     proxy.update_list(ListUpdate::Delta, vec![EndpointEntry { started_at, ..ready(NEW.0) }]);
-    let share = fraction_to_new(&mut proxy, 10 * SECOND);
-    assert!(share > 0.5 / f64::from(WARM + 1), "{share} of the calls");
+    let fraction = fraction_to_new(&mut proxy, 10 * SECOND);
+    assert!(fraction > 0.5 / f64::from(WARM + 1), "{fraction} of the requests");
 }
 
-/// Of a first list the stamps beside each other tell which servers are cold: with the clock an hour back those that started
-/// long before the newest are warm all the same.
+/// In a first list the start times relative to each other tell which endpoints warm up: with the
+/// clock an hour behind those that started long before the newest are warm all the same.
 #[test]
 fn in_a_first_list_with_the_clock_behind_only_the_newest_warms_up() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
@@ -99,7 +102,7 @@
     let old = |endpoint| EndpointEntry { started_at: seems(600 * SECOND), ..ready(endpoint) };
     let newest = EndpointEntry { started_at: seems(SECOND), ..ready(NEW.0) };
     proxy.update_list(ListUpdate::Full, (1..=WARM).map(old).chain([newest]).collect());
-    let share = fraction_to_new(&mut proxy, 2 * SECOND);
-    assert!(share < 0.5 / f64::from(WARM + 1), "{share} of the calls go to the newest");
+    let fraction = fraction_to_new(&mut proxy, 2 * SECOND);
+    assert!(fraction < 0.5 / f64::from(WARM + 1), "{fraction} of the requests go to the newest");
     assert!(!forwarded(&proxy.request().1).is_empty(), "the others are warm");
 }
--- a/balancer/tests/hedging.rs
+++ b/balancer/tests/hedging.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn requests_are_hedged_only_where_allowed_and_the_slower_attempt_is_cancelled() {
-    for (idempotency, allowed, copies) in [
+    for (idempotency, allowed, hedges) in [
         (Idempotency::Idempotent, true, 1),
         (Idempotency::Idempotent, false, 0),
         (Idempotency::NonIdempotent, true, 0),
@@ -21,8 +21,8 @@
         let home = forwarded(&actions)[0].1;
         let actions = proxy.advance(430 * MS);
         let copy = forwarded(&actions);
-        assert_eq!(copy.len(), copies);
-        if copies == 1 {
+        assert_eq!(copy.len(), hedges);
+        if hedges == 1 {
             assert_ne!(copy[0].1, home);
             let actions = proxy.end_attempt(request, 1, Outcome::Served, 30 * MS);
             assert!(actions.contains(&Action::CancelAttempt { request, attempt: 0 }));
@@ -37,13 +37,13 @@
     let mut proxy = Proxy::new(settings, 3);
     let (request, _) = proxy.request();
     proxy.handle(Event::ResponseStarted { request, attempt: 0 });
-    assert!(forwarded(&proxy.advance(450 * MS)).is_empty(), "no second copy");
+    assert!(forwarded(&proxy.advance(450 * MS)).is_empty(), "no hedged request");
     let actions = proxy.end_attempt(request, 0, Outcome::Reset, 450 * MS);
     assert!(forwarded(&actions).is_empty());
 }
 
-/// A copy is a guess, a failed attempt a fact: on a day of broken connections, copies for calls that were merely slow
-/// had spent what would have saved those whose only attempt was lost.
+/// A hedged request may be unnecessary, a failed attempt is not: hedging of requests that are
+/// merely slow must not spend what saves those whose only attempt was lost.
 #[test]
 fn hedged_requests_leave_retry_budget_for_failed_attempts() {
     let mut config = settings(Idempotency::Idempotent);
@@ -52,12 +52,12 @@
     for _ in 0..20 {
         proxy.serve_request(40 * MS);
     }
-    let mut copies = 0;
+    let mut hedges = 0;
     for _ in 0..60 {
         let (request, _) = proxy.request();
-        let copied = !forwarded(&proxy.advance(490 * MS)).is_empty();
-        copies += usize::from(copied);
-        if copied {
+        let is_hedged = !forwarded(&proxy.advance(490 * MS)).is_empty();
+        hedges += usize::from(is_hedged);
+        if is_hedged {
             proxy.end_attempt(request, 1, Outcome::Served, 10 * MS);
             proxy.end_attempt(request, 0, Outcome::Cancelled, 490 * MS);
         } else {
@@ -65,7 +65,7 @@
             proxy.end_attempt(request, 0, Outcome::Cancelled, 490 * MS);
         }
     }
-    assert!(copies >= 10, "{copies}");
+    assert!(hedges >= 10, "{hedges}");
     for _ in 0..3 {
         let (request, _) = proxy.request();
         let again = proxy.end_attempt(request, 0, Outcome::Reset, 10 * MS);
@@ -74,8 +74,8 @@
     }
 }
 
-/// Where answer times are spread, a call that takes twice the mean is nothing unusual: a copy of it would be work that
-/// the servers do for nothing.
+/// Where latencies vary widely, a request that takes twice the mean is normal: hedging it would
+/// only add load.
 #[test]
 fn a_request_within_the_typical_spread_of_its_class_is_not_hedged() {
     let mut config = settings(Idempotency::Idempotent);
--- a/balancer/tests/list_polling.rs
+++ b/balancer/tests/list_polling.rs
@@ -1,6 +1,7 @@
-//! How soon a list that is asked for is asked for again: whatever happens to calls, a change counts as told 6 s after
-//! discovery had it and could be reached. With very many balancers discovery is modelled: it has a fixed capacity, calls
-//! wait in turn, and one that has waited too long is refused, which may take as much of the capacity as an answer.
+//! How soon the list is polled again: whatever happens to polls, a change counts as notified 6 s
+//! after discovery had it and could be reached. With very many balancers discovery is modelled: it
+//! has a fixed capacity, polls wait in turn, and one that has waited too long is rejected, which
+//! may take as much of the capacity as a response.
 
 mod common;
 #[path = "models/discovery.rs"]
@@ -10,13 +11,14 @@
 use common::*;
 use model::*;
 
-/// A proxy alone: the list is lost, then each call takes so long to fail. Tells when each call began.
+/// A proxy alone: the list is lost, then each poll takes the given time to fail. Returns when each
+/// poll began.
 fn poll_times(balancer: &mut Balancer, lost: Option<Micros>, fails: &[Micros]) -> Vec<Micros> {
     let entries: Vec<_> = (1..=60).map(ready).collect();
     let members = |kind, entries| Event::EndpointList { kind, entries };
     let mut actions = Vec::new();
     balancer.handle(0, Event::Start, &mut actions);
-    let mut begun = Vec::new();
+    let mut began_at = Vec::new();
     let mut now = match lost {
         Some(lost) => {
             balancer.handle(0, members(ListUpdate::Full, entries), &mut actions);
@@ -25,25 +27,25 @@
         }
         None => {
             balancer.handle(0, members(ListUpdate::Cached, entries), &mut actions);
-            begun.push(0);
+            began_at.push(0);
             balancer.handle(fails[0], members(ListUpdate::PollFailed, Vec::new()), &mut actions);
             fails[0]
         }
     };
     loop {
         now = next_poll(balancer, now, &mut actions);
-        begun.push(now);
-        let Some(fail) = fails.get(begun.len() - 1) else { return begun };
+        began_at.push(now);
+        let Some(fail) = fails.get(began_at.len() - 1) else { return began_at };
         now += fail;
         balancer.handle(now, members(ListUpdate::PollFailed, Vec::new()), &mut actions);
     }
 }
 
-/// Refused at once, refused after its turn, or given up as silent.
+/// Rejected at once, rejected after its time in the queue, or timed out without a response.
 const FAILURE_TIMES: [Micros; 3] = [0, QUEUE_TIMEOUT, SILENCE];
 
-/// Wherever discovery could be reached from some moment on, a call that begins after it brings its news. Of a call that was
-/// under way then SILENCE is left at the most, so this is the sum of all waits.
+/// Wherever discovery could be reached from some moment on, a poll that begins after it brings its
+/// changes. Of a poll in flight then at most SILENCE is left, so this is the sum of all delays.
 #[test]
 fn after_any_failed_polls_the_next_begins_in_time() {
     for (balancer_count, balancer_index) in
@@ -52,13 +54,14 @@
         for path in 0..3_usize.pow(5) {
             let fails: Vec<_> = (0..5).map(|n| FAILURE_TIMES[path / 3_usize.pow(n) % 3]).collect();
             for lost in [None, Some(0), Some(SILENCE)] {
-                let begun = poll_times(&mut polling_balancer(balancer_count, balancer_index), lost, &fails);
+                let began_at =
+                    poll_times(&mut polling_balancer(balancer_count, balancer_index), lost, &fails);
                 for (request, fail) in fails.iter().enumerate() {
-                    let pause = begun[request + 1] - (begun[request] + fail);
+                    let pause = began_at[request + 1] - (began_at[request] + fail);
                     let sum = SILENCE + pause + RESPONSE_TIME;
                     assert!(
                         sum <= NOTIFICATION_DEADLINE,
-                        "{balancer_count}: {sum} us after call {request} of {fails:?}, lost {lost:?}"
+                        "{balancer_count}: {sum} us after poll {request} of {fails:?}, lost {lost:?}"
                     );
                 }
             }
@@ -66,33 +69,36 @@
     }
 }
 
-/// A watch that fell silent at 0. One call that is given up, one that is refused after its turn or any number that are
-/// refused at once leave a call in time, as they do after a new configuration.
+/// A watch that fell silent at 0. One poll that times out, one that is rejected after its time in
+/// the queue or any number that are rejected at once leave a poll in time, as they do after a new
+/// configuration.
 #[test]
 fn what_a_lost_watch_misses_is_polled_in_time() {
     let paths: [&[Micros]; 4] = [&[], &[QUEUE_TIMEOUT], &[SILENCE], &[0; 40]];
     for (balancer_count, balancer_index) in
         (0..40).flat_map(|balancer_index| [(5, balancer_index), (MANY_BALANCERS, balancer_index)])
     {
-        for (lost, told) in [(SILENCE, NOTIFICATION_DEADLINE), (0, NOTIFICATION_DEADLINE_AFTER_MOVE)] {
+        for (lost, deadline) in [(SILENCE, NOTIFICATION_DEADLINE), (0, NOTIFICATION_DEADLINE_AFTER_MOVE)] {
             for fails in paths {
-                let begun =
+                let began_at =
                     poll_times(&mut polling_balancer(balancer_count, balancer_index), Some(lost), fails);
-                let last =
-                    begun.iter().rfind(|begun| **begun + RESPONSE_TIME <= told).expect("a call in time");
-                // The last of those that are refused at once is as late as can be.
-                assert!(fails.len() < 40 || *last >= lost + 2_750 * MS, "{balancer_count}: {begun:?}");
+                let last = began_at
+                    .iter()
+                    .rfind(|began_at| **began_at + RESPONSE_TIME <= deadline)
+                    .expect("a poll in time");
+                // The last of those that are rejected at once is as late as possible.
+                assert!(fails.len() < 40 || *last >= lost + 2_750 * MS, "{balancer_count}: {began_at:?}");
                 assert!(
-                    fails.len() > 1 || begun.last() == Some(last),
-                    "{balancer_count}, {fails:?}: {begun:?}"
+                    fails.len() > 1 || began_at.last() == Some(last),
+                    "{balancer_count}, {fails:?}: {began_at:?}"
                 );
             }
         }
     }
 }
 
-/// Two watches in a row that are reset as soon as they are open, and then one call of any kind: the list was current until the
-/// second reset, and what it misses from then on is asked for in time.
+/// Two watches in a row that are reset as soon as they are open, and then one poll of any kind: the
+/// list was current until the second reset, and what it misses from then on is polled in time.
 #[test]
 fn what_two_flapping_watches_miss_is_polled_in_time() {
     for (balancer_count, balancer_index) in
@@ -124,14 +130,14 @@
     }
 }
 
-/// When the next call for the list begins.
+/// When the next poll begins.
 fn next_poll(balancer: &mut Balancer, mut now: Micros, actions: &mut Vec<Action>) -> Micros {
     loop {
         let mut wakes = actions.iter().filter_map(|action| match action {
             Action::SetTimer { after } => Some(*after),
             _ => None,
         });
-        now += wakes.next_back().expect("it wakes for the next call");
+        now += wakes.next_back().expect("a timer for the next poll");
         actions.clear();
         balancer.handle(now, Event::Timer, actions);
         if actions.contains(&Action::Subscribe) {
@@ -140,7 +146,8 @@
     }
 }
 
-/// A watch that was open shows that asking works, also where it had nothing to tell: waits begin anew.
+/// A watch that was open shows that polls succeed, also where nothing had changed: the backoff
+/// begins anew.
 #[test]
 fn after_an_open_watch_poll_delays_are_short_again() {
     let mut proxy = Proxy::new(
@@ -158,23 +165,27 @@
     assert!(grown >= SECOND && anew <= 480 * MS, "{grown} and {anew}");
 }
 
-/// None is late where discovery could answer all in time; where by far it can't, the calls that fail don't keep it from
-/// answering.
+/// None is late where discovery could answer all in time; where its capacity is far too low, polls
+/// that fail don't keep it from answering.
 #[test]
 fn very_many_that_lose_their_watch_at_once_are_all_notified_in_time() {
-    for (notices, told) in [(SILENCE, NOTIFICATION_DEADLINE), (MS, NOTIFICATION_DEADLINE_AFTER_MOVE)] {
-        for refusal in [0.0, 1.0] {
-            let mut fleet = lost_at(notices, 120, refusal);
+    for (noticed_at, deadline) in [(SILENCE, NOTIFICATION_DEADLINE), (MS, NOTIFICATION_DEADLINE_AFTER_MOVE)] {
+        for rejection_cost in [0.0, 1.0] {
+            let mut fleet = lost_at(noticed_at, 120, rejection_cost);
             fleet.play(10 * SECOND);
-            assert_eq!(fleet.late(0, told), 0, "found lost at {notices}, a refusal takes {refusal}");
+            assert_eq!(
+                fleet.late(0, deadline),
+                0,
+                "found lost at {noticed_at}, a rejection takes {rejection_cost}"
+            );
             let (most, failed) = fleet.load(0);
-            assert!(most <= 320 && failed < 0.2, "{most} calls in a second, {failed} failed");
-            let mut fleet = lost_at(notices, 40, refusal);
+            assert!(most <= 320 && failed < 0.2, "{most} polls in a second, {failed} failed");
+            let mut fleet = lost_at(noticed_at, 40, rejection_cost);
             fleet.play(21 * SECOND);
             assert_eq!(
                 fleet.late(0, 20 * SECOND),
                 0,
-                "of a third of that capacity, a refusal takes {refusal}"
+                "of a third of that capacity, a rejection takes {rejection_cost}"
             );
             let (_, failed) = fleet.load(0);
             assert!(failed < 0.6, "{failed} failed");
@@ -184,9 +195,9 @@
 
 #[test]
 fn very_many_that_restart_at_once_are_all_notified_in_time() {
-    for refusal in [0.0, 1.0] {
+    for rejection_cost in [0.0, 1.0] {
         for capacity in [120, 60] {
-            let mut fleet = lost_at(Micros::MAX, capacity, refusal);
+            let mut fleet = lost_at(Micros::MAX, capacity, rejection_cost);
             fleet.play(SECOND);
             fleet.restart();
             fleet.play(10 * SECOND);
@@ -194,30 +205,31 @@
             assert_eq!(
                 fleet.late(SECOND, NOTIFICATION_DEADLINE),
                 0,
-                "{capacity} a second, a refusal takes {refusal}"
+                "{capacity} a second, a rejection takes {rejection_cost}"
             );
-            assert!(most <= 320 && failed < 0.4, "{most} calls in a second, {failed} failed");
+            assert!(most <= 320 && failed < 0.4, "{most} polls in a second, {failed} failed");
         }
     }
 }
 
-/// While it is away none can be told; what it has when it returns all are to know in time, wherever they are in their waits.
+/// While discovery is unreachable nobody can be notified; what it has when it returns all have in
+/// time, wherever they are in their backoff.
 #[test]
 fn very_many_are_notified_in_time_when_discovery_returns() {
-    for (availability, refusal) in [
+    for (availability, rejection_cost) in [
         (Availability::Refuses, 0.0),
         (Availability::Refuses, 1.0),
         (Availability::Silent, 0.0),
         (Availability::Silent, 1.0),
     ] {
-        let mut fleet = lost_at(MS, 100, refusal);
+        let mut fleet = lost_at(MS, 100, rejection_cost);
         fleet.availability = availability;
         fleet.play(8 * SECOND);
         fleet.availability = Availability::Up;
         fleet.play(20 * SECOND);
-        assert_eq!(fleet.late(8 * SECOND, NOTIFICATION_DEADLINE), 0, "a refusal takes {refusal}");
+        assert_eq!(fleet.late(8 * SECOND, NOTIFICATION_DEADLINE), 0, "a rejection takes {rejection_cost}");
         let (most, failed) = fleet.load(8 * SECOND);
-        assert!(most <= 150 && failed < 0.1, "{most} calls in a second, {failed} failed");
+        assert!(most <= 150 && failed < 0.1, "{most} polls in a second, {failed} failed");
     }
 }
 
@@ -231,14 +243,14 @@
     let after =
         actions.iter().find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
     assert!(proxy.advance(after.expect("a timer")).contains(&Action::Subscribe));
-    assert_eq!(proxy.serve_request(MS).map(|s| s.0 <= 2), Some(true), "the old list stands");
+    assert_eq!(proxy.serve_request(MS).map(|s| s.0 <= 2), Some(true), "the old list is used");
     let mut push = Proxy::new(settings(Idempotency::Idempotent), 1);
     push.update_list(ListUpdate::PollFailed, vec![]);
     push.advance(60_000 * MS);
-    assert!(!push.actions.contains(&Action::Subscribe), "only where the list must be asked for");
+    assert!(!push.actions.contains(&Action::Subscribe), "only where the list is polled");
 }
 
-/// After how long one of so many asks for the list again, each time that asking has failed.
+/// Delays of one of so many balancers before it polls again, each time that a poll has failed.
 fn poll_delays(balancer_count: u32, balancer_index: u32) -> Vec<Micros> {
     let settings = Settings {
         balancer_count,
@@ -252,15 +264,16 @@
         proxy.update_list(ListUpdate::PollFailed, Vec::new());
         let failed = proxy.now;
         while !proxy.advance(10 * MS).contains(&Action::Subscribe) {
-            assert!(proxy.now < failed + 40_000 * MS, "it never asks again");
+            assert!(proxy.now < failed + 40_000 * MS, "it never polls again");
         }
         proxy.now - failed
     });
     waits.collect()
 }
 
-/// They spread their calls over all the time that there is until a change counts as told: half of it, as the other half
-/// goes by until a call is given up and in its answer. What that comes to at discovery is in `tests/discovery.rs`.
+/// They spread their polls over all the time until a change counts as notified: half of it, as the
+/// other half passes until a poll times out and in its response. The load of discovery is modelled
+/// in `models/discovery.rs`.
 #[test]
 fn very_many_balancers_spread_their_polls() {
     let discovery = settings(Idempotency::Idempotent).discovery;
@@ -272,18 +285,19 @@
     for tenth in 0..10 {
         let part = most * tenth / 10..most * (tenth + 1) / 10;
         let first = many.iter().filter(|waits| part.contains(&waits[0])).count();
-        assert!(first <= 20, "{first} of 100 at once, {part:?} after the first call that failed");
+        assert!(first <= 20, "{first} of 100 at once, {part:?} after the first poll that failed");
     }
     for number in 1..4 {
         assert!(many.iter().all(|waits| waits[number] >= most / 2), "{many:?}");
         assert!(mean(number) >= most * 7 / 10, "{}", mean(number));
     }
     let few = poll_delays(5, 0);
-    assert!(few[0] < discovery.max_poll_interval / 16, "a few do not crowd it: {few:?}");
+    assert!(few[0] < discovery.max_poll_interval / 16, "a few do not overload it: {few:?}");
     assert!(few.iter().all(|wait| *wait <= most + 10 * MS), "past the time: {few:?}");
 }
 
-/// What a subscription misses that fell silent counts as told 6 s after that, 2.5 s of which go by until it is noticed.
+/// What a silent watch misses counts as notified 6 s after that, 2.5 s of which pass until the
+/// silence is noticed.
 #[test]
 fn a_watch_that_was_open_is_reopened_soon() {
     for balancer_count in [5, 100] {
--- a/balancer/tests/models/discovery.rs
+++ b/balancer/tests/models/discovery.rs
@@ -5,15 +5,17 @@
 use std::collections::VecDeque;
 
 pub(crate) const SECOND: Micros = 1_000 * MS;
-/// How long the proxy goes without a word of a watch, or of the head of its answer, until it gives it up.
+/// How long the proxy waits for anything of a watch, or for the head of its response, until it
+/// times out.
 pub(crate) const SILENCE: Micros = 2_500 * MS;
-/// How long a call waits for its turn at discovery before it is refused.
+/// How long a poll waits for its turn at discovery before it is rejected.
 pub(crate) const QUEUE_TIMEOUT: Micros = 2 * SECOND;
-/// When a change counts as told; the drain grace, which comes on top of it, is left for the answer of an idle discovery.
+/// When a change counts as notified; the drain grace, which is added to it, is left for the
+/// response of an idle discovery.
 pub(crate) const NOTIFICATION_DEADLINE: Micros = 6 * SECOND;
-/// And after a new configuration.
+/// The same after a new configuration.
 pub(crate) const NOTIFICATION_DEADLINE_AFTER_MOVE: Micros = 4 * SECOND;
-/// What a connection, the head and the first object of an answer may take together.
+/// What a connection, the head and the first object of a response may take together.
 pub(crate) const RESPONSE_TIME: Micros = 500 * MS;
 pub(crate) const MANY_BALANCERS: u32 = 300;
 
@@ -29,46 +31,46 @@
     )
 }
 
-/// What discovery does with a call.
+/// What discovery does with a poll.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Availability {
-    /// Answers in turn.
+    /// Responds in turn.
     Up,
-    /// Nobody listens.
+    /// Refuses connections.
     Refuses,
-    /// Nothing is heard of it.
+    /// Sends nothing.
     Silent,
 }
 
-/// Discovery and those that ask it.
+/// Discovery and the proxies that poll it.
 pub(crate) struct Fleet {
     now: Micros,
     pub(crate) availability: Availability,
-    /// Calls a second, and what a refusal takes of one.
+    /// Polls per second, and what a rejection takes of one.
     capacity: u64,
-    refusal: f64,
+    rejection_cost: f64,
     /// Who waits, and since when.
     queue: VecDeque<(usize, Micros)>,
     free_at: Micros,
     proxies: Vec<PollingProxy>,
-    /// When each call was made, and whether it brought a list.
+    /// When each poll was sent, and whether it brought a list.
     requests: Vec<(Micros, bool)>,
 }
 
-/// A proxy that has no watch.
+/// A proxy without a watch.
 struct PollingProxy {
     balancer: Balancer,
     timer_at: Micros,
-    /// When its call was made.
+    /// When its poll was sent.
     request: Option<Micros>,
-    /// When it takes its watch for dead.
+    /// When it notices that its watch is lost.
     loss_noticed_at: Micros,
     notified_at: Option<Micros>,
 }
 
 impl Fleet {
-    /// All watches are open; `loss_noticed_at` says when each is found to be lost.
-    fn new(count: u32, capacity: u64, refusal: f64, loss_noticed_at: impl Fn(u32) -> Micros) -> Fleet {
+    /// All watches are open; `loss_noticed_at` gives when each is found to be lost.
+    fn new(count: u32, capacity: u64, rejection_cost: f64, loss_noticed_at: impl Fn(u32) -> Micros) -> Fleet {
         let proxy = |balancer_index: u32| {
             let mut balancer = polling_balancer(count, balancer_index);
             let (mut actions, entries) = (Vec::new(), (1..=60).map(ready).collect());
@@ -89,7 +91,7 @@
             now: 0,
             availability: Availability::Up,
             capacity,
-            refusal,
+            rejection_cost,
             queue,
             free_at: 0,
             proxies,
@@ -128,12 +130,12 @@
     fn answer(&mut self) {
         while self.free_at <= self.now {
             let Some((who, since)) = self.queue.pop_front() else { return };
-            // One that was given up has left.
+            // A proxy whose poll has timed out has closed its connection.
             if self.proxies[who].request != Some(since) {
                 continue;
             }
             let served = self.now - since <= QUEUE_TIMEOUT;
-            let takes = if served { 1.0 } else { self.refusal };
+            let takes = if served { 1.0 } else { self.rejection_cost };
             self.free_at =
                 self.free_at.max(self.now - MS) + (takes * SECOND as f64 / self.capacity as f64) as Micros;
             if served {
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Plays up to `until`.
+    /// Runs up to `until`.
     pub(crate) fn play(&mut self, until: Micros) {
         while self.now < until {
             self.now += MS;
@@ -177,7 +179,7 @@
         }
     }
 
-    /// All proxies are killed and come up again with an old list.
+    /// All proxies are killed and restart with an old list.
     pub(crate) fn restart(&mut self) {
         for (who, balancer_index) in (0..).zip(0..self.proxies.len() as u32) {
             self.proxies[who].balancer = polling_balancer(MANY_BALANCERS, balancer_index + MANY_BALANCERS);
@@ -187,12 +189,12 @@
         }
     }
 
-    /// How many were not told within `span` from `from` on.
+    /// How many were not notified within `span` from `from` on.
     pub(crate) fn late(&self, from: Micros, span: Micros) -> usize {
         self.proxies.iter().filter(|p| p.notified_at.is_none_or(|at| at > from + span)).count()
     }
 
-    /// Most calls in a second from `from` on, and the share of all that failed.
+    /// Most polls in a second from `from` on, and the fraction of all that failed.
     pub(crate) fn load(&self, from: Micros) -> (usize, f64) {
         let requests: Vec<_> = self.requests.iter().filter(|request| request.0 >= from).collect();
         let most =
@@ -202,7 +204,7 @@
     }
 }
 
-/// Very many, all of whose watches are lost in the same instant.
-pub(crate) fn lost_at(loss_noticed_at: Micros, capacity: u64, refusal: f64) -> Fleet {
-    Fleet::new(MANY_BALANCERS, capacity, refusal, |_| loss_noticed_at)
+/// Very many, all of whose watches are lost at the same instant.
+pub(crate) fn lost_at(loss_noticed_at: Micros, capacity: u64, rejection_cost: f64) -> Fleet {
+    Fleet::new(MANY_BALANCERS, capacity, rejection_cost, |_| loss_noticed_at)
 }
--- a/balancer/tests/models/outage.rs
+++ b/balancer/tests/models/outage.rs
@@ -9,7 +9,8 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 const LOAD_START: Micros = 100 * SECOND;
-/// The zone that is cut off from `PARTITION_AT` to `RETURN_AT`, and the one that is lost from `LOSS_AT` to `RETURN_AT`.
+/// The zone that is partitioned from `PARTITION_AT` to `RETURN_AT`, and the one that is lost from
+/// `LOSS_AT` to `RETURN_AT`.
 const PARTITIONED_ZONE: u32 = 2;
 const LOST_ZONE: u32 = 1;
 const ZONES: u32 = 4;
@@ -18,41 +19,43 @@
 const REMOVAL_LISTED_AT: Micros = LOAD_START + 7 * SECOND;
 const RETURN_AT: Micros = LOAD_START + 11 * SECOND;
 const LOAD_END: Micros = LOAD_START + 22 * SECOND;
-/// Cold servers: their share at first, and until they are warm.
+/// Endpoints that warm up: their capacity at first, and until they are warm.
 const INITIAL_CAPACITY: f64 = 0.4;
 const SLOW_START_DURATION: Micros = 6 * SECOND;
-/// By class: aim, deadline, and mean work at a core of speed 1, in microseconds.
+/// By class: objective, deadline, and mean work at a core of speed 1, in microseconds.
 const LATENCY_OBJECTIVE: [Micros; 2] = [500 * MS, 1_000 * MS];
 const DEADLINE: [Micros; 2] = [1_200 * MS, 5_000 * MS];
 const WORK: [f64; 2] = [80e3, 130e3];
 const MAX_CLIENT_ATTEMPTS: u32 = 4;
 const CONNECT_TIMEOUT: Micros = 250 * MS;
-/// A crowded server slows down: beyond so many calls a core for so long, by so much, until it is down to a part of
-/// that for some time.
+/// An endpoint slows down after so many requests per core for so long, by this factor, until it has
+/// had so few for some time.
 const OVERLOAD_PER_CORE: f64 = 2.5;
 const OVERLOAD_DURATION: Micros = 1_700 * MS;
 const SLOWDOWN_FACTOR: f64 = 3.0;
 const RECOVERY_PER_CORE: f64 = 0.3 * OVERLOAD_PER_CORE;
 const RECOVERY_DURATION: Micros = 4 * SECOND;
 
-/// An attempt: of which balancer, which call, and which of its attempts.
+/// An attempt: of which balancer, which request, and its number.
 type AttemptKey = (usize, u64, u32);
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
-    /// A client asks, at first or again.
-    Ask(usize),
-    /// An attempt reaches its server, ends with an outcome, or has lasted for as long as its client waits.
-    Reach(AttemptKey),
-    Back(AttemptKey, Outcome),
-    Expire(AttemptKey),
-    /// Work may be done at a server; a balancer's alarm. Both only if nothing newer was set.
+    /// A client sends a request or retries.
+    ClientRequest(usize),
+    /// An attempt reaches its endpoint, ends with an outcome, or has lasted for as long as its
+    /// client waits.
+    Arrival(AttemptKey),
+    Response(AttemptKey, Outcome),
+    Deadline(AttemptKey),
+    /// Work may be done at an endpoint; a balancer's timer fires. Both only if nothing newer was
+    /// set.
     Work(usize, u64),
-    Alarm(usize, u64),
-    Cut(bool),
-    Lose,
-    ListGone,
-    Return,
+    Timer(usize, u64),
+    Partition(bool),
+    LoseZone,
+    ListRemoval,
+    ZoneReturns,
 }
 
 struct Endpoint {
@@ -61,12 +64,12 @@
     zone: u32,
     up: bool,
     started_at: Micros,
-    fails: bool,
+    is_failing: bool,
     slows_down: bool,
     slow: bool,
     crowded_since: Option<Micros>,
     calm_since: Option<Micros>,
-    /// Work that is left of each attempt, in hand and waiting.
+    /// Work that is left of each attempt, in execution and queued.
     work: Vec<(f64, AttemptKey)>,
     waiting: VecDeque<(f64, AttemptKey)>,
     at: Micros,
@@ -74,7 +77,7 @@
 }
 
 impl Endpoint {
-    fn held(&self) -> usize {
+    fn request_count(&self) -> usize {
         self.work.len() + self.waiting.len()
     }
 
@@ -82,16 +85,16 @@
         let age = now.saturating_sub(self.started_at);
         let cold = self.started_at != 0 && age < SLOW_START_DURATION;
         let warm_up = INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age as f64 / SLOW_START_DURATION as f64;
-        let pace =
+        let speed =
             self.speed * if cold { warm_up } else { 1.0 } / if self.slow { SLOWDOWN_FACTOR } else { 1.0 };
-        pace * (self.cores / self.work.len().max(1) as f64).min(1.0)
+        speed * (self.cores / self.work.len().max(1) as f64).min(1.0)
     }
 
     fn advance(&mut self, now: Micros) {
         let done = (now - self.at) as f64 * self.rate(self.at);
         self.at = now;
         self.work.iter_mut().for_each(|work| work.0 -= done);
-        let crowd = self.held() as f64 / self.cores;
+        let crowd = self.request_count() as f64 / self.cores;
         let since = |is: bool, since: Option<Micros>| is.then(|| since.unwrap_or(now));
         self.crowded_since = since(crowd > OVERLOAD_PER_CORE, self.crowded_since);
         self.calm_since = since(crowd < RECOVERY_PER_CORE, self.calm_since);
@@ -108,7 +111,7 @@
     balancer: usize,
     class: usize,
     began: Micros,
-    tries: u32,
+    attempts: u32,
     ended: bool,
 }
 
@@ -116,7 +119,7 @@
     user_request: usize,
     /// Until when its client waits.
     until: Micros,
-    /// Where its attempts went.
+    /// Where its attempts were sent.
     to: Vec<usize>,
 }
 
@@ -126,31 +129,31 @@
     number: u64,
     random: Pcg32,
     endpoints: Vec<Endpoint>,
-    balancer_count: Vec<Balancer>,
-    alarms: Vec<u64>,
+    balancers: Vec<Balancer>,
+    timers: Vec<u64>,
     user_requests: Vec<UserRequest>,
     requests: HashMap<(usize, u64), Request>,
-    /// Open connections: of which balancer, to which server.
+    /// Open connections: of which balancer, to which endpoint.
     connections: HashSet<(usize, usize)>,
-    cut: bool,
-    /// By second: requests, those answered in time, and connections opened.
+    is_partitioned: bool,
+    /// By second: requests, those served in time, and connections opened.
     pub(crate) seconds: Vec<[u32; 3]>,
 }
 
 impl Fleet {
-    pub(crate) fn new(seed: u64, balancer_count: usize, endpoints: usize, load: f64) -> Fleet {
+    pub(crate) fn new(seed: u64, balancers: usize, endpoints: usize, load: f64) -> Fleet {
         let mut fleet = Fleet {
             now: LOAD_START,
             next: BinaryHeap::new(),
             number: 0,
             random: Pcg32::seed_from_u64(seed),
             endpoints: Vec::new(),
-            balancer_count: Vec::new(),
-            alarms: vec![0; balancer_count],
+            balancers: Vec::new(),
+            timers: vec![0; balancers],
             user_requests: Vec::new(),
             requests: HashMap::new(),
             connections: HashSet::new(),
-            cut: false,
+            is_partitioned: false,
             seconds: vec![[0; 3]; ((LOAD_END - LOAD_START) / SECOND) as usize + 3],
         };
         let mut capacity = 0.0;
@@ -158,10 +161,10 @@
             let (cores, base) = if fleet.unit() < 0.55 { (3.0, 1.5) } else { (2.0, 0.97) };
             let speed = base * (0.8 + 0.4 * fleet.unit());
             capacity += cores * speed;
-            // One of eight is bad: it fails half of its calls at once, or is five times as slow.
+            // One of eight is bad: it fails half of its requests at once, or is five times as slow.
             let bad = place % 8 == 3;
-            let fails = bad && fleet.unit() < 0.4;
-            let speed = if bad && !fails { speed / 5.0 } else { speed };
+            let is_failing = bad && fleet.unit() < 0.4;
+            let speed = if bad && !is_failing { speed / 5.0 } else { speed };
             let zone = (fleet.unit() * f64::from(ZONES)) as u32;
             let (slows_down, slow, up, started_at) = (fleet.unit() < 0.6, false, true, 0);
             let (crowded_since, calm_since, work, waiting) = Default::default();
@@ -172,7 +175,7 @@
                 zone,
                 up,
                 started_at,
-                fails,
+                is_failing,
                 slows_down,
                 slow,
                 crowded_since,
@@ -197,20 +200,20 @@
             overload_multiple: 3.0,
         };
         let settings = Settings {
-            balancer_count: balancer_count as u32,
+            balancer_count: balancers as u32,
             classes: vec![class(0), class(1)],
             slow_start,
             ..base
         };
-        for balancer_index in 0..balancer_count {
+        for balancer_index in 0..balancers {
             let settings = Settings { balancer_index: balancer_index as u32, ..settings.clone() };
-            fleet.balancer_count.push(Balancer::new(seed * 1_000 + balancer_index as u64, settings));
-            fleet.tell(balancer_index, Event::Start);
+            fleet.balancers.push(Balancer::new(seed * 1_000 + balancer_index as u64, settings));
+            fleet.notify(balancer_index, Event::Start);
             let entries = fleet.list(|_| true, EndpointState::Ready);
-            fleet.tell(balancer_index, Event::EndpointList { kind: ListUpdate::Full, entries });
+            fleet.notify(balancer_index, Event::EndpointList { kind: ListUpdate::Full, entries });
         }
-        // Some balancers see several times the mean; all see a third less in the end.
-        let shares: Vec<f64> = (0..balancer_count).map(|_| 0.3 - fleet.unit().ln()).collect();
+        // Some balancers get several times the mean; all get a third less in the end.
+        let shares: Vec<f64> = (0..balancers).map(|_| 0.3 - fleet.unit().ln()).collect();
         let per_second = capacity * load * 2e6 / (WORK[0] + WORK[1]) / shares.iter().sum::<f64>();
         for (balancer, share) in shares.iter().enumerate() {
             let mut began = LOAD_START as f64;
@@ -221,16 +224,16 @@
                     break;
                 }
                 let (class, began) = (usize::from(fleet.unit() < 0.5), began as Micros);
-                fleet.at(began, Step::Ask(fleet.user_requests.len()));
-                fleet.user_requests.push(UserRequest { balancer, class, began, tries: 0, ended: false });
+                fleet.at(began, Step::ClientRequest(fleet.user_requests.len()));
+                fleet.user_requests.push(UserRequest { balancer, class, began, attempts: 0, ended: false });
             }
         }
         for (at, what) in [
-            (PARTITION_AT, Step::Cut(true)),
-            (LOSS_AT, Step::Lose),
-            (REMOVAL_LISTED_AT, Step::ListGone),
-            (RETURN_AT, Step::Cut(false)),
-            (RETURN_AT, Step::Return),
+            (PARTITION_AT, Step::Partition(true)),
+            (LOSS_AT, Step::LoseZone),
+            (REMOVAL_LISTED_AT, Step::ListRemoval),
+            (RETURN_AT, Step::Partition(false)),
+            (RETURN_AT, Step::ZoneReturns),
         ] {
             fleet.at(at, what);
         }
@@ -254,7 +257,7 @@
     fn reaches(&self, balancer: usize, endpoint: usize) -> bool {
         let (from, to) = (balancer as u32 % ZONES, self.endpoints[endpoint].zone);
         let crosses = from != to && (from == PARTITIONED_ZONE || to == PARTITIONED_ZONE);
-        self.endpoints[endpoint].up && !(self.cut && crosses)
+        self.endpoints[endpoint].up && !(self.is_partitioned && crosses)
     }
 
     fn list(&self, which: impl Fn(&Endpoint) -> bool, state: EndpointState) -> Vec<EndpointEntry> {
@@ -269,17 +272,17 @@
         all.map(entry).collect()
     }
 
-    fn tell_all(&mut self, state: EndpointState) {
+    fn notify_all(&mut self, state: EndpointState) {
         let entries = self.list(|endpoint| endpoint.zone == LOST_ZONE, state);
-        for balancer in 0..self.balancer_count.len() {
+        for balancer in 0..self.balancers.len() {
             let entries = entries.clone();
-            self.tell(balancer, Event::EndpointList { kind: ListUpdate::Delta, entries });
+            self.notify(balancer, Event::EndpointList { kind: ListUpdate::Delta, entries });
         }
     }
 
-    fn tell(&mut self, balancer: usize, event: Event) {
+    fn notify(&mut self, balancer: usize, event: Event) {
         let mut actions = Vec::new();
-        self.balancer_count[balancer].handle(self.now, event, &mut actions);
+        self.balancers[balancer].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Forward { request, endpoint, .. } => {
@@ -289,8 +292,8 @@
                     self.end(balancer, request.0, false)
                 }
                 Action::SetTimer { after } => {
-                    self.alarms[balancer] += 1;
-                    self.at(self.now + after, Step::Alarm(balancer, self.alarms[balancer]));
+                    self.timers[balancer] += 1;
+                    self.at(self.now + after, Step::Timer(balancer, self.timers[balancer]));
                 }
                 _ => {}
             }
@@ -301,38 +304,38 @@
         let Some(request) = self.requests.get_mut(&(balancer, id)) else { return };
         request.to.push(endpoint);
         let (attempt, until) = ((balancer, id, request.to.len() as u32 - 1), request.until);
-        let kept = self.connections.contains(&(balancer, endpoint));
+        let is_connected = self.connections.contains(&(balancer, endpoint));
         if self.reaches(balancer, endpoint) {
             if self.connections.insert((balancer, endpoint)) {
                 self.count(self.now, 2);
             }
-            self.at(self.now + MS, Step::Reach(attempt));
-            self.at(until, Step::Expire(attempt));
-        } else if kept {
-            // Nothing is said on open connections.
+            self.at(self.now + MS, Step::Arrival(attempt));
+            self.at(until, Step::Deadline(attempt));
+        } else if is_connected {
+            // Open connections fall silent.
             self.connections.remove(&(balancer, endpoint));
-            self.at(until, Step::Expire(attempt));
+            self.at(until, Step::Deadline(attempt));
         } else {
-            self.at((self.now + CONNECT_TIMEOUT).min(until), Step::Back(attempt, Outcome::ConnectFailed));
+            self.at((self.now + CONNECT_TIMEOUT).min(until), Step::Response(attempt, Outcome::ConnectFailed));
         }
     }
 
-    /// The end of a try: its client is content, or comes again.
+    /// The end of a client's attempt: it is served, or retries.
     fn end(&mut self, balancer: usize, id: u64, served: bool) {
         let Some(request) = self.requests.remove(&(balancer, id)) else { return };
         let place = request.user_request;
         let again = 25 * MS + (self.unit() * 100e3) as Micros;
         let user_request = &mut self.user_requests[place];
         let (class, began) = (user_request.class, user_request.began);
-        user_request.tries += 1;
+        user_request.attempts += 1;
         user_request.ended = served;
         if served && self.now <= began + LATENCY_OBJECTIVE[class] {
             self.count(began, 1);
         } else if !served
-            && self.user_requests[place].tries < MAX_CLIENT_ATTEMPTS
+            && self.user_requests[place].attempts < MAX_CLIENT_ATTEMPTS
             && self.now < began + DEADLINE[class]
         {
-            self.at(self.now + again, Step::Ask(place));
+            self.at(self.now + again, Step::ClientRequest(place));
         }
     }
 
@@ -343,22 +346,22 @@
         request_finished: bool,
     ) {
         let (request, elapsed, load) = (RequestId(request), 0, LoadReport::default());
-        self.tell(
+        self.notify(
             balancer,
             Event::AttemptEnded { request, attempt, outcome, elapsed, request_finished, load },
         );
     }
 
-    /// Whether an attempt is the last of its call, which has not ended.
+    /// Whether an attempt is the last of its request, which has not ended.
     fn is_out(&self, (balancer, request, attempt): AttemptKey) -> bool {
         self.requests
             .get(&(balancer, request))
             .is_some_and(|request| request.to.len() == attempt as usize + 1)
     }
 
-    fn ask(&mut self, place: usize) {
-        let &UserRequest { balancer, class, began, tries, .. } = &self.user_requests[place];
-        if tries == 0 {
+    fn send_client_request(&mut self, place: usize) {
+        let &UserRequest { balancer, class, began, attempts, .. } = &self.user_requests[place];
+        if attempts == 0 {
             self.count(began, 0);
         }
         self.number += 1;
@@ -366,15 +369,15 @@
         let time_left = (began + DEADLINE[class]).saturating_sub(self.now).min(DEADLINE[class] / 2).max(1);
         let until = self.now + time_left;
         self.requests.insert((balancer, request), Request { user_request: place, until, to: Vec::new() });
-        let (request, tenant, client_retry, non_replayable) = (RequestId(request), None, tries > 0, false);
+        let (request, tenant, client_retry, non_replayable) = (RequestId(request), None, attempts > 0, false);
         let class = class_id;
-        self.tell(
+        self.notify(
             balancer,
             Event::RequestReceived { request, class, tenant, time_left, client_retry, non_replayable },
         );
     }
 
-    fn reach(&mut self, attempt: AttemptKey) {
+    fn arrive(&mut self, attempt: AttemptKey) {
         if !self.is_out(attempt) {
             return;
         }
@@ -388,19 +391,19 @@
         }
         let half = self.unit() < 0.5;
         let (now, host) = (self.now, &mut self.endpoints[endpoint]);
-        if host.fails && half {
-            return self.at(now + 2 * MS, Step::Back(attempt, Outcome::Error));
+        if host.is_failing && half {
+            return self.at(now + 2 * MS, Step::Response(attempt, Outcome::Error));
         }
         host.advance(now);
-        if host.held() as f64 >= 6.0 * host.cores {
-            return self.at(now + MS, Step::Back(attempt, Outcome::Rejected));
+        if host.request_count() as f64 >= 6.0 * host.cores {
+            return self.at(now + MS, Step::Response(attempt, Outcome::Rejected));
         }
         host.waiting.push_back((work, attempt));
-        self.go_on(endpoint);
+        self.start_queued_work(endpoint);
     }
 
-    /// Takes up what waits, up to four calls a core, and sets when the next is done.
-    fn go_on(&mut self, place: usize) {
+    /// Starts queued work, up to four requests per core, and sets when the next is done.
+    fn start_queued_work(&mut self, place: usize) {
         let (now, endpoint) = (self.now, &mut self.endpoints[place]);
         while (endpoint.work.len() as f64) < 4.0 * endpoint.cores {
             let Some(work) = endpoint.waiting.pop_front() else { break };
@@ -417,49 +420,50 @@
 
     fn step(&mut self, what: Step) {
         match what {
-            Step::Ask(place) if !self.user_requests[place].ended => self.ask(place),
-            Step::Ask(_) => {}
-            Step::Reach(attempt) => self.reach(attempt),
-            Step::Back(attempt, outcome) if self.is_out(attempt) => {
+            Step::ClientRequest(place) if !self.user_requests[place].ended => self.send_client_request(place),
+            Step::ClientRequest(_) => {}
+            Step::Arrival(attempt) => self.arrive(attempt),
+            Step::Response(attempt, outcome) if self.is_out(attempt) => {
                 if outcome == Outcome::Served {
                     self.end(attempt.0, attempt.1, true);
                 }
                 self.outcome(attempt, outcome, outcome == Outcome::Served);
             }
-            Step::Expire(attempt) if self.is_out(attempt) => {
+            Step::Deadline(attempt) if self.is_out(attempt) => {
                 self.end(attempt.0, attempt.1, false);
                 self.outcome(attempt, Outcome::TimedOut, true);
             }
-            Step::Back(..) | Step::Expire(_) => {}
+            Step::Response(..) | Step::Deadline(_) => {}
             Step::Work(place, turn) if self.endpoints[place].turn == turn && self.endpoints[place].up => {
                 let (now, endpoint) = (self.now, &mut self.endpoints[place]);
                 endpoint.advance(now);
                 let done: Vec<AttemptKey> =
                     endpoint.work.iter().filter(|w| w.0 <= 0.5).map(|w| w.1).collect();
                 endpoint.work.retain(|work| work.0 > 0.5);
-                // It works on for clients that have gone as well.
-                done.into_iter().for_each(|attempt| self.at(now + MS, Step::Back(attempt, Outcome::Served)));
-                self.go_on(place);
+                // It works on for clients that have disconnected as well.
+                done.into_iter()
+                    .for_each(|attempt| self.at(now + MS, Step::Response(attempt, Outcome::Served)));
+                self.start_queued_work(place);
             }
-            Step::Alarm(balancer, number) if self.alarms[balancer] == number => {
-                self.tell(balancer, Event::Timer);
+            Step::Timer(balancer, number) if self.timers[balancer] == number => {
+                self.notify(balancer, Event::Timer);
             }
-            Step::Work(..) | Step::Alarm(..) => {}
-            Step::Cut(cut) => self.cut = cut,
-            Step::Lose => {
+            Step::Work(..) | Step::Timer(..) => {}
+            Step::Partition(is_partitioned) => self.is_partitioned = is_partitioned,
+            Step::LoseZone => {
                 for endpoint in self.endpoints.iter_mut().filter(|endpoint| endpoint.zone == LOST_ZONE) {
                     endpoint.up = false;
                     endpoint.work.clear();
                     endpoint.waiting.clear();
                 }
             }
-            Step::ListGone => self.tell_all(EndpointState::Removed),
-            Step::Return => {
+            Step::ListRemoval => self.notify_all(EndpointState::Removed),
+            Step::ZoneReturns => {
                 let now = self.now;
                 for endpoint in self.endpoints.iter_mut().filter(|endpoint| endpoint.zone == LOST_ZONE) {
                     (endpoint.up, endpoint.started_at, endpoint.at, endpoint.slow) = (true, now, now, false);
                 }
-                self.tell_all(EndpointState::Ready);
+                self.notify_all(EndpointState::Ready);
             }
         }
     }
@@ -475,7 +479,7 @@
         self
     }
 
-    /// The share of requests of some seconds that were answered in time.
+    /// The fraction of the requests of some seconds that were served in time.
     pub(crate) fn in_time(&self, from: usize, to: usize) -> f64 {
         let sum = |what: usize| self.seconds[from..to].iter().map(|second| second[what]).sum::<u32>();
         f64::from(sum(1)) / f64::from(sum(0))
--- a/balancer/tests/models/slow_start_fleet.rs
+++ b/balancer/tests/models/slow_start_fleet.rs
@@ -8,24 +8,24 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
 pub(crate) const SECOND: Micros = 1_000 * MS;
-/// Calls come from here on, and servers start cold.
+/// Requests arrive from here on, and new endpoints start.
 const BEGIN: Micros = 100 * SECOND;
 pub(crate) const START: Micros = BEGIN + 2 * SECOND;
 pub(crate) const SLOW_START_DURATION: Micros = 8 * SECOND;
 const INITIAL_CAPACITY: f64 = 0.1;
 const OVERLOAD_MULTIPLE: f64 = 4.0;
-/// Time in which a cold server falls.
+/// Time in which an overloaded new endpoint fails.
 const OVERLOAD_WINDOW: Micros = 2 * SECOND;
-/// Work of the mean call on one warm core of a server of mean speed; cores.
+/// Work of the mean request on one warm core of an endpoint of mean speed; cores.
 const MEAN_WORK_US: f64 = 50_000.0;
 const CORES: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Restart {
     No,
-    /// Killed twice in the ramp; the next process knows only the list.
+    /// Killed twice during slow start; the next process knows only the list.
     Killed,
-    /// The old process takes calls beside the new one for two seconds.
+    /// The old process takes requests beside the new one for two seconds.
     Upgraded,
 }
 
@@ -33,44 +33,44 @@
 pub(crate) struct Scenario {
     pub(crate) balancer_count: u32,
     pub(crate) warm: u32,
-    pub(crate) cold: u32,
-    /// Coming back under ids that had been warm.
-    pub(crate) back: bool,
-    /// Told by a whole list, cold servers first.
-    pub(crate) whole: bool,
-    /// Calls while the servers are cold, as a multiple of before.
+    pub(crate) warming: u32,
+    /// Returning under ids that had been warm.
+    pub(crate) returning: bool,
+    /// Notified by a full list, new endpoints first.
+    pub(crate) full_list: bool,
+    /// Requests during slow start, as a multiple of before.
     pub(crate) burst: f64,
     pub(crate) uneven: bool,
     pub(crate) restart: Restart,
     /// Over how long the list reaches the balancers.
     pub(crate) spread: Micros,
-    /// Share of the warm servers' capacity that is asked for before.
-    pub(crate) asked: f64,
-    /// Of cold servers when they are warm, beside the mean; until when it is played.
+    /// Fraction of the warm endpoints' capacity that is used before.
+    pub(crate) utilization: f64,
+    /// Of new endpoints when they are warm, relative to the mean; until when the model runs.
     pub(crate) speed: f64,
     pub(crate) until: Micros,
-    /// Weight of the warm ones in the list, beside that of cold ones.
+    /// Weight of the warm ones in the list, relative to that of new ones.
     pub(crate) weight: f64,
-    /// How many calls may wait at a server; it refuses others.
-    pub(crate) waiting: usize,
+    /// How many requests may be queued at an endpoint; it rejects others.
+    pub(crate) queued: usize,
 }
 
-/// A server joins while calls come three times as often.
+/// An endpoint joins while requests arrive three times as often.
 pub(crate) const BURST: Scenario = Scenario {
     balancer_count: 1,
     warm: 100,
-    cold: 1,
-    back: false,
-    whole: false,
+    warming: 1,
+    returning: false,
+    full_list: false,
     burst: 3.0,
     uneven: false,
     restart: Restart::No,
     spread: 500 * MS,
-    asked: 0.5,
+    utilization: 0.5,
     speed: 1.0,
     until: START + SLOW_START_DURATION,
     weight: 1.0,
-    waiting: 3,
+    queued: 3,
 };
 
 /// An attempt, and how it ends.
@@ -85,15 +85,15 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
-    Come,
-    Alarm(usize),
+    RequestArrives,
+    Timer(usize),
     /// A process has done the work of an attempt.
-    Worked(usize, AttemptEnd),
+    WorkDone(usize, AttemptEnd),
     Ended(AttemptEnd),
-    /// Servers start cold.
+    /// New endpoints start.
     Start,
-    /// A balancer is told of it.
-    Tell(usize),
+    /// A balancer is notified of them.
+    Notify(usize),
     /// A balancer is restarted; its old process ends.
     Replace(usize),
     Retire(usize),
@@ -103,8 +103,9 @@
     started_at: Micros,
     speed: f64,
     busy: usize,
-    waiting: VecDeque<(f64, AttemptEnd)>,
-    /// When what came, how much of the mean call's work, and whether its sender had been told of the start.
+    queued: VecDeque<(f64, AttemptEnd)>,
+    /// When each request arrived, how much of the mean request's work it is, and whether its sender
+    /// had been notified of the start.
     sent: Vec<(Micros, f64, bool)>,
     served: f64,
 }
@@ -113,7 +114,7 @@
     balancer: Balancer,
     is_notified: bool,
     alive: bool,
-    /// Until when a client waits for each call, its work and its attempts.
+    /// Until when a client waits for each request, its work and its attempts.
     requests: BTreeMap<u64, (Micros, f64, u32)>,
 }
 
@@ -124,10 +125,10 @@
     next: BinaryHeap<Reverse<(Micros, u64, Step)>>,
     number: u64,
     processes: Vec<Process>,
-    /// By server id.
+    /// By endpoint id.
     at: BTreeMap<u32, usize>,
     nodes: Vec<Node>,
-    /// The processes of each balancer that take calls.
+    /// The processes of each balancer that take requests.
     slots: Vec<Vec<usize>>,
     weights: Vec<f64>,
     begun: bool,
@@ -156,10 +157,10 @@
             weights: Vec::new(),
             begun: false,
         };
-        let there = if scenario.back { scenario.cold + scenario.warm } else { scenario.warm };
+        let there = if scenario.returning { scenario.warming + scenario.warm } else { scenario.warm };
         for id in 0..there {
-            // Cold ids are the lowest.
-            fleet.boot(if scenario.back { id } else { id + scenario.cold }, 0);
+            // New endpoints have the lowest ids.
+            fleet.boot(if scenario.returning { id } else { id + scenario.warming }, 0);
         }
         for slot in 0..scenario.balancer_count as usize {
             let weight = match slot % 6 {
@@ -190,8 +191,8 @@
 
     fn boot(&mut self, id: u32, started_at: Micros) {
         let speed = if started_at > 0 { self.scenario.speed } else { 0.7 + 0.6 * self.unit() };
-        let (busy, waiting, sent) = (0, VecDeque::new(), Vec::new());
-        self.processes.push(Process { started_at, speed, busy, waiting, sent, served: 0.0 });
+        let (busy, queued, sent) = (0, VecDeque::new(), Vec::new());
+        self.processes.push(Process { started_at, speed, busy, queued, sent, served: 0.0 });
         self.at.insert(id, self.processes.len() - 1);
     }
 
@@ -231,7 +232,7 @@
         for action in actions {
             match action {
                 Action::Forward { request, endpoint, .. } => self.send(node, request.0, endpoint.0),
-                Action::SetTimer { after } => self.later(self.now + after, Step::Alarm(node)),
+                Action::SetTimer { after } => self.later(self.now + after, Step::Timer(node)),
                 Action::Reject { request, .. } | Action::Fail { request, .. } => {
                     self.nodes[node].requests.remove(&request.0);
                 }
@@ -245,33 +246,33 @@
     }
 
     fn send(&mut self, node: usize, request: u64, endpoint: u32) {
-        let told = self.nodes[node].is_notified;
-        let held = self.nodes[node].requests.get_mut(&request).expect("a call that is held");
-        let (deadline, work, attempt) = (held.0, held.1, held.2);
-        held.2 += 1;
+        let is_notified = self.nodes[node].is_notified;
+        let open = self.nodes[node].requests.get_mut(&request).expect("a request in flight");
+        let (deadline, work, attempt) = (open.0, open.1, open.2);
+        open.2 += 1;
         let (process, sent) = (self.at[&endpoint], self.now);
         let end = AttemptEnd { node, request, attempt, outcome: Outcome::Served, sent };
         self.later(deadline, Step::Ended(AttemptEnd { outcome: Outcome::TimedOut, ..end }));
-        self.processes[process].sent.push((sent, work, told));
-        if self.processes[process].waiting.len() < self.scenario.waiting {
-            self.processes[process].waiting.push_back((work, end));
+        self.processes[process].sent.push((sent, work, is_notified));
+        if self.processes[process].queued.len() < self.scenario.queued {
+            self.processes[process].queued.push_back((work, end));
             self.work(process);
         } else {
             self.later(sent + MS, Step::Ended(AttemptEnd { outcome: Outcome::Rejected, ..end }));
         }
     }
 
-    /// Idle cores take what waits.
+    /// Idle cores take queued work.
     fn work(&mut self, process: usize) {
         let now = self.now;
         let at = &mut self.processes[process];
         while at.busy < CORES {
-            let Some((work, end)) = at.waiting.pop_front() else { return };
+            let Some((work, end)) = at.queued.pop_front() else { return };
             at.busy += 1;
             at.served += work;
             let time = work * MEAN_WORK_US / at.speed / warm_up(at.started_at, now);
             self.number += 1;
-            self.next.push(Reverse((now + time as Micros, self.number, Step::Worked(process, end))));
+            self.next.push(Reverse((now + time as Micros, self.number, Step::WorkDone(process, end))));
         }
     }
 
@@ -291,18 +292,18 @@
         );
     }
 
-    /// The time to the next call of all, at the rate of now.
+    /// The time to the next request of all, at the present rate.
     fn gap(&mut self) -> Micros {
         let scenario = self.scenario;
-        let there = scenario.warm + if scenario.back { scenario.cold } else { 0 };
+        let there = scenario.warm + if scenario.returning { scenario.warming } else { 0 };
         let burst = if self.now >= START { scenario.burst } else { 1.0 };
-        let rate = scenario.asked * burst * f64::from(there) * CORES as f64 / MEAN_WORK_US;
+        let rate = scenario.utilization * burst * f64::from(there) * CORES as f64 / MEAN_WORK_US;
         (-(1.0 - self.unit()).ln() / rate) as Micros
     }
 
-    fn come(&mut self) {
+    fn receive_request(&mut self) {
         let gap = self.gap();
-        self.later(self.now + gap, Step::Come);
+        self.later(self.now + gap, Step::RequestArrives);
         let mut place = self.unit() * self.weights.iter().sum::<f64>();
         let slot = self.weights.iter().position(|w| {
             place -= w;
@@ -310,7 +311,7 @@
         });
         let taking = &self.slots[slot.unwrap_or(0)];
         let node = taking[self.number as usize % taking.len()];
-        // One call in five is nine times the work of another: 0.385 and 3.46 of the mean.
+        // One request in five is nine times the work of another: 0.385 and 3.46 of the mean.
         let work = if self.unit() < 0.2 { 3.46 } else { 0.385 };
         self.number += 1;
         let request = self.number;
@@ -332,14 +333,14 @@
 
     fn start(&mut self) {
         let scenario = self.scenario;
-        for id in 0..scenario.cold {
+        for id in 0..scenario.warming {
             let old = self.at.get(&id).copied();
             self.boot(id, self.now);
-            // Step the old process held is reset.
+            // What the old process had queued is reset.
             if let Some(old) = old {
-                let held: Vec<AttemptEnd> = self.processes[old].waiting.drain(..).map(|w| w.1).collect();
+                let open: Vec<AttemptEnd> = self.processes[old].queued.drain(..).map(|w| w.1).collect();
                 let sent = self.now;
-                held.into_iter().for_each(|end| {
+                open.into_iter().for_each(|end| {
                     self.later(sent, Step::Ended(AttemptEnd { outcome: Outcome::Reset, ..end }))
                 });
             }
@@ -348,7 +349,7 @@
         for slot in 0..self.slots.len() {
             let node = self.slots[slot][0];
             let at = self.now + self.within(scenario.spread);
-            self.later(at, Step::Tell(node));
+            self.later(at, Step::Notify(node));
             for part in 0..2 {
                 let at = self.now + part * 2 * SECOND + self.within(2 * SECOND);
                 if scenario.restart == Restart::Killed || (scenario.restart == Restart::Upgraded && part == 0)
@@ -359,14 +360,14 @@
         }
     }
 
-    fn tell(&mut self, node: usize) {
+    fn notify(&mut self, node: usize) {
         if self.nodes[node].is_notified {
             return;
         }
         self.nodes[node].is_notified = true;
         let mut entries = self.entries();
         let mut kind = ListUpdate::Full;
-        if !self.scenario.whole {
+        if !self.scenario.full_list {
             kind = ListUpdate::Delta;
             entries.retain(|e| e.started_at > 0);
         }
@@ -387,7 +388,7 @@
 
     pub(crate) fn run(mut self) -> Fleet {
         let gap = self.gap();
-        self.later(self.now + gap, Step::Come);
+        self.later(self.now + gap, Step::RequestArrives);
         self.later(START, Step::Start);
         while let Some(Reverse((at, _, what))) = self.next.pop() {
             if at >= self.scenario.until {
@@ -395,20 +396,20 @@
             }
             self.now = at;
             match what {
-                Step::Come => self.come(),
-                Step::Alarm(node) if self.nodes[node].alive => self.event(node, Event::Timer),
-                Step::Alarm(_) => {}
-                Step::Worked(process, end) => {
+                Step::RequestArrives => self.receive_request(),
+                Step::Timer(node) if self.nodes[node].alive => self.event(node, Event::Timer),
+                Step::Timer(_) => {}
+                Step::WorkDone(process, end) => {
                     self.processes[process].busy -= 1;
                     self.work(process);
                     self.ended(end);
                 }
                 Step::Ended(end) => self.ended(end),
                 Step::Start => self.start(),
-                Step::Tell(node) => self.tell(node),
+                Step::Notify(node) => self.notify(node),
                 Step::Replace(slot) => self.replace(slot),
                 Step::Retire(slot) => {
-                    // The last of its calls end by themselves.
+                    // The last of its requests end by themselves.
                     self.slots[slot].remove(0);
                 }
             }
@@ -416,9 +417,9 @@
         self
     }
 
-    /// The most that one cold server was sent by balancers that had been told, over what the rule allows; and what
-    /// all cold servers were sent, over what they could do.
-    pub(crate) fn figures(&self) -> (f64, f64) {
+    /// The most that one new endpoint was sent by balancers that had been notified, over what
+    /// overloads it; and what all new endpoints were sent, over what they could do.
+    pub(crate) fn load_and_use(&self) -> (f64, f64) {
         let (mut worst, mut given, mut could) = (0.0_f64, 0.0, 0.0);
         let rate = CORES as f64 / MEAN_WORK_US * self.scenario.speed;
         let played = self.scenario.until - START;
--- a/balancer/tests/outlier_detection.rs
+++ b/balancer/tests/outlier_detection.rs
@@ -21,34 +21,36 @@
     let (trial, actions) = proxy.request();
     assert_eq!(forwarded(&actions), [(trial, broken)]);
     let (second, actions) = proxy.request();
-    assert_eq!(forwarded(&actions)[0].1, other, "one call only");
+    assert_eq!(forwarded(&actions)[0].1, other, "one request only");
     proxy.end_attempt(second, 0, Outcome::Served, MS);
     proxy.now += MS;
     proxy.end_attempt(trial, 0, Outcome::Served, MS);
     let mut used: Vec<EndpointId> = (0..12).filter_map(|_| proxy.serve_request(MS)).collect();
     used.sort();
     used.dedup();
-    assert_eq!(used.len(), 2, "taken back");
+    assert_eq!(used.len(), 2, "readmitted");
 }
 
 #[test]
 fn with_every_endpoint_ejected_requests_are_rejected_with_retry_after() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
-    // A reset takes a step each; half of two may be set aside, so the list is cut to the broken one.
+    // A reset takes a step each; at most half of two may be ejected, so the list is cut to the
+    // broken one.
     let (request, actions) = proxy.request();
     let broken = forwarded(&actions)[0].1;
     proxy.now += MS;
     proxy.end_attempt(request, 0, Outcome::Reset, MS);
     proxy.update_list(ListUpdate::Full, vec![ready(broken.0)]);
     let (request, actions) = proxy.request();
-    let advice = actions.iter().find_map(|a| match a {
+    let retry_after = actions.iter().find_map(|a| match a {
         Action::Reject { request: id, retry_after, .. } if *id == request => Some(*retry_after),
         _ => None,
     });
-    assert!(advice.is_some_and(|a| a > 0), "{actions:?}");
+    assert!(retry_after.is_some_and(|a| a > 0), "{actions:?}");
 }
 
-/// Operators are told of servers that get nothing now: one that is set aside, until its backoff is over.
+/// Operators see the number of endpoints that get nothing now: one that is ejected, until its
+/// backoff is over.
 #[test]
 fn an_ejected_endpoint_is_avoided_until_it_may_be_tried() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
@@ -66,7 +68,7 @@
             return;
         }
     }
-    panic!("the failing server is never set aside");
+    panic!("the failing endpoint is never ejected");
 }
 
 #[test]
@@ -83,7 +85,8 @@
     assert!(errors <= 4, "{errors}");
 }
 
-/// Requests that any server finds unusable say nothing of the servers: a bad client must not set good ones aside.
+/// Requests that any endpoint finds invalid say nothing of the endpoints: a bad client must not
+/// have good ones ejected.
 #[test]
 fn invalid_requests_eject_no_endpoint_and_are_not_retried() {
     for idempotency in [Idempotency::NonIdempotent, Idempotency::Idempotent] {
@@ -95,13 +98,14 @@
             let actions = proxy.end_attempt(request, 0, Outcome::Invalid, 2 * MS);
             assert!(failed(&actions, request) && forwarded(&actions).is_empty(), "{actions:?}");
         }
-        let aside = |action: &Action| matches!(action, Action::Log(LogEvent::EndpointEjected(_)));
-        assert!(!proxy.actions.iter().any(aside));
+        let is_ejection = |action: &Action| matches!(action, Action::Log(LogEvent::EndpointEjected(_)));
+        assert!(!proxy.actions.iter().any(is_ejection));
     }
 }
 
-/// Connections break now and then at any server. One that breaks must not set aside a server that answers others,
-/// and a kept one that was closed earlier says nothing of its server at all.
+/// Connections break now and then at any endpoint. One that breaks must not eject an endpoint that
+/// serves others, and an idle connection that was closed earlier says nothing of its endpoint at
+/// all.
 #[test]
 fn connections_that_break_now_and_then_eject_no_endpoint() {
     for (outcome, every) in [(Outcome::Reset, 12), (Outcome::Stale, 3)] {
@@ -114,20 +118,24 @@
             let end = if *count % every == 0 { outcome } else { Outcome::Served };
             proxy.now += 2 * MS;
             let actions = proxy.end_attempt(request, 0, end, 2 * MS);
-            assert_eq!(failed(&actions, request), end == outcome, "it may have run: it is not sent again");
+            assert_eq!(
+                failed(&actions, request),
+                end == outcome,
+                "it may have been executed: it is not retried"
+            );
         }
-        let aside = |action: &Action| matches!(action, Action::Log(LogEvent::EndpointEjected(_)));
-        assert!(!proxy.actions.iter().any(aside), "{outcome:?}");
+        let is_ejection = |action: &Action| matches!(action, Action::Log(LogEvent::EndpointEjected(_)));
+        assert!(!proxy.actions.iter().any(is_ejection), "{outcome:?}");
     }
 }
 
-/// Spoilt answers come from any server now and then: two close together are no reason to leave one out, but a
-/// server that spoils most must not draw calls by being quick.
+/// Malformed responses occur at any endpoint now and then: two in a row are no reason to eject it,
+/// but an endpoint whose responses mostly are must not attract requests by being fast.
 #[test]
 fn an_endpoint_is_ejected_for_many_malformed_responses_not_for_two() {
     for (every, least, most) in [(10, 8, 400), (1, 1, 8)] {
         let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
-        let (mut spoilt, mut at) = (0, 0);
+        let (mut malformed, mut at) = (0, 0);
         for _ in 0..400 {
             let (request, actions) = proxy.request();
             let mut end = Outcome::Served;
@@ -135,20 +143,20 @@
                 at += 1;
                 // Two in a row, and then good ones.
                 if at % (2 * every) < 2 {
-                    (spoilt, end) = (spoilt + 1, Outcome::Unknown);
+                    (malformed, end) = (malformed + 1, Outcome::Unknown);
                 }
             }
             proxy.now += 2 * MS;
             proxy.end_attempt(request, 0, end, 2 * MS);
         }
-        assert!((least..=most).contains(&spoilt), "every {every}: {spoilt} of {at}");
+        assert!((least..=most).contains(&malformed), "every {every}: {malformed} of {at}");
     }
 }
 
 #[test]
 fn one_success_does_not_readmit_an_endpoint_that_fails_most() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
-    let mut to_bad = 0;
+    let mut to_failing = 0;
     for round in 0..400 {
         let (request, actions) = proxy.request();
         let mut at = forwarded(&actions).first().map(|s| s.1);
@@ -156,8 +164,8 @@
         let mut attempt = 0;
         while let Some(endpoint) = at {
             let bad = endpoint == EndpointId(1);
-            to_bad += usize::from(bad);
-            let end = if bad && to_bad % 3 != 0 { Outcome::Error } else { Outcome::Served };
+            to_failing += usize::from(bad);
+            let end = if bad && to_failing % 3 != 0 { Outcome::Error } else { Outcome::Served };
             at = forwarded(&proxy.end_attempt(request, attempt, end, 5 * MS))
                 .iter()
                 .find(|s| s.0 == request)
@@ -166,7 +174,7 @@
         }
         assert!(round < 400);
     }
-    assert!(to_bad <= 40, "a healthy one would get 100 or more: {to_bad}");
+    assert!(to_failing <= 40, "a healthy one would get 100 or more: {to_failing}");
 }
 
 #[test]
@@ -174,7 +182,7 @@
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 6);
     for _ in 0..100 {
         let (request, actions) = proxy.request();
-        assert_eq!(forwarded(&actions).len(), 1, "half of the fleet still takes calls");
+        assert_eq!(forwarded(&actions).len(), 1, "half of the fleet still takes requests");
         proxy.now += 2 * MS;
         proxy.end_attempt(request, 0, Outcome::Error, 2 * MS);
     }
@@ -188,7 +196,7 @@
     }
     let mut to_full = 0;
     for _ in 0..20 {
-        // Two ms a round: 40 ms in all, one usual time.
+        // Two ms a round: 40 ms in all, one typical latency.
         let (request, actions) = proxy.request();
         let mut at = forwarded(&actions).first().map(|s| s.1);
         proxy.now += 2 * MS;
@@ -212,7 +220,7 @@
     let mut proxy = Proxy::new(Settings { balancer_count: 1, ..settings(Idempotency::NonIdempotent) }, 3);
     let mut log = Vec::new();
     for _ in 0..30 {
-        // Of the calls at each server the first is answered and the others time out.
+        // Of the requests at each endpoint the first is served and the others time out.
         let requests: Vec<(RequestId, Vec<Action>)> = (0..9).map(|_| proxy.request()).collect();
         let at = |i: usize| forwarded(&requests[i].1).first().map(|s| s.1);
         let first = |i: usize| (0..i).all(|j| at(j) != at(i));
@@ -228,8 +236,8 @@
     }
     let failures = log.iter().filter(|a| matches!(a, Action::Fail { .. })).count();
     assert!(failures > 20, "too few timed out to tell: {failures}");
-    let aside = log.iter().filter(|a| matches!(a, Action::Log(LogEvent::EndpointEjected(_)))).count();
-    assert_eq!(aside, 0, "slow, not gone");
+    let is_ejection = log.iter().filter(|a| matches!(a, Action::Log(LogEvent::EndpointEjected(_)))).count();
+    assert_eq!(is_ejection, 0, "slow, not gone");
 }
 
 #[test]
@@ -241,13 +249,14 @@
     for request in requests {
         proxy.end_attempt(request, 0, Outcome::Reset, 5 * MS);
     }
-    let aside = |a: &Action| matches!(a, Action::Log(LogEvent::EndpointEjected(_)));
-    assert!(!proxy.actions.iter().any(aside), "the new process has failed nothing");
+    let is_ejection = |a: &Action| matches!(a, Action::Log(LogEvent::EndpointEjected(_)));
+    assert!(!proxy.actions.iter().any(is_ejection), "the new process has failed nothing");
 }
 
 #[test]
 fn a_failing_endpoint_is_tried_by_a_part_of_its_requests_however_slowly_they_arrive() {
-    // A call a second, so that most come past a backoff by time: a thousand such balancers would give it no rest.
+    // A request per second, so that most arrive after a backoff by time: a thousand such balancers
+    // would never leave it alone.
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy =
         Proxy::new(Settings { balancer_count: 1_000, limits, ..settings(Idempotency::Idempotent) }, 8);
@@ -261,10 +270,10 @@
         proxy.now += 20 * MS;
         proxy.end_attempt(request, 0, if bad { Outcome::Rejected } else { Outcome::Served }, 20 * MS);
     }
-    assert!(tried < 25, "an eighth of 200 is its usual part: {tried}");
+    assert!(tried < 25, "an eighth of 200 is its normal part: {tried}");
 }
 
-/// Clients may leave less time than answers take. Their time-outs come back whatever the servers do.
+/// Clients may wait for less than responses take. They time out whatever the endpoints do.
 #[test]
 fn timeouts_of_clients_with_short_deadlines_eject_no_endpoint() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
@@ -287,11 +296,12 @@
             proxy.end_attempt(request, 0, Outcome::TimedOut, time_left);
         }
     }
-    let aside = |a: &&Action| matches!(a, Action::Log(LogEvent::EndpointEjected(_)));
-    assert_eq!(proxy.actions.iter().find(aside), None);
+    let is_ejection = |a: &&Action| matches!(a, Action::Log(LogEvent::EndpointEjected(_)));
+    assert_eq!(proxy.actions.iter().find(is_ejection), None);
 }
 
-/// A server may turn one class away and serve the others. Taken for a full one, it was set aside for all.
+/// An endpoint may reject one class and serve the others. It is not full then, and must not be
+/// ejected for all.
 #[test]
 fn an_endpoint_that_rejects_one_class_keeps_serving_the_others() {
     let mut config = settings(Idempotency::Idempotent);
@@ -313,15 +323,16 @@
             attempt += 1;
         }
     }
-    let aside = |a: &&Action| matches!(a, Action::Log(LogEvent::EndpointEjected(_)));
-    assert_eq!(proxy.actions.iter().find(aside), None);
-    assert!(count[0] >= 25 && count[1] <= 10, "of 200 calls each: {count:?}");
+    let is_ejection = |a: &&Action| matches!(a, Action::Log(LogEvent::EndpointEjected(_)));
+    assert_eq!(proxy.actions.iter().find(is_ejection), None);
+    assert!(count[0] >= 25 && count[1] <= 10, "of 200 requests each: {count:?}");
 }
 
-/// A hundred balancers that each wait for a second sign keep a jammed server busy with calls that come too late.
+/// A hundred balancers that each wait for a second timeout would keep an overloaded endpoint
+/// overloaded with requests that arrive too late.
 #[test]
 fn one_timeout_ejects_an_endpoint_under_a_shared_limit() {
-    // Its client waits for less than some answers take, or for long.
+    // Its client waits for less than some responses take, or for long.
     for late in [200 * MS, 600 * MS] {
         let settings = Settings { balancer_count: 100, ..settings(Idempotency::Idempotent) };
         let mut proxy = Proxy::new(settings, 24);
@@ -331,7 +342,7 @@
             proxy.advance(300 * MS);
         }
         let out: Vec<(RequestId, EndpointId)> = (0..40).flat_map(|_| forwarded(&proxy.request().1)).collect();
-        let (lost, jammed) = out[0];
+        let (lost, overloaded) = out[0];
         let mut next = Vec::new();
         proxy.now += 40 * MS;
         for (request, _) in &out[1..] {
@@ -349,12 +360,13 @@
             load,
         });
         let to: Vec<(RequestId, EndpointId)> = (0..40).flat_map(|_| forwarded(&proxy.request().1)).collect();
-        assert!(to.len() >= 20, "all others have room: {}", to.len());
-        assert!(to.iter().all(|(_, endpoint)| *endpoint != jammed), "after {late} us it is called again");
+        assert!(to.len() >= 20, "all others have capacity: {}", to.len());
+        assert!(to.iter().all(|(_, endpoint)| *endpoint != overloaded), "after {late} us it is used again");
     }
 }
 
-/// A quarter of the servers answer nothing. What all balancers try them with must be a small part of their share.
+/// A quarter of the endpoints are silent. All balancers together must try them with only a small
+/// part of their requests.
 #[test]
 fn silent_endpoints_are_tried_with_few_requests_by_all_balancers_together() {
     let (mut lost, mut all) = (0, 0);
@@ -387,5 +399,5 @@
             }
         }
     }
-    assert!(lost * 20 < all, "{lost} of {all} calls went to servers that answer nothing");
+    assert!(lost * 20 < all, "{lost} of {all} requests went to endpoints that are silent");
 }
--- a/balancer/tests/random_sequences.rs
+++ b/balancer/tests/random_sequences.rs
@@ -94,7 +94,7 @@
             }
             8 if step % 31 == 0 => proxy.update_list(ListUpdate::PollFailed, vec![]),
             _ => {
-                // Deadlines first, as the proxy's clock would bring them.
+                // Deadlines first, as the proxy's clock would have them.
                 let mut all = Vec::new();
                 let due: Vec<RequestId> = requests
                     .iter()
@@ -119,7 +119,7 @@
         };
         check(&actions, &mut requests, &list, &known, &classes, hedging, proxy.now);
     }
-    // All is answered in the end.
+    // All are answered in the end.
     for _ in 0..3 {
         proxy.now += 700 * MS;
         let actions = proxy.handle(Event::Timer);
@@ -138,10 +138,7 @@
     let lost: Vec<_> = requests.iter().filter(|c| !c.1.ended).map(|c| *c.0).collect();
     assert!(lost.is_empty(), "seed {seed}: never ended {lost:?}");
     let forwarded = requests.values().filter(|c| !c.attempts.is_empty()).count();
-    assert!(
-        forwarded > 100,
-        "seed {seed}: a day with too little work to tell anything, {forwarded} calls sent"
-    );
+    assert!(forwarded > 100, "seed {seed}: a sequence with too few requests, {forwarded} requests sent");
 }
 
 fn check(
@@ -156,18 +153,18 @@
     for action in actions {
         match *action {
             Action::Forward { request, endpoint, .. } => {
-                let seen = requests.get_mut(&request).expect("a call that came in");
+                let seen = requests.get_mut(&request).expect("a request that arrived");
                 assert!(!seen.ended, "sent after its end");
                 assert!(
                     known.contains(&endpoint) && list[&endpoint] == EndpointState::Ready,
-                    "sent to one not ready"
+                    "sent to one that is not ready"
                 );
                 assert!(seen.attempts.len() < 4, "more attempts than allowed");
                 let out = seen.attempts.iter().filter(|a| a.1.is_none()).count();
                 assert!(out == 0 || hedging && out == 1);
                 let first = seen.attempts.iter().find(|a| a.1.is_none_or(|o| !o.never_ran()));
                 match (classes[seen.class].idempotency, first) {
-                    (Idempotency::NonIdempotent, Some(_)) => panic!("an unsafe call went again"),
+                    (Idempotency::NonIdempotent, Some(_)) => panic!("a non-idempotent request was retried"),
                     (Idempotency::Keyed { scope, window }, Some(first)) => {
                         assert!(
                             scope == DeduplicationScope::All || first.0 .0 % 2 == endpoint.0 % 2,
@@ -180,17 +177,17 @@
                 seen.attempts.push((endpoint, None, now));
             }
             Action::Reject { request, .. } => {
-                let seen = requests.get_mut(&request).expect("a call that came in");
+                let seen = requests.get_mut(&request).expect("a request that arrived");
                 assert!(!std::mem::replace(&mut seen.ended, true), "ended twice");
-                let proven = seen.attempts.iter().all(|a| a.1.is_some_and(Outcome::never_ran));
-                let harmless = matches!(
+                let never_executed = seen.attempts.iter().all(|a| a.1.is_some_and(Outcome::never_ran));
+                let is_repeatable = matches!(
                     classes[seen.class].idempotency,
                     Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. }
                 );
-                assert!(proven || harmless, "refused though it may have run");
+                assert!(never_executed || is_repeatable, "rejected though it may have been executed");
             }
             Action::Fail { request, .. } => {
-                let seen = requests.get_mut(&request).expect("a call that came in");
+                let seen = requests.get_mut(&request).expect("a request that arrived");
                 assert!(!std::mem::replace(&mut seen.ended, true), "ended twice");
             }
             Action::CancelAttempt { request, attempt } => {
--- a/balancer/tests/request_outcomes.rs
+++ b/balancer/tests/request_outcomes.rs
@@ -1,4 +1,5 @@
-//! The four rules, and the failures that were met: each test fails without the code that answers it.
+//! Each request is answered in time, none is executed twice, and none is sent to an endpoint that
+//! has left; queues and timers are bounded.
 
 mod common;
 use balancer::*;
@@ -10,7 +11,7 @@
     (1..=4).map(|i| EndpointEntry { cell: CellId(i % 2), zone: ZoneId(i % 2), ..ready(i) }).collect()
 }
 
-// No lost request.
+// Each request is answered.
 
 #[test]
 fn queued_requests_are_answered_before_their_client_stops_waiting() {
@@ -23,7 +24,7 @@
                 actions
                     .iter()
                     .find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
-            actions = proxy.advance(after.expect("a timer for the held call"));
+            actions = proxy.advance(after.expect("a timer for the queued request"));
         }
         assert!(proxy.now < 1_000_000 + 1_200 * MS);
     }
@@ -44,7 +45,8 @@
     }
 }
 
-/// A proxy that ends takes its held calls with it: they get their answers before, whatever their clients' time.
+/// A proxy that shuts down answers its queued requests before, however long their clients would
+/// wait.
 #[test]
 fn queued_requests_are_answered_before_the_shutdown_ends() {
     for late_weight_fraction in [0.0, 0.5] {
@@ -59,13 +61,13 @@
                 actions
                     .iter()
                     .find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
-            actions = proxy.advance(after.expect("a timer for the held call"));
+            actions = proxy.advance(after.expect("a timer for the queued request"));
         }
         assert!(proxy.now < 1_000_000 + 100 * MS);
     }
 }
 
-// No duplicated effect.
+// No request is executed twice.
 
 const FAILED_OUTCOMES: [Outcome; 8] = [
     Outcome::Error,
@@ -98,8 +100,8 @@
                 proxy.now += MS;
                 let actions = proxy.end_attempt(request, 0, first, MS);
                 let again = forwarded(&actions);
-                let proven = first.never_ran();
-                if idempotency == Idempotency::NonIdempotent && !proven {
+                let never_executed = first.never_ran();
+                if idempotency == Idempotency::NonIdempotent && !never_executed {
                     assert!(again.is_empty() && failed(&actions, request), "{first:?}");
                     continue;
                 }
@@ -108,21 +110,26 @@
                     idempotency,
                     Idempotency::Keyed { scope: DeduplicationScope::Zone | DeduplicationScope::Cell, .. }
                 );
-                if bound && !proven {
+                if bound && !never_executed {
                     assert_eq!(again[0].1 .0 % 2, home.0 % 2, "stays with its group");
                 }
-                // The second attempt's end, then the last chance gone: refused only where harmless.
+                // The second attempt's end, when no other is possible: rejected only where that is
+                // harmless.
                 proxy.now += 450 * MS;
                 let actions = proxy.end_attempt(request, 1, second, MS);
-                let harmless = match idempotency {
+                let is_repeatable = match idempotency {
                     Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => {
                         true
                     }
-                    _ => proven && second.never_ran(),
+                    _ => never_executed && second.never_ran(),
                 };
                 assert!(forwarded(&actions).is_empty(), "too late to be in time");
-                assert_eq!(rejected(&actions, request), harmless, "{idempotency:?} {first:?} {second:?}");
-                assert_eq!(failed(&actions, request), !harmless);
+                assert_eq!(
+                    rejected(&actions, request),
+                    is_repeatable,
+                    "{idempotency:?} {first:?} {second:?}"
+                );
+                assert_eq!(failed(&actions, request), !is_repeatable);
             }
         }
     }
@@ -138,26 +145,27 @@
     assert!(forwarded(&actions).is_empty() && failed(&actions, request));
 }
 
-/// A repeat that waits for a place gets its final answer as soon as it can go nowhere any more.
+/// A queued retry gets its final answer as soon as it may be sent nowhere any more.
 #[test]
 fn a_queued_retry_is_answered_at_the_end_of_its_window() {
     let window = 100 * MS;
     let mut proxy = Proxy::new(settings(Idempotency::Keyed { scope: DeduplicationScope::Cell, window }), 1);
     let (start, (request, _), (trial, more)) = (proxy.now, proxy.request(), proxy.request());
-    assert_eq!(forwarded(&more).len(), 1, "it takes the place that the other will want back");
+    assert_eq!(forwarded(&more).len(), 1, "it takes the capacity that the other will need");
     proxy.now += 10 * MS;
     let mut actions = proxy.end_attempt(request, 0, Outcome::Error, 10 * MS);
     while !failed(&actions, request) {
         assert!(forwarded(&actions).is_empty());
         let after =
             actions.iter().find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
-        actions = proxy.advance(after.expect("a timer for the held call"));
+        actions = proxy.advance(after.expect("a timer for the queued request"));
     }
     assert_eq!(proxy.now, start + window);
     assert!(forwarded(&proxy.end_attempt(trial, 0, Outcome::Served, window)).is_empty());
 }
 
-/// A repeat's connection may take long to come up: the window bounds its first byte, not its choice.
+/// A retry's connection may take long to be established: the window bounds its first byte, not its
+/// selection.
 #[test]
 fn a_retry_may_start_within_what_is_left_of_its_window() {
     let scope = DeduplicationScope::Cell;
@@ -178,7 +186,7 @@
     }
 }
 
-// Safe drain.
+// Nothing is sent to endpoints that drain.
 
 #[test]
 fn nothing_is_forwarded_to_a_draining_or_removed_endpoint_also_after_a_cached_list() {
@@ -195,13 +203,11 @@
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     proxy.update_list(ListUpdate::Full, vec![ready(2)]);
     for _ in 0..50 {
-        assert_eq!(proxy.serve_request(MS), Some(EndpointId(2)), "what a full list leaves out is gone");
+        assert_eq!(proxy.serve_request(MS), Some(EndpointId(2)), "what a full list omits is removed");
     }
 }
 
-// Safe fail-back.
-
-// Failures that were met.
+// Queues and timers.
 
 #[test]
 fn time_in_the_queue_is_bounded_so_that_not_all_are_served_late() {
@@ -212,7 +218,7 @@
         let (request, actions) = proxy.request();
         early += usize::from(rejected(&actions, request));
     }
-    assert!(early > 20, "calls that would wait too long are refused as they come: {early}");
+    assert!(early > 20, "requests that would wait too long are rejected as they arrive: {early}");
 }
 
 #[test]
@@ -220,7 +226,7 @@
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
     (0..50).for_each(|_| drop(proxy.request()));
     let mut due = std::collections::BinaryHeap::new();
-    let (mut alarms, mut seen) = (0, 0);
+    let (mut timers, mut seen) = (0, 0);
     loop {
         for action in &proxy.actions[seen..] {
             if let Action::SetTimer { after } = action {
@@ -231,7 +237,7 @@
         let Some(std::cmp::Reverse(at)) = due.pop() else { break };
         proxy.now = proxy.now.max(at);
         proxy.handle(Event::Timer);
-        alarms += 1;
-        assert!(alarms < 1_000, "50 calls end within a second");
+        timers += 1;
+        assert!(timers < 1_000, "50 requests end within a second");
     }
 }
--- a/balancer/tests/shared_limit.rs
+++ b/balancer/tests/shared_limit.rs
@@ -1,4 +1,5 @@
-//! One of about a hundred balancers before about sixty servers: each carries little, a few carry much.
+//! The concurrency limit that all endpoints share for one of very many balancers: most forward few
+//! requests, a few forward many.
 
 mod common;
 use balancer::*;
@@ -14,11 +15,11 @@
     serve_forwarded(&mut proxy, out, 400 * MS);
     proxy.advance(300 * MS);
     let left = request_burst(&mut proxy, 40).len();
-    assert!((before / 2 - 2..before).contains(&left), "{left} of {before} after one jam");
+    assert!((before / 2 - 2..before).contains(&left), "{left} of {before} after one overload");
 }
 
-/// A call comes every 5 ms for `steps` of them; each is served after what `time` says of it. Tells how many were
-/// sent on.
+/// A request arrives every 5 ms for `steps` of them; each is served after `time` of its number.
+/// Returns how many were forwarded.
 fn serve_stream(proxy: &mut Proxy, steps: u64, time: impl Fn(u64) -> Micros) -> usize {
     let mut due = std::collections::BTreeMap::new();
     let mut went = 0;
@@ -43,18 +44,18 @@
 #[test]
 fn quick_first_responses_do_not_make_typical_ones_look_late() {
     let mut proxy = one_of_many();
-    // Every second call takes twenty times as long: an answer in that time is as usual as can be.
+    // Every second request takes twenty times as long: a response in that time is typical.
     let time = |request: u64| if request.is_multiple_of(2) { 10 * MS } else { 200 * MS };
     serve_stream(&mut proxy, 1_000, time);
     let went = serve_stream(&mut proxy, 1_000, time);
-    assert!(went > 900, "nothing is late, yet only {went} of 1000 were sent on");
+    assert!(went > 900, "nothing is late, yet only {went} of 1000 were forwarded");
 }
 
 #[test]
 fn endpoints_that_reject_do_not_lower_the_shared_limit() {
     let mut proxy = one_of_many();
     raise_shared_limit(&mut proxy);
-    // Half of the servers drain and the list has not said so yet.
+    // Half of the endpoints drain and the list does not say so yet.
     let out: Vec<(RequestId, EndpointId)> = (0..40).flat_map(|_| forwarded(&proxy.request().1)).collect();
     let before = out.len();
     let mut out: Vec<(RequestId, u32, EndpointId)> =
@@ -67,7 +68,7 @@
     }
     proxy.advance(3_000 * MS);
     let left = request_burst(&mut proxy, 40).len();
-    assert!(left + 4 >= before, "{left} of {before} after refusals, though no answer was late");
+    assert!(left + 4 >= before, "{left} of {before} after rejections, though no response was late");
 }
 
 #[test]
@@ -80,17 +81,18 @@
     serve_forwarded(&mut proxy, late.to_vec(), 300 * MS);
     proxy.advance(300 * MS);
     let left = request_burst(&mut proxy, 40).len();
-    assert!(left >= before.len(), "{left} of {} after six late answers", before.len());
+    assert!(left >= before.len(), "{left} of {} after six late responses", before.len());
 }
 
-/// One of three hundred before two hundred servers, whose calls are all of one class with this aim.
+/// One of three hundred with two hundred endpoints, whose requests are all of one class with this
+/// latency objective.
 fn one_of_hundreds(latency_objective: Micros) -> Proxy {
     let mut settings = Settings { balancer_count: 300, ..settings(Idempotency::Idempotent) };
     settings.classes[0].latency_objective = latency_objective;
     Proxy::new(settings, 200)
 }
 
-/// In the middle of a release most of them may start at once.
+/// During a release most balancers may start at once.
 #[test]
 fn a_new_balancer_begins_with_a_request_per_core_and_soon_takes_more() {
     let mut proxy = one_of_hundreds(500 * MS);
@@ -107,7 +109,8 @@
     assert!(then >= 2 * first, "{then} after two seconds, {first} at first");
 }
 
-/// Thirty answers of its own would take it four seconds, in a jam that all others feed as well.
+/// Thirty responses of its own would take it four seconds, in an overload that all others cause as
+/// well.
 #[test]
 fn a_balancer_of_few_requests_reacts_to_overload_within_two_seconds() {
     let mut proxy = one_of_hundreds(500 * MS);
@@ -121,17 +124,18 @@
         out.extend(request_burst(&mut proxy, 1));
         proxy.now += 100 * MS;
         if out.len() == 2 {
-            let oldest = out.pop_front().expect("two are out");
+            let oldest = out.pop_front().expect("two are in flight");
             proxy.end_attempt(oldest, 0, Outcome::Served, 200 * MS);
         }
     }
     serve_forwarded(&mut proxy, out.into(), 100 * MS);
     proxy.advance(300 * MS);
     let left = request_burst(&mut proxy, 40).len();
-    assert!(4 * left <= 3 * before, "{left} of {before} after two seconds of late answers");
+    assert!(4 * left <= 3 * before, "{left} of {before} after two seconds of late responses");
 }
 
-/// Servers of two cores that are nearly three fifths busy take half as long again: where the aim is near that is no jam.
+/// Endpoints of two cores that are nearly three fifths busy take half as long again: with a tight
+/// objective that is no overload.
 #[test]
 fn a_tight_objective_does_not_make_a_busy_fleet_look_overloaded() {
     let mut proxy = one_of_hundreds(100 * MS);
@@ -139,10 +143,10 @@
     serve_stream(&mut proxy, 1_000, alone);
     let busy = |request: u64| (50 + 5 * (request % 5)) * MS;
     let went = serve_stream(&mut proxy, 1_000, busy);
-    assert!(went > 900, "{went} of 1000 were sent on");
+    assert!(went > 900, "{went} of 1000 were forwarded");
 }
 
-/// A handful of calls that met servers which answer nothing are no sign of the others.
+/// A handful of requests to silent endpoints say nothing of the others.
 #[test]
 fn a_few_timeouts_do_not_cut_the_shared_limit() {
     let mut proxy = one_of_many();
@@ -157,10 +161,11 @@
     }
     proxy.advance(300 * MS);
     let left = request_burst(&mut proxy, 40).len();
-    assert!(left >= before, "{left} of {before} after four calls without an answer");
+    assert!(left >= before, "{left} of {before} after four requests without a response");
 }
 
-/// A proxy of a thousand, whose servers share one budget, of which a burst of three and the trial are out.
+/// A proxy of a thousand, whose endpoints share one limit, of which a burst of three and the trial
+/// are in flight.
 fn one_of_a_thousand() -> (Proxy, Vec<RequestId>) {
     let mut proxy = Proxy::new(Settings { balancer_count: 1_000, ..settings(Idempotency::Idempotent) }, 20);
     let out: Vec<RequestId> = (0..4).map(|_| proxy.request().0).collect();
@@ -174,14 +179,14 @@
     let (held, actions) = proxy.request();
     assert!(
         forwarded(&actions).is_empty(),
-        "sixteen servers are idle, but the budget is used and the trial out"
+        "sixteen endpoints are idle, but the limit is used and the trial in flight"
     );
     proxy.now += 50 * MS;
     let actions = proxy.end_attempt(out[3], 0, Outcome::Served, 50 * MS);
     assert_eq!(
         forwarded(&actions).first().map(|s| s.0),
         Some(held),
-        "the trial was served: the next may pass"
+        "the trial was served: the next may be forwarded"
     );
 }
 
@@ -190,8 +195,8 @@
     let (mut proxy, out) = one_of_a_thousand();
     proxy.now += 400 * MS;
     let actions = proxy.end_attempt(out[3], 0, Outcome::TimedOut, 400 * MS);
-    assert!(forwarded(&actions).iter().all(|s| s.0 == out[3]), "no call of another client is passed");
-    assert!(forwarded(&proxy.request().1).is_empty(), "the backoff holds back calls to every server");
+    assert!(forwarded(&actions).iter().all(|s| s.0 == out[3]), "no request of another client is forwarded");
+    assert!(forwarded(&proxy.request().1).is_empty(), "the backoff holds back requests to every endpoint");
 }
 
 #[test]
@@ -203,5 +208,5 @@
         (0..20).for_each(|_| drop((proxy.serve_request(elapsed), proxy.advance(1_000 * MS))));
         (0..20).filter(|_| (proxy.advance(100 * MS), proxy.serve_request(elapsed)).1.is_some()).count()
     };
-    assert!(requests(40 * MS) > requests(450 * MS), "slow answers of several servers hold calls back");
+    assert!(requests(40 * MS) > requests(450 * MS), "slow responses of several endpoints hold requests back");
 }
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -4,7 +4,8 @@
 use balancer::*;
 use common::*;
 
-/// Sends within six seconds to a server beside two or three warm ones, when it started just now and ends attempts with `outcome`.
+/// Requests within six seconds to an endpoint beside two or three warm ones, when it has just
+/// started and ends attempts with `outcome`.
 fn requests_to_new_endpoint(outcome: Outcome, restart: bool) -> usize {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 3);
     for _ in 0..200 {
@@ -19,9 +20,9 @@
         proxy.now += 10 * MS;
         let mut attempt = 0;
         while let Some(endpoint) = last {
-            let cold = endpoint == EndpointId(id);
-            count += usize::from(cold);
-            let end = if cold { outcome } else { Outcome::Served };
+            let to_new = endpoint == EndpointId(id);
+            count += usize::from(to_new);
+            let end = if to_new { outcome } else { Outcome::Served };
             let actions = proxy.end_attempt(request, attempt, end, 10 * MS);
             last = forwarded(&actions).iter().find(|s| s.0 == request).map(|s| s.1);
             attempt += 1;
@@ -35,13 +36,15 @@
     for outcome in [Outcome::Served, Outcome::Rejected, Outcome::Error, Outcome::ConnectFailed] {
         for restart in [false, true] {
             let count = requests_to_new_endpoint(outcome, restart);
-            // A warm server's part of 600 calls is 150 to 200; this one has a tenth to a third of its capacity.
+            // A warm endpoint's part of 600 requests is 150 to 200; this one has a tenth to a third
+            // of its capacity.
             assert!((1..=60).contains(&count), "{outcome:?} {restart}: {count}");
         }
     }
 }
 
-/// How often a cold server is used for 200 answers, beside one warm server and `leaving` ones that drain.
+/// How often a new endpoint is used for 200 requests, beside one warm endpoint and `leaving` ones
+/// that drain.
 fn requests_to_new_endpoint_beside(leaving: u32) -> usize {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 1 + leaving);
     let out: Vec<(RequestId, EndpointId)> =
@@ -55,18 +58,19 @@
     (0..200).filter(|_| proxy.serve_request(10 * MS) == Some(EndpointId(99))).count()
 }
 
-/// Servers that only finish what they hold give few answers, and none once it is done: counted among those that
-/// share the answers out, they left cold servers idle while the warm ones were full.
+/// Endpoints that drain serve few requests, and then none: if they counted among those in service,
+/// new ones would stay idle while the warm ones are full.
 #[test]
 fn slow_start_credit_is_relative_to_the_endpoints_in_service() {
     let (alone, beside) = (requests_to_new_endpoint_beside(0), requests_to_new_endpoint_beside(9));
     assert!(alone >= 5 && beside * 2 >= alone, "{alone} alone, {beside} beside nine that drain");
 }
 
-/// How many balancers' calls a cold server gets per thousand answers of warm ones, from a thousand balancers.
+/// How many requests of a thousand balancers together a new endpoint gets per request of the warm
+/// ones.
 #[test]
 fn a_thousand_balancers_together_stay_within_a_new_endpoints_capacity() {
-    let (mut cold, mut all) = (0, 0);
+    let (mut to_new, mut all) = (0, 0);
     for balancer_index in 0..1_000 {
         let mut proxy = Proxy::new(
             Settings { balancer_count: 1_000, balancer_index, ..settings(Idempotency::Idempotent) },
@@ -78,24 +82,25 @@
         for _ in 0..4 {
             proxy.advance(500 * MS);
             all += 1;
-            cold += usize::from(proxy.serve_request(40 * MS) == Some(EndpointId(21)));
+            to_new += usize::from(proxy.serve_request(40 * MS) == Some(EndpointId(21)));
         }
     }
-    // Two seconds after its start it has a tenth to a fifth of its capacity; each warm one carries a twentieth.
-    assert!(cold * 20 <= all / 5, "{cold} of {all}");
+    // Two seconds after its start it has a tenth to a fifth of its capacity; each warm one serves a
+    // twentieth.
+    assert!(to_new * 20 <= all / 5, "{to_new} of {all}");
 }
 
-/// Six in ten servers have just been replaced: paced by a count of heads they would stay idle, while the others are
-/// full.
+/// Six in ten endpoints have just been replaced: with credit by their number alone they would stay
+/// idle while the others are full.
 #[test]
 fn new_endpoints_serve_their_part_where_most_are_new() {
-    let (mut cold, mut all) = (0, 0);
+    let (mut to_new, mut all) = (0, 0);
     for balancer_index in 0..100 {
         let mut proxy = Proxy::new(
             Settings { balancer_count: 100, balancer_index, ..settings(Idempotency::Idempotent) },
             60,
         );
-        // A third of the way to warm at the latest: four tenths of its capacity at the least.
+        // At least a third of the way through slow start: four tenths of its capacity.
         let started_at = proxy.now;
         proxy.now += 6_667 * MS;
         let replaced = (1..=60)
@@ -104,9 +109,9 @@
         for _ in 0..400 {
             proxy.now += MS;
             all += 1;
-            cold += usize::from(proxy.serve_request(MS).is_some_and(|s| s.0 % 5 < 3));
+            to_new += usize::from(proxy.serve_request(MS).is_some_and(|s| s.0 % 5 < 3));
         }
     }
-    // Of the work that all can do, 24 parts warm and 36 x 0.4 cold, a third is theirs.
-    assert!((all / 5..all / 2).contains(&cold), "{cold} of {all}");
+    // Of the work that all can do, 24 parts warm and 36 x 0.4 warming up, a third is theirs.
+    assert!((all / 5..all / 2).contains(&to_new), "{to_new} of {all}");
 }
--- a/balancer/tests/slow_start_fleet.rs
+++ b/balancer/tests/slow_start_fleet.rs
@@ -1,5 +1,5 @@
-//! A model of a whole fleet over cold servers, in virtual time and drawn from a seed: what all balancers send to
-//! one cold server together, against what its rule allows.
+//! What all balancers together send to an endpoint that warms up, in virtual time and fixed by a
+//! seed, against the load at which it fails.
 
 mod common;
 #[path = "models/slow_start_fleet.rs"]
@@ -7,18 +7,18 @@
 
 use model::*;
 
-/// Plays a scenario with few and with many balancers: no cold server is sent what makes it fall in any window, and
-/// yet they are put to use.
+/// Plays a scenario with few and with many balancers: no new endpoint is sent what overloads it in
+/// any window, and yet they are used.
 fn assert_safe_slow_start(scenario: Scenario) {
     for (balancer_count, warm, seeds) in [(1, 9, 1..=1), (6, 9, 1..=2), (30, 9, 1..=2), (300, 29, 1..=1)] {
         let warm = scenario.warm.min(warm);
         for seed in seeds {
             let (most, used) =
-                Fleet::new(Scenario { balancer_count, warm, ..scenario }, seed).run().figures();
-            println!("{balancer_count} balancers, seed {seed}: {most:.2} of what it bears, {used:.2} used");
+                Fleet::new(Scenario { balancer_count, warm, ..scenario }, seed).run().load_and_use();
+            println!("{balancer_count} balancers, seed {seed}: {most:.2} of its capacity, {used:.2} used");
             assert!(
                 most <= 1.0,
-                "{balancer_count} balancers, seed {seed}: {most:.2} of what a cold server bears"
+                "{balancer_count} balancers, seed {seed}: {most:.2} of a new endpoint's capacity"
             );
             assert!(used >= 0.2, "{balancer_count} balancers, seed {seed}: {used:.2} of what they can do");
         }
@@ -32,12 +32,12 @@
 
 #[test]
 fn an_endpoint_that_is_the_first_of_a_full_list_is_not_overloaded() {
-    assert_safe_slow_start(Scenario { whole: true, ..BURST });
+    assert_safe_slow_start(Scenario { full_list: true, ..BURST });
 }
 
 #[test]
 fn an_endpoint_of_which_all_are_notified_at_once_is_not_overloaded() {
-    assert_safe_slow_start(Scenario { whole: true, spread: 1, burst: 2.0, ..BURST });
+    assert_safe_slow_start(Scenario { full_list: true, spread: 1, burst: 2.0, ..BURST });
 }
 
 #[test]
@@ -47,8 +47,8 @@
 
 #[test]
 fn an_endpoint_that_returns_is_not_overloaded() {
-    assert_safe_slow_start(Scenario { back: true, ..BURST });
-    assert_safe_slow_start(Scenario { back: true, whole: true, ..BURST });
+    assert_safe_slow_start(Scenario { returning: true, ..BURST });
+    assert_safe_slow_start(Scenario { returning: true, full_list: true, ..BURST });
 }
 
 #[test]
@@ -68,39 +68,41 @@
 
 #[test]
 fn several_new_endpoints_among_few_warm_ones_are_not_overloaded() {
-    assert_safe_slow_start(Scenario { cold: 6, warm: 3, asked: 0.9, ..BURST });
+    assert_safe_slow_start(Scenario { warming: 6, warm: 3, utilization: 0.9, ..BURST });
 }
 
 #[test]
 fn a_new_endpoint_with_a_long_queue_is_not_overloaded() {
-    assert_safe_slow_start(Scenario { waiting: 40, ..BURST });
+    assert_safe_slow_start(Scenario { queued: 40, ..BURST });
 }
 
 #[test]
 fn all_of_it_together_overloads_no_new_endpoint() {
     assert_safe_slow_start(Scenario {
-        back: true,
-        whole: true,
+        returning: true,
+        full_list: true,
         uneven: true,
         restart: Restart::Killed,
         ..BURST
     });
 }
 
-/// A thin balancer reaches few servers, and many more when its calls come faster: what all have saved up for a cold
-/// server out of their reach must not come to it together, nor what they earn by the share of a few servers.
+/// Under a shared limit a balancer reaches few endpoints, and many more when its requests arrive
+/// faster: the credit of all for a new endpoint out of their reach must not be used together, nor
+/// what they are granted by the share of a few endpoints.
 #[test]
 fn balancers_that_reach_more_endpoints_in_a_burst_overload_no_slow_new_one() {
-    for (seed, weight, waiting) in
+    for (seed, weight, queued) in
         [(1, 1.0, 40), (2, 1.0, 40), (1, 1.0, 3), (2, 1.0, 3), (1, 0.3, 40), (1, 0.3, 3)]
     {
-        let wide = Scenario { balancer_count: 100, warm: 54, cold: 6, back: true, weight, waiting, ..BURST };
+        let wide =
+            Scenario { balancer_count: 100, warm: 54, warming: 6, returning: true, weight, queued, ..BURST };
         let slow = Scenario { speed: 0.7, until: START + 4 * SECOND, ..wide };
-        let (most, used) = Fleet::new(slow, seed).run().figures();
+        let (most, used) = Fleet::new(slow, seed).run().load_and_use();
         println!(
-            "weight {weight}, {waiting} may wait, seed {seed}: {most:.2} of what it bears, {used:.2} used"
+            "weight {weight}, {queued} may be queued, seed {seed}: {most:.2} of its capacity, {used:.2} used"
         );
-        assert!(most <= 1.0, "weight {weight}, seed {seed}: {most:.2} of what a cold server bears");
-        assert!(used >= 0.3, "weight {weight}, seed {seed}: {used:.2} of what cold servers can do");
+        assert!(most <= 1.0, "weight {weight}, seed {seed}: {most:.2} of a new endpoint's capacity");
+        assert!(used >= 0.3, "weight {weight}, seed {seed}: {used:.2} of what new endpoints can do");
     }
 }
--- a/balancer/tests/source_files.rs
+++ b/balancer/tests/source_files.rs
@@ -1,4 +1,5 @@
-//! Bounds on the source of the decisions: no file and no line grows without end, and the deploy file names them all.
+//! Bounds on the source of the decisions: no file and no line grows without end, and the deploy
+//! file names them all.
 
 use std::collections::BTreeSet;
 use std::fs;
--- a/balancer/tests/uploads.rs
+++ b/balancer/tests/uploads.rs
@@ -17,7 +17,8 @@
     proxy.handle(request)
 }
 
-/// A server has no work with a call that is still coming: it fills no budget, and its time begins when it is whole.
+/// An endpoint has no work with a request that is still arriving: it does not count towards the
+/// limit, and its time begins when it is complete.
 #[test]
 fn a_request_that_is_still_arriving_takes_no_capacity() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
@@ -26,7 +27,8 @@
     }
     proxy.now += 10_000 * MS;
     assert!(proxy.handle(Event::Timer).is_empty(), "its client does not wait yet");
-    // One whole call fills the budget, one more passes as the trial, and the next waits.
+    // One complete request reaches the limit, one more exceeds it as the trial, and the next is
+    // queued.
     proxy.handle(Event::RequestCompleted { request: RequestId(1_000), time_left: 1_200 * MS });
     let (trial, actions) = proxy.request();
     assert_eq!(forwarded(&actions), [(trial, EndpointId(1))]);
@@ -35,12 +37,13 @@
     proxy.now += 50 * MS;
     assert!(
         forwarded(&proxy.end_attempt(RequestId(1_000), 0, Outcome::Served, 50 * MS)).is_empty(),
-        "the trial is out"
+        "the trial is in flight"
     );
     assert_eq!(forwarded(&proxy.end_attempt(trial, 0, Outcome::Served, 50 * MS)), [(held, EndpointId(1))]);
 }
 
-/// What can be sent once goes again only while nothing of it was written; cut short, it never ran and is refused.
+/// What cannot be replayed is retried only if nothing of it was written; truncated, it was not
+/// executed and is rejected.
 #[test]
 fn a_non_replayable_request_is_retried_only_if_nothing_was_written() {
     for (outcome, again) in [(Outcome::ConnectFailed, true), (Outcome::Truncated, false)] {
@@ -50,7 +53,7 @@
         assert_eq!(forwarded(&actions).len(), usize::from(again), "{outcome:?}");
         assert_eq!(rejected(&actions, RequestId(1_000)), !again, "{outcome:?}");
     }
-    // The same outcome lets a call go again whose body is at hand.
+    // The same outcome allows a retry of a request whose body is buffered.
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 3);
     let (request, _) = proxy.request();
     assert_eq!(forwarded(&proxy.end_attempt(request, 0, Outcome::Truncated, 0)).len(), 1);
--- a/balancer/tests/zone_outages.rs
+++ b/balancer/tests/zone_outages.rs
@@ -26,11 +26,11 @@
                 .map(|s| s.1);
         }
     }
-    assert!(lost < 16, "twenty servers out of reach must not each be found out: {lost}");
+    assert!(lost < 16, "twenty endpoints out of reach must not each be found out: {lost}");
 }
 
-/// A busy one of a hundred; every second of the sixty servers is in a zone whose connections now fail. Passed over
-/// is that zone after the first few.
+/// A busy one of a hundred; every second of the sixty endpoints is in a zone whose connections now
+/// fail. That zone is avoided after the first few.
 fn after_a_zone_is_lost() -> Proxy {
     let mut proxy = one_of_many();
     proxy.update_list(
@@ -41,7 +41,7 @@
     let mut out: Vec<(RequestId, u32, EndpointId)> =
         (0..40).flat_map(|_| forwarded(&proxy.request().1)).map(|(request, to)| (request, 0, to)).collect();
     proxy.now += 40 * MS;
-    // The lost zone's calls end last.
+    // The lost zone's attempts end last.
     while let Some((request, attempt, to)) = out.pop() {
         let outcome = if to.0 % 2 == 0 { Outcome::Served } else { Outcome::ConnectFailed };
         let next = forwarded(&proxy.end_attempt(request, attempt, outcome, 40 * MS));
@@ -59,7 +59,7 @@
     let left = (1..=30).map(|id| EndpointEntry { zone: ZoneId(0), ..ready(2 * id) });
     proxy.update_list(ListUpdate::Full, left.collect());
     let after = request_burst(&mut proxy, 30).len();
-    assert!(after >= before && before > 8, "{after} of {before}, though no server that served has gone");
+    assert!(after >= before && before > 8, "{after} of {before}, though no endpoint that served has gone");
 }
 
 #[test]
@@ -73,7 +73,7 @@
             if endpoint.0 % 2 == 0 {
                 proxy.end_attempt(request, 0, Outcome::Served, MS);
             } else {
-                // Nothing is heard of it for as long as connections may take.
+                // Its connections take as long as they may.
                 tries.push(proxy.now);
             }
         }
