--- a/balancer/tests/models/outage.rs
+++ b/balancer/tests/models/outage/mod.rs
@@ -1,10 +1,14 @@
 //! A model of many balancers and of endpoints that queue, reject and slow down, in virtual time.
 
+mod endpoint;
+mod setup;
+
 use balancer::*;
-use rand_core::{RngCore, SeedableRng};
+use endpoint::Endpoint;
+use rand_core::RngCore;
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
-use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
+use std::collections::{BinaryHeap, HashMap, HashSet};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
@@ -58,55 +62,6 @@
     ZoneReturns,
 }
 
-struct Endpoint {
-    cores: f64,
-    speed: f64,
-    zone: u32,
-    up: bool,
-    started_at: Micros,
-    is_failing: bool,
-    slows_down: bool,
-    slow: bool,
-    crowded_since: Option<Micros>,
-    calm_since: Option<Micros>,
-    /// Work that is left of each attempt, in execution and queued.
-    work: Vec<(f64, AttemptKey)>,
-    waiting: VecDeque<(f64, AttemptKey)>,
-    at: Micros,
-    turn: u64,
-}
-
-impl Endpoint {
-    fn request_count(&self) -> usize {
-        self.work.len() + self.waiting.len()
-    }
-
-    fn rate(&self, now: Micros) -> f64 {
-        let age = now.saturating_sub(self.started_at);
-        let cold = self.started_at != 0 && age < SLOW_START_DURATION;
-        let warm_up = INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age as f64 / SLOW_START_DURATION as f64;
-        let speed =
-            self.speed * if cold { warm_up } else { 1.0 } / if self.slow { SLOWDOWN_FACTOR } else { 1.0 };
-        speed * (self.cores / self.work.len().max(1) as f64).min(1.0)
-    }
-
-    fn advance(&mut self, now: Micros) {
-        let done = (now - self.at) as f64 * self.rate(self.at);
-        self.at = now;
-        self.work.iter_mut().for_each(|work| work.0 -= done);
-        let crowd = self.request_count() as f64 / self.cores;
-        let since = |is: bool, since: Option<Micros>| is.then(|| since.unwrap_or(now));
-        self.crowded_since = since(crowd > OVERLOAD_PER_CORE, self.crowded_since);
-        self.calm_since = since(crowd < RECOVERY_PER_CORE, self.calm_since);
-        if self.slows_down && self.crowded_since.is_some_and(|at| now >= at + OVERLOAD_DURATION) {
-            self.slow = true;
-        }
-        if self.calm_since.is_some_and(|at| now >= at + RECOVERY_DURATION) {
-            self.slow = false;
-        }
-    }
-}
-
 struct UserRequest {
     balancer: usize,
     class: usize,
@@ -141,105 +96,6 @@
 }
 
 impl Fleet {
-    pub(crate) fn new(seed: u64, balancers: usize, endpoints: usize, load: f64) -> Fleet {
-        let mut fleet = Fleet {
-            now: LOAD_START,
-            next: BinaryHeap::new(),
-            number: 0,
-            random: Pcg32::seed_from_u64(seed),
-            endpoints: Vec::new(),
-            balancers: Vec::new(),
-            timers: vec![0; balancers],
-            user_requests: Vec::new(),
-            requests: HashMap::new(),
-            connections: HashSet::new(),
-            is_partitioned: false,
-            seconds: vec![[0; 3]; ((LOAD_END - LOAD_START) / SECOND) as usize + 3],
-        };
-        let mut capacity = 0.0;
-        for place in 0..endpoints {
-            let (cores, base) = if fleet.unit() < 0.55 { (3.0, 1.5) } else { (2.0, 0.97) };
-            let speed = base * (0.8 + 0.4 * fleet.unit());
-            capacity += cores * speed;
-            // One of eight is bad: it fails half of its requests at once, or is five times as slow.
-            let bad = place % 8 == 3;
-            let is_failing = bad && fleet.unit() < 0.4;
-            let speed = if bad && !is_failing { speed / 5.0 } else { speed };
-            let zone = (fleet.unit() * f64::from(ZONES)) as u32;
-            let (slows_down, slow, up, started_at) = (fleet.unit() < 0.6, false, true, 0);
-            let (crowded_since, calm_since, work, waiting) = Default::default();
-            let (at, turn) = (LOAD_START, 0);
-            fleet.endpoints.push(Endpoint {
-                cores,
-                speed,
-                zone,
-                up,
-                started_at,
-                is_failing,
-                slows_down,
-                slow,
-                crowded_since,
-                calm_since,
-                work,
-                waiting,
-                at,
-                turn,
-            });
-        }
-        let class = |class: usize| Class {
-            latency_objective: LATENCY_OBJECTIVE[class],
-            deadline: DEADLINE[class],
-            priority_weight: 1.0,
-            late_weight_fraction: 0.0,
-            idempotency: Idempotency::Idempotent,
-        };
-        let base = Settings::default();
-        let slow_start = SlowStart {
-            initial_capacity: INITIAL_CAPACITY,
-            duration: SLOW_START_DURATION,
-            overload_multiple: 3.0,
-        };
-        let settings = Settings {
-            balancer_count: balancers as u32,
-            classes: vec![class(0), class(1)],
-            slow_start,
-            ..base
-        };
-        for balancer_index in 0..balancers {
-            let settings = Settings { balancer_index: balancer_index as u32, ..settings.clone() };
-            fleet.balancers.push(Balancer::new(seed * 1_000 + balancer_index as u64, settings));
-            fleet.notify(balancer_index, Event::Start);
-            let entries = fleet.list(|_| true, EndpointState::Ready);
-            fleet.notify(balancer_index, Event::EndpointList { kind: ListUpdate::Full, entries });
-        }
-        // Some balancers get several times the mean; all get a third less in the end.
-        let shares: Vec<f64> = (0..balancers).map(|_| 0.3 - fleet.unit().ln()).collect();
-        let per_second = capacity * load * 2e6 / (WORK[0] + WORK[1]) / shares.iter().sum::<f64>();
-        for (balancer, share) in shares.iter().enumerate() {
-            let mut began = LOAD_START as f64;
-            loop {
-                let falling = 1.0 - 0.33 * (began - LOAD_START as f64) / (LOAD_END - LOAD_START) as f64;
-                began -= fleet.unit().max(1e-9).ln() * 1e6 / (per_second * share * falling);
-                if began >= LOAD_END as f64 {
-                    break;
-                }
-                let (class, began) = (usize::from(fleet.unit() < 0.5), began as Micros);
-                fleet.at(began, Step::ClientRequest(fleet.user_requests.len()));
-                fleet.user_requests.push(UserRequest { balancer, class, began, attempts: 0, ended: false });
-            }
-        }
-        for (at, what) in [
-            (PARTITION_AT, Step::Partition(true)),
-            (LOSS_AT, Step::LoseZone),
-            (REMOVAL_LISTED_AT, Step::ListRemoval),
-            (RETURN_AT, Step::Partition(false)),
-            (RETURN_AT, Step::ZoneReturns),
-        ] {
-            fleet.at(at, what);
-        }
-        fleet
-    }
-
     /// From 0 to 1.
     fn unit(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / (f64::from(u32::MAX) + 1.0)
--- /dev/null
+++ b/balancer/tests/models/outage/setup.rs
@@ -0,0 +1,118 @@
+//! The model's endpoints, balancers, load and faults, as drawn from the seed.
+
+use super::*;
+use rand_core::SeedableRng;
+use std::collections::VecDeque;
+
+impl Fleet {
+    pub(crate) fn new(seed: u64, balancers: usize, endpoints: usize, load: f64) -> Fleet {
+        let mut fleet = Fleet {
+            now: LOAD_START,
+            next: BinaryHeap::new(),
+            number: 0,
+            random: Pcg32::seed_from_u64(seed),
+            endpoints: Vec::new(),
+            balancers: Vec::new(),
+            timers: vec![0; balancers],
+            user_requests: Vec::new(),
+            requests: HashMap::new(),
+            connections: HashSet::new(),
+            is_partitioned: false,
+            seconds: vec![[0; 3]; ((LOAD_END - LOAD_START) / SECOND) as usize + 3],
+        };
+        let mut capacity = 0.0;
+        for index in 0..endpoints {
+            capacity += fleet.add_endpoint(index);
+        }
+        fleet.add_balancers(seed, balancers);
+        fleet.add_load(balancers, capacity * load);
+        fleet.schedule_faults();
+        fleet
+    }
+
+    /// Returns the capacity that the endpoint has unless it is bad.
+    fn add_endpoint(&mut self, index: usize) -> f64 {
+        let (cores, base) = if self.unit() < 0.55 { (3.0, 1.5) } else { (2.0, 0.97) };
+        let speed = base * (0.8 + 0.4 * self.unit());
+        // One of eight is bad: it fails half of its requests at once, or is five times as slow.
+        let is_bad = index % 8 == 3;
+        let is_failing = is_bad && self.unit() < 0.4;
+        let present_speed = if is_bad && !is_failing { speed / 5.0 } else { speed };
+        let zone = (self.unit() * f64::from(ZONES)) as u32;
+        let slows_down = self.unit() < 0.6;
+        self.endpoints.push(Endpoint {
+            cores,
+            speed: present_speed,
+            zone,
+            up: true,
+            started_at: 0,
+            is_failing,
+            slows_down,
+            slow: false,
+            overloaded_since: None,
+            calm_since: None,
+            work: Vec::new(),
+            waiting: VecDeque::new(),
+            at: LOAD_START,
+            turn: 0,
+        });
+        cores * speed
+    }
+
+    fn add_balancers(&mut self, seed: u64, balancers: usize) {
+        let class = |class: usize| Class {
+            latency_objective: LATENCY_OBJECTIVE[class],
+            deadline: DEADLINE[class],
+            priority_weight: 1.0,
+            late_weight_fraction: 0.0,
+            idempotency: Idempotency::Idempotent,
+        };
+        let settings = Settings {
+            balancer_count: balancers as u32,
+            classes: vec![class(0), class(1)],
+            slow_start: SlowStart {
+                initial_capacity: INITIAL_CAPACITY,
+                duration: SLOW_START_DURATION,
+                overload_multiple: 3.0,
+            },
+            ..Settings::default()
+        };
+        for index in 0..balancers {
+            let settings = Settings { balancer_index: index as u32, ..settings.clone() };
+            self.balancers.push(Balancer::new(seed * 1_000 + index as u64, settings));
+            self.notify(index, Event::Start);
+            let entries = self.list(|_| true, EndpointState::Ready);
+            self.notify(index, Event::EndpointList { kind: ListUpdate::Full, entries });
+        }
+    }
+
+    /// Some balancers get several times the mean; all get a third less in the end. `capacity` is the
+    /// part of the endpoints' that is used at first.
+    fn add_load(&mut self, balancers: usize, capacity: f64) {
+        let shares: Vec<f64> = (0..balancers).map(|_| 0.3 - self.unit().ln()).collect();
+        let per_second = capacity * 2e6 / (WORK[0] + WORK[1]) / shares.iter().sum::<f64>();
+        for (balancer, share) in shares.iter().enumerate() {
+            let mut began = LOAD_START as f64;
+            loop {
+                let falling = 1.0 - 0.33 * (began - LOAD_START as f64) / (LOAD_END - LOAD_START) as f64;
+                began -= self.unit().max(1e-9).ln() * 1e6 / (per_second * share * falling);
+                if began >= LOAD_END as f64 {
+                    break;
+                }
+                let class = usize::from(self.unit() < 0.5);
+                let began = began as Micros;
+                self.at(began, Step::ClientRequest(self.user_requests.len()));
+                let request = UserRequest { balancer, class, began, attempts: 0, ended: false };
+                self.user_requests.push(request);
+            }
+        }
+    }
+
+    fn schedule_faults(&mut self) {
+        self.at(PARTITION_AT, Step::Partition(true));
+        self.at(LOSS_AT, Step::LoseZone);
+        self.at(REMOVAL_LISTED_AT, Step::ListRemoval);
+        self.at(RETURN_AT, Step::Partition(false));
+        self.at(RETURN_AT, Step::ZoneReturns);
+    }
+}
--- a/balancer/tests/outage_recovery.rs
+++ b/balancer/tests/outage_recovery.rs
@@ -3,7 +3,7 @@
 //! returns warming up while another is partitioned; clients retry when they were rejected. What
 //! counts is who was served in time.
 
-#[path = "models/outage.rs"]
+#[path = "models/outage/mod.rs"]
 mod model;
 
 use model::Fleet;
--- a/balancer/tests/random_sequences.rs
+++ b/balancer/tests/random_sequences.rs
@@ -7,194 +7,246 @@
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
 
+const MAX_ATTEMPTS: u32 = 4;
+const CLIENT_TIMEOUT: Micros = 1_200 * MS;
+
+struct AttemptRecord {
+    endpoint: EndpointId,
+    outcome: Option<Outcome>,
+    sent_at: Micros,
+}
+
 #[derive(Default)]
 struct RequestRecord {
-    attempts: Vec<(EndpointId, Option<Outcome>, Micros)>,
+    attempts: Vec<AttemptRecord>,
     ended: bool,
     deadline: Micros,
     class: usize,
 }
 
-#[test]
-fn every_action_of_random_event_sequences_keeps_the_rules() {
-    for seed in 0..12 {
-        random_sequence(seed);
+impl RequestRecord {
+    /// Numbers of the attempts in flight.
+    fn in_flight(&self) -> Vec<usize> {
+        (0..self.attempts.len()).filter(|&number| self.attempts[number].outcome.is_none()).collect()
     }
 }
 
-fn random_sequence(seed: u64) {
-    let mut random = Pcg32::seed_from_u64(seed);
-    let mut below = move |n: u64| u64::from(random.next_u32()) % n;
-    let kinds = [
-        Idempotency::Idempotent,
-        Idempotency::NonIdempotent,
-        Idempotency::Keyed { scope: DeduplicationScope::Cell, window: 300 * MS },
-        Idempotency::Keyed { scope: DeduplicationScope::All, window: 300 * MS },
-    ];
-    let mut settings = settings(Idempotency::Idempotent);
-    settings.classes =
-        kinds.iter().map(|&idempotency| Class { idempotency, ..settings.classes[0] }).collect();
-    settings.limits.hedging = seed.is_multiple_of(2);
-    settings.limits.max_attempts = 4;
-    settings.balancer_count = 1 + below(5) as u32;
-    settings.discovery.mode = if seed.is_multiple_of(3) { DiscoveryMode::Poll } else { DiscoveryMode::Push };
-    let (hedging, classes) = (settings.limits.hedging, settings.classes.clone());
-    let mut proxy = Proxy::new(settings, 0);
-    let mut requests: BTreeMap<RequestId, RequestRecord> = BTreeMap::new();
-    let mut list: BTreeMap<EndpointId, EndpointState> = BTreeMap::new();
-    let mut known: BTreeSet<EndpointId> = BTreeSet::new();
-    for step in 0..4_000_u64 {
-        proxy.now += below(8) * MS;
-        let open: Vec<(RequestId, usize)> = requests
-            .iter()
-            .flat_map(|(&id, c)| {
-                (0..c.attempts.len()).filter(|&a| c.attempts[a].1.is_none()).map(move |a| (id, a))
-            })
-            .collect();
-        let actions = match below(10) {
-            0..=3 => {
-                let class = below(4) as usize;
-                let (id, actions) = proxy.request_of_class(class);
-                let deadline = proxy.now + 1_200 * MS;
-                requests.insert(id, RequestRecord { deadline, class, ..RequestRecord::default() });
-                actions
-            }
-            4..=7 if !open.is_empty() => {
-                let (id, attempt) = open[below(open.len() as u64) as usize];
-                let outcome = match below(12) {
-                    0 => Outcome::Error,
-                    1 => Outcome::Rejected,
-                    2 => Outcome::ConnectFailed,
-                    3 => Outcome::Reset,
-                    4 => Outcome::Unknown,
-                    _ => Outcome::Served,
-                };
-                let seen = requests.get_mut(&id).expect("it is open");
-                seen.attempts[attempt].1 = Some(outcome);
-                let elapsed = proxy.now - seen.attempts[attempt].2;
-                seen.ended |= outcome == Outcome::Served;
-                proxy.end_attempt(id, attempt as u32, outcome, elapsed)
-            }
-            8 if step % 7 == 0 => {
-                let endpoint = EndpointId(below(8) as u32);
-                let state = [
-                    EndpointState::Ready,
-                    EndpointState::Ready,
-                    EndpointState::Draining,
-                    EndpointState::Removed,
-                ][below(4) as usize];
-                let started_at = if below(4) > 0 { 0 } else { proxy.now };
-                known.insert(endpoint);
-                list.insert(endpoint, state);
-                let cell = CellId(endpoint.0 % 2);
-                proxy.update_list(
-                    ListUpdate::Delta,
-                    vec![EndpointEntry { endpoint, state, started_at, cell, ..EndpointEntry::default() }],
-                )
-            }
-            8 if step % 31 == 0 => proxy.update_list(ListUpdate::PollFailed, vec![]),
-            _ => {
-                // Deadlines first, as the proxy's clock would have them.
-                let mut all = Vec::new();
-                let due: Vec<RequestId> = requests
-                    .iter()
-                    .filter(|(_, c)| !c.ended && c.deadline <= proxy.now)
-                    .map(|c| *c.0)
-                    .collect();
-                for id in due {
-                    let outs: Vec<usize> = (0..requests[&id].attempts.len())
-                        .filter(|&a| requests[&id].attempts[a].1.is_none())
-                        .collect();
-                    for attempt in outs {
-                        let seen = requests.get_mut(&id).expect("known");
-                        seen.attempts[attempt].1 = Some(Outcome::TimedOut);
-                        let elapsed = proxy.now - seen.attempts[attempt].2;
-                        let actions = proxy.end_attempt(id, attempt as u32, Outcome::TimedOut, elapsed);
-                        check(&actions, &mut requests, &list, &known, &classes, hedging, proxy.now);
-                    }
+/// A random sequence of events, and what has to be known to check the actions.
+struct Sequence {
+    random: Pcg32,
+    proxy: Proxy,
+    classes: Vec<Class>,
+    hedging: bool,
+    requests: BTreeMap<RequestId, RequestRecord>,
+    list: BTreeMap<EndpointId, EndpointState>,
+    known: BTreeSet<EndpointId>,
+}
+
+fn below(random: &mut Pcg32, bound: u64) -> u64 {
+    u64::from(random.next_u32()) % bound
+}
+
+impl Sequence {
+    fn new(seed: u64) -> Sequence {
+        let mut random = Pcg32::seed_from_u64(seed);
+        let kinds = [
+            Idempotency::Idempotent,
+            Idempotency::NonIdempotent,
+            Idempotency::Keyed { scope: DeduplicationScope::Cell, window: 300 * MS },
+            Idempotency::Keyed { scope: DeduplicationScope::All, window: 300 * MS },
+        ];
+        let mut settings = settings(Idempotency::Idempotent);
+        settings.classes =
+            kinds.iter().map(|&idempotency| Class { idempotency, ..settings.classes[0] }).collect();
+        settings.limits.hedging = seed.is_multiple_of(2);
+        settings.limits.max_attempts = MAX_ATTEMPTS;
+        settings.balancer_count = 1 + below(&mut random, 5) as u32;
+        let is_polled = seed.is_multiple_of(3);
+        settings.discovery.mode = if is_polled { DiscoveryMode::Poll } else { DiscoveryMode::Push };
+        Sequence {
+            random,
+            classes: settings.classes.clone(),
+            hedging: settings.limits.hedging,
+            proxy: Proxy::new(settings, 0),
+            requests: BTreeMap::new(),
+            list: BTreeMap::new(),
+            known: BTreeSet::new(),
+        }
+    }
+
+    fn below(&mut self, bound: u64) -> u64 {
+        below(&mut self.random, bound)
+    }
+
+    fn run(&mut self) {
+        for step in 0..4_000_u64 {
+            self.proxy.now += self.below(8) * MS;
+            let open: Vec<(RequestId, usize)> = self
+                .requests
+                .iter()
+                .flat_map(|(&id, request)| request.in_flight().into_iter().map(move |n| (id, n)))
+                .collect();
+            let actions = match self.below(10) {
+                0..=3 => self.receive_request(),
+                4..=7 if !open.is_empty() => self.end_some_attempt(&open),
+                8 if step % 7 == 0 => self.change_list(),
+                8 if step % 31 == 0 => self.proxy.update_list(ListUpdate::PollFailed, vec![]),
+                _ => {
+                    // Deadlines first, as the proxy's clock would have them.
+                    self.end_late_attempts();
+                    self.proxy.handle(Event::Timer)
                 }
-                all.extend(proxy.handle(Event::Timer));
-                all
-            }
+            };
+            self.check(&actions);
+        }
+    }
+
+    fn receive_request(&mut self) -> Vec<Action> {
+        let class = self.below(4) as usize;
+        let (id, actions) = self.proxy.request_of_class(class);
+        let deadline = self.proxy.now + CLIENT_TIMEOUT;
+        self.requests.insert(id, RequestRecord { deadline, class, ..RequestRecord::default() });
+        actions
+    }
+
+    fn end_some_attempt(&mut self, open: &[(RequestId, usize)]) -> Vec<Action> {
+        let (id, number) = open[self.below(open.len() as u64) as usize];
+        let outcome = match self.below(12) {
+            0 => Outcome::Error,
+            1 => Outcome::Rejected,
+            2 => Outcome::ConnectFailed,
+            3 => Outcome::Reset,
+            4 => Outcome::Unknown,
+            _ => Outcome::Served,
         };
-        check(&actions, &mut requests, &list, &known, &classes, hedging, proxy.now);
-    }
-    // All are answered in the end.
-    for _ in 0..3 {
-        proxy.now += 700 * MS;
-        let actions = proxy.handle(Event::Timer);
-        check(&actions, &mut requests, &list, &known, &classes, hedging, proxy.now);
-        let open: Vec<RequestId> = requests.iter().filter(|c| !c.1.ended).map(|c| *c.0).collect();
-        for id in open {
-            for attempt in 0..requests[&id].attempts.len() {
-                if requests[&id].attempts[attempt].1.is_none() {
-                    requests.get_mut(&id).expect("known").attempts[attempt].1 = Some(Outcome::TimedOut);
-                    let actions = proxy.end_attempt(id, attempt as u32, Outcome::TimedOut, 700 * MS);
-                    check(&actions, &mut requests, &list, &known, &classes, hedging, proxy.now);
-                }
+        self.end_attempt(id, number, outcome)
+    }
+
+    fn end_attempt(&mut self, id: RequestId, number: usize, outcome: Outcome) -> Vec<Action> {
+        let request = self.requests.get_mut(&id).expect("a known request");
+        request.attempts[number].outcome = Some(outcome);
+        request.ended |= outcome == Outcome::Served;
+        let elapsed = self.proxy.now - request.attempts[number].sent_at;
+        self.proxy.end_attempt(id, number as u32, outcome, elapsed)
+    }
+
+    fn change_list(&mut self) -> Vec<Action> {
+        let endpoint = EndpointId(self.below(8) as u32);
+        let states =
+            [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
+        let state = states[self.below(4) as usize];
+        let started_at = if self.below(4) > 0 { 0 } else { self.proxy.now };
+        self.known.insert(endpoint);
+        self.list.insert(endpoint, state);
+        let cell = CellId(endpoint.0 % 2);
+        let entry = EndpointEntry { endpoint, state, started_at, cell, ..EndpointEntry::default() };
+        self.proxy.update_list(ListUpdate::Delta, vec![entry])
+    }
+
+    fn end_late_attempts(&mut self) {
+        let now = self.proxy.now;
+        let is_late = |request: &RequestRecord| !request.ended && request.deadline <= now;
+        let late = self.requests.iter().filter(|(_, request)| is_late(request));
+        let late: Vec<RequestId> = late.map(|(&id, _)| id).collect();
+        for id in late {
+            for number in self.requests[&id].in_flight() {
+                let actions = self.end_attempt(id, number, Outcome::TimedOut);
+                self.check(&actions);
             }
         }
     }
-    let lost: Vec<_> = requests.iter().filter(|c| !c.1.ended).map(|c| *c.0).collect();
-    assert!(lost.is_empty(), "seed {seed}: never ended {lost:?}");
-    let forwarded = requests.values().filter(|c| !c.attempts.is_empty()).count();
-    assert!(forwarded > 100, "seed {seed}: a sequence with too few requests, {forwarded} requests sent");
-}
 
-fn check(
-    actions: &[Action],
-    requests: &mut BTreeMap<RequestId, RequestRecord>,
-    list: &BTreeMap<EndpointId, EndpointState>,
-    known: &BTreeSet<EndpointId>,
-    classes: &[Class],
-    hedging: bool,
-    now: Micros,
-) {
-    for action in actions {
-        match *action {
-            Action::Forward { request, endpoint, .. } => {
-                let seen = requests.get_mut(&request).expect("a request that arrived");
-                assert!(!seen.ended, "sent after its end");
-                assert!(
-                    known.contains(&endpoint) && list[&endpoint] == EndpointState::Ready,
-                    "sent to one that is not ready"
-                );
-                assert!(seen.attempts.len() < 4, "more attempts than allowed");
-                let out = seen.attempts.iter().filter(|a| a.1.is_none()).count();
-                assert!(out == 0 || hedging && out == 1);
-                let first = seen.attempts.iter().find(|a| a.1.is_none_or(|o| !o.never_ran()));
-                match (classes[seen.class].idempotency, first) {
-                    (Idempotency::NonIdempotent, Some(_)) => panic!("a non-idempotent request was retried"),
-                    (Idempotency::Keyed { scope, window }, Some(first)) => {
-                        assert!(
-                            scope == DeduplicationScope::All || first.0 .0 % 2 == endpoint.0 % 2,
-                            "left its cell"
-                        );
-                        assert!(now <= first.2 + window, "left its window");
+    fn open_requests(&self) -> Vec<RequestId> {
+        let open = self.requests.iter().filter(|(_, request)| !request.ended);
+        open.map(|(&id, _)| id).collect()
+    }
+
+    /// Lets all clients' time pass: all requests have to be answered then.
+    fn finish(&mut self, seed: u64) {
+        for _ in 0..3 {
+            self.proxy.now += 700 * MS;
+            let actions = self.proxy.handle(Event::Timer);
+            self.check(&actions);
+            for id in self.open_requests() {
+                for number in 0..self.requests[&id].attempts.len() {
+                    let attempt = &mut self.requests.get_mut(&id).expect("known").attempts[number];
+                    if attempt.outcome.is_none() {
+                        attempt.outcome = Some(Outcome::TimedOut);
+                        let outcome = Outcome::TimedOut;
+                        let actions = self.proxy.end_attempt(id, number as u32, outcome, 700 * MS);
+                        self.check(&actions);
                     }
-                    _ => {}
                 }
-                seen.attempts.push((endpoint, None, now));
-            }
-            Action::Reject { request, .. } => {
-                let seen = requests.get_mut(&request).expect("a request that arrived");
-                assert!(!std::mem::replace(&mut seen.ended, true), "ended twice");
-                let never_executed = seen.attempts.iter().all(|a| a.1.is_some_and(Outcome::never_ran));
-                let is_repeatable = matches!(
-                    classes[seen.class].idempotency,
-                    Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. }
-                );
-                assert!(never_executed || is_repeatable, "rejected though it may have been executed");
             }
-            Action::Fail { request, .. } => {
-                let seen = requests.get_mut(&request).expect("a request that arrived");
-                assert!(!std::mem::replace(&mut seen.ended, true), "ended twice");
+        }
+        let lost = self.open_requests();
+        assert!(lost.is_empty(), "seed {seed}: never ended {lost:?}");
+        let forwarded = self.requests.values().filter(|r| !r.attempts.is_empty()).count();
+        assert!(forwarded > 100, "seed {seed}: a sequence with too few requests, {forwarded} sent");
+    }
+
+    fn check(&mut self, actions: &[Action]) {
+        for action in actions {
+            match *action {
+                Action::Forward { request, endpoint, .. } => self.check_attempt(request, endpoint),
+                Action::Reject { request, .. } => self.check_rejection(request),
+                Action::Fail { request, .. } => {
+                    let record = self.requests.get_mut(&request).expect("a request that arrived");
+                    assert!(!std::mem::replace(&mut record.ended, true), "ended twice");
+                }
+                Action::CancelAttempt { request, attempt } => {
+                    let count = self.requests[&request].attempts.len();
+                    assert!((attempt as usize) < count, "no such attempt");
+                }
+                _ => {}
             }
-            Action::CancelAttempt { request, attempt } => {
-                assert!((attempt as usize) < requests[&request].attempts.len(), "no such attempt")
+        }
+    }
+
+    fn check_attempt(&mut self, id: RequestId, endpoint: EndpointId) {
+        let request = self.requests.get_mut(&id).expect("a request that arrived");
+        assert!(!request.ended, "sent after its end");
+        assert!(
+            self.known.contains(&endpoint) && self.list[&endpoint] == EndpointState::Ready,
+            "sent to one that is not ready"
+        );
+        assert!(request.attempts.len() < MAX_ATTEMPTS as usize, "more attempts than allowed");
+        let in_flight = request.in_flight().len();
+        assert!(in_flight == 0 || self.hedging && in_flight == 1);
+        let may_have_run =
+            |attempt: &&AttemptRecord| attempt.outcome.is_none_or(|outcome| !outcome.never_ran());
+        let first = request.attempts.iter().find(may_have_run);
+        match (self.classes[request.class].idempotency, first) {
+            (Idempotency::NonIdempotent, Some(_)) => panic!("a non-idempotent request was retried"),
+            (Idempotency::Keyed { scope, window }, Some(first)) => {
+                let is_same_cell = first.endpoint.0 % 2 == endpoint.0 % 2;
+                assert!(scope == DeduplicationScope::All || is_same_cell, "left its cell");
+                assert!(self.proxy.now <= first.sent_at + window, "left its window");
             }
             _ => {}
         }
+        request.attempts.push(AttemptRecord { endpoint, outcome: None, sent_at: self.proxy.now });
+    }
+
+    fn check_rejection(&mut self, id: RequestId) {
+        let request = self.requests.get_mut(&id).expect("a request that arrived");
+        assert!(!std::mem::replace(&mut request.ended, true), "ended twice");
+        let mut attempts = request.attempts.iter();
+        let never_executed = attempts.all(|a| a.outcome.is_some_and(Outcome::never_ran));
+        let is_repeatable = matches!(
+            self.classes[request.class].idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. }
+        );
+        assert!(never_executed || is_repeatable, "rejected though it may have been executed");
+    }
+}
+
+#[test]
+fn every_action_of_random_event_sequences_keeps_the_rules() {
+    for seed in 0..12 {
+        let mut sequence = Sequence::new(seed);
+        sequence.run();
+        sequence.finish(seed);
     }
 }
 
--- a/balancer/tests/slow_start_fleet.rs
+++ b/balancer/tests/slow_start_fleet.rs
@@ -2,7 +2,7 @@
 //! seed, against the load at which it fails.
 
 mod common;
-#[path = "models/slow_start_fleet.rs"]
+#[path = "models/slow_start_fleet/mod.rs"]
 mod model;
 
 use model::*;
