--- /dev/null
+++ b/balancer/tests/random_sequences.rs
@@ -0,0 +1,307 @@
+//! Long odd-but-legal event sequences; the rules are checked on every action.
+
+mod common;
+use balancer::*;
+use common::*;
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
+use std::collections::{BTreeMap, BTreeSet};
+
+const MAX_ATTEMPTS: u32 = 4;
+const CLIENT_TIMEOUT: Micros = 1_200 * MS;
+
+struct AttemptRecord {
+    endpoint: EndpointId,
+    outcome: Option<Outcome>,
+    sent_at: Micros,
+}
+
+#[derive(Default)]
+struct RequestRecord {
+    attempts: Vec<AttemptRecord>,
+    ended: bool,
+    deadline: Micros,
+    class: usize,
+}
+
+impl RequestRecord {
+    /// Numbers of the attempts in flight.
+    fn in_flight(&self) -> Vec<usize> {
+        (0..self.attempts.len()).filter(|&number| self.attempts[number].outcome.is_none()).collect()
+    }
+}
+
+/// A random sequence of events, and what has to be known to check the actions.
+struct Sequence {
+    random: Pcg32,
+    proxy: Proxy,
+    classes: Vec<Class>,
+    hedging: bool,
+    requests: BTreeMap<RequestId, RequestRecord>,
+    list: BTreeMap<EndpointId, EndpointState>,
+    known: BTreeSet<EndpointId>,
+}
+
+fn below(random: &mut Pcg32, bound: u64) -> u64 {
+    u64::from(random.next_u32()) % bound
+}
+
+impl Sequence {
+    fn new(seed: u64) -> Sequence {
+        let mut random = Pcg32::seed_from_u64(seed);
+        let kinds = [
+            Idempotency::Idempotent,
+            Idempotency::NonIdempotent,
+            Idempotency::Keyed { scope: DeduplicationScope::Cell, window: 300 * MS },
+            Idempotency::Keyed { scope: DeduplicationScope::All, window: 300 * MS },
+        ];
+        let mut settings = settings(Idempotency::Idempotent);
+        settings.classes =
+            kinds.iter().map(|&idempotency| Class { idempotency, ..settings.classes[0] }).collect();
+        settings.limits.hedging = seed.is_multiple_of(2);
+        settings.limits.max_attempts = MAX_ATTEMPTS;
+        settings.balancer_count = 1 + below(&mut random, 5) as u32;
+        let is_polled = seed.is_multiple_of(3);
+        settings.discovery.mode = if is_polled { DiscoveryMode::Poll } else { DiscoveryMode::Push };
+        Sequence {
+            random,
+            classes: settings.classes.clone(),
+            hedging: settings.limits.hedging,
+            proxy: Proxy::new(settings, 0),
+            requests: BTreeMap::new(),
+            list: BTreeMap::new(),
+            known: BTreeSet::new(),
+        }
+    }
+
+    fn below(&mut self, bound: u64) -> u64 {
+        below(&mut self.random, bound)
+    }
+
+    fn run(&mut self) {
+        for step in 0..4_000_u64 {
+            self.proxy.now += self.below(8) * MS;
+            let open: Vec<(RequestId, usize)> = self
+                .requests
+                .iter()
+                .flat_map(|(&id, request)| request.in_flight().into_iter().map(move |n| (id, n)))
+                .collect();
+            let actions = match self.below(10) {
+                0..=3 => self.receive_request(),
+                4..=7 if !open.is_empty() => self.end_some_attempt(&open),
+                8 if step % 7 == 0 => self.change_list(),
+                8 if step % 31 == 0 => self.proxy.update_list(ListUpdate::PollFailed, vec![]),
+                _ => {
+                    // Deadlines first, as the proxy's clock would have them.
+                    self.end_late_attempts();
+                    self.proxy.handle(Event::Timer)
+                }
+            };
+            self.check(&actions);
+        }
+    }
+
+    fn receive_request(&mut self) -> Vec<Action> {
+        let class = self.below(4) as usize;
+        let (id, actions) = self.proxy.request_of_class(class);
+        let deadline = self.proxy.now + CLIENT_TIMEOUT;
+        self.requests.insert(id, RequestRecord { deadline, class, ..RequestRecord::default() });
+        actions
+    }
+
+    fn end_some_attempt(&mut self, open: &[(RequestId, usize)]) -> Vec<Action> {
+        let (id, number) = open[self.below(open.len() as u64) as usize];
+        let outcome = match self.below(12) {
+            0 => Outcome::Error,
+            1 => Outcome::Rejected,
+            2 => Outcome::ConnectFailed,
+            3 => Outcome::Reset,
+            4 => Outcome::Unknown,
+            _ => Outcome::Served,
+        };
+        self.end_attempt(id, number, outcome)
+    }
+
+    fn end_attempt(&mut self, id: RequestId, number: usize, outcome: Outcome) -> Vec<Action> {
+        let request = self.requests.get_mut(&id).expect("a known request");
+        request.attempts[number].outcome = Some(outcome);
+        request.ended |= outcome == Outcome::Served;
+        let elapsed = self.proxy.now - request.attempts[number].sent_at;
+        self.proxy.end_attempt(id, number as u32, outcome, elapsed)
+    }
+
+    fn change_list(&mut self) -> Vec<Action> {
+        let endpoint = EndpointId(self.below(8) as u32);
+        let states =
+            [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
+        let state = states[self.below(4) as usize];
+        let started_at = if self.below(4) > 0 { 0 } else { self.proxy.now };
+        self.known.insert(endpoint);
+        self.list.insert(endpoint, state);
+        let cell = CellId(endpoint.0 % 2);
+        let entry = EndpointEntry { endpoint, state, started_at, cell, ..EndpointEntry::default() };
+        self.proxy.update_list(ListUpdate::Delta, vec![entry])
+    }
+
+    fn end_late_attempts(&mut self) {
+        let now = self.proxy.now;
+        let is_late = |request: &RequestRecord| !request.ended && request.deadline <= now;
+        let late = self.requests.iter().filter(|(_, request)| is_late(request));
+        let late: Vec<RequestId> = late.map(|(&id, _)| id).collect();
+        for id in late {
+            for number in self.requests[&id].in_flight() {
+                let actions = self.end_attempt(id, number, Outcome::TimedOut);
+                self.check(&actions);
+            }
+        }
+    }
+
+    fn open_requests(&self) -> Vec<RequestId> {
+        let open = self.requests.iter().filter(|(_, request)| !request.ended);
+        open.map(|(&id, _)| id).collect()
+    }
+
+    /// Lets all clients' time pass: all requests have to be answered then.
+    fn finish(&mut self, seed: u64) {
+        for _ in 0..3 {
+            self.proxy.now += 700 * MS;
+            let actions = self.proxy.handle(Event::Timer);
+            self.check(&actions);
+            for id in self.open_requests() {
+                for number in 0..self.requests[&id].attempts.len() {
+                    let attempt = &mut self.requests.get_mut(&id).expect("known").attempts[number];
+                    if attempt.outcome.is_none() {
+                        attempt.outcome = Some(Outcome::TimedOut);
+                        let outcome = Outcome::TimedOut;
+                        let actions = self.proxy.end_attempt(id, number as u32, outcome, 700 * MS);
+                        self.check(&actions);
+                    }
+                }
+            }
+        }
+        let lost = self.open_requests();
+        assert!(lost.is_empty(), "seed {seed}: never ended {lost:?}");
+        let forwarded = self.requests.values().filter(|r| !r.attempts.is_empty()).count();
+        assert!(forwarded > 100, "seed {seed}: a sequence with too few requests, {forwarded} sent");
+    }
+
+    fn check(&mut self, actions: &[Action]) {
+        for action in actions {
+            match *action {
+                Action::Forward { request, endpoint, .. } => self.check_attempt(request, endpoint),
+                Action::Reject { request, .. } => self.check_rejection(request),
+                Action::Fail { request, .. } => {
+                    let record = self.requests.get_mut(&request).expect("a request that arrived");
+                    assert!(!std::mem::replace(&mut record.ended, true), "ended twice");
+                }
+                Action::CancelAttempt { request, attempt } => {
+                    let count = self.requests[&request].attempts.len();
+                    assert!((attempt as usize) < count, "no such attempt");
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn check_attempt(&mut self, id: RequestId, endpoint: EndpointId) {
+        let request = self.requests.get_mut(&id).expect("a request that arrived");
+        assert!(!request.ended, "sent after its end");
+        assert!(
+            self.known.contains(&endpoint) && self.list[&endpoint] == EndpointState::Ready,
+            "sent to one that is not ready"
+        );
+        assert!(request.attempts.len() < MAX_ATTEMPTS as usize, "more attempts than allowed");
+        let in_flight = request.in_flight().len();
+        assert!(in_flight == 0 || self.hedging && in_flight == 1);
+        let may_have_run =
+            |attempt: &&AttemptRecord| attempt.outcome.is_none_or(|outcome| !outcome.never_ran());
+        let first = request.attempts.iter().find(may_have_run);
+        match (self.classes[request.class].idempotency, first) {
+            (Idempotency::NonIdempotent, Some(_)) => panic!("a non-idempotent request was retried"),
+            (Idempotency::Keyed { scope, window }, Some(first)) => {
+                let is_same_cell = first.endpoint.0 % 2 == endpoint.0 % 2;
+                assert!(scope == DeduplicationScope::All || is_same_cell, "left its cell");
+                assert!(self.proxy.now <= first.sent_at + window, "left its window");
+            }
+            _ => {}
+        }
+        request.attempts.push(AttemptRecord { endpoint, outcome: None, sent_at: self.proxy.now });
+    }
+
+    fn check_rejection(&mut self, id: RequestId) {
+        let request = self.requests.get_mut(&id).expect("a request that arrived");
+        assert!(!std::mem::replace(&mut request.ended, true), "ended twice");
+        let mut attempts = request.attempts.iter();
+        let never_executed = attempts.all(|a| a.outcome.is_some_and(Outcome::never_ran));
+        let is_repeatable = matches!(
+            self.classes[request.class].idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. }
+        );
+        assert!(never_executed || is_repeatable, "rejected though it may have been executed");
+    }
+}
+
+#[test]
+fn every_action_of_random_event_sequences_keeps_the_rules() {
+    for seed in 0..12 {
+        let mut sequence = Sequence::new(seed);
+        sequence.run();
+        sequence.finish(seed);
+    }
+}
+
+#[test]
+fn the_same_events_give_the_same_actions() {
+    let run = || {
+        let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 5);
+        for i in 0..300 {
+            proxy.serve_request((i % 17) * MS);
+        }
+        proxy.actions
+    };
+    assert_eq!(run(), run());
+}
+
+#[test]
+fn odd_input_causes_no_panic() {
+    let mut odd = settings(Idempotency::Idempotent);
+    odd.balancer_count = 0;
+    odd.limits.max_attempts = 0;
+    odd.tenants = vec![Tenant { quota: 0.0 }];
+    odd.slow_start = SlowStart { initial_capacity: 0.0, duration: 0, overload_multiple: 0.0 };
+    odd.discovery = Discovery { mode: DiscoveryMode::Push, max_poll_interval: 0, notification_deadline: 0 };
+    let empty = Settings { classes: vec![], ..odd.clone() };
+    for settings in [odd, empty] {
+        let mut proxy = Proxy::new(settings, 2);
+        let times = [0, 1, u64::MAX / 2];
+        for (i, &time_left) in times.iter().chain(&[u64::MAX]).enumerate() {
+            let class = ClassId(if i % 2 == 0 { 0 } else { usize::MAX });
+            let request = RequestId(1_000 + i as u64);
+            let tenant = Some(TenantId(i));
+            let event = Event::RequestReceived {
+                request,
+                class,
+                tenant,
+                time_left,
+                client_retry: true,
+                non_replayable: false,
+            };
+            proxy.handle(event.clone());
+            proxy.handle(event);
+            for attempt in [0, 0, 7] {
+                proxy.end_attempt(request, attempt, Outcome::Unknown, u64::MAX);
+            }
+        }
+        proxy.end_attempt(RequestId(99), 0, Outcome::Served, 0);
+        proxy.handle(Event::RequestCancelled { request: RequestId(99) });
+        proxy.handle(Event::ResponseStarted { request: RequestId(99), attempt: 3 });
+        let load = LoadReport { in_flight: Some(f64::NAN), queued: Some(-1.0), cpu_utilization: None };
+        proxy.handle(Event::HealthChecked { endpoint: EndpointId(9), outcome: Outcome::Served, load });
+        proxy.update_list(ListUpdate::Full, vec![]);
+        proxy.now = u64::MAX - 10;
+        proxy.update_list(ListUpdate::Delta, vec![EndpointEntry { started_at: u64::MAX, ..ready(1) }]);
+        let (request, _) = proxy.request();
+        proxy.advance(5);
+        proxy.handle(Event::RequestCancelled { request });
+    }
+}
--- /dev/null
+++ b/balancer/tests/request_outcomes.rs
@@ -0,0 +1,243 @@
+//! Each request is answered in time, none is executed twice, and none is sent to an endpoint that
+//! has left; queues and timers are bounded.
+
+mod common;
+use balancer::*;
+use common::*;
+
+const CELL: Idempotency = Idempotency::Keyed { scope: DeduplicationScope::Cell, window: 400 * MS };
+
+fn endpoints_of_two_cells() -> Vec<EndpointEntry> {
+    (1..=4).map(|i| EndpointEntry { cell: CellId(i % 2), zone: ZoneId(i % 2), ..ready(i) }).collect()
+}
+
+// Each request is answered.
+
+#[test]
+fn queued_requests_are_answered_before_their_client_stops_waiting() {
+    for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent, CELL] {
+        let mut proxy = Proxy::new(settings(idempotency), 0);
+        let (request, mut actions) = proxy.request();
+        assert!(forwarded(&actions).is_empty());
+        while !rejected(&actions, request) {
+            let after =
+                actions
+                    .iter()
+                    .find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
+            actions = proxy.advance(after.expect("a timer for the queued request"));
+        }
+        assert!(proxy.now < 1_000_000 + 1_200 * MS);
+    }
+}
+
+#[test]
+fn a_timeout_at_the_deadline_ends_the_request() {
+    for (idempotency, may_refuse) in
+        [(Idempotency::Idempotent, true), (Idempotency::NonIdempotent, false), (CELL, false)]
+    {
+        let mut proxy = Proxy::new(settings(idempotency), 1);
+        let (request, _) = proxy.request();
+        proxy.now += 1_200 * MS;
+        let actions = proxy.end_attempt(request, 0, Outcome::TimedOut, 1_200 * MS);
+        assert_eq!(rejected(&actions, request), may_refuse);
+        assert_eq!(failed(&actions, request), !may_refuse);
+        assert!(forwarded(&proxy.request().1).iter().all(|s| s.0 != request));
+    }
+}
+
+/// A proxy that shuts down answers its queued requests before, however long their clients would
+/// wait.
+#[test]
+fn queued_requests_are_answered_before_the_shutdown_ends() {
+    for late_weight_fraction in [0.0, 0.5] {
+        let mut settings = settings(Idempotency::Idempotent);
+        settings.classes[0] =
+            Class { latency_objective: 1_100 * MS, late_weight_fraction, ..settings.classes[0] };
+        let mut proxy = Proxy::new(settings, 0);
+        let (request, _) = proxy.request();
+        let mut actions = proxy.handle(Event::ShutdownStarted { time_left: 100 * MS });
+        while !rejected(&actions, request) {
+            let after =
+                actions
+                    .iter()
+                    .find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
+            actions = proxy.advance(after.expect("a timer for the queued request"));
+        }
+        assert!(proxy.now < 1_000_000 + 100 * MS);
+    }
+}
+
+// No request is executed twice.
+
+const FAILED_OUTCOMES: [Outcome; 8] = [
+    Outcome::Error,
+    Outcome::Rejected,
+    Outcome::TimedOut,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::Cancelled,
+    Outcome::NeverSent,
+    Outcome::Unknown,
+];
+
+#[test]
+fn each_outcome_against_each_kind_of_idempotency() {
+    let guarded = |scope| Idempotency::Keyed { scope, window: 400 * MS };
+    let kinds = [
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        guarded(DeduplicationScope::All),
+        guarded(DeduplicationScope::Zone),
+        guarded(DeduplicationScope::Cell),
+    ];
+    for idempotency in kinds {
+        for first in FAILED_OUTCOMES {
+            for second in FAILED_OUTCOMES {
+                let mut proxy = Proxy::new(settings(idempotency), 0);
+                proxy.update_list(ListUpdate::Full, endpoints_of_two_cells());
+                let (request, actions) = proxy.request();
+                let home = forwarded(&actions)[0].1;
+                proxy.now += MS;
+                let actions = proxy.end_attempt(request, 0, first, MS);
+                let again = forwarded(&actions);
+                let never_executed = first.never_ran();
+                if idempotency == Idempotency::NonIdempotent && !never_executed {
+                    assert!(again.is_empty() && failed(&actions, request), "{first:?}");
+                    continue;
+                }
+                assert_eq!(again.len(), 1, "{idempotency:?} after {first:?}");
+                let bound = matches!(
+                    idempotency,
+                    Idempotency::Keyed { scope: DeduplicationScope::Zone | DeduplicationScope::Cell, .. }
+                );
+                if bound && !never_executed {
+                    assert_eq!(again[0].1 .0 % 2, home.0 % 2, "stays with its group");
+                }
+                // The second attempt's end, when no other is possible: rejected only where that is
+                // harmless.
+                proxy.now += 450 * MS;
+                let actions = proxy.end_attempt(request, 1, second, MS);
+                let is_repeatable = match idempotency {
+                    Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => {
+                        true
+                    }
+                    _ => never_executed && second.never_ran(),
+                };
+                assert!(forwarded(&actions).is_empty(), "too late to be in time");
+                assert_eq!(
+                    rejected(&actions, request),
+                    is_repeatable,
+                    "{idempotency:?} {first:?} {second:?}"
+                );
+                assert_eq!(failed(&actions, request), !is_repeatable);
+            }
+        }
+    }
+}
+
+#[test]
+fn a_keyed_request_is_not_retried_after_its_window() {
+    let mut proxy =
+        Proxy::new(settings(Idempotency::Keyed { scope: DeduplicationScope::Cell, window: 100 * MS }), 4);
+    let (request, _) = proxy.request();
+    proxy.now += 100 * MS;
+    let actions = proxy.end_attempt(request, 0, Outcome::Error, 100 * MS);
+    assert!(forwarded(&actions).is_empty() && failed(&actions, request));
+}
+
+/// A queued retry gets its final answer as soon as it may be sent nowhere any more.
+#[test]
+fn a_queued_retry_is_answered_at_the_end_of_its_window() {
+    let window = 100 * MS;
+    let mut proxy = Proxy::new(settings(Idempotency::Keyed { scope: DeduplicationScope::Cell, window }), 1);
+    let (start, (request, _), (trial, more)) = (proxy.now, proxy.request(), proxy.request());
+    assert_eq!(forwarded(&more).len(), 1, "it takes the capacity that the other will need");
+    proxy.now += 10 * MS;
+    let mut actions = proxy.end_attempt(request, 0, Outcome::Error, 10 * MS);
+    while !failed(&actions, request) {
+        assert!(forwarded(&actions).is_empty());
+        let after =
+            actions.iter().find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
+        actions = proxy.advance(after.expect("a timer for the queued request"));
+    }
+    assert_eq!(proxy.now, start + window);
+    assert!(forwarded(&proxy.end_attempt(trial, 0, Outcome::Served, window)).is_empty());
+}
+
+/// A retry's connection may take long to be established: the window bounds its first byte, not its
+/// selection.
+#[test]
+fn a_retry_may_start_within_what_is_left_of_its_window() {
+    let scope = DeduplicationScope::Cell;
+    let cases = [
+        (Idempotency::Idempotent, None),
+        (Idempotency::Keyed { scope, window: 100 * MS }, Some(70 * MS - 1_000)),
+    ];
+    for (idempotency, left) in cases {
+        let mut proxy = Proxy::new(settings(idempotency), 4);
+        let (request, actions) = proxy.request();
+        let within = |actions: &[Action]| match actions.iter().find(|a| matches!(a, Action::Forward { .. })) {
+            Some(Action::Forward { start_within, .. }) => *start_within,
+            _ => panic!("it is not sent"),
+        };
+        assert_eq!(within(&actions), None, "the first of its attempts");
+        proxy.now += 30 * MS;
+        assert_eq!(within(&proxy.end_attempt(request, 0, Outcome::Error, 30 * MS)), left, "{idempotency:?}");
+    }
+}
+
+// Nothing is sent to endpoints that drain.
+
+#[test]
+fn nothing_is_forwarded_to_a_draining_or_removed_endpoint_also_after_a_cached_list() {
+    for kind in [ListUpdate::Delta, ListUpdate::Full] {
+        for state in [EndpointState::Draining, EndpointState::Removed] {
+            let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
+            proxy.update_list(ListUpdate::Cached, vec![ready(1), ready(2)]);
+            proxy.update_list(kind, vec![EndpointEntry { state, ..ready(1) }, ready(2)]);
+            for _ in 0..50 {
+                assert_eq!(proxy.serve_request(MS), Some(EndpointId(2)));
+            }
+        }
+    }
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
+    proxy.update_list(ListUpdate::Full, vec![ready(2)]);
+    for _ in 0..50 {
+        assert_eq!(proxy.serve_request(MS), Some(EndpointId(2)), "what a full list omits is removed");
+    }
+}
+
+// Queues and timers.
+
+#[test]
+fn time_in_the_queue_is_bounded_so_that_not_all_are_served_late() {
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
+    let mut early = 0;
+    for _ in 0..60 {
+        proxy.now += 10 * MS;
+        let (request, actions) = proxy.request();
+        early += usize::from(rejected(&actions, request));
+    }
+    assert!(early > 20, "requests that would wait too long are rejected as they arrive: {early}");
+}
+
+#[test]
+fn timers_do_not_set_further_timers_for_ever() {
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
+    (0..50).for_each(|_| drop(proxy.request()));
+    let mut due = std::collections::BinaryHeap::new();
+    let (mut timers, mut seen) = (0, 0);
+    loop {
+        for action in &proxy.actions[seen..] {
+            if let Action::SetTimer { after } = action {
+                due.push(std::cmp::Reverse(proxy.now + after));
+            }
+        }
+        seen = proxy.actions.len();
+        let Some(std::cmp::Reverse(at)) = due.pop() else { break };
+        proxy.now = proxy.now.max(at);
+        proxy.handle(Event::Timer);
+        timers += 1;
+        assert!(timers < 1_000, "50 requests end within a second");
+    }
+}
