--- /dev/null
+++ b/adapter/src/endpoint_message.rs
@@ -0,0 +1,42 @@
+//! An endpoint as the simulator's lists describe it.
+
+use crate::error::InputError;
+use balancer::{CellId, EndpointEntry, EndpointId, EndpointState, Micros};
+use balancer_settings::zone;
+use serde::Deserialize;
+
+/// An endpoint of a list.
+#[derive(Deserialize)]
+pub(crate) struct EndpointMessage {
+    #[serde(rename = "last_start_us", default)]
+    started_at: Micros,
+    #[serde(rename = "az", default)]
+    zone: String,
+    #[serde(rename = "cohort", default)]
+    cell: u32,
+    #[serde(rename = "host")]
+    endpoint: u32,
+    #[serde(default)]
+    weight: f64,
+    state: u32,
+}
+
+impl EndpointMessage {
+    /// The endpoint in the balancer's terms.
+    pub(crate) fn entry(&self) -> Result<EndpointEntry, InputError> {
+        let state = match self.state {
+            0 => EndpointState::Draining,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Removed,
+            state => return Err(InputError::UnknownState { endpoint: self.endpoint, state }),
+        };
+        Ok(EndpointEntry {
+            endpoint: EndpointId(self.endpoint),
+            state,
+            zone: zone(&self.zone),
+            cell: CellId(self.cell),
+            started_at: self.started_at,
+            weight: self.weight,
+        })
+    }
+}
--- /dev/null
+++ b/adapter/src/instance.rs
@@ -0,0 +1,95 @@
+//! One balancer with the names that the wire uses for what it numbers.
+
+use crate::command::{command, Command};
+use crate::error::InputError;
+use crate::input::RequestInput;
+use crate::requests::Requests;
+use balancer::{Action, Balancer, ClassId, Event, Micros, RequestId, TenantId};
+use balancer_settings::SiteSettings;
+
+/// One balancer of the simulator.
+pub(crate) struct Instance {
+    id: i64,
+    balancer: Balancer,
+    class_names: Vec<String>,
+    tenant_names: Vec<String>,
+    requests: Requests,
+    /// Buffer for the balancer's actions, empty between events.
+    actions: Vec<Action>,
+}
+
+impl Instance {
+    /// A balancer that has not started.
+    pub(crate) fn new(id: i64, seed: u64, settings: &serde_json::Value) -> Result<Instance, InputError> {
+        let SiteSettings { settings, class_names, tenant_names } =
+            balancer_settings::read(settings).map_err(InputError::Settings)?;
+        Ok(Instance {
+            id,
+            balancer: Balancer::new(seed, settings),
+            class_names,
+            tenant_names,
+            requests: Requests::default(),
+            actions: Vec::new(),
+        })
+    }
+
+    /// Whether a request of this name is known.
+    pub(crate) fn knows(&self, request: &str) -> bool {
+        self.requests.contains(request)
+    }
+
+    /// Hands an event to the balancer and appends its commands.
+    pub(crate) fn handle(&mut self, now: Micros, event: Event, commands: &mut Vec<Command>) {
+        self.balancer.handle(now, event, &mut self.actions);
+        for action in self.actions.drain(..) {
+            commands.extend(command(self.id, &mut self.requests, action));
+        }
+    }
+
+    /// Handles what concerns one request.
+    pub(crate) fn handle_request(
+        &mut self,
+        now: Micros,
+        wire_id: &str,
+        input: RequestInput,
+        commands: &mut Vec<Command>,
+    ) {
+        let request = self.requests.id(wire_id);
+        let event = self.request_event(request, input);
+        self.handle(now, event, commands);
+        self.requests.forget_if_done(request);
+    }
+
+    fn request_event(&mut self, request: RequestId, input: RequestInput) -> Event {
+        match input {
+            RequestInput::Received { class, tenant, time_left, client_retry } => {
+                let tenant = tenant.and_then(|name| index(&self.tenant_names, &name));
+                Event::RequestReceived {
+                    request,
+                    // The balancer takes an index out of range as an unknown class.
+                    class: ClassId(index(&self.class_names, &class).unwrap_or(usize::MAX)),
+                    tenant: tenant.map(TenantId),
+                    time_left,
+                    client_retry,
+                    non_replayable: false,
+                }
+            }
+            RequestInput::AttemptEnded { attempt, outcome, elapsed, finished, load } => {
+                self.requests.attempt_ended(request);
+                if finished {
+                    self.requests.finished(request);
+                }
+                Event::AttemptEnded { request, attempt, outcome, elapsed, request_finished: finished, load }
+            }
+            RequestInput::ResponseStarted { attempt } => Event::ResponseStarted { request, attempt },
+            RequestInput::Cancelled => {
+                self.requests.finished(request);
+                Event::RequestCancelled { request }
+            }
+        }
+    }
+}
+
+fn index(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|known| known == name)
+}
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,238 +1,42 @@
-//! Hosts balancers on the bench's wire: one JSON batch a line in, one JSON reply a line out. Decides nothing.
+//! Runs balancers on the simulator's wire: one JSON batch a line in, one JSON reply a line out.
+//! Takes no decision of its own.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
-mod wire;
-
-use balancer::{
-    Action, Balancer, ClassId, EndpointEntry, EndpointId, Event, ListUpdate, Outcome, RequestId, TenantId,
-};
-use std::collections::HashMap;
+mod adapter;
+mod command;
+mod endpoint_message;
+mod error;
+mod input;
+mod instance;
+mod message;
+mod requests;
+
+use adapter::Adapter;
+use anyhow::Context;
 use std::io::{self, BufRead, Write};
-use wire::{Batch, Command, Input, Reply};
-
-/// A call of an instance under its name on the wire.
-struct Name {
-    word: String,
-    out: u32,
-    ended: bool,
-}
-
-/// One instance: its balancer and the names that the wire uses for what the balancer numbers.
-struct Instance {
-    balancer: Balancer,
-    classes: Vec<String>,
-    tenants: Vec<String>,
-    numbers: HashMap<String, RequestId>,
-    names: HashMap<RequestId, Name>,
-    next: u64,
-}
-
-impl Instance {
-    fn number(&mut self, word: &str) -> RequestId {
-        if let Some(&id) = self.numbers.get(word) {
-            return id;
-        }
-        let id = RequestId(self.next);
-        self.next += 1;
-        self.numbers.insert(word.to_owned(), id);
-        self.names.insert(id, Name { word: word.to_owned(), out: 0, ended: false });
-        id
-    }
-
-    /// Forgets a call once it has ended and none of its attempts is out.
-    fn tidy(&mut self, id: RequestId) {
-        if self.names.get(&id).is_some_and(|n| n.ended && n.out == 0) {
-            if let Some(name) = self.names.remove(&id) {
-                self.numbers.remove(&name.word);
-            }
-        }
-    }
-}
-
-/// All instances of this process, the lists, and the zones' numbers.
-#[derive(Default)]
-struct Host {
-    instances: HashMap<i64, Instance>,
-    lists: HashMap<i64, Vec<wire::Element>>,
-    actions: Vec<Action>,
-}
+use std::process::ExitCode;
 
-fn need<T>(value: Option<T>, verb: &str, field: &str) -> Result<T, String> {
-    value.ok_or_else(|| format!("{verb} without {field}"))
-}
-
-impl Host {
-    fn batch(&mut self, line: &str) -> Result<String, String> {
-        let batch: Batch = serde_json::from_str(line).map_err(|e| format!("not a batch: {e}"))?;
-        let mut reply = Reply { cmds: Vec::with_capacity(batch.input.len()) };
-        for input in batch.input {
-            self.input(batch.clock_us, input, &mut reply)?;
-        }
-        serde_json::to_string(&reply).map_err(|e| format!("no reply: {e}"))
-    }
-
-    fn input(&mut self, now: u64, input: Input, reply: &mut Reply) -> Result<(), String> {
-        let verb = input.verb.as_ref();
-        if verb == "POOL" {
-            let list = need(input.roster_id, verb, "roster_id")?;
-            self.lists.insert(list, input.elements.unwrap_or_default());
-            return Ok(());
-        }
-        let proxy = need(input.proxy, verb, "proxy")?;
-        if verb == "CREATE" {
-            let facts = need(input.facts, verb, "facts")?;
-            let seed = need(input.seed, verb, "seed")?;
-            let site = balancer_settings::read(&facts).map_err(|e| format!("facts: {e}"))?;
-            let balancer = Balancer::new(seed, site.settings);
-            let (classes, tenants) = (site.class_names, site.tenant_names);
-            let (numbers, names) = (HashMap::new(), HashMap::new());
-            let instance = Instance { balancer, classes, tenants, numbers, names, next: 0 };
-            self.instances.insert(proxy, instance);
-        } else if verb == "DETACH" {
-            self.instances.remove(&proxy);
-            return Ok(());
-        }
-        let instance =
-            self.instances.get_mut(&proxy).ok_or_else(|| format!("{verb} for unknown proxy {proxy}"))?;
-        let mut touched = None;
-        let event = match verb {
-            "CREATE" => Event::Start,
-            "MEMBERS" => {
-                let kind = match need(input.scope, verb, "scope")? {
-                    0 => ListUpdate::PollFailed,
-                    1 => ListUpdate::Cached,
-                    2 => ListUpdate::Delta,
-                    3 => ListUpdate::Full,
-                    other => return Err(format!("MEMBERS with unknown scope {other}")),
-                };
-                let entries: Vec<EndpointEntry> = match kind {
-                    ListUpdate::PollFailed => Vec::new(),
-                    _ => {
-                        let list = need(input.roster_id, verb, "roster_id")?;
-                        let list =
-                            self.lists.get(&list).ok_or_else(|| format!("MEMBERS of unknown list {list}"))?;
-                        list.iter().map(wire::Element::entry).collect::<Result<_, _>>()?
-                    }
-                };
-                Event::EndpointList { kind, entries }
-            }
-            "ALARM" => Event::Timer,
-            "PROBED" => Event::HealthChecked {
-                endpoint: EndpointId(need(input.host, verb, "host")?),
-                outcome: wire::outcome(&need(input.result, verb, "result")?),
-                load: input.stats.map(|s| s.load()).unwrap_or_default(),
-            },
-            "WHISPER" => return Ok(()),
-            "JOB_IN" | "DONE" | "UNDER_WAY" | "CANCELLED_BY_CLIENT" => {
-                let word = need(input.call, verb, "call")?;
-                if verb != "JOB_IN" && !instance.numbers.contains_key(word.as_ref()) {
-                    return Ok(());
-                }
-                let call = instance.number(&word);
-                touched = Some(call);
-                match verb {
-                    "JOB_IN" => {
-                        let class = need(input.tier_class, verb, "tier_class")?;
-                        let place = |all: &[String], name: &str| all.iter().position(|n| n == name);
-                        Event::RequestReceived {
-                            request: call,
-                            class: ClassId(place(&instance.classes, &class).unwrap_or(usize::MAX)),
-                            tenant: input.user_group.and_then(|t| place(&instance.tenants, &t)).map(TenantId),
-                            time_left: need(input.time_budget_us, verb, "time_budget_us")?,
-                            client_retry: input.resent,
-                            non_replayable: false,
-                        }
-                    }
-                    "DONE" => {
-                        let outcome: Outcome = wire::outcome(&need(input.result, verb, "result")?);
-                        if let Some(name) = instance.names.get_mut(&call) {
-                            name.out = name.out.saturating_sub(1);
-                            name.ended |= input.terminal;
-                        }
-                        Event::AttemptEnded {
-                            request: call,
-                            attempt: need(input.seq_no, verb, "seq_no")?,
-                            outcome,
-                            elapsed: input.elapsed_us.unwrap_or(0),
-                            request_finished: input.terminal,
-                            load: input.stats.map(|s| s.load()).unwrap_or_default(),
-                        }
-                    }
-                    "UNDER_WAY" => {
-                        Event::ResponseStarted { request: call, attempt: need(input.seq_no, verb, "seq_no")? }
-                    }
-                    _ => {
-                        if let Some(name) = instance.names.get_mut(&call) {
-                            name.ended = true;
-                        }
-                        Event::RequestCancelled { request: call }
-                    }
-                }
-            }
-            other => return Err(format!("unknown verb {other}")),
-        };
-        instance.balancer.handle(now, event, &mut self.actions);
-        for action in self.actions.drain(..) {
-            if let Some(command) = command(proxy, instance, action) {
-                reply.cmds.push(command);
-            }
+fn main() -> ExitCode {
+    match run(io::stdin().lock(), io::stdout().lock()) {
+        Ok(code) => code,
+        Err(error) => {
+            eprintln!("simulator-adapter: {error:#}");
+            ExitCode::FAILURE
         }
-        if let Some(call) = touched {
-            instance.tidy(call);
-        }
-        Ok(())
     }
 }
 
-/// The wire's form of an action, with the names put back.
-fn command(proxy: i64, instance: &mut Instance, action: Action) -> Option<Command> {
-    let word = |id: RequestId, names: &HashMap<RequestId, Name>| names.get(&id).map(|n| n.word.clone());
-    Some(match action {
-        Action::Forward { request: call, endpoint, .. } => {
-            let name = instance.names.get_mut(&call)?;
-            name.out += 1;
-            Command::Route { proxy, call: name.word.clone(), host: endpoint.0 }
-        }
-        Action::Reject { request: call, retry_after, .. } => {
-            let name = instance.names.get_mut(&call)?;
-            name.ended = true;
-            let command = Command::Bounce { proxy, call: name.word.clone(), hold_off_us: retry_after };
-            instance.tidy(call);
-            command
-        }
-        Action::Fail { request: call, .. } => {
-            let name = instance.names.get_mut(&call)?;
-            name.ended = true;
-            let command = Command::DropRequest { proxy, call: name.word.clone() };
-            instance.tidy(call);
-            command
-        }
-        Action::CancelAttempt { request: call, attempt } => {
-            Command::DropAttempt { proxy, call: word(call, &instance.names)?, seq_no: attempt }
-        }
-        Action::CheckHealth { endpoint } => Command::Test { proxy, host: endpoint.0 },
-        Action::SetTimer { after } => Command::SetAlarm { proxy, offset_us: after, tag: 0 },
-        Action::Subscribe => Command::Listen { proxy, enable: true },
-        Action::Log(event) => Command::Trace { proxy, note_text: event.to_string() },
-    })
-}
-
-fn main() {
-    let mut host = Host::default();
-    let mut output = io::stdout().lock();
-    for (index, line) in io::stdin().lock().lines().enumerate() {
-        let answer = line.map_err(|e| format!("unreadable: {e}")).and_then(|line| host.batch(&line));
-        match answer {
-            Ok(reply) => {
-                if writeln!(output, "{reply}").and_then(|()| output.flush()).is_err() {
-                    std::process::exit(1);
-                }
-            }
-            Err(fault) => {
-                eprintln!("simulator-adapter: line {}: {fault}", index + 1);
-                std::process::exit(1);
-            }
+/// Answers each line of input until its end.
+fn run(input: impl BufRead, mut output: impl Write) -> anyhow::Result<ExitCode> {
+    let mut adapter = Adapter::default();
+    for (index, line) in input.lines().enumerate() {
+        let position = || format!("line {}", index + 1);
+        let line = line.context("unreadable").with_context(position)?;
+        let reply = adapter.reply(&line).with_context(position)?;
+        if writeln!(output, "{reply}").and_then(|()| output.flush()).is_err() {
+            // The simulator has closed its end: there is nobody to report to.
+            return Ok(ExitCode::FAILURE);
         }
     }
+    Ok(ExitCode::SUCCESS)
 }
--- /dev/null
+++ b/adapter/src/message.rs
@@ -0,0 +1,187 @@
+//! The simulator's messages as they are read, under the wire's names, and their conversion to typed
+//! inputs.
+
+use crate::endpoint_message::EndpointMessage;
+use crate::error::InputError;
+use crate::input::{BalancerInput, Input, RequestInput};
+use balancer::{EndpointId, ListUpdate, LoadReport, Micros, Outcome};
+use serde::Deserialize;
+use serde_json::Value;
+use std::borrow::Cow;
+
+/// One line of input.
+#[derive(Deserialize)]
+pub(crate) struct Batch<'a> {
+    /// The simulated time.
+    #[serde(rename = "clock_us")]
+    pub(crate) now: Micros,
+    /// What happened, in order.
+    #[serde(borrow, rename = "input")]
+    pub(crate) messages: Vec<Message<'a>>,
+}
+
+/// Any message as it is read; its verb says which fields it needs. A tagged enum would buffer each
+/// message once more, and this program's CPU time counts.
+#[derive(Deserialize)]
+pub(crate) struct Message<'a> {
+    #[serde(borrow)]
+    verb: Cow<'a, str>,
+    #[serde(rename = "proxy")]
+    balancer: Option<i64>,
+    seed: Option<u64>,
+    #[serde(rename = "facts")]
+    settings: Option<Value>,
+    #[serde(rename = "roster_id")]
+    list: Option<i64>,
+    #[serde(rename = "elements")]
+    endpoints: Option<Vec<EndpointMessage>>,
+    #[serde(rename = "scope")]
+    update: Option<i64>,
+    #[serde(borrow, rename = "call")]
+    request: Option<Text<'a>>,
+    #[serde(borrow, rename = "user_group")]
+    tenant: Option<Text<'a>>,
+    #[serde(borrow, rename = "tier_class")]
+    class: Option<Text<'a>>,
+    #[serde(rename = "time_budget_us")]
+    time_left: Option<Micros>,
+    #[serde(rename = "resent", default)]
+    client_retry: bool,
+    #[serde(rename = "seq_no")]
+    attempt: Option<u32>,
+    #[serde(rename = "host")]
+    endpoint: Option<u32>,
+    #[serde(borrow, rename = "result")]
+    outcome: Option<Text<'a>>,
+    #[serde(rename = "elapsed_us")]
+    elapsed: Option<Micros>,
+    #[serde(rename = "terminal", default)]
+    request_finished: bool,
+    #[serde(rename = "stats")]
+    load: Option<LoadMessage>,
+}
+
+/// A string that is borrowed from the line where it has no escapes. (Serde borrows a `Cow` in a field
+/// of its own, but copies it in an `Option`.)
+#[derive(Deserialize)]
+#[serde(transparent)]
+struct Text<'a>(#[serde(borrow)] Cow<'a, str>);
+
+/// An endpoint's load report.
+#[derive(Clone, Copy, Default, Deserialize)]
+struct LoadMessage {
+    #[serde(rename = "active")]
+    in_flight: Option<f64>,
+    #[serde(rename = "waiting")]
+    queued: Option<f64>,
+    #[serde(rename = "cpu")]
+    cpu_utilization: Option<f64>,
+}
+
+impl From<LoadMessage> for LoadReport {
+    fn from(message: LoadMessage) -> Self {
+        LoadReport {
+            in_flight: message.in_flight,
+            queued: message.queued,
+            cpu_utilization: message.cpu_utilization,
+        }
+    }
+}
+
+/// Reads the fields that a verb needs.
+struct Required<'v>(&'v str);
+
+impl Required<'_> {
+    fn field<T>(&self, value: Option<T>, field: &'static str) -> Result<T, InputError> {
+        value.ok_or_else(|| InputError::MissingField { verb: self.0.to_owned(), field })
+    }
+}
+
+impl<'a> Message<'a> {
+    /// The balancer and the request of a message that only makes sense for a request received
+    /// earlier.
+    pub(crate) fn earlier_request(&self) -> Option<(i64, &str)> {
+        match self.verb.as_ref() {
+            "DONE" | "UNDER_WAY" | "CANCELLED_BY_CLIENT" => Some((self.balancer?, &self.request.as_ref()?.0)),
+            _ => None,
+        }
+    }
+
+    /// The typed form.
+    pub(crate) fn typed(mut self) -> Result<Input<'a>, InputError> {
+        let verb = std::mem::take(&mut self.verb);
+        let required = Required(&verb);
+        if verb == "POOL" {
+            let list = required.field(self.list, "roster_id")?;
+            return Ok(Input::List { list, endpoints: self.endpoints.unwrap_or_default() });
+        }
+        let balancer = required.field(self.balancer, "proxy")?;
+        let input = match verb.as_ref() {
+            "CREATE" => BalancerInput::Create {
+                settings: required.field(self.settings, "facts")?,
+                seed: required.field(self.seed, "seed")?,
+            },
+            "DETACH" => BalancerInput::Remove,
+            "MEMBERS" => self.list_update(&required)?,
+            "ALARM" => BalancerInput::TimerExpired,
+            "WHISPER" => BalancerInput::Gossip,
+            "PROBED" => BalancerInput::HealthChecked {
+                endpoint: EndpointId(required.field(self.endpoint, "host")?),
+                outcome: outcome(&required.field(self.outcome, "result")?.0),
+                load: self.load.unwrap_or_default().into(),
+            },
+            "JOB_IN" | "DONE" | "UNDER_WAY" | "CANCELLED_BY_CLIENT" => BalancerInput::Request {
+                request: required.field(self.request.take(), "call")?.0,
+                input: self.request_input(&required)?,
+            },
+            _ => return Err(InputError::UnknownVerb(verb.into_owned())),
+        };
+        Ok(Input::Balancer { balancer, input })
+    }
+
+    fn list_update(self, required: &Required) -> Result<BalancerInput<'a>, InputError> {
+        let kind = match required.field(self.update, "scope")? {
+            0 => return Ok(BalancerInput::ListUpdate { kind: ListUpdate::PollFailed, list: None }),
+            1 => ListUpdate::Cached,
+            2 => ListUpdate::Delta,
+            3 => ListUpdate::Full,
+            scope => return Err(InputError::UnknownScope(scope)),
+        };
+        Ok(BalancerInput::ListUpdate { kind, list: Some(required.field(self.list, "roster_id")?) })
+    }
+
+    fn request_input(self, required: &Required) -> Result<RequestInput<'a>, InputError> {
+        Ok(match required.0 {
+            "JOB_IN" => RequestInput::Received {
+                class: required.field(self.class, "tier_class")?.0,
+                tenant: self.tenant.map(|tenant| tenant.0),
+                time_left: required.field(self.time_left, "time_budget_us")?,
+                client_retry: self.client_retry,
+            },
+            "DONE" => RequestInput::AttemptEnded {
+                outcome: outcome(&required.field(self.outcome, "result")?.0),
+                attempt: required.field(self.attempt, "seq_no")?,
+                elapsed: self.elapsed.unwrap_or(0),
+                finished: self.request_finished,
+                load: self.load.unwrap_or_default().into(),
+            },
+            "UNDER_WAY" => RequestInput::ResponseStarted { attempt: required.field(self.attempt, "seq_no")? },
+            _ => RequestInput::Cancelled,
+        })
+    }
+}
+
+/// How an attempt or a health check ended; codes of a later version count as unknown.
+fn outcome(code: &str) -> Outcome {
+    match code {
+        "served" => Outcome::Served,
+        "server_error" => Outcome::Error,
+        "turned_away" => Outcome::Rejected,
+        "no_answer" => Outcome::TimedOut,
+        "no_connection" => Outcome::ConnectFailed,
+        "connection_lost" => Outcome::Reset,
+        "called_off" => Outcome::Cancelled,
+        "not_sent" => Outcome::NeverSent,
+        _ => Outcome::Unknown,
+    }
+}
--- a/adapter/tests/names.rs
+++ b/adapter/tests/names.rs
@@ -1,10 +1,11 @@
-//! The simulator's wire to the letter: each verb, field and result that it names, and the replies byte by byte. The names are
-//! the operators' own and never change, whatever the program calls these things inside.
+//! The simulator's wire to the letter: each verb, field and result that it names, and the replies byte
+//! by byte. The names are the operators' own and never change, whatever the program calls these
+//! things inside.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// What a log line says is not of the wire's form.
+/// Stands for the text of a log line, which the wire leaves open.
 const TEXT: &str = "…";
 
 /// Batches and the replies to them.
--- a/settings/src/validation.rs
+++ b/settings/src/validation.rs
@@ -2,7 +2,7 @@
 //! at the start than met under load.
 
 use crate::error::{AllowedRange, SettingsError, MAX_DURATION_US};
-use balancer::Settings;
+use balancer::{Class, Settings};
 
 /// Checks that every value is within its range.
 ///
@@ -13,12 +13,7 @@
     if classes.is_empty() {
         return Err(SettingsError::NoClasses);
     }
-    for class in classes {
-        duration("objective_us", class.latency_objective, AllowedRange::Duration)?;
-        duration("deadline_us", class.deadline, AllowedRange::Duration)?;
-        number("worth", class.priority_weight, AllowedRange::NonNegative)?;
-        number("late_value", class.late_weight_fraction, AllowedRange::NonNegative)?;
-    }
+    classes.iter().try_for_each(validate_class)?;
     for tenant in tenants {
         number("portion", tenant.quota, AllowedRange::Fraction)?;
     }
@@ -32,6 +27,13 @@
     duration("told_after_us", discovery.notification_deadline, AllowedRange::Duration)
 }
 
+fn validate_class(class: &Class) -> Result<(), SettingsError> {
+    duration("objective_us", class.latency_objective, AllowedRange::Duration)?;
+    duration("deadline_us", class.deadline, AllowedRange::Duration)?;
+    number("worth", class.priority_weight, AllowedRange::NonNegative)?;
+    number("late_value", class.late_weight_fraction, AllowedRange::NonNegative)
+}
+
 fn duration(key: &'static str, value_us: u64, allowed: AllowedRange) -> Result<(), SettingsError> {
     let min_us = if allowed == AllowedRange::Duration { 1 } else { 0 };
     if (min_us..=MAX_DURATION_US).contains(&value_us) {
