--- /dev/null
+++ b/deploy/sites/generate/src/generator.rs
@@ -0,0 +1,219 @@
+//! The parts of a deployment, drawn one after the other. Keys are those of the site files.
+
+use crate::error::DrawError;
+use rand::Rng;
+use rand_pcg::Pcg64Mcg;
+use toml::{Table, Value};
+
+/// Number of classes.
+const CLASSES: std::ops::RangeInclusive<usize> = 1..=6;
+/// Maximum number of tenants; some deployments have none.
+const MAX_TENANTS: usize = 14;
+/// Deadlines of classes.
+const DEADLINE_MS: (f64, f64) = (400.0, 12_000.0);
+/// Latency objective, as a fraction of the deadline.
+const OBJECTIVE_FRACTION: (f64, f64) = (0.3, 0.95);
+/// Mean work, as a fraction of the latency objective ...
+const WORK_FRACTION: (f64, f64) = (0.06, 0.35);
+/// ... within these bounds.
+const WORK_MS: (f64, f64) = (12.0, 250.0);
+
+fn table<'a>(site: &'a mut Table, name: &'static str) -> Result<&'a mut Table, DrawError> {
+    site.get_mut(name).and_then(Value::as_table_mut).ok_or(DrawError::MissingTable(name))
+}
+
+/// The tables of an array; `path` is its name for errors.
+fn tables<'a>(
+    parent: &'a mut Table,
+    name: &str,
+    path: &'static str,
+) -> Result<impl Iterator<Item = &'a mut Table>, DrawError> {
+    let array = parent.get_mut(name).and_then(Value::as_array_mut);
+    let array = array.ok_or(DrawError::MissingTable(path))?;
+    Ok(array.iter_mut().filter_map(Value::as_table_mut))
+}
+
+/// Rounds to so many decimals, because people read the files.
+fn rounded(value: f64, decimals: i32) -> f64 {
+    let scale = 10_f64.powi(decimals);
+    (value * scale).round() / scale
+}
+
+fn range(low: f64, high: f64) -> Value {
+    Value::Array(vec![low.into(), high.into()])
+}
+
+/// Draws the parts of a deployment, always in the same order.
+pub(crate) struct Generator {
+    random: Pcg64Mcg,
+}
+
+impl Generator {
+    /// A generator with these random numbers.
+    pub(crate) fn new(random: Pcg64Mcg) -> Generator {
+        Generator { random }
+    }
+
+    /// Replaces the parts of a site that are drawn.
+    pub(crate) fn redraw(&mut self, site: &mut Table) -> Result<(), DrawError> {
+        self.network(site)?;
+        self.clients(site)?;
+        self.discovery(site)?;
+        self.limits(site)?;
+        self.rules(site)?;
+        self.endpoints(site)?;
+        site.insert("class".into(), self.classes());
+        site.remove("tenant");
+        site.extend(self.tenants().map(|tenants| ("tenant".to_owned(), tenants)));
+        Ok(())
+    }
+
+    fn between(&mut self, (low, high): (f64, f64)) -> f64 {
+        self.random.gen_range(low..=high)
+    }
+
+    /// Log-uniform: as likely in each octave.
+    fn log_between(&mut self, (low, high): (f64, f64)) -> f64 {
+        self.between((low.ln(), high.ln())).exp()
+    }
+
+    fn log_between_whole(&mut self, bounds: (f64, f64)) -> i64 {
+        self.log_between(bounds).round() as i64
+    }
+
+    fn network(&mut self, site: &mut Table) -> Result<(), DrawError> {
+        let zones = self.random.gen_range(1..=4);
+        let names = (1..=zones).map(|zone| Value::from(format!("zone-{zone}"))).collect();
+        table(site, "net")?.insert("zones".into(), Value::Array(names));
+        Ok(())
+    }
+
+    fn clients(&mut self, site: &mut Table) -> Result<(), DrawError> {
+        let max_impatient = rounded(self.between((0.0, 0.3)), 2);
+        let min_timeout_fraction = rounded(self.between((0.3, 0.9)), 2);
+        let retries = self.random.gen_range(0..=3);
+        let backoffs = [&["none"][..], &["none", "fixed"], &["none", "fixed", "exp"], &["exp"]];
+        let backoff = backoffs[self.random.gen_range(0..backoffs.len())];
+        let marks_retry = self.random.gen();
+        let clients = table(site, "clients")?;
+        clients.insert("impatient".into(), range(0.0, max_impatient));
+        clients.insert("try_share".into(), range(min_timeout_fraction, 1.0));
+        clients.insert("retries".into(), range(retries.into(), f64::from(retries) + 0.99));
+        clients.insert("backoff".into(), Value::Array(backoff.iter().map(|&name| name.into()).collect()));
+        clients.insert("marks_retry".into(), Value::Boolean(marks_retry));
+        Ok(())
+    }
+
+    fn discovery(&mut self, site: &mut Table) -> Result<(), DrawError> {
+        let mode = if self.random.gen_bool(0.7) { "push" } else { "ask" };
+        table(site, "discovery")?.insert("mode".into(), mode.into());
+        Ok(())
+    }
+
+    fn limits(&mut self, site: &mut Table) -> Result<(), DrawError> {
+        let attempts = self.random.gen_range(1..=4);
+        let flags = ["cancel", "second_copies", "retry_after"].map(|name| (name, self.random.gen::<bool>()));
+        let limits = table(site, "allow")?;
+        limits.insert("max_attempts".into(), Value::Integer(attempts));
+        limits.extend(flags.map(|(name, flag)| (name.to_owned(), Value::Boolean(flag))));
+        Ok(())
+    }
+
+    fn rules(&mut self, site: &mut Table) -> Result<(), DrawError> {
+        let drain_grace_ms = self.log_between_whole((200.0, 3_000.0));
+        let overload_multiple = rounded(self.between((2.5, 4.0)), 1);
+        let overload_ms = self.log_between_whole((1_000.0, 3_000.0));
+        let rules = table(site, "rules")?;
+        rules.insert("drain_grace_ms".into(), drain_grace_ms.into());
+        rules.insert("fall_multiple".into(), overload_multiple.into());
+        rules.insert("fall_ms".into(), overload_ms.into());
+        Ok(())
+    }
+
+    fn endpoints(&mut self, site: &mut Table) -> Result<(), DrawError> {
+        for tier in tables(site, "tier", "tier")? {
+            let connections = table(tier, "conn")?;
+            let handshake_us = self.log_between_whole((1_000.0, 9_000.0)) as f64;
+            connections.insert("handshake_us".into(), range(handshake_us, 1.6 * handshake_us));
+            connections.insert("idle_s".into(), self.log_between_whole((3.0, 120.0)).into());
+            let connect_timeout_ms = self.log_between_whole((100.0, 1_000.0));
+            connections.insert("connect_timeout_ms".into(), connect_timeout_ms.into());
+            let lower_start = self.random.gen_bool(0.5);
+            for kind in tables(tier, "kind", "tier.kind")? {
+                if lower_start {
+                    self.slow_start(kind);
+                }
+            }
+        }
+        Ok(())
+    }
+
+    /// A slow start that begins lower, and takes longer, than most.
+    fn slow_start(&mut self, kind: &mut Table) {
+        let initial_capacity = rounded(self.between((0.1, 0.2)), 2);
+        let duration_s = rounded(self.between((12.0, 24.0)), 0);
+        kind.insert("cold_from".into(), range(initial_capacity, 2.0 * initial_capacity));
+        kind.insert("cold_s".into(), range(duration_s / 2.0, duration_s));
+    }
+
+    fn classes(&mut self) -> Value {
+        let count = self.random.gen_range(CLASSES);
+        Value::Array((1..=count).map(|number| Value::Table(self.class(number))).collect())
+    }
+
+    fn class(&mut self, number: usize) -> Table {
+        let deadline_ms = self.log_between(DEADLINE_MS);
+        let objective_ms = deadline_ms * self.between(OBJECTIVE_FRACTION);
+        let work_ms = (objective_ms * self.between(WORK_FRACTION)).clamp(WORK_MS.0, WORK_MS.1);
+        let share = rounded(self.log_between((0.08, 0.8)), 2);
+        let mut class = Table::new();
+        let mut set = |name: &str, value: Value| class.insert(name.into(), value);
+        set("name", format!("class-{number}").into());
+        set("share", range(share, rounded(1.3 * share, 2)));
+        set("work_ms", range(rounded(0.8 * work_ms, 0), rounded(1.2 * work_ms, 0)));
+        set("dist", "lognormal".into());
+        set("cv", range(0.3, 0.7));
+        set("attempt_noise", range(0.1, 0.5));
+        set("aim_ms", Value::Integer(objective_ms.round() as i64));
+        set("deadline_ms", Value::Integer(deadline_ms.round() as i64));
+        set("worth", Value::Integer(self.random.gen_range(1..=9)));
+        let late_weight = if self.random.gen_bool(0.2) { 0.5 } else { 0.0 };
+        set("late_worth", late_weight.into());
+        class.extend(self.idempotency());
+        class
+    }
+
+    fn idempotency(&mut self) -> Table {
+        let mut idempotency = Table::new();
+        let mut set = |name: &str, value: Value| idempotency.insert(name.into(), value);
+        match self.random.gen_range(0..4) {
+            0 | 1 => {
+                set("effect", "safe".into());
+            }
+            2 => {
+                let scopes = ["all", "zone", "cell"];
+                set("effect", "keyed".into());
+                set("group", scopes[self.random.gen_range(0..scopes.len())].into());
+                set("window_ms", self.log_between_whole((300.0, 20_000.0)).into());
+            }
+            _ => {
+                set("effect", "unsafe".into());
+            }
+        }
+        idempotency
+    }
+
+    /// Quotas fall from the first tenant on and sum up to 1. `None`: the deployment has no tenants.
+    fn tenants(&mut self) -> Option<Value> {
+        let count = self.random.gen_range(0..=MAX_TENANTS);
+        let sum: f64 = (1..=count).map(|rank| 1.0 / rank as f64).sum();
+        let tenant = |rank: usize| {
+            let mut tenant = Table::new();
+            tenant.insert("name".into(), format!("tenant-{rank}").into());
+            tenant.insert("share".into(), rounded(1.0 / rank as f64 / sum, 4).into());
+            tenant.insert("usage".into(), range(0.5, 1.4));
+            Value::Table(tenant)
+        };
+        (count > 0).then(|| Value::Array((1..=count).map(tenant).collect()))
+    }
+}
--- a/deploy/sites/generate/src/main.rs
+++ b/deploy/sites/generate/src/main.rs
@@ -1,12 +1,15 @@
-//! Writes a drawn deployment into a folder, with the files that its base's folder holds beside the site file.
+//! Writes a drawn deployment into a folder, with the files that its base's folder has beside the site
+//! file.
 #![forbid(unsafe_code)]
 
+use anyhow::Context;
 use clap::Parser;
+use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// Files that a site file needs in its folder.
-const COMPANIONS: [&str; 3] = ["wire.json", "real.json", "unlock.txt"];
+const COMPANION_FILES: [&str; 3] = ["wire.json", "real.json", "unlock.txt"];
 
 /// Draws a deployment from site files.
 #[derive(Parser)]
@@ -14,7 +17,7 @@
     /// The same bases and seed give the same deployment.
     #[arg(long)]
     seed: u64,
-    /// The folder that gets site.toml and what it needs; made if it is not there.
+    /// Folder for site.toml and the files that it needs; created if absent.
     #[arg(long)]
     out: PathBuf,
     /// Site files to draw from.
@@ -25,29 +28,26 @@
 fn main() -> ExitCode {
     match run(&Arguments::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(reason) => {
-            eprintln!("site-generator: {reason}");
+        Err(error) => {
+            eprintln!("site-generator: {error:#}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run(arguments: &Arguments) -> Result<(), String> {
-    let named = |path: &Path| {
-        let path = path.display().to_string();
-        move |error| format!("{path}: {error}")
-    };
-    let texts = arguments.bases.iter().map(|path| std::fs::read_to_string(path).map_err(named(path)));
-    let texts = texts.collect::<Result<Vec<_>, _>>()?;
-    let (base, site) = site_generator::draw(&texts, arguments.seed).map_err(|error| error.to_string())?;
-    std::fs::create_dir_all(&arguments.out).map_err(named(&arguments.out))?;
-    let file = arguments.out.join("site.toml");
-    std::fs::write(&file, site).map_err(named(&file))?;
-    let folder = arguments.bases[base].parent().unwrap_or(Path::new("."));
-    for name in COMPANIONS {
-        let (from, to) = (folder.join(name), arguments.out.join(name));
-        let bytes = std::fs::read(&from).map_err(named(&from))?;
-        std::fs::write(&to, bytes).map_err(named(&to))?;
+fn run(arguments: &Arguments) -> anyhow::Result<()> {
+    let read = |path: &PathBuf| fs::read_to_string(path).with_context(|| path.display().to_string());
+    let bases = arguments.bases.iter().map(read).collect::<Result<Vec<_>, _>>()?;
+    let site = site_generator::draw(&bases, arguments.seed)?;
+    fs::create_dir_all(&arguments.out).with_context(|| arguments.out.display().to_string())?;
+    let path = arguments.out.join("site.toml");
+    fs::write(&path, site.text).with_context(|| path.display().to_string())?;
+    let base_folder = arguments.bases[site.base].parent().unwrap_or(Path::new("."));
+    for name in COMPANION_FILES {
+        let from = base_folder.join(name);
+        let to = arguments.out.join(name);
+        let bytes = fs::read(&from).with_context(|| from.display().to_string())?;
+        fs::write(&to, bytes).with_context(|| to.display().to_string())?;
     }
     Ok(())
 }
--- a/deploy/sites/generate/tests/draw.rs
+++ b/deploy/sites/generate/tests/draw.rs
@@ -1,4 +1,4 @@
-//! What a drawn deployment keeps to.
+//! Bounds of drawn deployments, and errors.
 
 use site_generator::draw;
 use toml::{Table, Value};
@@ -22,15 +22,15 @@
 }
 
 #[test]
-fn what_is_drawn_stays_within_its_bounds() {
+fn drawn_values_stay_within_their_bounds() {
     let mut effects = std::collections::BTreeSet::new();
     for seed in 0..200 {
-        let (_, text) = draw(&bases(), seed).expect("drawn");
-        let site: Table = text.parse().expect("a site file");
+        let drawn = draw(&bases(), seed).expect("drawn");
+        let site: Table = drawn.text.parse().expect("a site file");
         let classes = site["class"].as_array().expect("classes");
         for class in classes.iter().filter_map(Value::as_table) {
-            let (aim, deadline) = (number(class, "aim_ms"), number(class, "deadline_ms"));
-            assert!((400.0..=12_000.0).contains(&deadline) && (0.29..0.96).contains(&(aim / deadline)));
+            let (objective, deadline) = (number(class, "aim_ms"), number(class, "deadline_ms"));
+            assert!((400.0..=12_000.0).contains(&deadline) && (0.29..0.96).contains(&(objective / deadline)));
             effects.insert(class["effect"].as_str().expect("an effect").to_owned());
         }
         assert!((1.0..=4.0).contains(&number(site["allow"].as_table().expect("allowances"), "max_attempts")));
@@ -38,14 +38,14 @@
             (200.0..=3_000.0).contains(&number(site["rules"].as_table().expect("rules"), "drain_grace_ms"))
         );
         let tenants = site.get("tenant").and_then(Value::as_array).into_iter().flatten();
-        let share: f64 = tenants.filter_map(Value::as_table).map(|tenant| number(tenant, "share")).sum();
-        assert!(share == 0.0 || (share - 1.0).abs() < 0.01, "{share}");
+        let quota_sum: f64 = tenants.filter_map(Value::as_table).map(|tenant| number(tenant, "share")).sum();
+        assert!(quota_sum == 0.0 || (quota_sum - 1.0).abs() < 0.01, "{quota_sum}");
     }
     assert_eq!(effects.into_iter().collect::<Vec<_>>(), ["keyed", "safe", "unsafe"]);
 }
 
 #[test]
-fn what_is_no_site_file_is_told() {
+fn errors_say_what_is_not_a_site_file() {
     assert!(draw(&[], 1).is_err());
     assert!(draw(&["[net".to_owned()], 1).is_err_and(|error| error.to_string().contains("not a site file")));
     assert!(draw(&["[net]".to_owned()], 1).is_err_and(|error| error.to_string().contains("'clients'")));
