--- /dev/null
+++ b/faults/src/active.rs
@@ -0,0 +1,108 @@
+//! The schedule of this process: read before the program starts, asked at each call.
+
+use crate::schedule::{Call, Failure, Schedule};
+use libc::{c_int, clockid_t, socklen_t, timespec};
+use std::sync::OnceLock;
+
+/// Names the schedule; see [`Schedule`] for its form.
+const SCHEDULE_VARIABLE: &str = "SYSCALL_FAULTS";
+/// Maximum length of a short read or write.
+const MAX_SHORT_BYTES: usize = 512;
+
+struct ActiveSchedule {
+    schedule: Schedule,
+    started_ms: u64,
+}
+
+static ACTIVE: OnceLock<ActiveSchedule> = OnceLock::new();
+
+/// The loader calls this before the program starts, so that no call finds the schedule unread.
+#[used]
+#[link_section = ".init_array"]
+static READ_SCHEDULE: extern "C" fn() = read_schedule;
+
+extern "C" fn read_schedule() {
+    let schedule = match std::env::var(SCHEDULE_VARIABLE) {
+        Ok(text) => Schedule::parse(&text).unwrap_or_else(|error| {
+            eprintln!("{SCHEDULE_VARIABLE}: {error}");
+            std::process::abort();
+        }),
+        Err(_) => Schedule::default(),
+    };
+    let active = ActiveSchedule { schedule, started_ms: monotonic_ms() };
+    // The loader calls this once: nothing has been set before.
+    let _ = ACTIVE.set(active);
+}
+
+fn monotonic_ms() -> u64 {
+    let mut time = timespec { tv_sec: 0, tv_nsec: 0 };
+    let clock_gettime =
+        next_symbol!("clock_gettime", unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int);
+    // SAFETY: it writes one time.
+    unsafe { clock_gettime(libc::CLOCK_MONOTONIC, &mut time) };
+    time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000
+}
+
+fn failure(call: Call, path: &[u8]) -> Option<Failure> {
+    let active = ACTIVE.get()?;
+    let elapsed_ms = monotonic_ms().saturating_sub(active.started_ms);
+    active.schedule.failure(call, elapsed_ms, path)
+}
+
+/// By how much the wall clock is ahead, in milliseconds.
+pub(crate) fn wall_clock_offset_ms() -> i64 {
+    ACTIVE.get().map_or(0, |active| active.schedule.wall_clock_offset_ms())
+}
+
+/// Whether a call fails now; if so, `errno` is set.
+pub(crate) fn fails(call: Call) -> bool {
+    match failure(call, &[]) {
+        Some(failure) if failure != Failure::Short => {
+            set_errno(failure);
+            true
+        }
+        _ => false,
+    }
+}
+
+/// Whether opening this path fails now; if so, `errno` is set.
+pub(crate) fn open_fails(path: &[u8]) -> bool {
+    match failure(Call::Open, path) {
+        Some(failure) => {
+            set_errno(failure);
+            true
+        }
+        None => false,
+    }
+}
+
+fn set_errno(failure: Failure) {
+    // SAFETY: the place is this thread's own.
+    unsafe { *libc::__errno_location() = failure.errno() };
+}
+
+/// Whether a descriptor is an internet socket.
+pub(crate) fn is_internet_socket(socket: c_int) -> bool {
+    let mut domain: c_int = 0;
+    let mut length = size_of::<c_int>() as socklen_t;
+    let value: *mut c_int = &mut domain;
+    // SAFETY: it writes one number of this length.
+    let result =
+        unsafe { libc::getsockopt(socket, libc::SOL_SOCKET, libc::SO_DOMAIN, value.cast(), &mut length) };
+    result == 0 && matches!(domain, libc::AF_INET | libc::AF_INET6)
+}
+
+/// How many of `length` bytes a read or write transfers at most; `None`: it fails, and `errno` is set.
+pub(crate) fn transfer_length(call: Call, socket: c_int, length: usize) -> Option<usize> {
+    if length == 0 || !is_internet_socket(socket) {
+        return Some(length);
+    }
+    match failure(call, &[]) {
+        None => Some(length),
+        Some(Failure::Short) => Some(length.div_ceil(2).min(MAX_SHORT_BYTES)),
+        Some(failure) => {
+            set_errno(failure);
+            None
+        }
+    }
+}
--- a/faults/src/schedule.rs
+++ b/faults/src/schedule.rs
@@ -1,13 +1,14 @@
-//! The schedule of failures: its form, and the decision whether a call fails now. Nothing here takes a lock or allocates
-//! after the start, as calls come from signal handlers too.
+//! The schedule of failures: its form, and whether a call fails now. Nothing here takes a lock or
+//! allocates after the start, because signal handlers make calls too.
 
 use serde::Deserialize;
 use std::sync::atomic::{AtomicU64, Ordering};
+use thiserror::Error;
 
 /// A call that can be made to fail.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Call {
+pub(crate) enum Call {
     /// `socket(2)`.
     Socket,
     /// `accept(2)` and `accept4(2)`.
@@ -29,18 +30,18 @@
 /// How a call fails. All but `Short` are named as in `errno(3)`.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
-pub enum Failure {
-    /// Fewer bytes than there are, or than there is room for; reads and writes only.
+pub(crate) enum Failure {
+    /// Fewer bytes are transferred than could be; reads and writes only.
     Short,
-    /// A signal came.
+    /// A signal interrupted the call.
     Eintr,
     /// The device failed.
     Eio,
     /// The device is full.
     Enospc,
-    /// The process has all its descriptors open.
+    /// The process has no descriptor left.
     Emfile,
-    /// The system has all its descriptors open.
+    /// The system has no descriptor left.
     Enfile,
     /// No buffer is left.
     Enobufs,
@@ -50,19 +51,19 @@
     Econnaborted,
     /// No local port is left.
     Eaddrnotavail,
-    /// No way leads to the network.
+    /// There is no route to the network.
     Enetunreach,
-    /// No way leads to the host.
+    /// There is no route to the host.
     Ehostunreach,
-    /// The other side is silent.
+    /// The peer does not answer.
     Etimedout,
     /// There is no such file.
     Enoent,
 }
 
 impl Failure {
-    /// Its number; 0 for a short read or write.
-    pub fn errno(self) -> libc::c_int {
+    /// The value of `errno`; 0 for a short read or write.
+    pub(crate) fn errno(self) -> libc::c_int {
         match self {
             Failure::Short => 0,
             Failure::Eintr => libc::EINTR,
@@ -82,73 +83,87 @@
     }
 }
 
-fn always() -> f64 {
+/// A rule without a fraction applies to all calls.
+fn all_calls() -> f64 {
     1.0
 }
 
-/// One kind of failure, and when it happens.
+/// A kind of failure, and when it happens.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Rule {
+pub(crate) struct Rule {
     call: Call,
     failure: Failure,
-    /// Share of the calls that fail, 0 to 1.
-    #[serde(default = "always")]
-    share: f64,
-    /// From when on, and until when, in milliseconds from the process's start.
+    /// Fraction of the calls that fail, 0 to 1.
+    #[serde(rename = "share", default = "all_calls")]
+    fraction: f64,
+    /// When it begins, in milliseconds since the process's start.
     #[serde(default)]
     from_ms: u64,
+    /// When it ends, in milliseconds since the process's start.
     #[serde(default)]
     to_ms: Option<u64>,
-    /// How many calls pass before the first may fail, and how many fail at the most.
-    #[serde(default)]
-    after: u64,
-    #[serde(default)]
-    most: Option<u64>,
+    /// How many calls pass before the first may fail.
+    #[serde(rename = "after", default)]
+    skipped_calls: u64,
+    /// How many calls fail at most.
+    #[serde(rename = "most", default)]
+    max_failures: Option<u64>,
     /// For `open`: a part of the path.
     #[serde(default)]
     path: String,
     #[serde(skip)]
-    seen: AtomicU64,
+    matched_calls: AtomicU64,
     #[serde(skip)]
-    failed: AtomicU64,
+    failed_calls: AtomicU64,
 }
 
 /// All failures of a process.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Schedule {
-    /// For the shares.
+pub(crate) struct Schedule {
+    /// Seed of the draws that the rules' fractions are compared with.
     seed: u64,
     /// By how much the wall clock is ahead, in milliseconds.
-    pub wall_clock_ms: i64,
+    #[serde(rename = "wall_clock_ms")]
+    wall_clock_offset_ms: i64,
+    /// The first one that matches a call decides.
     rules: Vec<Rule>,
     #[serde(skip)]
-    drawn: AtomicU64,
+    draws: AtomicU64,
 }
 
+/// A schedule could not be read.
+#[derive(Debug, Error)]
+#[error("not a schedule of failures: {0}")]
+pub(crate) struct ScheduleError(serde_json::Error);
+
 impl Schedule {
     /// Reads a schedule.
-    pub fn parse(text: &str) -> Result<Schedule, serde_json::Error> {
-        serde_json::from_str(text)
+    pub(crate) fn parse(text: &str) -> Result<Schedule, ScheduleError> {
+        serde_json::from_str(text).map_err(ScheduleError)
     }
 
-    /// How this call fails at this time, in milliseconds from the start, if it does.
-    pub fn failure(&self, call: Call, now_ms: u64, path: &[u8]) -> Option<Failure> {
-        let due = |rule: &&Rule| {
-            let inside = now_ms >= rule.from_ms && rule.to_ms.is_none_or(|end| now_ms < end);
-            let named = rule.path.is_empty() || contains(path, rule.path.as_bytes());
-            let met = rule.call == call && inside && named;
-            met && rule.seen.fetch_add(1, Ordering::Relaxed) >= rule.after && self.draw() < rule.share
-        };
-        let rule = self.rules.iter().find(due)?;
-        let most = rule.most.unwrap_or(u64::MAX);
-        (rule.failed.fetch_add(1, Ordering::Relaxed) < most).then_some(rule.failure)
+    /// By how much the wall clock is ahead, in milliseconds.
+    pub(crate) fn wall_clock_offset_ms(&self) -> i64 {
+        self.wall_clock_offset_ms
+    }
+
+    /// How a call fails now, `elapsed_ms` milliseconds after the process's start; `None`: it passes.
+    pub(crate) fn failure(&self, call: Call, elapsed_ms: u64, path: &[u8]) -> Option<Failure> {
+        let rule = self.rules.iter().find(|rule| {
+            rule.matches(call, elapsed_ms, path)
+                && rule.matched_calls.fetch_add(1, Ordering::Relaxed) >= rule.skipped_calls
+                && self.draw() < rule.fraction
+        })?;
+        let max_failures = rule.max_failures.unwrap_or(u64::MAX);
+        let fails = rule.failed_calls.fetch_add(1, Ordering::Relaxed) < max_failures;
+        fails.then_some(rule.failure)
     }
 
     /// A number from 0 to 1 (SplitMix64 of a counter: any thread and any signal handler may draw).
     fn draw(&self) -> f64 {
-        let step = self.drawn.fetch_add(1, Ordering::Relaxed).wrapping_add(1);
+        let step = self.draws.fetch_add(1, Ordering::Relaxed).wrapping_add(1);
         let mut mixed = self.seed.wrapping_add(step.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -156,6 +171,16 @@
     }
 }
 
+impl Rule {
+    /// Whether it is about this call, path and time.
+    fn matches(&self, call: Call, elapsed_ms: u64, path: &[u8]) -> bool {
+        self.call == call
+            && elapsed_ms >= self.from_ms
+            && self.to_ms.is_none_or(|end| elapsed_ms < end)
+            && (self.path.is_empty() || contains(path, self.path.as_bytes()))
+    }
+}
+
 fn contains(path: &[u8], part: &[u8]) -> bool {
     path.windows(part.len()).any(|window| window == part)
 }
