--- /dev/null
+++ b/soak/src/clients/exchange.rs
@@ -0,0 +1,138 @@
+//! One request with its response on a client's connection.
+
+use super::connection::Connection;
+use super::request::DrawnRequest;
+use crate::environment::Environment;
+use crate::http::{close_on_drop, Close, ReadError, Reader};
+use crate::proxy::Proxy;
+use rand::Rng;
+use std::time::{Duration, Instant};
+use tokio::io::AsyncWriteExt;
+use tokio::time::{sleep, timeout};
+
+/// A client that does not disconnect waits so long past its timeout.
+const RESPONSE_DELAY: Duration = Duration::from_secs(3);
+
+/// How long a client waits for a response.
+struct Wait {
+    duration: Duration,
+    /// It disconnects then; otherwise the proxy owes a response before.
+    disconnects: bool,
+}
+
+impl Wait {
+    fn draw(environment: &Environment, client_timeout: Duration) -> Wait {
+        // Half of the clients that disconnect do so almost at once.
+        let max_fraction = if environment.chance(0.5) { 0.03 } else { 1.0 };
+        let disconnects = environment.chance(0.12);
+        let duration = if disconnects {
+            client_timeout.mul_f64(environment.draw(|random| random.gen_range(0.0..max_fraction)))
+        } else {
+            client_timeout + RESPONSE_DELAY
+        };
+        Wait { duration, disconnects }
+    }
+}
+
+/// Writes a request and reads its response. A connection that was closed between two requests is
+/// opened anew, once. Returns whether the connection can be reused.
+pub(super) async fn exchange(
+    environment: &Environment,
+    proxy: &Proxy,
+    connection: &mut Connection,
+    request: &DrawnRequest,
+) -> bool {
+    let id = request.id;
+    let mut may_resend = true;
+    loop {
+        let written = write(environment, &mut connection.reader, &request.bytes).await;
+        if written {
+            environment.update_request(id, |record| record.complete_at = Some(Instant::now()));
+        }
+        let Some(client_timeout) = environment.request(id, |record| record.client_timeout) else {
+            return false;
+        };
+        let wait = Wait::draw(environment, client_timeout);
+        match timeout(wait.duration, connection.reader.message()).await {
+            Ok(Ok(message)) => {
+                environment.ledger(|ledger| ledger.record_completion(id, message.status, &message.body));
+                return message.header("connection") != Some("close");
+            }
+            Ok(Err(ReadError::Closed)) if may_resend && was_closed_between(environment, id) => {
+                may_resend = false;
+                if !reopen(environment, proxy, connection, id).await {
+                    return false;
+                }
+            }
+            Ok(Err(error)) => {
+                let killed = proxy.was_killed(connection.process);
+                record_broken_response(environment, id, &error, killed, written);
+                return false;
+            }
+            Err(_) => {
+                end_wait(environment, proxy, connection, id, wait.disconnects);
+                return false;
+            }
+        }
+    }
+}
+
+/// Whether the connection was closed before the proxy may have read the request.
+fn was_closed_between(environment: &Environment, id: u64) -> bool {
+    let unread = environment.request(id, |record| !record.new_connection && record.attempts.is_empty());
+    unread.unwrap_or(false)
+}
+
+/// Replaces a connection that was closed between two requests.
+async fn reopen(environment: &Environment, proxy: &Proxy, connection: &mut Connection, id: u64) -> bool {
+    let Some(new) = Connection::open(proxy).await else {
+        environment.update_request(id, |record| record.exempt = true);
+        return false;
+    };
+    *connection = new;
+    environment.update_request(id, |record| {
+        record.new_connection = true;
+        record.complete_at = None;
+    });
+    true
+}
+
+fn record_broken_response(
+    environment: &Environment,
+    id: u64,
+    error: &ReadError,
+    killed: bool,
+    written: bool,
+) {
+    let truncated = matches!(error, ReadError::Truncated { .. });
+    if truncated && !killed {
+        environment.ledger(|ledger| ledger.record_truncated_response(id));
+    }
+    environment.update_request(id, |record| record.exempt |= killed || truncated || !written);
+    environment.ledger(|ledger| ledger.record_completion(id, None, &[]));
+}
+
+/// The client's wait is over: it disconnects, or the response is missing.
+fn end_wait(environment: &Environment, proxy: &Proxy, connection: &Connection, id: u64, disconnects: bool) {
+    if disconnects {
+        let close = if environment.chance(0.3) { Close::Reset } else { Close::Graceful };
+        close_on_drop(&connection.reader.stream, close);
+        environment.update_request(id, |record| record.disconnected_at = Some(Instant::now()));
+    } else if proxy.was_killed(connection.process) {
+        environment.update_request(id, |record| record.exempt = true);
+    }
+}
+
+/// Writes a request in one piece, or now and then in two.
+async fn write(environment: &Environment, reader: &mut Reader, bytes: &[u8]) -> bool {
+    if environment.chance(0.9) {
+        return reader.stream.write_all(bytes).await.is_ok();
+    }
+    let cut = environment.draw(|random| random.gen_range(0..bytes.len()));
+    let (first, second) = bytes.split_at(cut);
+    if reader.stream.write_all(first).await.is_err() {
+        return false;
+    }
+    sleep(environment.draw_millis(1, 60)).await;
+    reader.stream.write_all(second).await.is_ok()
+}
--- /dev/null
+++ b/soak/src/clients/mod.rs
@@ -0,0 +1,54 @@
+//! The clients of each proxy: they send requests, disconnect now and then, and record what they get.
+
+mod connection;
+mod exchange;
+mod invalid;
+mod pipelining;
+mod request;
+
+pub(crate) use invalid::run_invalid_client;
+
+use crate::environment::Environment;
+use crate::proxy::Proxy;
+use connection::Connection;
+use rand::Rng;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::time::sleep;
+
+/// Mean pause between two requests on a connection.
+const MEAN_PAUSE_S: f64 = 0.25;
+/// Longest pause between two requests.
+const MAX_PAUSE_S: f64 = 6.0;
+
+/// Sends requests on one connection after the other until the end.
+pub(crate) async fn run_client(environment: Environment, proxy: Rc<Proxy>, end: Instant) {
+    let mut connection = None;
+    while Instant::now() < end {
+        let pause_s = environment.draw_exponential(MEAN_PAUSE_S).min(MAX_PAUSE_S);
+        sleep(Duration::from_secs_f64(pause_s)).await;
+        let pipelined = environment.chance(0.05);
+        connection = send_requests(&environment, &proxy, connection.take(), pipelined).await;
+    }
+}
+
+/// Sends one request, or several at once. Returns the connection if it can be reused.
+async fn send_requests(
+    environment: &Environment,
+    proxy: &Proxy,
+    existing: Option<Connection>,
+    pipelined: bool,
+) -> Option<Connection> {
+    let mut connection = match existing {
+        Some(existing) => existing,
+        None => Connection::open(proxy).await?,
+    };
+    connection.used = if pipelined {
+        let count = environment.draw(|random| random.gen_range(2..5));
+        pipelining::exchange_pipelined(environment, proxy, &mut connection, count).await
+    } else {
+        let request = request::draw(environment, proxy, &connection);
+        exchange::exchange(environment, proxy, &mut connection, &request).await
+    };
+    connection.used.then_some(connection)
+}
--- /dev/null
+++ b/soak/src/clients/pipelining.rs
@@ -0,0 +1,110 @@
+//! Several requests at once on a connection, and their responses in order.
+
+use super::connection::Connection;
+use super::request;
+use crate::environment::Environment;
+use crate::http::{Message, ReadError};
+use crate::proxy::Proxy;
+use std::time::{Duration, Instant};
+use tokio::io::AsyncWriteExt;
+use tokio::time::timeout_at;
+
+/// How long a client that does not disconnect waits for all responses.
+const RESPONSES_TIMEOUT: Duration = Duration::from_millis(9_000);
+
+/// Sends several requests at once. Returns whether the connection can be reused.
+pub(super) async fn exchange_pipelined(
+    environment: &Environment,
+    proxy: &Proxy,
+    connection: &mut Connection,
+    count: usize,
+) -> bool {
+    let ids = send(environment, proxy, connection, count).await;
+    let disconnects = environment.chance(0.3);
+    let wait = if disconnects { environment.draw_millis(0, 60) } else { RESPONSES_TIMEOUT };
+    let until = Instant::now() + wait;
+    for index in 0..ids.len() {
+        match timeout_at(until.into(), connection.reader.message()).await {
+            Ok(Ok(message)) => {
+                if !record_response(environment, &ids[index..], &message) {
+                    return false;
+                }
+            }
+            Ok(Err(error)) => {
+                let killed = proxy.was_killed(connection.process);
+                record_broken(environment, &ids[index..], &error, killed, connection.used);
+                return false;
+            }
+            Err(_) => {
+                let killed = proxy.was_killed(connection.process);
+                record_timeout(environment, &ids[index..], disconnects, killed);
+                return false;
+            }
+        }
+    }
+    true
+}
+
+/// Writes the requests; their ids.
+async fn send(
+    environment: &Environment,
+    proxy: &Proxy,
+    connection: &mut Connection,
+    count: usize,
+) -> Vec<u64> {
+    let requests: Vec<_> = (0..count).map(|_| request::draw(environment, proxy, connection)).collect();
+    let bytes: Vec<u8> = requests.iter().flat_map(|request| request.bytes.iter().copied()).collect();
+    let written = connection.reader.stream.write_all(&bytes).await.is_ok();
+    let now = Instant::now();
+    let ids: Vec<u64> = requests.iter().map(|request| request.id).collect();
+    for &id in &ids {
+        environment.update_request(id, |record| {
+            record.complete_at = Some(now);
+            // The proxy may not have read it when the connection ended.
+            record.exempt = !written;
+        });
+    }
+    ids
+}
+
+/// Records the response to the first of the open requests; whether others may follow.
+fn record_response(environment: &Environment, open: &[u64], message: &Message) -> bool {
+    let Some((&answered, following)) = open.split_first() else { return false };
+    environment.ledger(|ledger| ledger.record_completion(answered, message.status, &message.body));
+    if let Some(&next) = following.first() {
+        // Responses come in order: the next one's time begins only now.
+        environment.update_request(next, |record| record.complete_at = Some(Instant::now()));
+    }
+    if message.header("connection") != Some("close") {
+        return true;
+    }
+    for &id in following {
+        environment.update_request(id, |record| record.exempt = true);
+    }
+    false
+}
+
+/// The connection broke. The proxy owes no response to a request that it cannot have read: one behind
+/// a truncated response, or one that crossed the end of a connection between two requests.
+fn record_broken(environment: &Environment, open: &[u64], error: &ReadError, killed: bool, used: bool) {
+    let truncated = matches!(error, ReadError::Truncated { .. });
+    for (position, &id) in open.iter().enumerate() {
+        let is_first = position == 0;
+        if is_first && truncated && !killed {
+            environment.ledger(|ledger| ledger.record_truncated_response(id));
+        }
+        environment.update_request(id, |record| {
+            let unread = record.attempts.is_empty() && (truncated || !is_first || used);
+            record.exempt |= killed || unread || (truncated && is_first);
+        });
+    }
+}
+
+fn record_timeout(environment: &Environment, open: &[u64], disconnects: bool, killed: bool) {
+    for &id in open {
+        environment.update_request(id, |record| {
+            record.disconnected_at = disconnects.then(Instant::now);
+            record.exempt |= killed;
+        });
+    }
+}
--- /dev/null
+++ b/soak/src/endpoint_response.rs
@@ -0,0 +1,107 @@
+//! Draws the responses of an endpoint: complete ones in each form of framing, truncated and invalid
+//! ones.
+
+use crate::endpoint::Behaviour;
+use crate::environment::Environment;
+use crate::ledger::response_body;
+use rand::Rng;
+
+/// Rejects a request that has not been executed.
+pub(crate) const REJECTION: &[u8] =
+    b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
+
+/// Error responses, two of them not valid.
+const FAILURES: [&str; 4] = [
+    "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n",
+    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
+    "noise\r\n\r\n",
+    "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+];
+
+/// Bytes of a chunk of a chunked response.
+const CHUNK_BYTES: usize = 700;
+
+/// What an endpoint does with a connection after a response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum AfterResponse {
+    /// It waits for the next request.
+    KeepAlive,
+    /// It closes the connection.
+    Close,
+    /// It resets the connection.
+    Reset,
+}
+
+/// A response to be written.
+pub(crate) struct PlannedResponse {
+    /// Its bytes.
+    pub(crate) bytes: Vec<u8>,
+    /// It ends before its framing says.
+    pub(crate) truncated: bool,
+    /// What follows when it is written.
+    pub(crate) after: AfterResponse,
+}
+
+/// Draws an error response.
+pub(crate) fn failure(environment: &Environment) -> &'static [u8] {
+    FAILURES[environment.draw(|random| random.gen_range(0..FAILURES.len()))].as_bytes()
+}
+
+/// Draws a response with status 200; only an endpoint that resets connections truncates it.
+pub(crate) fn success(environment: &Environment, id: u64, behaviour: Behaviour) -> PlannedResponse {
+    let length = environment.draw(|random| {
+        if random.gen_bool(0.02) {
+            random.gen_range(70_000..200_000)
+        } else {
+            random.gen_range(0..3_000)
+        }
+    });
+    let body = response_body(id, length);
+    let truncated = behaviour == Behaviour::Resetting && environment.chance(0.4);
+    let sent = if truncated { &body[..length / 2] } else { &body[..] };
+    let mut after = AfterResponse::KeepAlive;
+    let bytes = match environment.draw(|random| random.gen_range(0..4)) {
+        0 => {
+            after = AfterResponse::Close;
+            until_close(sent)
+        }
+        1 => chunked(sent, truncated),
+        _ => {
+            if !truncated && environment.chance(0.05) {
+                after = AfterResponse::Close;
+            }
+            with_length(sent, length)
+        }
+    };
+    // A reset behind a response that says where it ends must not harm it.
+    let reset_behind = behaviour == Behaviour::Resetting && after == AfterResponse::KeepAlive;
+    if truncated || reset_behind {
+        after = AfterResponse::Reset;
+    }
+    PlannedResponse { bytes, truncated, after }
+}
+
+fn until_close(body: &[u8]) -> Vec<u8> {
+    let mut bytes = b"HTTP/1.1 200 OK\r\n\r\n".to_vec();
+    bytes.extend(body);
+    bytes
+}
+
+fn chunked(body: &[u8], truncated: bool) -> Vec<u8> {
+    let mut bytes = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
+    for chunk in body.chunks(CHUNK_BYTES) {
+        bytes.extend(format!("{:x}\r\n", chunk.len()).as_bytes());
+        bytes.extend(chunk);
+        bytes.extend(b"\r\n");
+    }
+    if !truncated {
+        bytes.extend(b"0\r\n\r\n");
+    }
+    bytes
+}
+
+fn with_length(body: &[u8], length: usize) -> Vec<u8> {
+    let mut bytes = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n").into_bytes();
+    bytes.extend(body);
+    bytes
+}
--- /dev/null
+++ b/soak/src/endpoint_server.rs
@@ -0,0 +1,202 @@
+//! The endpoints' servers: real listeners on loopback that record what they receive and answer as
+//! their process behaves.
+
+use crate::endpoint::{Behaviour, EndpointProcess, ProcessState};
+use crate::endpoint_response::{self, AfterResponse};
+use crate::environment::Environment;
+use crate::error::SetupError;
+use crate::http::{close_on_drop, Close, Message, ReadError, Reader};
+use crate::ledger::{AttemptRecord, Rule};
+use rand::Rng;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::{Duration, Instant, SystemTime};
+use tokio::io::AsyncWriteExt;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::{spawn_local, JoinSet};
+use tokio::time::{sleep, timeout};
+
+/// Mean time that an endpoint works on a request.
+const MEAN_WORK_S: f64 = 0.025;
+/// Longest time that an endpoint works on a request.
+const MAX_WORK_S: f64 = 1.0;
+
+/// Starts a process of an endpoint.
+pub(crate) async fn start(
+    environment: &Environment,
+    name: &str,
+    zone: char,
+) -> Result<EndpointProcess, SetupError> {
+    let listen_error = |source| SetupError::Listen { purpose: "an endpoint", source };
+    let listener = TcpListener::bind("127.0.0.1:0").await.map_err(listen_error)?;
+    let address = listener.local_addr().map_err(listen_error)?;
+    let number = environment.next_process();
+    let state = ProcessState {
+        behaviour: Rc::new(Cell::new(Behaviour::Normal)),
+        draining: Rc::new(Cell::new(false)),
+    };
+    let server = Server { environment: environment.clone(), number, zone, state: state.clone() };
+    let task = spawn_local(server.accept(listener)).abort_handle();
+    let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    Ok(EndpointProcess {
+        number,
+        name: name.to_owned(),
+        zone,
+        address,
+        started_at: Instant::now(),
+        started_unix_ms: unix_time.as_millis() as u64,
+        state,
+        arrivals: Vec::new(),
+        task,
+    })
+}
+
+#[derive(Clone)]
+struct Server {
+    environment: Environment,
+    number: u64,
+    zone: char,
+    state: ProcessState,
+}
+
+impl Server {
+    async fn accept(self, listener: TcpListener) {
+        // The connections end with this task.
+        let mut connections = JoinSet::new();
+        while let Ok((stream, _)) = listener.accept().await {
+            while connections.try_join_next().is_some() {}
+            close_on_drop(&stream, Close::Reset);
+            // Without it responses are later, but not wrong.
+            let _ = stream.set_nodelay(true);
+            connections.spawn_local(self.clone().serve(stream));
+        }
+    }
+
+    async fn serve(self, stream: TcpStream) {
+        let mut reader = Reader::new(stream);
+        let idle_timeout = self.environment.config().endpoint_idle_timeout;
+        loop {
+            let message = match timeout(idle_timeout, reader.message()).await {
+                Ok(Ok(message)) => message,
+                Ok(Err(error)) => return self.end_after_error(&reader, error),
+                Err(_) => {
+                    if self.environment.chance(0.5) {
+                        close_on_drop(&reader.stream, Close::Graceful);
+                    }
+                    return;
+                }
+            };
+            match self.handle(&message, &mut reader).await {
+                Some(AfterResponse::KeepAlive) => {}
+                Some(AfterResponse::Close) => return close_on_drop(&reader.stream, Close::Graceful),
+                Some(AfterResponse::Reset) | None => return,
+            }
+        }
+    }
+
+    fn end_after_error(&self, reader: &Reader, error: ReadError) {
+        match error {
+            ReadError::Closed => close_on_drop(&reader.stream, Close::Graceful),
+            ReadError::Truncated { bytes, first_byte_at } => self.record_truncated(&bytes, first_byte_at),
+            ReadError::Invalid => self.record_violation("an endpoint got what is no request"),
+        }
+    }
+
+    fn record_violation(&self, description: &str) {
+        self.environment.record_violation(Rule::Void, description.to_owned());
+    }
+
+    /// Answers a request; `None`: nobody sent it.
+    async fn handle(&self, message: &Message, reader: &mut Reader) -> Option<AfterResponse> {
+        let id = message.header("x-call-id").and_then(|id| u64::from_str_radix(id, 16).ok());
+        let Some(id) = id else {
+            self.record_violation("an endpoint got a request without an id");
+            return None;
+        };
+        let advertised_ms = message.header("x-budget-ms").and_then(|value| value.parse().ok());
+        let advertised_timeout = advertised_ms.map(Duration::from_millis);
+        let attempt = self.attempt(message.first_byte_at, Some(message.last_byte_at));
+        let attempt = self.environment.record_attempt(id, attempt, advertised_timeout, &message.body)?;
+        let after = self.respond(id, attempt, reader).await;
+        self.environment.update_attempt(id, attempt, |record| {
+            record.ended_at = Some(Instant::now());
+            record.fully_written = record.served && after != AfterResponse::Reset;
+        });
+        Some(after)
+    }
+
+    fn attempt(&self, first_byte_at: Instant, complete_at: Option<Instant>) -> AttemptRecord {
+        AttemptRecord {
+            process: self.number,
+            zone: self.zone,
+            first_byte_at,
+            complete_at,
+            ended_at: None,
+            rejected: false,
+            served: false,
+            fully_written: false,
+        }
+    }
+
+    /// A truncated request is not executed, but counts as an attempt.
+    fn record_truncated(&self, bytes: &[u8], first_byte_at: Instant) {
+        let head = String::from_utf8_lossy(bytes).to_lowercase();
+        let id = head.split("x-call-id: ").nth(1).and_then(|rest| rest.get(..16));
+        if let Some(id) = id.and_then(|id| u64::from_str_radix(id, 16).ok()) {
+            let mut attempt = self.attempt(first_byte_at, None);
+            attempt.ended_at = Some(Instant::now());
+            self.environment.record_attempt(id, attempt, None, &[]);
+        }
+    }
+
+    async fn respond(&self, id: u64, attempt: usize, reader: &mut Reader) -> AfterResponse {
+        let behaviour = self.state.behaviour.get();
+        if self.state.draining.get() && self.environment.chance(0.7) {
+            self.environment.update_attempt(id, attempt, |record| record.rejected = true);
+            return write(reader, endpoint_response::REJECTION, AfterResponse::KeepAlive).await;
+        }
+        let work_s = self.environment.draw_exponential(MEAN_WORK_S).min(MAX_WORK_S);
+        match behaviour {
+            Behaviour::Hanging => {
+                reader.wait_for_activity().await;
+                return AfterResponse::Reset;
+            }
+            Behaviour::Resetting if self.environment.chance(0.3) => return AfterResponse::Reset,
+            _ => sleep(Duration::from_secs_f64(work_s)).await,
+        }
+        if behaviour == Behaviour::Failing && self.environment.chance(0.6) {
+            let response = endpoint_response::failure(&self.environment);
+            return write(reader, response, AfterResponse::KeepAlive).await;
+        }
+        self.respond_with_success(id, attempt, reader, behaviour).await
+    }
+
+    async fn respond_with_success(
+        &self,
+        id: u64,
+        attempt: usize,
+        reader: &mut Reader,
+        behaviour: Behaviour,
+    ) -> AfterResponse {
+        let response = endpoint_response::success(&self.environment, id, behaviour);
+        // Before it is written: the client may have it before this task goes on.
+        self.environment.update_attempt(id, attempt, |record| record.served = !response.truncated);
+        let cut = self.environment.draw(|random| random.gen_range(0..=response.bytes.len()));
+        let (first, second) = response.bytes.split_at(cut);
+        if write(reader, first, AfterResponse::KeepAlive).await == AfterResponse::Reset {
+            return AfterResponse::Reset;
+        }
+        if self.environment.chance(0.1) {
+            sleep(self.environment.draw_millis(1, 40)).await;
+        }
+        write(reader, second, response.after).await
+    }
+}
+
+/// Writes a response, or a part of one; what follows is `after`, or a reset if writing fails.
+async fn write(reader: &mut Reader, bytes: &[u8], after: AfterResponse) -> AfterResponse {
+    match reader.stream.write_all(bytes).await {
+        Ok(()) => after,
+        Err(_) => AfterResponse::Reset,
+    }
+}
--- /dev/null
+++ b/soak/src/environment/mod.rs
@@ -0,0 +1,229 @@
+//! The simulated environment that all parts of a run share: the ledger, the endpoint list and the
+//! endpoints' processes, the proxies' notifications, the random numbers.
+
+use crate::config::SimulationConfig;
+use crate::endpoint::{EndpointHealth, EndpointProcess};
+use crate::endpoint_list::EndpointList;
+use crate::ledger::{AttemptRecord, Ledger, RequestRecord, Rule};
+use crate::notification::Notifications;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::sync::watch;
+
+#[cfg(test)]
+mod tests;
+
+/// Slack of the drain grace on loopback.
+const DRAIN_SLACK: Duration = Duration::from_millis(100);
+
+#[derive(Debug)]
+struct State {
+    random: Pcg64Mcg,
+    ledger: Ledger,
+    list: EndpointList,
+    list_version: watch::Sender<u64>,
+    processes: Vec<EndpointProcess>,
+    last_process: u64,
+    last_request: u64,
+    /// By the proxies' numbers.
+    notifications: Vec<Notifications>,
+}
+
+/// The shared state of a run; clones refer to the same state.
+#[derive(Clone, Debug)]
+pub(crate) struct Environment {
+    config: Rc<SimulationConfig>,
+    state: Rc<RefCell<State>>,
+}
+
+impl Environment {
+    /// An environment without endpoints.
+    pub(crate) fn new(seed: u64, config: SimulationConfig) -> Environment {
+        let state = State {
+            random: Pcg64Mcg::seed_from_u64(seed),
+            ledger: Ledger::new(Instant::now(), &config),
+            list: EndpointList::default(),
+            list_version: watch::channel(0).0,
+            processes: Vec::new(),
+            last_process: 0,
+            last_request: 0,
+            notifications: vec![Notifications::default(); config.proxy_count],
+        };
+        Environment { config: Rc::new(config), state: Rc::new(RefCell::new(state)) }
+    }
+
+    /// What the run is played with.
+    pub(crate) fn config(&self) -> &SimulationConfig {
+        &self.config
+    }
+
+    /// Draws from the run's random numbers.
+    pub(crate) fn draw<T>(&self, draw: impl FnOnce(&mut Pcg64Mcg) -> T) -> T {
+        draw(&mut self.state.borrow_mut().random)
+    }
+
+    /// Draws whether something of this probability happens.
+    pub(crate) fn chance(&self, probability: f64) -> bool {
+        self.draw(|random| random.gen_bool(probability))
+    }
+
+    /// Draws a duration of at least `min_s` and less than `max_s` seconds.
+    pub(crate) fn draw_seconds(&self, min_s: f64, max_s: f64) -> Duration {
+        Duration::from_secs_f64(self.draw(|random| random.gen_range(min_s..max_s)))
+    }
+
+    /// Draws a duration of at least `min` and less than `max` milliseconds.
+    pub(crate) fn draw_millis(&self, min: u64, max: u64) -> Duration {
+        Duration::from_millis(self.draw(|random| random.gen_range(min..max)))
+    }
+
+    /// Draws from the exponential distribution with this mean.
+    pub(crate) fn draw_exponential(&self, mean_s: f64) -> f64 {
+        -mean_s * self.draw(|random| random.gen::<f64>().max(1e-6)).ln()
+    }
+
+    /// Uses the ledger.
+    pub(crate) fn ledger<T>(&self, with: impl FnOnce(&mut Ledger) -> T) -> T {
+        with(&mut self.state.borrow_mut().ledger)
+    }
+
+    /// Records a new request; its id.
+    pub(crate) fn add_request(&self, request: RequestRecord) -> u64 {
+        let mut state = self.state.borrow_mut();
+        state.last_request += 1;
+        let id = state.last_request;
+        state.ledger.requests.insert(id, request);
+        id
+    }
+
+    /// Reads the record of a request; `None`: there is none.
+    pub(crate) fn request<T>(&self, id: u64, read: impl FnOnce(&RequestRecord) -> T) -> Option<T> {
+        self.ledger(|ledger| ledger.requests.get(&id).map(read))
+    }
+
+    /// Changes the record of a request.
+    pub(crate) fn update_request(&self, id: u64, update: impl FnOnce(&mut RequestRecord)) {
+        self.ledger(|ledger| {
+            if let Some(request) = ledger.requests.get_mut(&id) {
+                update(request);
+            }
+        });
+    }
+
+    /// Logs what was done to a proxy, an endpoint or an agent.
+    pub(crate) fn log_event(&self, description: String) {
+        self.ledger(|ledger| ledger.log_event(description));
+    }
+
+    /// Records that a rule was broken.
+    pub(crate) fn record_violation(&self, rule: Rule, description: String) {
+        self.ledger(|ledger| ledger.record_violation(rule, description));
+    }
+
+    /// Changes the record of an attempt.
+    pub(crate) fn update_attempt(&self, id: u64, number: usize, update: impl FnOnce(&mut AttemptRecord)) {
+        self.ledger(|ledger| ledger.update_attempt(id, number, update));
+    }
+
+    /// An attempt has arrived: checks it by its request, its endpoint's draining and its endpoint's
+    /// start. Returns its number; `None`: no client has sent the request.
+    pub(crate) fn record_attempt(
+        &self,
+        id: u64,
+        attempt: AttemptRecord,
+        advertised_timeout: Option<Duration>,
+        body: &[u8],
+    ) -> Option<usize> {
+        let AttemptRecord { process, first_byte_at, complete_at, .. } = attempt;
+        let number = self.ledger(|ledger| ledger.record_attempt(id, attempt, advertised_timeout, body))?;
+        let proxy = self.request(id, |request| request.proxy)?;
+        self.check_drain(id, proxy, process, first_byte_at);
+        if complete_at.is_some() {
+            self.check_slow_start(process, first_byte_at);
+        }
+        Some(number)
+    }
+
+    fn check_drain(&self, request: u64, proxy: usize, process: u64, first_byte_at: Instant) {
+        let Some(notified) = self.notified_of_draining(proxy, process) else { return };
+        if first_byte_at <= notified + self.config.drain_grace + DRAIN_SLACK {
+            return;
+        }
+        let late = first_byte_at - notified;
+        let disruptions = self.notifications(proxy, |notifications| notifications.disruptions().clone());
+        let description = format!(
+            "request {request:016x} at process {process} by proxy {proxy}, {late:?} after it was \
+             notified; {disruptions:?}"
+        );
+        self.record_violation(Rule::Drain, description);
+    }
+
+    fn notified_of_draining(&self, proxy: usize, process: u64) -> Option<Instant> {
+        let state = self.state.borrow();
+        let change = state.list.draining_since(process)?;
+        state.notifications[proxy].notified_at(change, self.config.discovery)
+    }
+
+    fn check_slow_start(&self, process: u64, at: Instant) {
+        let overload = self.processes(|processes| {
+            let process = processes.iter_mut().find(|known| known.number == process)?;
+            let overload = process.record_arrival(at, &self.config)?;
+            Some((process.name.clone(), overload))
+        });
+        if let Some((name, overload)) = overload {
+            let description = format!(
+                "process {process} of {name}, {:?} old, received {}, allowed {:.1}",
+                overload.age, overload.received, overload.allowed
+            );
+            self.record_violation(Rule::SlowStart, description);
+        }
+    }
+
+    /// Reads the endpoint list.
+    pub(crate) fn list<T>(&self, read: impl FnOnce(&EndpointList) -> T) -> T {
+        read(&self.state.borrow().list)
+    }
+
+    /// Changes what the endpoint list says of a process, and notifies the agents.
+    pub(crate) fn list_endpoint(&self, process: u64, health: EndpointHealth) {
+        let mut state = self.state.borrow_mut();
+        let State { list, processes, list_version, .. } = &mut *state;
+        if let Some(process) = processes.iter().find(|known| known.number == process) {
+            list.change(process, health);
+        }
+        // Without agents there is nobody to notify.
+        let _ = list_version.send(list.version());
+    }
+
+    /// The version of the endpoint list, as it changes.
+    pub(crate) fn list_versions(&self) -> watch::Receiver<u64> {
+        self.state.borrow().list_version.subscribe()
+    }
+
+    /// Uses the notifications of a proxy.
+    pub(crate) fn notifications<T>(&self, proxy: usize, with: impl FnOnce(&mut Notifications) -> T) -> T {
+        with(&mut self.state.borrow_mut().notifications[proxy])
+    }
+
+    /// The number of a new process.
+    pub(crate) fn next_process(&self) -> u64 {
+        let mut state = self.state.borrow_mut();
+        state.last_process += 1;
+        state.last_process
+    }
+
+    /// Adds a process and lists it as ready.
+    pub(crate) fn add_endpoint(&self, process: EndpointProcess) {
+        let number = process.number;
+        self.processes(|processes| processes.push(process));
+        self.list_endpoint(number, EndpointHealth::Ready);
+    }
+
+    /// Uses the endpoints' processes.
+    pub(crate) fn processes<T>(&self, with: impl FnOnce(&mut Vec<EndpointProcess>) -> T) -> T {
+        with(&mut self.state.borrow_mut().processes)
+    }
+}
--- /dev/null
+++ b/soak/src/environment/tests.rs
@@ -0,0 +1,141 @@
+//! The rules about endpoints that drain or warm up are broken once each, and counted.
+
+use super::*;
+use crate::config::DiscoveryMode;
+use crate::endpoint::{Behaviour, ProcessState};
+use crate::ledger::RequestClass;
+use crate::test_support::config;
+use std::cell::Cell;
+use tokio::task::{spawn_local, LocalSet};
+
+const PROXY: usize = 0;
+const PROCESS: u64 = 7;
+
+/// Runs a test where tasks can be started.
+fn run(test: impl FnOnce()) {
+    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    LocalSet::new().block_on(&runtime, async { test() });
+}
+
+/// An environment with a request and an endpoint that has just started.
+fn environment(discovery: DiscoveryMode) -> (Environment, u64) {
+    let environment = Environment::new(1, config(discovery, false));
+    environment.notifications(PROXY, |notifications| notifications.process_started(Instant::now()));
+    environment.add_endpoint(EndpointProcess {
+        number: PROCESS,
+        name: "s-00000007".to_owned(),
+        zone: 'a',
+        address: ([127, 0, 0, 1], 1).into(),
+        started_at: Instant::now(),
+        started_unix_ms: 0,
+        state: ProcessState {
+            behaviour: Rc::new(Cell::new(Behaviour::Normal)),
+            draining: Rc::new(Cell::new(false)),
+        },
+        arrivals: Vec::new(),
+        task: spawn_local(async {}).abort_handle(),
+    });
+    let request = environment.add_request(RequestRecord {
+        proxy: PROXY,
+        class: RequestClass::Idempotent,
+        client_timeout: Duration::from_secs(1),
+        started_at: Instant::now(),
+        complete_at: None,
+        disconnected_at: None,
+        completion: None,
+        new_connection: true,
+        exempt: false,
+        body: Vec::new(),
+        attempts: Vec::new(),
+    });
+    (environment, request)
+}
+
+/// Whether an attempt whose first byte arrives so long after now breaks the drain rule.
+fn breaks_drain_rule(environment: &Environment, request: u64, after_ms: u64) -> bool {
+    let attempt = AttemptRecord {
+        process: PROCESS,
+        zone: 'a',
+        first_byte_at: Instant::now() + Duration::from_millis(after_ms),
+        complete_at: None,
+        ended_at: None,
+        rejected: false,
+        served: false,
+        fully_written: false,
+    };
+    let before = count(environment, Rule::Drain);
+    environment.record_attempt(request, attempt, None, &[]);
+    count(environment, Rule::Drain) > before
+}
+
+fn count(environment: &Environment, rule: Rule) -> usize {
+    environment.ledger(|ledger| ledger.violations.iter().filter(|violation| violation.rule == rule).count())
+}
+
+#[test]
+fn a_pushed_change_binds_at_once() {
+    run(|| {
+        let (environment, request) = environment(DiscoveryMode::Push);
+        assert!(!breaks_drain_rule(&environment, request, 10_000), "it is ready");
+        environment.list_endpoint(PROCESS, EndpointHealth::Draining);
+        assert!(!breaks_drain_rule(&environment, request, 400));
+        assert!(breaks_drain_rule(&environment, request, 600));
+        environment.list_endpoint(PROCESS, EndpointHealth::Ready);
+        assert!(!breaks_drain_rule(&environment, request, 600), "it is ready again");
+    });
+}
+
+#[test]
+fn a_polled_change_binds_when_it_is_delivered_or_after_the_timeout() {
+    run(|| {
+        let (environment, request) = environment(DiscoveryMode::Poll);
+        environment.list_endpoint(PROCESS, EndpointHealth::Draining);
+        assert!(!breaks_drain_rule(&environment, request, 6_300));
+        assert!(breaks_drain_rule(&environment, request, 6_700));
+        let version = environment.list(EndpointList::version);
+        environment.notifications(PROXY, |notifications| notifications.delivered(version - 1));
+        assert!(!breaks_drain_rule(&environment, request, 600), "an older version was delivered");
+        environment.notifications(PROXY, |notifications| notifications.delivered(version));
+        assert!(breaks_drain_rule(&environment, request, 600));
+    });
+}
+
+#[test]
+fn an_outage_and_a_reload_delay_a_pushed_change() {
+    run(|| {
+        let (environment, request) = environment(DiscoveryMode::Push);
+        environment.notifications(PROXY, Notifications::outage_started);
+        environment.list_endpoint(PROCESS, EndpointHealth::Draining);
+        assert!(!breaks_drain_rule(&environment, request, 60_000), "the outage goes on");
+        environment.notifications(PROXY, Notifications::outage_ended);
+        assert!(!breaks_drain_rule(&environment, request, 6_300));
+        assert!(breaks_drain_rule(&environment, request, 6_700));
+    });
+    run(|| {
+        let (environment, request) = environment(DiscoveryMode::Push);
+        environment.notifications(PROXY, Notifications::reloaded);
+        environment.list_endpoint(PROCESS, EndpointHealth::Draining);
+        assert!(!breaks_drain_rule(&environment, request, 4_300));
+        assert!(breaks_drain_rule(&environment, request, 4_700));
+    });
+}
+
+#[test]
+fn too_many_requests_overload_an_endpoint_that_warms_up() {
+    run(|| {
+        let (environment, _) = environment(DiscoveryMode::Push);
+        let started_at = environment.processes(|processes| processes[0].started_at);
+        // A tenth of the capacity: 2 * 60 * 0.1 * 2, and 3 + 3 times the root of it.
+        let allowed = 41;
+        for _ in 0..allowed {
+            environment.check_slow_start(PROCESS, started_at);
+        }
+        assert_eq!(count(&environment, Rule::SlowStart), 0);
+        environment.check_slow_start(PROCESS, started_at);
+        assert_eq!(count(&environment, Rule::SlowStart), 1);
+        for _ in 0..10 * allowed {
+            environment.check_slow_start(PROCESS, started_at + Duration::from_secs(9));
+        }
+        assert_eq!(count(&environment, Rule::SlowStart), 1, "it is warm");
+    });
+}
--- /dev/null
+++ b/soak/src/faults/endpoints.rs
@@ -0,0 +1,112 @@
+//! Faults of endpoints.
+
+use crate::endpoint::{endpoint_name, Behaviour, EndpointHealth, EndpointProcess};
+use crate::endpoint_server;
+use crate::environment::Environment;
+use crate::error::SetupError;
+use rand::Rng;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// A process goes on for so long after its replacement is listed.
+const REPLACED_DELAY: Duration = Duration::from_secs(1);
+/// Ready endpoints that a zone keeps at least.
+const MIN_READY_PER_ZONE: usize = 2;
+
+/// Adds an endpoint.
+pub(super) async fn add(environment: &Environment) -> Result<(), SetupError> {
+    let name = endpoint_name(environment.draw(|random| random.gen()));
+    let zone = if environment.chance(0.5) { 'a' } else { 'b' };
+    let process = endpoint_server::start(environment, &name, zone).await?;
+    environment.add_endpoint(process);
+    Ok(())
+}
+
+/// Lets an endpoint misbehave for a while.
+pub(super) async fn misbehave(environment: &Environment, behaviour: Behaviour) {
+    let count = environment.processes(|processes| processes.len());
+    let index = environment.draw(|random| random.gen_range(0..count));
+    let state = environment.processes(|processes| processes[index].state.clone());
+    state.behaviour.set(behaviour);
+    sleep(environment.draw_seconds(0.5, 3.0)).await;
+    state.behaviour.set(Behaviour::Normal);
+}
+
+/// Lists all endpoints as draining for a while.
+pub(super) async fn drain_all(environment: &Environment) {
+    let mut ready: Vec<u64> = environment.processes(|processes| {
+        processes.iter().filter(|process| !process.is_draining()).map(|process| process.number).collect()
+    });
+    environment.log_event(format!("endpoint processes {ready:?} take no new requests"));
+    for &number in &ready {
+        environment.list_endpoint(number, EndpointHealth::Draining);
+    }
+    sleep(environment.draw_seconds(0.1, 0.7)).await;
+    // Some may drain for another reason by now.
+    ready.retain(|&number| {
+        environment.processes(|processes| {
+            processes.iter().any(|process| process.number == number && !process.is_draining())
+        })
+    });
+    for number in ready {
+        environment.list_endpoint(number, EndpointHealth::Ready);
+    }
+}
+
+/// An endpoint's process that is to end.
+struct Replaced {
+    number: u64,
+    name: String,
+    zone: char,
+}
+
+/// An endpoint's process ends, in order or not, and another replaces it, under its name or a new one.
+pub(super) async fn replace(
+    environment: &Environment,
+    notice: Duration,
+    orderly: bool,
+) -> Result<(), SetupError> {
+    let Some(old) = choose_replaced(environment, notice) else { return Ok(()) };
+    let same_name = environment.chance(0.5);
+    let name =
+        if same_name { old.name.clone() } else { endpoint_name(environment.draw(|random| random.gen())) };
+    environment.log_event(format!("endpoint process {} ends, in order: {orderly}", old.number));
+    if orderly {
+        environment.list_endpoint(old.number, EndpointHealth::Draining);
+    } else {
+        kill(environment, old.number);
+    }
+    sleep(notice).await;
+    let new = endpoint_server::start(environment, &name, old.zone).await?;
+    if !same_name {
+        environment.list_endpoint(old.number, EndpointHealth::Removed);
+    }
+    environment.add_endpoint(new);
+    sleep(REPLACED_DELAY).await;
+    kill(environment, old.number);
+    environment.processes(|processes| processes.retain(|process| process.number != old.number));
+    Ok(())
+}
+
+/// Chooses a ready process of a zone that has enough, and lets it drain.
+fn choose_replaced(environment: &Environment, notice: Duration) -> Option<Replaced> {
+    environment.processes(|processes| {
+        let ready: Vec<_> = processes.iter().filter(|process| !process.is_draining()).collect();
+        let in_zone = |zone| ready.iter().filter(|process| process.zone == zone).count();
+        let candidates: Vec<_> =
+            ready.iter().filter(|process| in_zone(process.zone) > MIN_READY_PER_ZONE).collect();
+        // The notice is random too.
+        let index = (notice.subsec_nanos() as usize).checked_rem(candidates.len())?;
+        let process = candidates[index];
+        process.state.draining.set(true);
+        Some(Replaced { number: process.number, name: process.name.clone(), zone: process.zone })
+    })
+}
+
+fn kill(environment: &Environment, number: u64) {
+    environment.log_event(format!("endpoint process {number} is killed"));
+    environment.processes(|processes| {
+        processes.iter().filter(|process| process.number == number).for_each(EndpointProcess::kill);
+    });
+    environment.ledger(|ledger| ledger.record_kill(number));
+}
--- /dev/null
+++ b/soak/src/faults/mod.rs
@@ -0,0 +1,140 @@
+//! The fault schedule: overlapping faults, drawn from the seed.
+
+mod endpoints;
+mod proxies;
+mod syscalls;
+
+pub(crate) use syscalls::syscall_faults;
+
+use crate::endpoint::Behaviour;
+use crate::environment::Environment;
+use crate::error::SetupError;
+use crate::proxy::Proxy;
+use crate::watch_delivery::AgentMode;
+use rand::Rng;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::task::{spawn_local, JoinHandle};
+use tokio::time::sleep;
+
+/// Kinds of faults.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Fault {
+    /// Proxies get SIGTERM and start again.
+    ProxyShutdown,
+    /// Proxies are killed and start again.
+    ProxyKill,
+    /// Proxies are paused.
+    ProxyPause,
+    /// Proxies get SIGHUP with a new agent in their configuration.
+    ProxyReload,
+    /// A new process takes over from a proxy's running one.
+    ProxyHandoff,
+    /// Many idle connections to a proxy.
+    IdleConnections,
+    /// An endpoint drains, ends, and is replaced.
+    EndpointDrain,
+    /// An endpoint is killed, and replaced.
+    EndpointCrash,
+    /// An endpoint is added.
+    EndpointAdded,
+    /// An endpoint misbehaves for a while.
+    EndpointBehaviour(Behaviour),
+    /// All endpoints drain for a while: requests queue, and clients disconnect.
+    AllEndpointsDrain,
+    /// Agents fail for a while.
+    AgentOutage(AgentMode),
+}
+
+/// Faults by their frequency.
+const FAULTS: [Fault; 17] = [
+    Fault::ProxyShutdown,
+    Fault::ProxyShutdown,
+    Fault::ProxyKill,
+    Fault::ProxyPause,
+    Fault::ProxyReload,
+    Fault::EndpointDrain,
+    Fault::EndpointDrain,
+    Fault::EndpointCrash,
+    Fault::EndpointBehaviour(Behaviour::Hanging),
+    Fault::EndpointBehaviour(Behaviour::Resetting),
+    Fault::EndpointBehaviour(Behaviour::Failing),
+    Fault::AgentOutage(AgentMode::Silent),
+    Fault::AgentOutage(AgentMode::Refusing),
+    Fault::IdleConnections,
+    Fault::AllEndpointsDrain,
+    Fault::AllEndpointsDrain,
+    Fault::ProxyHandoff,
+];
+
+/// Starts one fault after the other until the end, and waits until all are over. Returns what was
+/// started and when.
+pub(crate) async fn run_schedule(
+    environment: Environment,
+    proxies: Vec<Rc<Proxy>>,
+    end: Instant,
+) -> Result<Vec<String>, SetupError> {
+    let start = Instant::now();
+    let mut started = Vec::new();
+    let mut running: Vec<JoinHandle<Result<(), SetupError>>> = Vec::new();
+    while Instant::now() < end {
+        let (fault, pause) = draw_fault(&environment);
+        started.push(format!("{:.2} s {fault:?}", start.elapsed().as_secs_f64()));
+        running.push(spawn_local(inject(environment.clone(), proxies.clone(), fault)));
+        sleep(pause).await;
+    }
+    for fault in running {
+        fault.await??;
+    }
+    Ok(started)
+}
+
+/// Draws a fault and the pause after its start.
+fn draw_fault(environment: &Environment) -> (Fault, Duration) {
+    let (fault, pause_s) =
+        environment.draw(|random| (FAULTS[random.gen_range(0..FAULTS.len())], random.gen_range(0.1..0.6)));
+    let added = environment.chance(0.1);
+    (if added { Fault::EndpointAdded } else { fault }, Duration::from_secs_f64(pause_s))
+}
+
+async fn inject(environment: Environment, proxies: Vec<Rc<Proxy>>, fault: Fault) -> Result<(), SetupError> {
+    let environment = &environment;
+    let proxies = &proxies;
+    match fault {
+        Fault::ProxyShutdown | Fault::ProxyKill => {
+            let orderly = fault == Fault::ProxyShutdown;
+            proxies::restart_some(environment, proxies, orderly).await
+        }
+        Fault::ProxyPause => {
+            proxies::pause_some(environment, proxies).await;
+            Ok(())
+        }
+        Fault::ProxyReload => proxies::reload_some(environment, proxies).await,
+        Fault::ProxyHandoff => proxies::hand_off_some(environment, proxies).await,
+        Fault::IdleConnections => {
+            proxies::open_idle_connections(environment, proxies).await;
+            Ok(())
+        }
+        Fault::AgentOutage(mode) => {
+            proxies::fail_agents(environment, proxies, mode).await;
+            Ok(())
+        }
+        Fault::EndpointDrain => {
+            let notice = environment.draw_seconds(0.6, 3.0);
+            endpoints::replace(environment, notice, true).await
+        }
+        Fault::EndpointCrash => {
+            let notice = environment.draw_seconds(0.2, 2.5);
+            endpoints::replace(environment, notice, false).await
+        }
+        Fault::EndpointAdded => endpoints::add(environment).await,
+        Fault::EndpointBehaviour(behaviour) => {
+            endpoints::misbehave(environment, behaviour).await;
+            Ok(())
+        }
+        Fault::AllEndpointsDrain => {
+            endpoints::drain_all(environment).await;
+            Ok(())
+        }
+    }
+}
--- /dev/null
+++ b/soak/src/faults/proxies.rs
@@ -0,0 +1,120 @@
+//! Faults of proxies, their clients and their agents.
+
+use crate::environment::Environment;
+use crate::error::SetupError;
+use crate::proxy::Proxy;
+use crate::watch_delivery::AgentMode;
+use rand::seq::SliceRandom;
+use rand::Rng;
+use std::rc::Rc;
+use tokio::net::TcpStream;
+use tokio::task::{spawn_local, JoinHandle};
+use tokio::time::sleep;
+
+/// Idle connections that are opened at once.
+const IDLE_CONNECTIONS: usize = 100;
+
+/// Draws one to `max` proxies.
+fn draw_proxies(environment: &Environment, proxies: &[Rc<Proxy>], max: usize) -> Vec<Rc<Proxy>> {
+    let count = environment.draw(|random| random.gen_range(1..=max));
+    environment.draw(|random| proxies.choose_multiple(random, count).cloned().collect())
+}
+
+/// Ends some proxies at once, in order or by force, and starts them again.
+pub(super) async fn restart_some(
+    environment: &Environment,
+    proxies: &[Rc<Proxy>],
+    orderly: bool,
+) -> Result<(), SetupError> {
+    let chosen = draw_proxies(environment, proxies, 3);
+    let restarts = chosen.into_iter().map(|proxy| spawn_local(restart(proxy, orderly)));
+    join_all(restarts.collect()).await
+}
+
+async fn restart(proxy: Rc<Proxy>, orderly: bool) -> Result<(), SetupError> {
+    if !proxy.reserve() {
+        return Ok(());
+    }
+    if orderly {
+        proxy.shut_down().await;
+    } else {
+        proxy.kill();
+    }
+    let result = proxy.start().await;
+    proxy.release();
+    result
+}
+
+/// Pauses some proxies, one after the other.
+pub(super) async fn pause_some(environment: &Environment, proxies: &[Rc<Proxy>]) {
+    let duration = environment.draw_seconds(0.02, 0.14);
+    for proxy in draw_proxies(environment, proxies, 4) {
+        proxy.pause(duration).await;
+    }
+}
+
+/// Reloads some proxies, one after the other.
+pub(super) async fn reload_some(environment: &Environment, proxies: &[Rc<Proxy>]) -> Result<(), SetupError> {
+    for proxy in draw_proxies(environment, proxies, 2) {
+        if proxy.reserve() {
+            if proxy.accepts_connections() {
+                proxy.reload().await?;
+            }
+            proxy.release();
+        }
+    }
+    Ok(())
+}
+
+/// Lets new processes take over from some proxies' running ones at once.
+pub(super) async fn hand_off_some(
+    environment: &Environment,
+    proxies: &[Rc<Proxy>],
+) -> Result<(), SetupError> {
+    let chosen = draw_proxies(environment, proxies, 2);
+    join_all(chosen.into_iter().map(|proxy| spawn_local(hand_off(proxy))).collect()).await
+}
+
+async fn hand_off(proxy: Rc<Proxy>) -> Result<(), SetupError> {
+    if !proxy.reserve() {
+        return Ok(());
+    }
+    let result = proxy.hand_off().await;
+    proxy.release();
+    result
+}
+
+async fn join_all(tasks: Vec<JoinHandle<Result<(), SetupError>>>) -> Result<(), SetupError> {
+    for task in tasks {
+        task.await??;
+    }
+    Ok(())
+}
+
+/// Lets the agents of some proxies fail for a while.
+pub(super) async fn fail_agents(environment: &Environment, proxies: &[Rc<Proxy>], mode: AgentMode) {
+    let mut chosen = draw_proxies(environment, proxies, 8);
+    chosen.retain(|proxy| proxy.reserve());
+    for proxy in &chosen {
+        environment.log_event(format!("proxy {}: its agent is {mode:?}", proxy.number));
+        proxy.set_agent_mode(mode);
+    }
+    sleep(environment.draw_seconds(0.3, 4.0)).await;
+    for proxy in chosen {
+        environment.log_event(format!("proxy {}: its agent responds again", proxy.number));
+        proxy.set_agent_mode(AgentMode::Responding);
+        proxy.release();
+    }
+}
+
+/// Opens many connections to a proxy that stay idle for a while.
+pub(super) async fn open_idle_connections(environment: &Environment, proxies: &[Rc<Proxy>]) {
+    let Some(proxy) = draw_proxies(environment, proxies, 1).pop() else { return };
+    let mut idle = Vec::new();
+    for _ in 0..IDLE_CONNECTIONS {
+        if proxy.accepts_connections() {
+            idle.extend(TcpStream::connect(proxy.address).await);
+        }
+    }
+    sleep(environment.draw_seconds(0.5, 4.0)).await;
+}
--- /dev/null
+++ b/soak/src/ledger/rules.rs
@@ -0,0 +1,146 @@
+//! The rules for requests, each checked on what clients and endpoints saw.
+
+use super::records::{AttemptRecord, RequestClass, RequestRecord, Rule};
+use std::time::{Duration, Instant};
+
+/// The protocol's slack of each time limit, 50 ms, and as much for the loopback and this program.
+const SLACK: Duration = Duration::from_millis(50 + 50);
+/// The advertised timeout may exceed the client's remaining time by this.
+const ADVERTISED_TIMEOUT_SLACK: Duration = Duration::from_millis(150);
+/// An attempt may begin so long after its client has disconnected.
+const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
+/// A response may exceed the client's time by this.
+const RESPONSE_SLACK: Duration = Duration::from_millis(500);
+/// Maximum number of attempts of a request.
+const MAX_ATTEMPTS: usize = 3;
+
+/// A rule that a request broke, and how.
+#[derive(Debug)]
+pub(super) struct Finding {
+    pub(super) rule: Rule,
+    pub(super) reason: String,
+}
+
+impl Finding {
+    fn new(rule: Rule, reason: impl Into<String>) -> Finding {
+        Finding { rule, reason: reason.into() }
+    }
+}
+
+/// The first bytes of an attempt have arrived at an endpoint.
+pub(super) struct AttemptArrival<'a> {
+    /// The request with the attempts before this one.
+    pub(super) request: &'a RequestRecord,
+    /// The attempt.
+    pub(super) attempt: &'a AttemptRecord,
+    /// The time that it says the client still waits.
+    pub(super) advertised_timeout: Option<Duration>,
+    /// Its body.
+    pub(super) body: &'a [u8],
+    /// How long a repeated idempotency key is recognised.
+    pub(super) deduplication_window: Duration,
+    /// A request may have two attempts in flight at once.
+    pub(super) hedging: bool,
+}
+
+impl AttemptArrival<'_> {
+    /// All rules that the attempt breaks.
+    pub(super) fn findings(&self) -> Vec<Finding> {
+        let findings = [
+            self.changed_body(),
+            self.too_many_attempts(),
+            self.after_disconnect(),
+            self.after_response(),
+            self.excessive_advertised_timeout(),
+            self.repeated_execution(),
+            self.concurrent_attempts(),
+        ];
+        findings.into_iter().flatten().collect()
+    }
+
+    fn changed_body(&self) -> Option<Finding> {
+        let changed = self.attempt.complete_at.is_some() && self.request.body != self.body;
+        changed.then(|| Finding::new(Rule::Void, "its body was changed"))
+    }
+
+    fn too_many_attempts(&self) -> Option<Finding> {
+        let exceeded = self.request.attempts.len() >= MAX_ATTEMPTS;
+        exceeded.then(|| Finding::new(Rule::Duplicate, "too many attempts"))
+    }
+
+    fn after_disconnect(&self) -> Option<Finding> {
+        let limit = self.request.disconnected_at? + DISCONNECT_SLACK + SLACK;
+        (self.attempt.first_byte_at > limit)
+            .then(|| Finding::new(Rule::Lost, "an attempt after its client had disconnected"))
+    }
+
+    fn after_response(&self) -> Option<Finding> {
+        let limit = self.request.completion?.at + SLACK;
+        (self.attempt.first_byte_at > limit)
+            .then(|| Finding::new(Rule::Lost, "an attempt after its response"))
+    }
+
+    fn excessive_advertised_timeout(&self) -> Option<Finding> {
+        let advertised = self.advertised_timeout?;
+        let deadline = self.request.complete_at? + self.request.client_timeout;
+        let remaining = deadline.saturating_duration_since(self.attempt.first_byte_at);
+        let allowed = remaining + ADVERTISED_TIMEOUT_SLACK;
+        (advertised > allowed + SLACK).then(|| {
+            let reason = format!("advertised {advertised:?}, allowed {allowed:?}");
+            Finding::new(Rule::AdvertisedTimeout, reason)
+        })
+    }
+
+    fn repeated_execution(&self) -> Option<Finding> {
+        let first = self.request.attempts.iter().find(|attempt| attempt.may_have_executed())?;
+        let window_end = first.first_byte_at + self.deduplication_window + SLACK;
+        let reason = match self.request.class {
+            RequestClass::NonIdempotent => "it may have been executed before",
+            RequestClass::Keyed if first.zone != self.attempt.zone => "a repeat in another zone",
+            RequestClass::Keyed if self.attempt.first_byte_at > window_end => {
+                "a repeat past its deduplication window"
+            }
+            RequestClass::Keyed | RequestClass::Idempotent => return None,
+        };
+        Some(Finding::new(Rule::Duplicate, reason))
+    }
+
+    fn concurrent_attempts(&self) -> Option<Finding> {
+        let in_flight = |earlier: &AttemptRecord| {
+            let ended = |at: Instant| at <= self.attempt.first_byte_at + SLACK;
+            earlier.may_have_executed() && !earlier.ended_at.is_some_and(ended)
+        };
+        let allowed = self.hedging && self.request.class != RequestClass::NonIdempotent;
+        let concurrent = self.request.attempts.iter().any(in_flight);
+        (concurrent && !allowed).then(|| Finding::new(Rule::Duplicate, "two attempts in flight"))
+    }
+}
+
+/// The rule that a request's completion breaks, if any.
+pub(super) fn completion_finding(id: u64, request: &RequestRecord, body: &[u8]) -> Option<Finding> {
+    let completion = request.completion?;
+    let lost = |reason: String| Some(Finding::new(Rule::Lost, reason));
+    let Some(status) = completion.status else {
+        return lost("its connection ended without a response".to_owned());
+    };
+    let deadline = request.complete_at.map(|at| at + request.client_timeout);
+    let late = deadline.is_some_and(|at| completion.at > at + RESPONSE_SLACK + SLACK);
+    let executed = request.attempts.iter().any(AttemptRecord::may_have_executed);
+    match status {
+        200 if !request.attempts.iter().any(|attempt| attempt.served) => {
+            lost("a response that no endpoint made".to_owned())
+        }
+        200 if body != response_body(id, body.len()) => lost(format!("a wrong body of {} bytes", body.len())),
+        429 | 503 if request.class != RequestClass::Idempotent && executed => {
+            Some(Finding::new(Rule::Duplicate, "rejected after it may have been executed"))
+        }
+        400..=428 => lost(format!("a valid request was answered with {status}")),
+        _ if late => lost("a late response".to_owned()),
+        _ => None,
+    }
+}
+
+/// The body that endpoints answer a request with.
+pub(crate) fn response_body(id: u64, length: usize) -> Vec<u8> {
+    format!("{id:016x}.").into_bytes().into_iter().cycle().take(length).collect()
+}
--- /dev/null
+++ b/soak/src/ledger/timeline.rs
@@ -0,0 +1,41 @@
+//! The timeline of a request, for people who look into a violation.
+
+use super::records::{AttemptRecord, RequestRecord};
+use std::time::Instant;
+
+/// What happened to a request, a line each; times are in seconds since `start`.
+pub(super) fn timeline(start: Instant, request: &RequestRecord) -> String {
+    let at = |instant: Instant| seconds(start, instant);
+    let mut lines = vec![format!(
+        "    {} proxy {} {:?}, client timeout {:?}, new connection: {}",
+        at(request.started_at),
+        request.proxy,
+        request.class,
+        request.client_timeout,
+        request.new_connection
+    )];
+    lines.extend(request.complete_at.map(|complete| format!("    {} complete", at(complete))));
+    lines.extend(request.disconnected_at.map(|gone| format!("    {} client disconnected", at(gone))));
+    lines.extend(request.completion.map(|completion| match completion.status {
+        Some(status) => format!("    {} response {status}", at(completion.at)),
+        None => format!("    {} connection ended", at(completion.at)),
+    }));
+    lines.extend(request.attempts.iter().map(|attempt| attempt_line(start, attempt)));
+    lines.join("\n")
+}
+
+fn attempt_line(start: Instant, attempt: &AttemptRecord) -> String {
+    let at = |instant: Instant| seconds(start, instant);
+    let AttemptRecord { process, zone, rejected, served, .. } = attempt;
+    format!(
+        "    {} at process {process} in {zone}, complete {:?}, ended {:?}, rejected: {rejected}, \
+         served: {served}",
+        at(attempt.first_byte_at),
+        attempt.complete_at.map(at),
+        attempt.ended_at.map(at),
+    )
+}
+
+fn seconds(start: Instant, instant: Instant) -> String {
+    format!("{:.3}", instant.saturating_duration_since(start).as_secs_f64())
+}
--- /dev/null
+++ b/soak/src/proxy/configuration.rs
@@ -0,0 +1,62 @@
+//! The configuration file that a proxy is started with, under the operators' names.
+
+use crate::config::{DiscoveryMode, SimulationConfig};
+use crate::environment::Environment;
+use crate::ledger::RequestClass;
+use rand::Rng;
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Descriptors that all processes of a proxy may have open.
+pub(super) const MAX_DESCRIPTORS: usize = 160;
+/// Memory that a process of a proxy may take.
+pub(super) const MAX_MEMORY_MB: usize = 64;
+
+/// The configuration of a proxy. Its seed is drawn anew each time.
+pub(super) fn configuration(
+    environment: &Environment,
+    proxy: usize,
+    listen: SocketAddr,
+    discovery: SocketAddr,
+) -> Value {
+    let known = environment.list(|list| list.full());
+    json!({
+        "name": format!("n{proxy}"),
+        "listen": listen.to_string(),
+        "discovery": discovery.to_string(),
+        "seed": format!("{:016x}", environment.draw(|random| random.gen::<u64>())),
+        "limits": {"cores": 1.0, "memory_mb": MAX_MEMORY_MB, "sockets": MAX_DESCRIPTORS},
+        "known": known,
+        "settings": settings(environment.config(), proxy),
+    })
+}
+
+fn settings(config: &SimulationConfig, proxy: usize) -> Value {
+    let class = |class: RequestClass, idempotency: &str| {
+        json!({"name": class.wire_name(), "objective_us": 400_000,
+            "deadline_us": class.deadline_ms() * 1_000, "worth": 1.0, "idempotency": idempotency,
+            "dedup_scope": "zone", "repeat_window_us": micros(config.deduplication_window)})
+    };
+    let discovery = match config.discovery {
+        DiscoveryMode::Push => "push",
+        DiscoveryMode::Poll => "ask",
+    };
+    json!({
+        "balancers": config.proxy_count, "me": proxy, "tick_us": 1_000, "discovery": discovery,
+        "azs": ["a", "b"], "locality": if proxy.is_multiple_of(2) { "a" } else { "b" },
+        "classes": [class(RequestClass::Idempotent, "free"), class(RequestClass::Keyed, "guarded"),
+            class(RequestClass::NonIdempotent, "single_shot")],
+        "tenants": [{"name": "a", "portion": 1.0, "quota_per_s": 1_000.0}],
+        "limits": {"cancel": true, "max_attempts": 3, "second_copies": config.hedging,
+            "max_retry_after_us": 750_000, "connect_timeout_us": 250_000,
+            "conn_idle_us": micros(config.endpoint_idle_timeout)},
+        "invariants": {"cold_from": config.initial_capacity, "cold_us": micros(config.slow_start),
+            "fall_multiple": config.overload_multiple, "tip_after_us": micros(config.overload_duration),
+            "drain_grace_us": micros(config.drain_grace), "ask_every_us": 10_000_000},
+    })
+}
+
+fn micros(duration: Duration) -> u64 {
+    duration.as_micros() as u64
+}
--- /dev/null
+++ b/soak/src/proxy/handoff.rs
@@ -0,0 +1,81 @@
+//! A new process takes over from the running one.
+
+use super::process::{end_child, Proxy, POLL_INTERVAL, READY_TIMEOUT, SHUTDOWN_TIMEOUT};
+use crate::error::SetupError;
+use crate::ledger::Rule;
+use nix::sys::signal::Signal;
+use std::net::SocketAddr;
+use std::process::Child;
+use std::time::{Duration, Instant};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::sleep;
+
+/// Ports of the new processes' operator interfaces count up from here.
+const FIRST_OPERATOR_PORT: u16 = 4_000;
+/// Changes of the endpoint list bind a new process so long after it reported to be ready.
+const NOTIFICATION_DELAY: Duration = Duration::from_secs(2);
+
+impl Proxy {
+    /// Starts a new process beside the running one, and ends that when the new one is ready.
+    pub(crate) async fn hand_off(&self) -> Result<(), SetupError> {
+        if !self.accepts_connections() {
+            return Ok(());
+        }
+        let operators = SocketAddr::new(self.address.ip(), FIRST_OPERATOR_PORT + self.process() as u16);
+        let new = self.spawn(Some(operators))?;
+        self.log_event("a new process beside it");
+        self.wait_for_new_process(operators).await;
+        self.replace_process(new);
+        let previous = self.process();
+        self.process_count.set(previous + 1);
+        sleep(SHUTDOWN_TIMEOUT).await;
+        self.killed_processes.borrow_mut().push(previous);
+        self.end_previous();
+        Ok(())
+    }
+
+    async fn wait_for_new_process(&self, operators: SocketAddr) {
+        let started = Instant::now();
+        while !reports_ready(operators).await {
+            if started.elapsed() > READY_TIMEOUT {
+                self.record_violation(Rule::Readiness, "has a new process that is not ready after 10 s");
+                return;
+            }
+            sleep(POLL_INTERVAL).await;
+        }
+    }
+
+    fn replace_process(&self, new: Child) {
+        let now = Instant::now();
+        self.environment.notifications(self.number, |notifications| {
+            notifications.process_started(now + NOTIFICATION_DELAY);
+        });
+        self.disturbed_at.borrow_mut().push(now);
+        self.signal(Signal::SIGTERM);
+        self.log_event("SIGTERM to the old process");
+        let previous = self.child.borrow_mut().replace(new);
+        *self.previous.borrow_mut() = previous;
+    }
+
+    fn end_previous(&self) {
+        let Some(mut previous) = self.previous.borrow_mut().take() else { return };
+        if let Ok(Some(status)) = previous.try_wait() {
+            if !status.success() {
+                self.record_violation(Rule::Crash, &format!("ended with {status}"));
+            }
+        }
+        end_child(&mut previous);
+    }
+}
+
+/// Whether the process that answers operators here accepts connections of clients.
+async fn reports_ready(operators: SocketAddr) -> bool {
+    let mut answer = String::new();
+    if let Ok(mut stream) = TcpStream::connect(operators).await {
+        // What fails leaves no answer.
+        let _ = stream.write_all(b"health\n").await;
+        let _ = stream.read_to_string(&mut answer).await;
+    }
+    answer.starts_with("SUCCESS")
+}
--- /dev/null
+++ b/soak/src/proxy/process.rs
@@ -0,0 +1,306 @@
+//! A proxy over all its processes: their starts and ends, and the signals that they get.
+
+use super::configuration::configuration;
+use crate::environment::Environment;
+use crate::error::SetupError;
+use crate::http::Reader;
+use crate::ledger::Rule;
+use crate::watch_delivery::{start_agent, Agent, AgentMode};
+use nix::sys::signal::{kill, Signal};
+use nix::unistd::Pid;
+use std::cell::{Cell, RefCell};
+use std::fs::{self, File};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+use tokio::sync::watch;
+use tokio::time::sleep;
+
+/// Where all proxies listen, each at an address of its own.
+const LISTEN_PORT: u16 = 3_000;
+/// A started proxy is ready within this time.
+pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// SIGKILL follows so long after SIGTERM: the longest deadline and 0.7 s.
+pub(super) const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(2_000 + 700);
+/// Clients open connections for so long after SIGTERM.
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(300);
+/// An old agent goes on for so long after SIGHUP.
+const OLD_AGENT_DELAY: Duration = Duration::from_millis(1_500);
+/// Invalid clients may wait longer if they connect this soon after a signal.
+const DISTURBANCE: Duration = Duration::from_secs(4);
+/// Interval at which a change of a process's state is looked for.
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// What the proxies run.
+#[derive(Clone, Debug)]
+pub(crate) struct Program {
+    /// The program.
+    pub(crate) path: PathBuf,
+    /// The library that makes system calls fail.
+    pub(crate) faults: Option<PathBuf>,
+    /// The folder for configurations and logs.
+    pub(crate) folder: PathBuf,
+}
+
+/// A proxy, over all its processes.
+#[derive(Debug)]
+pub(crate) struct Proxy {
+    /// Its number.
+    pub(crate) number: usize,
+    /// Where its clients connect.
+    pub(crate) address: SocketAddr,
+    pub(super) environment: Environment,
+    program: Program,
+    syscall_faults: serde_json::Value,
+    pub(super) child: RefCell<Option<Child>>,
+    /// The process before, while it ends beside the present one.
+    pub(super) previous: RefCell<Option<Child>>,
+    /// Number of processes so far, which is the number of the present one.
+    pub(super) process_count: Cell<u64>,
+    pub(super) killed_processes: RefCell<Vec<u64>>,
+    pub(super) accepts_connections: Cell<bool>,
+    /// When it was paused or got SIGTERM.
+    pub(super) disturbed_at: RefCell<Vec<Instant>>,
+    agent_mode: watch::Sender<AgentMode>,
+    agent: RefCell<Agent>,
+    reserved: Cell<bool>,
+}
+
+impl Proxy {
+    /// A proxy that does not run yet, with its agent.
+    pub(crate) async fn new(
+        environment: &Environment,
+        program: &Program,
+        number: usize,
+        syscall_faults: serde_json::Value,
+    ) -> Result<Rc<Proxy>, SetupError> {
+        // A port that the system chose could be given to someone else between two processes of the
+        // proxy. The address is this run's own.
+        let run = std::process::id();
+        let ip = [127, 10 + (run % 200) as u8, (run / 200 % 250) as u8, 1 + number as u8];
+        let (agent_mode, modes) = watch::channel(AgentMode::Responding);
+        let agent = start_agent(environment, number, modes).await?;
+        Ok(Rc::new(Proxy {
+            number,
+            address: SocketAddr::from((ip, LISTEN_PORT)),
+            environment: environment.clone(),
+            program: program.clone(),
+            syscall_faults,
+            child: RefCell::default(),
+            previous: RefCell::default(),
+            process_count: Cell::new(0),
+            killed_processes: RefCell::default(),
+            accepts_connections: Cell::new(false),
+            disturbed_at: RefCell::default(),
+            agent_mode,
+            agent: RefCell::new(agent),
+            reserved: Cell::new(false),
+        }))
+    }
+
+    /// Reserves it for a fault that must not overlap others; `false`: another has it.
+    pub(crate) fn reserve(&self) -> bool {
+        !self.reserved.replace(true)
+    }
+
+    /// Ends the reservation.
+    pub(crate) fn release(&self) {
+        self.reserved.set(false);
+    }
+
+    /// Whether clients may open new connections.
+    pub(crate) fn accepts_connections(&self) -> bool {
+        self.accepts_connections.get()
+    }
+
+    /// The number of its present process.
+    pub(crate) fn process(&self) -> u64 {
+        self.process_count.get()
+    }
+
+    /// Whether a process was killed, or its time for an orderly end is over.
+    pub(crate) fn was_killed(&self, process: u64) -> bool {
+        self.killed_processes.borrow().contains(&process)
+    }
+
+    /// Whether it was paused or got SIGTERM so late that a client of this time may notice.
+    pub(crate) fn was_disturbed(&self, since: Instant) -> bool {
+        self.disturbed_at.borrow().iter().any(|at| *at + DISTURBANCE >= since)
+    }
+
+    fn folder(&self) -> PathBuf {
+        self.program.folder.join(format!("proxy-{}", self.number))
+    }
+
+    pub(super) fn log_path(&self) -> PathBuf {
+        self.folder().join("log.txt")
+    }
+
+    fn write_configuration(&self) -> Result<PathBuf, SetupError> {
+        let discovery = self.agent.borrow().address;
+        let configuration = configuration(&self.environment, self.number, self.address, discovery);
+        let path = self.folder().join("config.json");
+        fs::create_dir_all(self.folder())
+            .and_then(|()| fs::write(&path, configuration.to_string()))
+            .map_err(|source| SetupError::Write { path: path.clone(), source })?;
+        Ok(path)
+    }
+
+    /// Starts a process of it, which answers operators at the given address if there is one.
+    pub(super) fn spawn(&self, operators: Option<SocketAddr>) -> Result<Child, SetupError> {
+        let configuration = self.write_configuration()?;
+        let path = self.log_path();
+        let log = File::options().create(true).append(true).open(&path);
+        let log = log.map_err(|source| SetupError::Write { path, source })?;
+        let mut command = Command::new(&self.program.path);
+        command
+            .env("ROUTER_CONFIG", configuration)
+            .env("TMPDIR", self.folder())
+            .env("ROUTER_TRACE", "1")
+            .stdout(Stdio::null())
+            .stderr(log);
+        if let Some(operators) = operators {
+            command.env("ROUTER_ADMIN", operators.to_string());
+        }
+        if let Some(faults) = &self.program.faults {
+            command.env("LD_PRELOAD", faults).env("SYSCALL_FAULTS", self.syscall_faults.to_string());
+        }
+        let path = &self.program.path;
+        command.spawn().map_err(|source| SetupError::Spawn { path: path.clone(), source })
+    }
+
+    /// Starts it and waits until it is ready.
+    pub(crate) async fn start(&self) -> Result<(), SetupError> {
+        let started = Instant::now();
+        self.environment.notifications(self.number, |notifications| {
+            notifications.process_started(started);
+        });
+        self.process_count.set(self.process_count.get() + 1);
+        let child = self.spawn(None)?;
+        *self.child.borrow_mut() = Some(child);
+        while !self.is_ready().await {
+            if self.has_ended() {
+                self.record_violation(Rule::Crash, "ended at its start");
+                return Ok(());
+            }
+            if started.elapsed() > READY_TIMEOUT {
+                self.record_violation(Rule::Readiness, "was not ready within 10 s");
+                return Ok(());
+            }
+            sleep(POLL_INTERVAL).await;
+        }
+        self.accepts_connections.set(true);
+        self.log_event(&format!("ready, process {}", self.process()));
+        Ok(())
+    }
+
+    async fn is_ready(&self) -> bool {
+        let Ok(stream) = TcpStream::connect(self.address).await else { return false };
+        let mut reader = Reader::new(stream);
+        let written = reader.stream.write_all(b"GET /_health HTTP/1.1\r\n\r\n").await;
+        written.is_ok() && reader.message().await.is_ok_and(|answer| answer.status == Some(200))
+    }
+
+    pub(super) fn signal(&self, signal: Signal) {
+        if let Some(child) = self.child.borrow().as_ref() {
+            // It fails only for a process that has ended.
+            let _ = kill(Pid::from_raw(child.id() as i32), signal);
+        }
+    }
+
+    /// Whether its process has ended by itself.
+    pub(super) fn has_ended(&self) -> bool {
+        self.child.borrow_mut().as_mut().is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
+    }
+
+    pub(super) fn log_event(&self, description: &str) {
+        self.environment.log_event(format!("proxy {}: {description}", self.number));
+    }
+
+    pub(super) fn record_violation(&self, rule: Rule, description: &str) {
+        self.environment.record_violation(rule, format!("proxy {} {description}", self.number));
+    }
+
+    /// Kills it.
+    pub(crate) fn kill(&self) {
+        self.log_event("killed");
+        self.accepts_connections.set(false);
+        self.killed_processes.borrow_mut().push(self.process());
+        if let Some(mut child) = self.child.borrow_mut().take() {
+            end_child(&mut child);
+        }
+    }
+
+    /// Shuts it down by SIGTERM, and kills it when its time is over.
+    pub(crate) async fn shut_down(&self) {
+        let started = Instant::now();
+        self.disturbed_at.borrow_mut().push(started);
+        self.log_event("SIGTERM");
+        self.signal(Signal::SIGTERM);
+        sleep(ACCEPT_AFTER_SIGTERM).await;
+        self.accepts_connections.set(false);
+        while !self.has_ended() && started.elapsed() < SHUTDOWN_TIMEOUT {
+            sleep(POLL_INTERVAL).await;
+        }
+        let status = self.child.borrow_mut().as_mut().and_then(|child| child.try_wait().ok().flatten());
+        if let Some(status) = status.filter(|status| !status.success()) {
+            self.record_violation(Rule::Crash, &format!("ended with {status} after SIGTERM"));
+        }
+        self.kill();
+    }
+
+    /// Pauses its process.
+    pub(crate) async fn pause(&self, duration: Duration) {
+        self.disturbed_at.borrow_mut().push(Instant::now());
+        self.log_event("SIGSTOP");
+        self.signal(Signal::SIGSTOP);
+        sleep(duration).await;
+        self.signal(Signal::SIGCONT);
+    }
+
+    /// Gives it a new agent by SIGHUP; the old agent ends a while later.
+    pub(crate) async fn reload(&self) -> Result<(), SetupError> {
+        let agent = start_agent(&self.environment, self.number, self.agent_mode.subscribe()).await?;
+        let old = self.agent.replace(agent);
+        self.write_configuration()?;
+        self.environment.notifications(self.number, |notifications| notifications.reloaded());
+        self.log_event("SIGHUP");
+        self.signal(Signal::SIGHUP);
+        sleep(OLD_AGENT_DELAY).await;
+        old.task.abort();
+        Ok(())
+    }
+
+    /// Lets its agent fail, or respond again.
+    pub(crate) fn set_agent_mode(&self, mode: AgentMode) {
+        self.environment.notifications(self.number, |notifications| {
+            if mode == AgentMode::Responding {
+                notifications.outage_ended();
+            } else {
+                notifications.outage_started();
+            }
+        });
+        // It fails only when the agent has ended with the run.
+        let _ = self.agent_mode.send(mode);
+    }
+}
+
+/// Kills a process and waits for its end.
+pub(super) fn end_child(child: &mut Child) {
+    // Both fail only for a process that has ended.
+    let _ = child.kill();
+    let _ = child.wait();
+}
+
+impl Drop for Proxy {
+    fn drop(&mut self) {
+        if let Some(mut previous) = self.previous.borrow_mut().take() {
+            end_child(&mut previous);
+        }
+        self.kill();
+    }
+}
--- /dev/null
+++ b/soak/src/run.rs
@@ -0,0 +1,127 @@
+//! The run of one seed: sets up endpoints, proxies and clients, runs the fault schedule, and asks for
+//! the verdict.
+
+use crate::arguments::Arguments;
+use crate::clients::{run_client, run_invalid_client};
+use crate::config::SimulationConfig;
+use crate::endpoint::endpoint_name;
+use crate::endpoint_server;
+use crate::environment::Environment;
+use crate::error::SetupError;
+use crate::faults;
+use crate::proxy::{Program, Proxy};
+use crate::verdict::verdict;
+use std::cell::Cell;
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+/// Clients go on for so long after the last fault.
+const CLIENTS_DELAY: Duration = Duration::from_secs(2);
+/// The last requests have their responses by then.
+const FINAL_RESPONSES_DELAY: Duration = Duration::from_secs(6);
+/// Interval of the checks of the proxies' state and limits.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval of the measurements of this program's own lateness.
+const LATENESS_INTERVAL: Duration = Duration::from_millis(5);
+/// The first endpoints have been running for this long.
+const FIRST_ENDPOINTS_AGE: Duration = Duration::from_secs(3_600);
+
+/// Runs one seed; whether it passed.
+pub(crate) async fn run(arguments: &Arguments, seed: u64) -> Result<bool, SetupError> {
+    let config = SimulationConfig::draw(arguments.proxies, seed);
+    println!("seed {seed}: {config:?}");
+    let environment = Environment::new(seed, config);
+    start_endpoints(&environment, arguments.endpoints).await?;
+    let proxies = start_proxies(&environment, arguments, seed).await?;
+    let lateness = run_schedule(arguments, &environment, &proxies).await?;
+    Ok(verdict(&environment, &proxies, seed, lateness))
+}
+
+/// Starts the first endpoints, which have been running for long.
+async fn start_endpoints(environment: &Environment, count: usize) -> Result<(), SetupError> {
+    for index in 0..count {
+        let zone = if index.is_multiple_of(2) { 'a' } else { 'b' };
+        let name = endpoint_name(index as u32);
+        let mut process = endpoint_server::start(environment, &name, zone).await?;
+        process.started_unix_ms = 0;
+        let started_at = process.started_at.checked_sub(FIRST_ENDPOINTS_AGE);
+        process.started_at = started_at.unwrap_or(process.started_at);
+        environment.add_endpoint(process);
+    }
+    Ok(())
+}
+
+/// Starts all proxies, and waits until they are ready.
+async fn start_proxies(
+    environment: &Environment,
+    arguments: &Arguments,
+    seed: u64,
+) -> Result<Vec<Rc<Proxy>>, SetupError> {
+    let folder = absolute(&arguments.folder)?.join(format!("seed-{seed}"));
+    // Logs of an earlier run would be taken for this one's. Usually there are none.
+    let _ = fs::remove_dir_all(&folder);
+    let faults = arguments.faults.as_deref().map(absolute).transpose()?;
+    let program = Program { path: absolute(&arguments.program)?, faults, folder };
+    let mut proxies = Vec::new();
+    for number in 0..arguments.proxies {
+        let syscall_faults = faults::syscall_faults(environment, seed, number);
+        proxies.push(Proxy::new(environment, &program, number, syscall_faults).await?);
+    }
+    let start = |proxy: Rc<Proxy>| spawn_local(async move { proxy.start().await });
+    let starts: Vec<_> = proxies.iter().cloned().map(start).collect();
+    for start in starts {
+        start.await??;
+    }
+    Ok(proxies)
+}
+
+fn absolute(path: &Path) -> Result<PathBuf, SetupError> {
+    let path_error = |source| SetupError::Path { path: path.to_owned(), source };
+    std::path::absolute(path).map_err(path_error)
+}
+
+/// Runs the clients and the fault schedule. Returns the longest time by which this program was late.
+async fn run_schedule(
+    arguments: &Arguments,
+    environment: &Environment,
+    proxies: &[Rc<Proxy>],
+) -> Result<Duration, SetupError> {
+    let end = Instant::now() + Duration::from_secs(arguments.seconds);
+    let checks = spawn_local(check_proxies(proxies.to_vec()));
+    let lateness = Rc::new(Cell::new(Duration::ZERO));
+    let measurement = spawn_local(measure_lateness(lateness.clone()));
+    for proxy in proxies {
+        for _ in 0..arguments.clients {
+            spawn_local(run_client(environment.clone(), proxy.clone(), end + CLIENTS_DELAY));
+        }
+        spawn_local(run_invalid_client(environment.clone(), proxy.clone(), end));
+    }
+    let started = faults::run_schedule(environment.clone(), proxies.to_vec(), end).await?;
+    println!("faults: {}", started.join(", "));
+    sleep(FINAL_RESPONSES_DELAY).await;
+    checks.abort();
+    measurement.abort();
+    Ok(lateness.get())
+}
+
+async fn check_proxies(proxies: Vec<Rc<Proxy>>) {
+    loop {
+        for proxy in &proxies {
+            proxy.check();
+        }
+        sleep(CHECK_INTERVAL).await;
+    }
+}
+
+/// Measures how much later than due this program's tasks run.
+async fn measure_lateness(longest: Rc<Cell<Duration>>) {
+    loop {
+        let due = Instant::now() + LATENESS_INTERVAL;
+        sleep(LATENESS_INTERVAL).await;
+        longest.set(longest.get().max(due.elapsed()));
+    }
+}
--- /dev/null
+++ b/soak/src/test_support.rs
@@ -0,0 +1,21 @@
+//! What several tests need.
+
+use crate::config::{DiscoveryMode, SimulationConfig};
+use std::time::Duration;
+
+/// A configuration with one proxy.
+pub(crate) fn config(discovery: DiscoveryMode, hedging: bool) -> SimulationConfig {
+    SimulationConfig {
+        proxy_count: 1,
+        discovery,
+        drain_grace: Duration::from_millis(400),
+        deduplication_window: Duration::from_millis(300),
+        endpoint_idle_timeout: Duration::from_secs(3),
+        hedging,
+        initial_capacity: 0.1,
+        slow_start: Duration::from_secs(8),
+        overload_multiple: 2.0,
+        overload_duration: Duration::from_secs(2),
+        capacity_per_s: 60.0,
+    }
+}
