--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -10,8 +10,13 @@
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// A key is missing, or its value has the wrong type.
-    #[error(transparent)]
-    Malformed(#[from] serde_json::Error),
+    #[error("{}{reason}", prefix(key))]
+    Malformed {
+        /// The key with the wrong value; `None`: a key is missing, which the reason names.
+        key: Option<String>,
+        /// Names the value, and what is allowed.
+        reason: serde_json::Error,
+    },
     /// There is no class.
     #[error("classes is empty, allowed is one class or more")]
     NoClasses,
@@ -27,6 +32,10 @@
     },
 }
 
+fn prefix(key: &Option<String>) -> String {
+    key.as_ref().map_or_else(String::new, |key| format!("{key}: "))
+}
+
 /// Values that a setting may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AllowedRange {
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -13,7 +13,6 @@
 
 use balancer::Settings;
 use message::SettingsMessage;
-use serde::Deserialize;
 use serde_json::Value;
 
 /// Settings in the balancer's terms, with the names that it numbers.
@@ -32,7 +31,7 @@
 /// # Errors
 /// A key is missing, or its value has the wrong type.
 pub fn read(message: &Value) -> Result<SiteSettings, SettingsError> {
-    let message = SettingsMessage::deserialize(message)?;
+    let message = SettingsMessage::read(message)?;
     Ok(SiteSettings {
         settings: message.settings(),
         class_names: message.classes.into_iter().map(|class| class.name).collect(),
--- a/settings/src/message.rs
+++ b/settings/src/message.rs
@@ -1,12 +1,14 @@
 //! The settings as they are written, under the operators' names, and their translation to the
 //! balancer's terms. Unknown keys are ignored, absent optional ones get neutral defaults.
 
+use crate::error::SettingsError;
 use crate::zone::zone;
 use balancer::{
     Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights, Settings,
     SlowStart, Tenant,
 };
 use serde::Deserialize;
+use serde_json::Value;
 
 /// The settings as they are written, under the operators' names.
 #[derive(Deserialize)]
@@ -148,6 +150,12 @@
 }
 
 impl SettingsMessage {
+    /// Reads the settings as they are written.
+    pub(crate) fn read(message: &Value) -> Result<SettingsMessage, SettingsError> {
+        SettingsMessage::deserialize(message)
+            .map_err(|reason| SettingsError::Malformed { key: wrong_key(message), reason })
+    }
+
     /// The settings in the balancer's terms.
     pub(crate) fn settings(&self) -> Settings {
         let mode = if self.discovery_mode == "ask" { DiscoveryMode::Poll } else { DiscoveryMode::Push };
@@ -184,3 +192,13 @@
         }
     }
 }
+
+/// The key whose value can't be read. Serde's errors have no keys, but the lines of a text: each value
+/// is printed on one with its key.
+fn wrong_key(message: &Value) -> Option<String> {
+    let text = serde_json::to_string_pretty(message).ok()?;
+    let error = serde_json::from_str::<SettingsMessage>(&text).err()?;
+    let line = text.lines().nth(error.line().checked_sub(1)?)?;
+    let (key, _) = line.trim().strip_prefix('"')?.split_once("\":")?;
+    Some(key.to_owned())
+}
--- a/settings/tests/validation.rs
+++ b/settings/tests/validation.rs
@@ -47,5 +47,11 @@
     assert_eq!(error.to_string(), "worth is -1.5, allowed is a finite number of 0 or more");
     let message = json!({"balancers": 2, "classes": [], "invariants": {"cold_from": 0.1}});
     let error = read(&message).expect_err("cold_us is missing");
-    assert!(error.to_string().contains("cold_us"), "{error}");
+    assert_eq!(error.to_string(), "missing field `cold_us`");
+    let message = json!({"balancers": 2, "classes": [], "invariants": {"cold_from": "x", "cold_us": 1}});
+    let error = read(&message).expect_err("a text for a number");
+    assert_eq!(error.to_string(), "cold_from: invalid type: string \"x\", expected f64");
+    let message = json!({"balancers": -2, "classes": [], "invariants": {"cold_from": 0.1, "cold_us": 1}});
+    let error = read(&message).expect_err("a negative number");
+    assert_eq!(error.to_string(), "balancers: invalid value: integer `-2`, expected u32");
 }
