--- a/adapter/src/adapter.rs
+++ b/adapter/src/adapter.rs
@@ -29,7 +29,8 @@
         serde_json::to_string(&reply).map_err(InputError::Reply)
     }
 
-    /// Whether a message concerns a request that is forgotten. It is ignored, whatever else it says.
+    /// Whether a message concerns a request that is forgotten. It is ignored, whatever else it
+    /// says.
     fn is_outdated(&self, message: &Message) -> bool {
         message.earlier_request().is_some_and(|(balancer, request)| {
             self.instances.get(&balancer).is_some_and(|instance| !instance.knows(request))
--- a/adapter/src/input.rs
+++ b/adapter/src/input.rs
@@ -1,5 +1,5 @@
-//! What the simulator reports to balancers, in the field's terms. Requests, classes and tenants still
-//! have their names on the wire.
+//! What the simulator reports to balancers, in the field's terms. Requests, classes and tenants
+//! still have their names on the wire.
 
 use crate::endpoint_message::EndpointMessage;
 use balancer::{EndpointId, ListUpdate, LoadReport, Micros, Outcome};
--- a/adapter/src/message.rs
+++ b/adapter/src/message.rs
@@ -61,8 +61,8 @@
     load: Option<LoadMessage>,
 }
 
-/// A string that is borrowed from the line where it has no escapes. (Serde borrows a `Cow` in a field
-/// of its own, but copies it in an `Option`.)
+/// A string that is borrowed from the line where it has no escapes. (Serde borrows a `Cow` in a
+/// field of its own, but copies it in an `Option`.)
 #[derive(Deserialize)]
 #[serde(transparent)]
 struct Text<'a>(#[serde(borrow)] Cow<'a, str>);
--- a/adapter/tests/names.rs
+++ b/adapter/tests/names.rs
@@ -1,6 +1,6 @@
-//! The simulator's wire to the letter: each verb, field and result that it names, and the replies byte
-//! by byte. The names are the operators' own and never change, whatever the program calls these
-//! things inside.
+//! The simulator's wire to the letter: each verb, field and result that it names, and the replies
+//! byte by byte. The names are the operators' own and never change, whatever the program calls
+//! these things inside.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
--- a/deploy/sites/generate/src/main.rs
+++ b/deploy/sites/generate/src/main.rs
@@ -1,5 +1,5 @@
-//! Writes a drawn deployment into a folder, with the files that its base's folder has beside the site
-//! file.
+//! Writes a drawn deployment into a folder, with the files that its base's folder has beside the
+//! site file.
 #![forbid(unsafe_code)]
 
 use anyhow::Context;
--- a/faults/src/active.rs
+++ b/faults/src/active.rs
@@ -92,7 +92,8 @@
     result == 0 && matches!(domain, libc::AF_INET | libc::AF_INET6)
 }
 
-/// How many of `length` bytes a read or write transfers at most; `None`: it fails, and `errno` is set.
+/// How many of `length` bytes a read or write transfers at most; `None`: it fails, and `errno` is
+/// set.
 pub(crate) fn transfer_length(call: Call, socket: c_int, length: usize) -> Option<usize> {
     if length == 0 || !is_internet_socket(socket) {
         return Some(length);
--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -1,6 +1,6 @@
-//! A library to be preloaded (`LD_PRELOAD`) into a process under test. It replaces functions of the C
-//! library and makes them fail by the schedule in the environment variable `SYSCALL_FAULTS` (JSON);
-//! without one all calls pass. No program links it.
+//! A library to be preloaded (`LD_PRELOAD`) into a process under test. It replaces functions of the
+//! C library and makes them fail by the schedule in the environment variable `SYSCALL_FAULTS`
+//! (JSON); without one all calls pass. No program links it.
 
 #[macro_use]
 mod next_symbol;
--- a/settings/src/message.rs
+++ b/settings/src/message.rs
@@ -171,8 +171,8 @@
                 health_checks: self.limits.health_checks,
                 hedging: self.limits.hedging,
                 max_attempts: self.limits.max_attempts,
-                // Taken even if clients are declared not to respect it: a rejection over HTTP always
-                // carries `Retry-After`.
+                // Taken even if clients are declared not to respect it: a rejection over HTTP
+                // always carries `Retry-After`.
                 max_retry_after: self.limits.max_retry_after_us,
             },
             slow_start: SlowStart {
@@ -193,8 +193,8 @@
     }
 }
 
-/// The key whose value can't be read. Serde's errors have no keys, but the lines of a text: each value
-/// is printed on one with its key.
+/// The key whose value can't be read. Serde's errors have no keys, but the lines of a text: each
+/// value is printed on one with its key.
 fn wrong_key(message: &Value) -> Option<String> {
     let text = serde_json::to_string_pretty(message).ok()?;
     let error = serde_json::from_str::<SettingsMessage>(&text).err()?;
--- a/settings/tests/names.rs
+++ b/settings/tests/names.rs
@@ -21,8 +21,10 @@
             class("d", "guarded", "cell"), class("e", "single_shot", ""),
         ],
         "tenants": [{"name": "t", "portion": 0.25}, {"name": "u", "portion": 0.75}],
-        "limits": {"cancel": true, "probes": true, "second_copies": true, "max_attempts": 9, "max_retry_after_us": 10},
-        "invariants": {"cold_from": 0.11, "cold_us": 12, "fall_multiple": 13.0, "ask_every_us": 14, "told_after_us": 15},
+        "limits": {"cancel": true, "probes": true, "second_copies": true, "max_attempts": 9,
+            "max_retry_after_us": 10},
+        "invariants": {"cold_from": 0.11, "cold_us": 12, "fall_multiple": 13.0,
+            "ask_every_us": 14, "told_after_us": 15},
         "result_mix": {"whole": 0.16, "worst_class": 0.17},
     });
     let class = |idempotency| Class {
--- a/settings/tests/validation.rs
+++ b/settings/tests/validation.rs
@@ -40,8 +40,8 @@
 
 #[test]
 fn an_error_names_the_key_the_value_and_what_is_allowed() {
-    let class =
-        json!({"name": "a", "objective_us": 1, "deadline_us": 2, "worth": -1.5, "idempotency": "free"});
+    let class = json!({"name": "a", "objective_us": 1, "deadline_us": 2, "worth": -1.5,
+        "idempotency": "free"});
     let message = json!({"balancers": 2, "classes": [class], "invariants": {"cold_from": 0.1, "cold_us": 1}});
     let error = validate(&read(&message).expect("settings").settings).expect_err("a negative weight");
     assert_eq!(error.to_string(), "worth is -1.5, allowed is a finite number of 0 or more");
--- a/soak/src/clients/mod.rs
+++ b/soak/src/clients/mod.rs
@@ -1,4 +1,5 @@
-//! The clients of each proxy: they send requests, disconnect now and then, and record what they get.
+//! The clients of each proxy: they send requests, disconnect now and then, and record what they
+//! get.
 
 mod connection;
 mod exchange;
--- a/soak/src/clients/pipelining.rs
+++ b/soak/src/clients/pipelining.rs
@@ -84,8 +84,8 @@
     false
 }
 
-/// The connection broke. The proxy owes no response to a request that it cannot have read: one behind
-/// a truncated response, or one that crossed the end of a connection between two requests.
+/// The connection broke. The proxy owes no response to a request that it cannot have read: one
+/// behind a truncated response, or one that crossed the end of a connection between two requests.
 fn record_broken(environment: &Environment, open: &[u64], error: &ReadError, killed: bool, used: bool) {
     let truncated = matches!(error, ReadError::Truncated { .. });
     for (position, &id) in open.iter().enumerate() {
--- a/soak/src/endpoint_list.rs
+++ b/soak/src/endpoint_list.rs
@@ -42,8 +42,8 @@
     pub(crate) fn change(&mut self, process: &EndpointProcess, health: EndpointHealth) {
         self.version += 1;
         let entry = json!({"host": process.name, "dial": process.address.to_string(),
-            "site": process.zone.to_string(), "class": "m", "block": 0, "health": health.wire_name(),
-            "share": 1.0, "born_ms": process.started_unix_ms});
+            "site": process.zone.to_string(), "class": "m", "block": 0,
+            "health": health.wire_name(), "share": 1.0, "born_ms": process.started_unix_ms});
         self.changes.push(Change {
             version: self.version,
             endpoint: process.name.clone(),
--- a/soak/src/faults/endpoints.rs
+++ b/soak/src/faults/endpoints.rs
@@ -60,7 +60,8 @@
     zone: char,
 }
 
-/// An endpoint's process ends, in order or not, and another replaces it, under its name or a new one.
+/// An endpoint's process ends, in order or not, and another replaces it, under its name or a new
+/// one.
 pub(super) async fn replace(
     environment: &Environment,
     notice: Duration,
--- a/soak/src/faults/syscalls.rs
+++ b/soak/src/faults/syscalls.rs
@@ -11,20 +11,43 @@
 /// Draws the schedule of a proxy. Some proxies have no failing calls.
 pub(crate) fn syscall_faults(environment: &Environment, seed: u64, proxy: usize) -> Value {
     let fraction: f64 = environment.draw(|random| random.gen_range(0.01..0.15));
-    let rule = |&(call, failure): &(&str, &str)| json!({"call": call, "failure": failure, "share": fraction});
-    let rules: Vec<Value> = failing_calls(proxy).iter().map(rule).collect();
+    let rules: Vec<Value> = failing_calls(proxy).iter().map(|failing| failing.rule(fraction)).collect();
     let offset_ms = environment.draw(|random| *WALL_CLOCK_OFFSETS_MS.choose(random).unwrap_or(&0));
     json!({"seed": seed.wrapping_add(proxy as u64), "wall_clock_ms": offset_ms, "rules": rules})
 }
 
-/// Pairs of a call and its failure.
-fn failing_calls(proxy: usize) -> &'static [(&'static str, &'static str)] {
+/// A call that fails, and how.
+struct FailingCall {
+    call: &'static str,
+    failure: &'static str,
+}
+
+impl FailingCall {
+    fn rule(&self, fraction: f64) -> Value {
+        json!({"call": self.call, "failure": self.failure, "share": fraction})
+    }
+}
+
+const fn failing(call: &'static str, failure: &'static str) -> FailingCall {
+    FailingCall { call, failure }
+}
+
+const SHORT_TRANSFERS: &[FailingCall] = &[failing("receive", "SHORT"), failing("send", "SHORT")];
+const FAILING_OPENINGS: &[FailingCall] = &[failing("accept", "ECONNABORTED"), failing("socket", "ENOBUFS")];
+const FAILING_CONNECTS: &[FailingCall] =
+    &[failing("connect", "EADDRNOTAVAIL"), failing("connect", "ENETUNREACH")];
+const INTERRUPTIONS: &[FailingCall] =
+    &[failing("receive", "EINTR"), failing("send", "EINTR"), failing("wait", "EINTR")];
+const FAILING_FILES: &[FailingCall] =
+    &[failing("accept", "ENFILE"), failing("open", "EIO"), failing("lock", "EIO")];
+
+fn failing_calls(proxy: usize) -> &'static [FailingCall] {
     match proxy % 9 {
-        1 => &[("receive", "SHORT"), ("send", "SHORT")],
-        2 => &[("accept", "ECONNABORTED"), ("socket", "ENOBUFS")],
-        4 => &[("connect", "EADDRNOTAVAIL"), ("connect", "ENETUNREACH")],
-        5 => &[("receive", "EINTR"), ("send", "EINTR"), ("wait", "EINTR")],
-        7 => &[("accept", "ENFILE"), ("open", "EIO"), ("lock", "EIO")],
+        1 => SHORT_TRANSFERS,
+        2 => FAILING_OPENINGS,
+        4 => FAILING_CONNECTS,
+        5 => INTERRUPTIONS,
+        7 => FAILING_FILES,
         _ => &[],
     }
 }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,7 +1,7 @@
 //! A soak test: some dozen real proxies on loopback, real sockets and signals, overlapping faults,
 //! failing system calls. The verdict comes from what clients and endpoints saw. Each run prints its
-//! seed, which fixes the configuration; the schedule also depends on how the draws of concurrent tasks
-//! interleave.
+//! seed, which fixes the configuration; the schedule also depends on how the draws of concurrent
+//! tasks interleave.
 
 mod arguments;
 mod clients;
--- a/soak/src/proxy/configuration.rs
+++ b/soak/src/proxy/configuration.rs
@@ -52,7 +52,8 @@
             "max_retry_after_us": 750_000, "connect_timeout_us": 250_000,
             "conn_idle_us": micros(config.endpoint_idle_timeout)},
         "invariants": {"cold_from": config.initial_capacity, "cold_us": micros(config.slow_start),
-            "fall_multiple": config.overload_multiple, "tip_after_us": micros(config.overload_duration),
+            "fall_multiple": config.overload_multiple,
+            "tip_after_us": micros(config.overload_duration),
             "drain_grace_us": micros(config.drain_grace), "ask_every_us": 10_000_000},
     })
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,5 +1,5 @@
-//! The run of one seed: sets up endpoints, proxies and clients, runs the fault schedule, and asks for
-//! the verdict.
+//! The run of one seed: sets up endpoints, proxies and clients, runs the fault schedule, and asks
+//! for the verdict.
 
 use crate::arguments::Arguments;
 use crate::clients::{run_client, run_invalid_client};
@@ -84,7 +84,8 @@
     std::path::absolute(path).map_err(path_error)
 }
 
-/// Runs the clients and the fault schedule. Returns the longest time by which this program was late.
+/// Runs the clients and the fault schedule. Returns the longest time by which this program was
+/// late.
 async fn run_schedule(
     arguments: &Arguments,
     environment: &Environment,
