--- a/proxy/src/socket/framing/tests.rs
+++ b/proxy/src/socket/framing/tests.rs
@@ -1,25 +1,28 @@
 use super::*;
 
-const CLEAR: [&str; 4] = [
+const UNAMBIGUOUS: [&str; 4] = [
     "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
     "\r\nPOST / HTTP/1.1\r\ncontent-length: 5\r\n\r\na\n\r\n\n",
     "POST / HTTP/1.1\r\nContent-Length:0\r\n\r\n",
     "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5;x=1\r\n\r\nabc\r\nA \r\n0123456789\r\n0\r\nT: 1\r\n\r\n",
 ];
 
-fn doubtful_from(text: &str, piece: usize) -> Option<u64> {
+/// The number of the first ambiguous message of a text that is read in pieces of this size.
+fn first_ambiguous(text: &str, piece_size: usize) -> Option<u64> {
     let mut framing = Framing::default();
-    text.as_bytes().chunks(piece).for_each(|piece| framing.read(piece));
-    framing.doubtful
+    for piece in text.as_bytes().chunks(piece_size) {
+        framing.read(piece);
+    }
+    framing.first_ambiguous
 }
 
 #[test]
-fn what_ends_in_one_way_is_not_doubtful_however_it_is_cut() {
-    let text = CLEAR.concat();
-    for piece in 1..=text.len() {
-        assert_eq!(doubtful_from(&text, piece), None, "in pieces of {piece}");
+fn an_unambiguous_message_is_recognized_however_it_is_split() {
+    let text = UNAMBIGUOUS.concat();
+    for piece_size in 1..=text.len() {
+        assert_eq!(first_ambiguous(&text, piece_size), None, "in pieces of {piece_size}");
     }
-    for message in CLEAR {
+    for message in UNAMBIGUOUS {
         let mut framing = Framing::default();
         framing.read(&message.as_bytes()[..message.len() - 1]);
         assert!(!framing.is_between_messages(), "{message}");
@@ -29,7 +32,7 @@
 }
 
 #[test]
-fn the_first_head_that_ends_in_two_ways_is_found_behind_others() {
+fn the_first_ambiguous_head_is_found_behind_unambiguous_messages() {
     let (length, chunked) = ("Content-Length: 5\r\n", "Transfer-Encoding: chunked\r\n");
     let long = format!("Content-Length: {}5\r\n", " ".repeat(300));
     for headers in [
@@ -41,9 +44,10 @@
         "Transfer-Encoding: gzip, chunked\r\n".to_owned(),
         long,
     ] {
-        let text = format!("{}POST / HTTP/1.1\r\n{headers}\r\n", CLEAR.concat());
-        for piece in 1..=text.len() {
-            assert_eq!(doubtful_from(&text, piece), Some(4), "{headers} in pieces of {piece}");
+        let text = format!("{}POST / HTTP/1.1\r\n{headers}\r\n", UNAMBIGUOUS.concat());
+        for piece_size in 1..=text.len() {
+            let first = first_ambiguous(&text, piece_size);
+            assert_eq!(first, Some(4), "{headers} in pieces of {piece_size}");
         }
     }
 }
--- /dev/null
+++ b/proxy/src/socket/lingering_close.rs
@@ -0,0 +1,45 @@
+//! Closing a connection without a reset: closed with unread bytes, a connection is reset, and a
+//! response under way may be lost with it.
+
+use super::stream::{poll_receive, shutdown_write};
+use super::{Socket, MAX_READ_BYTES};
+use std::future::poll_fn;
+use std::io;
+use std::mem::MaybeUninit;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+use tokio::io::ReadBuf;
+use tokio::time::timeout;
+
+impl Socket {
+    /// Ends the sending, discards what still arrives until the peer ends its sending too or `limit`
+    /// is over, and closes.
+    pub async fn lingering_close(self, limit: Duration) {
+        let _ = timeout(limit, self.shutdown_and_discard()).await;
+        self.close();
+    }
+
+    async fn shutdown_and_discard(&self) {
+        if self.shutdown_write().is_err() {
+            return;
+        }
+        while poll_fn(|context| self.poll_discard(context)).await.is_ok_and(|count| count > 0) {}
+    }
+
+    /// Ends this side's sending.
+    pub(super) fn shutdown_write(&self) -> io::Result<()> {
+        match self.0.stream.borrow().as_ref() {
+            Some(stream) => shutdown_write(stream),
+            None => Ok(()),
+        }
+    }
+
+    fn poll_discard(&self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
+        let stream = self.0.stream.borrow();
+        let Some(stream) = stream.as_ref() else { return Poll::Ready(Ok(0)) };
+        let mut bytes = [MaybeUninit::uninit(); MAX_READ_BYTES];
+        let mut chunk = ReadBuf::uninit(&mut bytes);
+        ready!(poll_receive(stream, context, &mut chunk))?;
+        Poll::Ready(Ok(chunk.filled().len()))
+    }
+}
--- a/proxy/src/socket/tests.rs
+++ b/proxy/src/socket/tests.rs
@@ -3,95 +3,119 @@
 use crate::metrics::Metrics;
 use balancer::Idempotency;
 use hyper::header::HeaderValue;
-use std::io::Write as _;
-use tokio::task::{spawn_local, LocalSet};
+use hyper::rt::Write;
+use socket2::SockRef;
+use std::future::poll_fn;
+use std::io::{self, Write as _};
+use std::time::Duration;
+use tokio::task::{spawn_local, yield_now, LocalSet};
+use tokio::time::timeout;
 
-fn pair() -> (Socket, std::net::TcpStream) {
+/// A connection over loopback: the end under test, and its peer.
+fn tcp_pair() -> (TcpStream, std::net::TcpStream) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let near = std::net::TcpStream::connect(listener.local_addr().expect("an address")).expect("connected");
-    let (far, _) = listener.accept().expect("accepted");
+    let (peer, _) = listener.accept().expect("accepted");
     near.set_nonblocking(true).expect("nonblocking");
-    (Socket::new(TcpStream::from_std(near).expect("a stream")), far)
+    (TcpStream::from_std(near).expect("a stream"), peer)
 }
 
-/// Bytes behind an answer may come once its connection is idle, and no task has been polled since: they must
-/// be seen all the same, else they are taken for the next answer.
+fn endpoint_pair() -> (Socket, std::net::TcpStream) {
+    let (stream, peer) = tcp_pair();
+    (Socket::new(stream), peer)
+}
+
+fn client_pair() -> (Socket, std::net::TcpStream) {
+    let (stream, peer) = tcp_pair();
+    (Socket::for_client(stream), peer)
+}
+
+/// Writes once, as hyper does.
+async fn write(socket: &mut Socket, bytes: &[u8]) -> io::Result<usize> {
+    poll_fn(|context| Pin::new(&mut *socket).poll_write(context, bytes)).await
+}
+
+/// The guard of an attempt that may begin before `begin_before`, on behalf of this client.
+fn write_guard(client: &Socket, begin_before: Option<Instant>) -> WriteGuard {
+    let (id, idempotency) = (HeaderValue::from_static("1"), Idempotency::Idempotent);
+    let policy = RequestPolicy { idempotency, attempts: 1, copies: false, drain_grace: Duration::MAX };
+    let record = RequestRecord::new(Metrics::default(), id, policy, None).attempt(AttemptTarget::default());
+    WriteGuard::new(&Metrics::default(), client.client_presence(), begin_before, record)
+}
+
+/// A client disconnects by a close or a reset.
+fn disconnect(peer: std::net::TcpStream, by_reset: bool) {
+    if by_reset {
+        SockRef::from(&peer).set_linger(Some(Duration::ZERO)).expect("no linger");
+    }
+}
+
+/// Bytes behind a response may arrive once its connection is idle, while no task is polled: unseen,
+/// they would be taken for the next response.
 #[tokio::test]
-async fn what_has_come_shows_without_being_polled_for() {
-    let (socket, mut far) = pair();
+async fn unread_input_is_seen_without_polling_a_read() {
+    let (socket, mut peer) = endpoint_pair();
     assert!(socket.has_no_unread_input());
-    far.write_all(b"x").expect("written");
+    peer.write_all(b"x").expect("written");
     assert!(!socket.has_no_unread_input());
     socket.close();
     assert!(!socket.has_no_unread_input());
-    assert!(std::io::Read::read(&mut far, &mut [0]).is_ok_and(|n| n == 0) || far.write_all(b"y").is_err());
+    assert!(std::io::Read::read(&mut peer, &mut [0]).is_ok_and(|n| n == 0) || peer.write_all(b"y").is_err());
 }
 
-/// A second answer or the end may come after the connection was chosen and before the request is written: the bytes
-/// would be taken for its answer, and whether it ran would not be known.
+/// A second response or the end may arrive after the connection was selected and before the request
+/// is written: the bytes would be taken for its response, and whether it ran would not be known.
 #[tokio::test]
-async fn nothing_is_written_behind_what_has_come_since_the_connection_was_chosen() {
-    for second in [Some(b"HTTP/1.1 200 OK\r\n\r\n"), None] {
-        let ((mut socket, mut far), write_guard) = (pair(), WriteGuard::default());
+async fn a_request_is_not_written_if_input_arrived_since_the_connection_was_selected() {
+    for second_response in [Some(b"HTTP/1.1 200 OK\r\n\r\n"), None] {
+        let ((mut socket, mut peer), write_guard) = (endpoint_pair(), WriteGuard::default());
         socket.set_write_guard(&write_guard);
         socket.forbid_write_on_unread_input();
-        assert!(socket.has_no_unread_input(), "chosen");
-        match second {
-            Some(bytes) => far.write_all(bytes).expect("written"),
-            None => far.shutdown(std::net::Shutdown::Write).expect("ended"),
+        assert!(socket.has_no_unread_input(), "selected");
+        match second_response {
+            Some(bytes) => peer.write_all(bytes).expect("written"),
+            None => peer.shutdown(std::net::Shutdown::Write).expect("ended"),
         }
-        let write = poll_fn(|context| Pin::new(&mut socket).poll_write(context, b"GET"));
-        assert!(write.await.is_err());
+        assert!(write(&mut socket, b"GET").await.is_err());
         assert_eq!(write_guard.bytes_written(), 0);
     }
 }
 
-/// Of an attempt that is looked at while it is written, only the first byte is held back by what has come.
+/// Only the first byte of a request is denied on unread input.
 #[tokio::test]
-async fn what_comes_while_a_request_is_written_does_not_stop_it() {
-    let ((mut socket, mut far), write_guard) = (pair(), WriteGuard::default());
+async fn input_that_arrives_during_a_request_does_not_deny_the_rest() {
+    let ((mut socket, mut peer), write_guard) = (endpoint_pair(), WriteGuard::default());
     socket.set_write_guard(&write_guard);
     socket.forbid_write_on_unread_input();
     for part in ["POST", "body"] {
-        let write = poll_fn(|context| Pin::new(&mut socket).poll_write(context, part.as_bytes()));
-        assert_eq!(write.await.expect("written"), 4);
-        far.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").expect("written");
+        assert_eq!(write(&mut socket, part.as_bytes()).await.expect("written"), 4);
+        peer.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").expect("written");
     }
     assert_eq!(write_guard.bytes_written(), 8);
 }
 
-fn write_guard(client: &Socket, begin_before: Option<Instant>) -> WriteGuard {
-    let (id, idempotency) = (HeaderValue::from_static("1"), Idempotency::Idempotent);
-    let policy = RequestPolicy { idempotency, attempts: 1, copies: false, drain_grace: Duration::MAX };
-    let request = RequestRecord::new(Metrics::default(), id, policy, None);
-    WriteGuard::new(
-        &Metrics::default(),
-        client.client_presence(),
-        begin_before,
-        request.attempt(AttemptTarget::default()),
-    )
-}
-
-/// The look at the time is the writing's own too; what has begun in time is written to its end.
+/// The start window is checked as the first byte is written; what has begun in time is written to
+/// its end.
 #[tokio::test]
-async fn an_attempt_begins_in_its_time_or_not_at_all() {
-    let (client, _far) = pair();
+async fn an_attempt_begins_in_its_start_window_or_not_at_all() {
+    let (client, _peer) = endpoint_pair();
     for (before, written) in [(0, 0), (2, 4)] {
-        let ((mut socket, _far), write_guard) = (pair(), write_guard(&client, Some(Instant::now())));
+        let ((mut socket, _peer), write_guard) =
+            (endpoint_pair(), write_guard(&client, Some(Instant::now())));
         write_guard.record_written(before);
         socket.set_write_guard(&write_guard);
-        let write = poll_fn(|context| Pin::new(&mut socket).poll_write(context, b"ST"));
-        assert_eq!((write.await.is_ok(), write_guard.bytes_written()), (before > 0, written));
+        let result = write(&mut socket, b"ST").await;
+        assert_eq!((result.is_ok(), write_guard.bytes_written()), (before > 0, written));
     }
 }
 
-/// A part that was written on a connection that broke is no part of what is written on the next.
+/// What was written on a connection that broke does not count for the next.
 #[tokio::test]
-async fn an_attempt_is_not_whole_by_what_another_connection_took() {
-    let ((mut first, _far), (mut second, _other), write_guard) = (pair(), pair(), WriteGuard::default());
+async fn an_attempt_is_not_complete_by_what_another_connection_took() {
+    let ((mut first, _peer), (mut second, _other)) = (endpoint_pair(), endpoint_pair());
+    let write_guard = WriteGuard::default();
     first.set_write_guard(&write_guard);
-    let write = poll_fn(|context| Pin::new(&mut first).poll_write(context, b"GET"));
-    assert_eq!(write.await.expect("written"), 3);
+    assert_eq!(write(&mut first, b"GET").await.expect("written"), 3);
     write_guard.set_request_ended();
     write_guard.reset_written();
     second.set_write_guard(&write_guard);
@@ -99,67 +123,53 @@
     assert!(!write_guard.is_fully_written());
 }
 
-fn client() -> (Socket, std::net::TcpStream) {
-    let (socket, far) = pair();
-    let stream = socket.0.io.borrow_mut().take().and_then(Rc::into_inner);
-    (Socket::for_client(stream.expect("unshared")), far)
-}
-
-/// A client leaves by a close or a reset.
-fn leave(far: std::net::TcpStream, reset: bool) {
-    if reset {
-        SockRef::from(&far).set_linger(Some(Duration::ZERO)).expect("lingers not");
-    }
-}
-
-/// The end stands behind bytes that hyper does not read while a request is open. They wake nobody; the end does.
+/// hyper does not read what arrives while a request is in flight: those bytes wake nobody; the end
+/// behind them does.
 #[tokio::test]
-async fn a_clients_end_is_told_of_behind_what_nobody_reads() {
+async fn a_disconnect_behind_unread_bytes_wakes_the_waiting_task_once() {
     let test = async {
-        for (reset, behind) in [(false, 0), (false, 9), (true, 0), (true, 9)] {
-            let ((socket, mut far), looks) = (client(), Rc::new(Cell::new(0)));
-            let (asked, seen) = (socket.clone(), looks.clone());
-            let left = spawn_local(poll_fn(move |context| {
-                seen.set(seen.get() + 1);
-                asked.poll_disconnected(context)
+        for (by_reset, unread) in [(false, 0), (false, 9), (true, 0), (true, 9)] {
+            let ((socket, mut peer), polls) = (client_pair(), Rc::new(Cell::new(0)));
+            let (polled, count) = (socket.clone(), polls.clone());
+            let disconnected = spawn_local(poll_fn(move |context| {
+                count.set(count.get() + 1);
+                polled.poll_disconnected(context)
             }));
             yield_now().await;
-            for _ in 0..behind {
-                far.write_all(b"x").expect("written");
-                // The system is asked before this goes on.
+            for _ in 0..unread {
+                peer.write_all(b"x").expect("written");
+                // The event queue is polled before this goes on.
                 yield_now().await;
             }
-            assert!(
-                (looks.get(), socket.is_known_disconnected(), socket.has_no_unread_input())
-                    == (1, false, behind == 0)
-            );
-            leave(far, reset);
-            left.await.expect("told");
-            assert!(looks.get() == 2 && socket.is_known_disconnected());
+            let state = (polls.get(), socket.is_known_disconnected(), socket.has_no_unread_input());
+            assert!(state == (1, false, unread == 0));
+            disconnect(peer, by_reset);
+            disconnected.await.expect("woken");
+            assert!(polls.get() == 2 && socket.is_known_disconnected());
         }
     };
     let tasks = LocalSet::new();
-    timeout(Duration::from_secs(10), tasks.run_until(test)).await.expect("it is told of");
+    timeout(Duration::from_secs(10), tasks.run_until(test)).await.expect("the disconnect is seen");
 }
 
-/// However long ago its client was looked at, the last look is the writing's own. An attempt that has begun goes on.
+/// The client's presence is checked as the first byte is written. An attempt that has begun
+/// continues.
 #[tokio::test]
-async fn no_attempt_is_begun_for_a_client_that_has_left() {
-    for reset in [false, true] {
-        for begun in [false, true] {
-            let ((client, far), (mut endpoint, _far)) = (client(), pair());
+async fn no_attempt_begins_for_a_client_that_has_disconnected() {
+    for by_reset in [false, true] {
+        for has_begun in [false, true] {
+            let ((client, peer), (mut endpoint, _peer)) = (client_pair(), endpoint_pair());
             let write_guard = write_guard(&client, None);
             endpoint.set_write_guard(&write_guard);
-            if begun {
-                let write = poll_fn(|context| Pin::new(&mut endpoint).poll_write(context, b"POST"));
-                assert_eq!(write.await.expect("written"), 4);
+            if has_begun {
+                assert_eq!(write(&mut endpoint, b"POST").await.expect("written"), 4);
             }
-            leave(far, reset);
-            // No task has had a turn since, and the event queue was not asked.
+            disconnect(peer, by_reset);
+            // No task has run since, and the event queue was not polled.
             assert!(!client.is_known_disconnected() && client.has_disconnected());
-            let write = poll_fn(|context| Pin::new(&mut endpoint).poll_write(context, b"body"));
-            assert_eq!(write.await.is_ok(), begun, "reset: {reset}");
-            assert_eq!(write_guard.bytes_written(), if begun { 8 } else { 0 });
+            let result = write(&mut endpoint, b"body").await;
+            assert_eq!(result.is_ok(), has_begun, "reset: {by_reset}");
+            assert_eq!(write_guard.bytes_written(), if has_begun { 8 } else { 0 });
         }
     }
 }
