--- a/proxy/src/write_guard.rs
+++ b/proxy/src/write_guard.rs
@@ -1,4 +1,5 @@
-//! One attempt as its bytes see it: whether they may be written now, and how much of them was.
+//! The guard of one attempt's writes: whether its next byte may be written, checked as it is
+//! written, and how much of it was.
 
 use crate::invariants::AttemptRecord;
 use crate::metrics::Metrics;
@@ -14,13 +15,14 @@
 /// Why nothing of an attempt is written now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WriteDenial {
-    /// It was taken back or called off.
+    /// It was withdrawn or cancelled.
     Withdrawn,
-    /// Its time to begin is over: its class's window for repeats.
+    /// Its start window, its class's window for retries, is over.
     StartWindowClosed,
-    /// Its client has left.
+    /// Its client has disconnected.
     ClientDisconnected,
-    /// Something has come on its kept connection, an end or what would be taken for its answer.
+    /// Something has arrived on its reused connection, an end or what would be taken for its
+    /// response.
     ConnectionUsed,
 }
 
@@ -45,55 +47,66 @@
     fn has_disconnected(&self) -> bool;
 }
 
+/// What is written of one attempt, and what it depends on.
 #[derive(Debug, Default)]
-struct Written {
-    bytes: Cell<usize>,
-    ended: Cell<bool>,
-    whole: Cell<bool>,
-    barred: Cell<bool>,
+struct GuardState {
+    bytes_written: Cell<usize>,
+    /// The last byte has been handed to the connection.
+    has_request_ended: Cell<bool>,
+    is_fully_written: Cell<bool>,
+    is_withdrawn: Cell<bool>,
     /// Before when the first byte must be written, if that is bounded.
     begin_before: Option<Instant>,
-    /// Whose request it is; `None`: no client's.
+    /// The client whose request it is; `None`: no client's.
     client: Option<Weak<dyn ClientPresence>>,
-    /// `None`: no request has it.
+    /// `None`: not an attempt of a request.
     record: Option<AttemptRecord>,
     metrics: Metrics,
 }
 
-/// What was written for one attempt; clones are the same meter.
+/// Guards the writes of one attempt; clones are the same guard. The default one permits everything.
 #[derive(Clone, Debug, Default)]
-pub struct WriteGuard(Rc<Written>);
+pub struct WriteGuard(Rc<GuardState>);
 
 impl WriteGuard {
-    /// The meter of a new attempt of a request that came on this socket, which is counted once its last byte is written.
-    /// None is, if its first would be only at `begin_before` or later.
+    /// The guard of a new attempt, on behalf of this client. The attempt may begin before
+    /// `begin_before` only; it is counted once its last byte is written.
     pub fn new(
         metrics: &Metrics,
         client: Weak<dyn ClientPresence>,
         begin_before: Option<Instant>,
         record: AttemptRecord,
     ) -> WriteGuard {
-        WriteGuard(Rc::new(Written {
+        WriteGuard(Rc::new(GuardState {
             begin_before,
             metrics: metrics.clone(),
             client: Some(client),
             record: Some(record),
-            ..Written::default()
+            ..GuardState::default()
         }))
     }
 
-    /// Whether the next byte may be written now, on a connection on which `is_quiet` tells that nothing has come, if that
-    /// matters. All that forbids an attempt is asked here, at its last point before the effect.
-    pub fn may_write(&self, is_quiet: Option<bool>) -> Result<(), WriteDenial> {
-        let denial = match () {
-            () if self.0.barred.get() => WriteDenial::Withdrawn,
-            () if self.is_start_window_closed() => WriteDenial::StartWindowClosed,
-            () if self.is_unwanted() => WriteDenial::ClientDisconnected,
-            () if is_quiet == Some(false) => WriteDenial::ConnectionUsed,
-            () => return Ok(()),
+    /// Whether the next byte may be written now. All that forbids an attempt is checked here, at
+    /// the last point before the effect.
+    ///
+    /// `has_no_unread_input`: whether nothing is unread on the connection; `None` where that does
+    /// not matter.
+    pub fn may_write(&self, has_no_unread_input: Option<bool>) -> Result<(), WriteDenial> {
+        let denial = if self.0.is_withdrawn.get() {
+            WriteDenial::Withdrawn
+        } else if self.is_start_window_closed() {
+            WriteDenial::StartWindowClosed
+        } else if self.is_abandoned_before_start() {
+            WriteDenial::ClientDisconnected
+        } else if has_no_unread_input == Some(false) {
+            WriteDenial::ConnectionUsed
+        } else {
+            return Ok(());
         };
         self.0.metrics.count().denied(denial);
-        self.0.record.iter().for_each(|record| record.denied(denial));
+        if let Some(record) = &self.0.record {
+            record.denied(denial);
+        }
         Err(denial)
     }
 
@@ -102,7 +115,7 @@
         self.bytes_written() == 0 && self.0.begin_before.is_some_and(|end| Instant::now() >= end)
     }
 
-    /// Returns once the time for its beginning is over, if it has not begun by then.
+    /// Returns once the window for the attempt's beginning is over, if it has not begun by then.
     pub async fn start_window_closed(&self) {
         match self.0.begin_before {
             Some(end) => sleep_until(end).await,
@@ -113,57 +126,66 @@
         }
     }
 
-    /// Whether the attempt may not be begun as its client has left. The last look is the writing's own.
-    fn is_unwanted(&self) -> bool {
+    /// Whether the attempt has not begun and its client has disconnected.
+    fn is_abandoned_before_start(&self) -> bool {
         let client = self.0.client.as_ref().and_then(Weak::upgrade);
         self.bytes_written() == 0 && client.is_some_and(|client| client.has_disconnected())
     }
 
-    /// Bytes written so far: none means that no host can have seen the attempt.
+    /// Bytes written so far: none means that no endpoint can have seen the attempt.
     pub fn bytes_written(&self) -> usize {
-        self.0.bytes.get()
+        self.0.bytes_written.get()
     }
 
-    /// The time that the request tells its host to be left.
-    pub fn advertise_timeout(&self, left: Duration) {
-        self.0.record.iter().for_each(|record| record.tell(left));
+    /// Records the timeout that the request advertises to its endpoint.
+    pub fn advertise_timeout(&self, timeout: Duration) {
+        if let Some(record) = &self.0.record {
+            record.tell(timeout);
+        }
     }
 
-    /// The end of the request has been handed over; what is flushed after that is all of it.
+    /// Notes that the end of the request has been handed to the connection: once flushed, all of it
+    /// is written.
     pub fn set_request_ended(&self) {
-        self.0.ended.set(true);
+        self.0.has_request_ended.set(true);
     }
 
-    /// Nothing more of the attempt is written from here on: the tasks that have it at hand may still come to their turns.
+    /// Denies all further writes: tasks that still have the attempt may run once more.
     pub fn withdraw(&self) {
-        self.0.barred.set(true);
+        self.0.is_withdrawn.set(true);
     }
 
-    /// What was written broke off before its end: all of it is written again.
+    /// Notes that writing broke off before the request's end: all of it is written again.
     pub fn reset_written(&self) {
-        self.0.bytes.set(0);
+        self.0.bytes_written.set(0);
     }
 
-    /// So many bytes have been written.
+    /// Notes that so many further bytes have been written.
     pub fn record_written(&self, bytes: usize) {
-        if bytes > 0 && self.0.bytes.replace(self.0.bytes.get() + bytes) == 0 {
-            self.0.record.iter().for_each(AttemptRecord::begun);
+        let before = self.bytes_written();
+        self.0.bytes_written.set(before + bytes);
+        if let (0, 1.., Some(record)) = (before, bytes, &self.0.record) {
+            record.begun();
         }
     }
 
-    /// It is over.
+    /// Records the attempt's outcome.
     pub fn finish(&self, outcome: Outcome) {
-        self.0.record.iter().for_each(|record| record.ended(outcome, self.is_fully_written()));
+        if let Some(record) = &self.0.record {
+            record.ended(outcome, self.is_fully_written());
+        }
     }
 
-    /// Whether all of the attempt is written. Without its last byte no host begins with it.
+    /// Whether all of the attempt is written. No endpoint begins with a request whose last byte it
+    /// has not received.
     pub fn is_fully_written(&self) -> bool {
-        self.0.whole.get()
+        self.0.is_fully_written.get()
     }
 
-    /// Nothing of what was handed over is left to be written.
+    /// Notes that nothing of what was handed to the connection is left to be written.
     pub fn record_flush(&self) {
-        if self.0.ended.get() && self.0.bytes.get() > 0 && !self.0.whole.replace(true) {
+        let is_complete = self.0.has_request_ended.get() && self.bytes_written() > 0;
+        if is_complete && !self.0.is_fully_written.replace(true) {
             self.0.metrics.count().sent_whole();
         }
     }
