--- /dev/null
+++ b/proxy/src/downstream/connection.rs
@@ -0,0 +1,192 @@
+//! One client's connection: the task that serves its requests, and the ways in which it is closed.
+
+use super::open_request::{OpenRequest, TrackedBody};
+use super::phase::Phase;
+use super::service::{self, IncomingRequest};
+use crate::control::Control;
+use crate::invariants::Violation;
+use crate::log;
+use crate::metrics::{ClientCloseReason, Metrics};
+use crate::socket::Socket;
+use crate::upstream::HEAD_MOST;
+use hyper::body::Incoming;
+use hyper::header::{self, HeaderValue};
+use hyper::service::service_fn;
+use hyper::{Request, Response};
+use hyper_util::rt::TokioTimer;
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::future::{poll_fn, Future};
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+use tokio::task::{spawn_local, JoinHandle};
+use tokio::time::Instant;
+
+/// How long the peer's end is waited for after this side's.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// What all client connections share.
+#[derive(Clone)]
+pub(super) struct SharedState {
+    /// Takes the requests.
+    pub(super) control: Control,
+    /// More connections are open than may stay idle.
+    pub(super) is_crowded: Rc<Cell<bool>>,
+    /// The process is shutting down: each connection ends with its next response.
+    pub(super) is_shutting_down: Rc<Cell<bool>>,
+}
+
+/// A client's connection, as its owner sees it.
+pub(super) struct ClientConnection {
+    pub(super) task: JoinHandle<()>,
+    pub(super) socket: Socket,
+    pub(super) phase: Rc<Cell<Phase>>,
+    /// Asks its task to close it, unless a request is arriving.
+    pub(super) close_request: Rc<Notify>,
+    pub(super) metrics: Metrics,
+}
+
+impl ClientConnection {
+    /// Serves the requests on this stream in a task of its own.
+    pub(super) fn start(stream: TcpStream, shared: &SharedState) -> ClientConnection {
+        if let Err(error) = stream.set_nodelay(true) {
+            log::line(&format!("cannot set TCP_NODELAY for a client: {error}"));
+        }
+        let socket = Socket::for_client(stream);
+        let phase = Rc::new(Cell::new(Phase::AwaitingFirst(Instant::now())));
+        let close_request = Rc::new(Notify::new());
+        let metrics = shared.control.metrics();
+        let service = RequestService {
+            socket: socket.clone(),
+            phase: phase.clone(),
+            shared: shared.clone(),
+            request_count: Cell::new(0),
+        };
+        let task = ConnectionTask {
+            socket: socket.clone(),
+            phase: phase.clone(),
+            close_request: close_request.clone(),
+            metrics: metrics.clone(),
+        };
+        let task = spawn_local(task.run(service.serve()));
+        ClientConnection { task, socket, phase, close_request, metrics }
+    }
+
+    /// Closes it at once; its descriptor is free when this returns.
+    pub(super) fn close(&self, reason: ClientCloseReason) {
+        self.metrics.count().closed(reason);
+        tracing::debug!(socket = ?self.socket, phase = ?self.phase.get(), reason = ?reason, "closed");
+        let is_unanswered = matches!(self.phase.get(), Phase::Open) && reason != ClientCloseReason::Stuck;
+        if is_unanswered && !self.socket.has_disconnected() {
+            self.metrics.count().violation(Violation::ClosedUnanswered);
+            log::line(&format!(
+                "invariant violated: a connection with an open request was closed: {reason:?}"
+            ));
+        }
+        // The socket first: its descriptor must be free now, and the aborted task is dropped only
+        // later.
+        self.socket.close();
+        self.task.abort();
+    }
+}
+
+/// Responds to the requests of one connection.
+struct RequestService {
+    socket: Socket,
+    phase: Rc<Cell<Phase>>,
+    shared: SharedState,
+    request_count: Cell<u64>,
+}
+
+impl RequestService {
+    /// Serves the connection until it ends. It has no timeouts: all are the owner's, so that no
+    /// client gets more time by being slow in several ways.
+    fn serve(self) -> impl Future<Output = hyper::Result<()>> {
+        let socket = self.socket.clone();
+        hyper::server::conn::http1::Builder::new()
+            .timer(TokioTimer::new())
+            .header_read_timeout(None)
+            .max_buf_size(HEAD_MOST)
+            .serve_connection(socket, service_fn(move |request| self.respond(request)))
+    }
+
+    fn respond(
+        &self,
+        request: Request<Incoming>,
+    ) -> impl Future<Output = Result<Response<TrackedBody>, Infallible>> {
+        let number = self.request_count.replace(self.request_count.get() + 1);
+        let incoming = IncomingRequest {
+            is_framing_ambiguous: self.socket.is_framing_ambiguous(number),
+            read_deadline: self.phase.get().read_deadline(&self.socket),
+            socket: self.socket.clone(),
+        };
+        let open = OpenRequest::begin(&self.phase, &self.socket);
+        let (shared, is_first) = (self.shared.clone(), number == 0);
+        async move {
+            let mut response = service::respond(shared.control, request, incoming).await;
+            // Clients that send one request and keep their connections leave none for those that
+            // come back. A response that announces the close does not cross a further request.
+            if shared.is_shutting_down.get() || is_first && shared.is_crowded.get() {
+                response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+            }
+            Ok(response.map(|body| TrackedBody::new(body, open)))
+        }
+    }
+}
+
+/// The task of one connection.
+struct ConnectionTask {
+    socket: Socket,
+    phase: Rc<Cell<Phase>>,
+    close_request: Rc<Notify>,
+    metrics: Metrics,
+}
+
+impl ConnectionTask {
+    async fn run(self, connection: impl Future<Output = hyper::Result<()>>) {
+        tokio::select! {
+            biased;
+            // A failure drops the open request, which cancels it.
+            _ = connection => {}
+            () = self.disconnected_while_open() => {
+                self.metrics.count().closed(ClientCloseReason::Left);
+                self.socket.close();
+            }
+            () = self.timed_out() => {
+                let reason = self.phase.get().timeout_reason(&self.socket);
+                self.metrics.count().closed(reason);
+            }
+        }
+        self.phase.set(Phase::Closing(Instant::now()));
+        self.socket.lingering_close(LINGER_TIMEOUT).await;
+    }
+
+    /// Completes when the client has disconnected while a request is open. hyper sees that only
+    /// where it has read all that arrived before; while no request is open it reads on, and what
+    /// begins a request is served before this is polled.
+    async fn disconnected_while_open(&self) {
+        poll_fn(|context| self.poll_disconnected_while_open(context)).await
+    }
+
+    fn poll_disconnected_while_open(&self, context: &mut Context<'_>) -> Poll<()> {
+        ready!(self.socket.poll_disconnected(context));
+        match self.phase.get() {
+            Phase::Open => Poll::Ready(()),
+            _ => Poll::Pending,
+        }
+    }
+
+    /// Completes when the owner has found this connection's time to be over, and no request has
+    /// arrived since.
+    async fn timed_out(&self) {
+        loop {
+            self.close_request.notified().await;
+            if !self.phase.get().is_receiving(&self.socket) {
+                return;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/proxy/src/downstream/forward.rs
@@ -0,0 +1,102 @@
+//! Passes a client's request to the decision module and waits for its result.
+
+use super::headers::end_to_end;
+use super::request::{validate, RequestError, ValidRequest};
+use crate::body::{RequestBody, Upload};
+use crate::control::in_flight::{ForwardedRequest, Reply, RequestDescriptor};
+use crate::control::{Control, PendingReply};
+use crate::socket::Socket;
+use balancer::ClassId;
+use hyper::http::request::Parts;
+use hyper::Uri;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The time that is reserved for the response's way back to the client, and the fraction of the
+/// client's timeout that it may be at most: of a short timeout it would leave too little for the
+/// response itself.
+const MAX_RETURN_TIME: Duration = Duration::from_millis(10);
+const MAX_RETURN_TIME_DIVISOR: u32 = 16;
+
+/// Passes a request to the decision module and waits for its result.
+pub(super) async fn forward(
+    control: &Control,
+    head: Parts,
+    upload: &Rc<Upload>,
+    client: &Socket,
+) -> Result<Reply, RequestError> {
+    let valid = validate(&control.config(), &head, upload.length())?;
+    let class = valid.class;
+    let Some(payload) = receive_body(control, upload).await? else { return Ok(control.refuse(class)) };
+    // The client may have waited for longer than its timeout until it was accepted or read.
+    if client.has_disconnected() {
+        return Ok(control.refuse(class));
+    }
+    let budget = valid.timeout - MAX_RETURN_TIME.min(valid.timeout / MAX_RETURN_TIME_DIVISOR);
+    let is_streamed = payload.upload().is_some();
+    let forwarded = ForwardedRequest {
+        method: head.method,
+        target: head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default(),
+        headers: end_to_end(head.headers),
+        payload,
+        budget,
+        client: client.clone(),
+    };
+    let descriptor = describe(valid, deadline(upload, budget));
+    let mut pending = control.request(descriptor, forwarded).ok_or(RequestError::DuplicateId)?;
+    if is_streamed {
+        finish_streamed(control, &mut pending, upload, budget, class).await
+    } else {
+        Ok(pending.reply().await)
+    }
+}
+
+/// The request's body: all of it where it is small, else as it arrives. `None`: the process has
+/// begun to reject requests.
+async fn receive_body(control: &Control, upload: &Rc<Upload>) -> Result<Option<RequestBody>, RequestError> {
+    let memory = control.memory();
+    let buffered = tokio::select! {
+        biased;
+        () = control.closed() => return Ok(None),
+        buffered = upload.gather(&memory) => buffered?,
+    };
+    Ok(Some(match buffered {
+        Some(bytes) => RequestBody::Whole(bytes),
+        None => RequestBody::Upload(upload.clone()),
+    }))
+}
+
+/// The client's time runs from the request's last byte.
+fn deadline(upload: &Upload, budget: Duration) -> Instant {
+    match upload.end() {
+        Some(Ok(completed_at)) => completed_at + budget,
+        _ => Instant::now() + budget,
+    }
+}
+
+fn describe(valid: ValidRequest, deadline: Instant) -> RequestDescriptor {
+    let ValidRequest { id, class, tenant, is_client_retry, .. } = valid;
+    RequestDescriptor { id, class, tenant, deadline, client_retry: is_client_retry }
+}
+
+/// The result of a request whose body is still arriving.
+async fn finish_streamed(
+    control: &Control,
+    pending: &mut PendingReply,
+    upload: &Upload,
+    budget: Duration,
+    class: ClassId,
+) -> Result<Reply, RequestError> {
+    tokio::select! {
+        biased;
+        ended = upload.ended() => {
+            let deadline = ended? + budget;
+            pending.uploaded(deadline.saturating_duration_since(Instant::now()));
+        }
+        reply = pending.reply() => return Ok(reply),
+        // Incomplete, it has not run.
+        () = control.closed() => return Ok(control.refuse(class)),
+    }
+    Ok(pending.reply().await)
+}
--- /dev/null
+++ b/proxy/src/downstream/headers.rs
@@ -0,0 +1,51 @@
+//! The headers that the proxy reads from clients, and those that it does not forward.
+
+use hyper::header::{self, HeaderMap};
+
+/// The request's id.
+pub(super) const REQUEST_ID: &str = "x-call-id";
+/// The name of the request's class.
+pub(super) const REQUEST_CLASS: &str = "x-call-class";
+/// How long the client waits for the response, in milliseconds.
+pub(super) const TIMEOUT_MS: &str = "x-budget-ms";
+/// The name of the client's tenant.
+pub(super) const TENANT: &str = "x-caller";
+/// `1`: the client has sent this request before.
+pub(super) const CLIENT_RETRY: &str = "x-again";
+/// The idempotency key.
+pub(super) const IDEMPOTENCY_KEY: &str = "idempotency-key";
+
+/// The headers of a connection and its framing (RFC 9110, section 7.6.1), besides those that
+/// `Connection` names.
+const HOP_BY_HOP: [&str; 9] = [
+    "connection",
+    "content-length",
+    "expect",
+    "keep-alive",
+    "proxy-connection",
+    "te",
+    "trailer",
+    "transfer-encoding",
+    "upgrade",
+];
+
+/// The value of a header that stands once and is text.
+pub(super) fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+    let mut values = headers.get_all(name).iter();
+    let value = values.next()?;
+    if values.next().is_some() {
+        return None;
+    }
+    value.to_str().ok()
+}
+
+/// The headers that are forwarded: all but those of this connection and its framing.
+pub(super) fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
+    let connection = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
+    let named = connection.flat_map(|value| value.split(',')).map(|name| name.trim().to_owned());
+    let named: Vec<String> = named.collect();
+    for name in named.iter().map(String::as_str).chain(HOP_BY_HOP) {
+        headers.remove(name);
+    }
+    headers
+}
--- /dev/null
+++ b/proxy/src/downstream/listener.rs
@@ -0,0 +1,91 @@
+//! Accepts clients' connections, also while accepting fails.
+
+use super::client_connections::ClientConnections;
+use super::timeouts::{sweep_ticks, SWEEP_INTERVAL};
+use crate::log;
+use crate::transient_errors::ErrorClass;
+use std::future::Future;
+use std::io;
+use std::pin::pin;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::task::yield_now;
+use tokio::time::{sleep, sleep_until, timeout, Instant};
+
+/// How long accepting may fail without a success until the connections that still wait are
+/// abandoned.
+const MAX_ACCEPT_FAILURE: Duration = Duration::from_secs(2);
+/// Pause after a failure to accept, in which descriptors can become free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+
+/// Accepts connections until `until` completes.
+pub(super) async fn accept_until(
+    listener: &TcpListener,
+    connections: &mut ClientConnections,
+    until: impl Future<Output = ()>,
+) {
+    let mut until = pin!(until);
+    let mut sweeps = sweep_ticks();
+    let mut accept_from = Instant::now();
+    loop {
+        let has_room = connections.make_room();
+        let accepted = async {
+            sleep_until(accept_from).await;
+            listener.accept().await
+        };
+        tokio::select! {
+            accepted = accepted, if has_room => match accepted {
+                Ok((stream, _)) => {
+                    connections.add(stream);
+                    // Its task runs: a client that sends at once is known from a silent one only
+                    // when it is read.
+                    yield_now().await;
+                }
+                Err(error) => accept_from = handle_failure(connections, &error),
+            },
+            _ = sweeps.tick() => connections.sweep(),
+            () = &mut until => break,
+        }
+    }
+}
+
+/// Accepts the connections that wait already. A failure to accept is no sign that none is left.
+pub(super) async fn accept_remaining(listener: &TcpListener, connections: &mut ClientConnections) {
+    let mut failing_since: Option<Instant> = None;
+    loop {
+        if !connections.make_room() {
+            sleep(SWEEP_INTERVAL).await;
+            connections.sweep();
+            continue;
+        }
+        match timeout(Duration::ZERO, listener.accept()).await {
+            Ok(Ok((stream, _))) => {
+                connections.add(stream);
+                failing_since = None;
+            }
+            Ok(Err(error)) => {
+                let since = *failing_since.get_or_insert_with(Instant::now);
+                if since.elapsed() >= MAX_ACCEPT_FAILURE {
+                    return;
+                }
+                sleep_until(handle_failure(connections, &error)).await;
+                connections.sweep();
+            }
+            Err(_) => return,
+        }
+    }
+}
+
+/// Handles a failure to accept: evicts a connection where descriptors or memory ran out. Returns
+/// when to accept again: at once after a signal or a connection that ended before it was accepted.
+fn handle_failure(connections: &mut ClientConnections, error: &io::Error) -> Instant {
+    match ErrorClass::of(error) {
+        ErrorClass::Momentary => return Instant::now(),
+        ErrorClass::NoRoom => {
+            connections.evict();
+        }
+        ErrorClass::Peer | ErrorClass::Lasting => {}
+    }
+    log::line(&format!("cannot accept a client's connection: {error}"));
+    Instant::now() + ACCEPT_RETRY_DELAY
+}
--- /dev/null
+++ b/proxy/src/downstream/response.rs
@@ -0,0 +1,39 @@
+//! The responses that clients get.
+
+use super::headers::end_to_end;
+use crate::body::ResponseBody;
+use hyper::body::Bytes;
+use hyper::header::{self, HeaderValue};
+use hyper::{Response, StatusCode};
+use std::time::Duration;
+
+/// The response of an endpoint, without the headers of its connection.
+pub(super) fn forwarded(response: Response<ResponseBody>) -> Response<ResponseBody> {
+    let (mut head, body) = response.into_parts();
+    head.headers = end_to_end(head.headers);
+    Response::from_parts(head, body)
+}
+
+/// A rejection: the client may retry after this time.
+pub(super) fn rejected(retry_after: Duration) -> Response<ResponseBody> {
+    let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
+    let seconds = format!("{:.3}", retry_after.as_secs_f64());
+    if let Ok(value) = HeaderValue::try_from(seconds) {
+        response.headers_mut().append(header::RETRY_AFTER, value);
+    }
+    response
+}
+
+/// An error that closes the connection: what else arrived on it might be read as a request.
+pub(super) fn error_and_close(status: StatusCode) -> Response<ResponseBody> {
+    let mut response = empty(status);
+    response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+    response
+}
+
+/// A response of a status alone.
+pub(super) fn empty(status: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::whole(Bytes::new()));
+    *response.status_mut() = status;
+    response
+}
