--- a/proxy/src/downstream/client_connections.rs
+++ b/proxy/src/downstream/client_connections.rs
@@ -52,7 +52,7 @@
         true
     }
 
-    /// Checks all connections, under the timeouts that hold now.
+    /// Checks all connections, under the timeouts in force.
     pub(super) fn sweep(&mut self) {
         let now = Instant::now();
         let timeouts = if self.shared.is_shutting_down.get() {
--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -44,7 +44,7 @@
     pub(super) task: JoinHandle<()>,
     pub(super) socket: Socket,
     pub(super) phase: Rc<Cell<Phase>>,
-    /// Asks its task to close it, unless a request is arriving.
+    /// Requests its task to close it, unless a request is arriving.
     pub(super) close_request: Rc<Notify>,
     pub(super) metrics: Metrics,
 }
@@ -127,8 +127,8 @@
         let (shared, is_first) = (self.shared.clone(), number == 0);
         async move {
             let mut response = service::respond(shared.control, request, incoming).await;
-            // Clients that send one request and keep their connections leave none for those that
-            // come back. A response that announces the close does not cross a further request.
+            // Idle connections after a single request leave none for clients that reuse theirs. A
+            // close that a response announces does not cross a further request.
             if shared.is_shutting_down.get() || is_first && shared.is_crowded.get() {
                 response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
--- a/proxy/src/downstream/eviction.rs
+++ b/proxy/src/downstream/eviction.rs
@@ -1,5 +1,5 @@
-//! Which connection is closed for a new one when all places are taken. Clients that keep
-//! connections and send nothing must not keep others out.
+//! Which connection is closed for a new one when the limit is reached. Clients that send nothing on
+//! their connections must not lock others out.
 
 use super::connection::ClientConnection;
 use super::phase::Phase;
@@ -17,9 +17,9 @@
 pub(super) enum EvictionCost {
     /// No request has ever begun to arrive, or none will any more.
     Unused,
-    /// Idle for longer than clients take to come back.
+    /// Idle for longer than clients take to reuse a connection.
     LongIdle,
-    /// Idle after a single read: clients that come back keep theirs before those that may never.
+    /// Idle after a single read: it may never be reused, unlike one that was reused before.
     IdleAfterOneRead,
     /// A part of a request has arrived: the longer ago it began, the less likely the rest is.
     Receiving,
--- a/proxy/src/downstream/tests.rs
+++ b/proxy/src/downstream/tests.rs
@@ -145,7 +145,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// When a request or its parts arrive, as seen from the connection that is asked to close.
+/// When a request or its parts arrive, relative to the request to close its connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CloseOrder {
     /// The close is requested before the request arrives.
@@ -154,7 +154,7 @@
     OnArrival,
 }
 
-/// Sends a health check in these parts, crosses it with a request to close, and reads the response.
+/// Sends a health check in these parts, crosses it with a close request, and reads the response.
 async fn request_crossing_a_close(
     client: &mut TcpStream,
     connection: &ClientConnection,
--- a/proxy/src/downstream/timeouts.rs
+++ b/proxy/src/downstream/timeouts.rs
@@ -10,8 +10,8 @@
 
 /// How often all connections are checked for timeouts.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a connection on which no request is open is kept. Clients may keep theirs for good and
-/// never use them again; those that do use them come back far sooner.
+/// How long a connection stays open without an open request. Clients may leave theirs open for good
+/// and never use them again; those that do reuse them do so far sooner.
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The same while many connections are open: clients that need a new one must get it at once.
 pub(super) const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -19,7 +19,7 @@
 /// only once a third of its buffer is free, which takes a slow client a while.
 pub(super) const MAX_WRITE_STALL: Duration = Duration::from_secs(60);
 
-/// How long connections are kept on which no request arrives.
+/// How long connections stay open on which no request arrives.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct IdleTimeouts {
     /// After a request.
@@ -88,7 +88,7 @@
         }
         match self.phase.get() {
             // Its task waits for this too; this is for a system that reports a disconnect only when
-            // it is asked.
+            // polled.
             Phase::Open if self.socket.is_known_disconnected() => self.close(ClientCloseReason::Left),
             Phase::Idle(since) if self.socket.last_read_at() > since => {
                 self.phase.set(Phase::Receiving(self.socket.last_read_at()));
--- a/proxy/src/socket/framing.rs
+++ b/proxy/src/socket/framing.rs
@@ -6,17 +6,17 @@
 /// Most bytes of a line that are buffered; no field that matters here is longer.
 const MAX_LINE_BYTES: usize = 256;
 
-/// The part of a message that comes next.
+/// The part of a message that is expected next.
 #[derive(Debug, Default)]
 enum State {
     /// A line of the head.
     #[default]
     Head,
-    /// A body of which so many bytes are still to come.
+    /// A body of which so many bytes are missing.
     Body(u64),
     /// The line before a chunk.
     ChunkSize,
-    /// A chunk of which so many bytes are still to come.
+    /// A chunk of which so many bytes are missing.
     Chunk(u64),
     /// The line end behind a chunk.
     ChunkEnd,
@@ -156,7 +156,7 @@
     u64::from_str_radix(std::str::from_utf8(digits).ok()?, 16).ok()
 }
 
-/// How many of these bytes belong to a part that has so many left.
+/// How many of these bytes belong to a part of which so many are missing.
 fn clamp_to(bytes: &[u8], remaining: u64) -> usize {
     usize::try_from(remaining).unwrap_or(usize::MAX).min(bytes.len())
 }
--- a/proxy/src/write_guard.rs
+++ b/proxy/src/write_guard.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// The connection of the client that a request came on, as far as a write has to know it.
+/// The connection of the client whose request is written, as far as a write has to know it.
 pub trait ClientPresence: fmt::Debug {
     /// Whether the client has closed or broken its connection. Asks the operating system, whose
     /// readiness event may not have been delivered yet.
