--- a/proxy/src/socket/framing/tests.rs
+++ b/proxy/src/socket/framing/tests.rs
@@ -51,3 +51,15 @@
         }
     }
 }
+
+#[test]
+fn every_message_behind_an_ambiguous_one_is_ambiguous() {
+    let ambiguous = "POST / HTTP/1.1\r\nContent-Length: 0\r\nContent-Length: 0\r\n\r\n";
+    let text = [ambiguous, &UNAMBIGUOUS.concat(), ambiguous].concat();
+    for piece_size in 1..=text.len() {
+        assert_eq!(first_ambiguous(&text, piece_size), Some(0), "in pieces of {piece_size}");
+    }
+    let mut framing = Framing::default();
+    framing.read(text.as_bytes());
+    assert!((0..6).all(|number| framing.is_ambiguous(number)));
+}
