--- /dev/null
+++ b/proxy/src/body/response_body.rs
@@ -0,0 +1,180 @@
+//! The body of an endpoint's response as the client gets it: buffered, or streamed as it arrives.
+
+use super::transfer_timer::TransferTimer;
+use crate::log;
+use crate::message_limits::MAX_BODY_BYTES;
+use crate::metrics::{RequestEnd, RequestTracker};
+use crate::socket::Socket;
+use http_body_util::Full;
+use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
+use std::fmt;
+use std::pin::Pin;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+use thiserror::Error;
+
+/// Lowest rate at which an endpoint may send a response: a slower one would occupy its client and its connection for ever.
+const MIN_RESPONSE_BYTES_PER_SECOND: f64 = 1_000.0;
+/// Maximum time that the proxy waits for more of a streamed response.
+const MAX_RESPONSE_WAIT: Duration = Duration::from_secs(10);
+
+/// Why a streamed response did not arrive completely.
+#[derive(Debug, Error)]
+pub enum ResponseBodyError {
+    /// Its connection broke, or it could not be parsed.
+    #[error(transparent)]
+    Http(#[from] hyper::Error),
+    /// It is longer than any body may be.
+    #[error("the response body is longer than {MAX_BODY_BYTES} bytes")]
+    TooLong,
+    /// It arrived too slowly.
+    #[error("the response body arrives too slowly")]
+    TooSlow,
+}
+
+/// Called once all of a streamed response has been read; dropped if that does not happen.
+pub type OnCompleted = Box<dyn FnOnce()>;
+
+/// A large response as it arrives from its endpoint, read only as fast as the client takes it.
+pub struct StreamedResponse {
+    /// Data that was read before the response turned out to be too long to buffer.
+    prefix: Option<Bytes>,
+    rest: Incoming,
+    /// The endpoint's.
+    socket: Socket,
+    read_bytes: u64,
+    timer: TransferTimer,
+    /// Returns the connection for reuse; dropped, it closes the connection.
+    on_completed: Option<OnCompleted>,
+    tracker: Option<RequestTracker>,
+}
+
+impl fmt::Debug for StreamedResponse {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "StreamedResponse after {} bytes", self.read_bytes)
+    }
+}
+
+impl StreamedResponse {
+    /// A response that arrives on this socket, of which `prefix` has been read. `on_completed` is called when the rest has
+    /// been read as well.
+    pub fn new(prefix: Bytes, rest: Incoming, socket: Socket, on_completed: OnCompleted) -> StreamedResponse {
+        StreamedResponse {
+            read_bytes: prefix.len() as u64,
+            prefix: Some(prefix),
+            rest,
+            socket,
+            timer: TransferTimer::new(MAX_RESPONSE_WAIT, MAX_RESPONSE_WAIT, MIN_RESPONSE_BYTES_PER_SECOND),
+            on_completed: Some(on_completed),
+            tracker: None,
+        }
+    }
+
+    fn finish(&mut self, end: RequestEnd) {
+        if let Some(tracker) = self.tracker.take() {
+            tracker.end(end);
+        }
+        if let (Some(on_completed), RequestEnd::Completed) = (self.on_completed.take(), end) {
+            on_completed();
+        }
+    }
+
+    fn poll_data(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, ResponseBodyError>>> {
+        if let Some(prefix) = self.prefix.take().filter(|prefix| !prefix.is_empty()) {
+            return Poll::Ready(Some(Ok(prefix)));
+        }
+        while let Poll::Ready(frame) = Pin::new(&mut self.rest).poll_frame(context) {
+            // The data may have been there for long, while the client took nothing.
+            self.timer.stop_waiting(|| self.socket.last_read_at());
+            let Some(frame) = frame else { return Poll::Ready(None) };
+            // Trailers are not forwarded.
+            let Ok(data) = frame?.into_data() else { continue };
+            self.read_bytes += data.len() as u64;
+            if self.read_bytes > MAX_BODY_BYTES {
+                return Poll::Ready(Some(Err(ResponseBodyError::TooLong)));
+            }
+            self.timer.extend(data.len());
+            return Poll::Ready(Some(Ok(data)));
+        }
+        ready!(self.timer.poll_expired(context));
+        Poll::Ready(Some(Err(ResponseBodyError::TooSlow)))
+    }
+
+    fn poll_frame(
+        &mut self,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
+        let data = ready!(self.poll_data(context));
+        match &data {
+            Some(Err(error)) => {
+                log::line(&format!("a response broke off after {} bytes: {error}", self.read_bytes));
+                self.finish(RequestEnd::Failed);
+            }
+            Some(Ok(_)) if !self.rest.is_end_stream() => {}
+            Some(Ok(_)) | None => self.finish(RequestEnd::Completed),
+        }
+        Poll::Ready(data.map(|data| data.map(Frame::data)))
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        let prefix = self.prefix.as_ref().map_or(0, Bytes::len) as u64;
+        let rest = self.rest.size_hint().exact();
+        rest.map_or_else(SizeHint::new, |rest| SizeHint::with_exact(prefix + rest))
+    }
+}
+
+/// A response's body.
+#[derive(Debug)]
+pub enum ResponseBody {
+    /// All of it is in memory.
+    Buffered(Full<Bytes>),
+    /// It is streamed as it arrives.
+    Streamed(Box<StreamedResponse>),
+}
+
+impl ResponseBody {
+    /// A body that is completely in memory.
+    pub fn buffered(bytes: Bytes) -> ResponseBody {
+        ResponseBody::Buffered(Full::new(bytes))
+    }
+
+    /// Ends the tracked request with this body: at once if it is buffered, else when it has been streamed or has failed.
+    pub fn track(&mut self, tracker: RequestTracker) {
+        match self {
+            ResponseBody::Buffered(_) => tracker.end(RequestEnd::Completed),
+            ResponseBody::Streamed(stream) => stream.tracker = Some(tracker),
+        }
+    }
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = ResponseBodyError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
+        match &mut *self {
+            ResponseBody::Buffered(bytes) => {
+                let frame = ready!(Pin::new(bytes).poll_frame(context));
+                Poll::Ready(frame.map(|frame| frame.map_err(|never| match never {})))
+            }
+            ResponseBody::Streamed(stream) => stream.poll_frame(context),
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        match self {
+            ResponseBody::Buffered(bytes) => bytes.is_end_stream(),
+            ResponseBody::Streamed(stream) => stream.prefix.is_none() && stream.rest.is_end_stream(),
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            ResponseBody::Buffered(bytes) => bytes.size_hint(),
+            ResponseBody::Streamed(stream) => stream.size_hint(),
+        }
+    }
+}
--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -486,9 +486,7 @@
                 let end = upstream::exchange(connection, forward.request(until, write_guard), terms()).await;
                 end.or_else(|| left_behind(sending))
             }
-            Err(error) if upstream::is_local(&error) => {
-                Some(AttemptEnd::without_response(Outcome::NeverSent))
-            }
+            Err(error) if error.is_local() => Some(AttemptEnd::without_response(Outcome::NeverSent)),
             Err(_) => None,
         };
         end.unwrap_or_else(|| AttemptEnd::without_response(Outcome::ConnectFailed))
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -2,7 +2,7 @@
 
 mod request;
 
-use crate::body::ResponseBody;
+use crate::body::{ResponseBody, ResponseBodyError};
 use crate::control::{Control, ShutdownSchedule};
 use crate::downstream::request::{answer, Arrival};
 use crate::invariants::Violation;
@@ -12,7 +12,6 @@
 use crate::process_handoff::steer_to_newer_process;
 use crate::socket::Socket;
 use crate::transient_errors::ErrorClass;
-use crate::upstream::BoxError;
 use hyper::body::{Body, Bytes, Frame, SizeHint};
 use hyper::header::{self, HeaderValue};
 use hyper::service::service_fn;
@@ -161,12 +160,12 @@
 
 impl Body for TrackedBody {
     type Data = Bytes;
-    type Error = BoxError;
+    type Error = ResponseBodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         Pin::new(&mut self.body).poll_frame(context)
     }
 
--- a/proxy/src/upstream/idle_timeout.rs
+++ b/proxy/src/upstream/idle_timeout.rs
@@ -1,82 +1,60 @@
-//! How long a connection to a host may stand idle and still be used. The settings tell when hosts close theirs at the
-//! latest; something on the way may drop them far sooner, and says so only when the next request is written.
+//! How long a connection to an endpoint may be idle and still be reused. The settings give the endpoints' own idle timeout;
+//! a middlebox may drop connections far sooner, which shows only when the next request is written.
 
 use std::time::Duration;
 
-/// Spans of idle time are told apart by doublings of a millisecond; the last holds all that is longer.
-const SPANS: usize = 16;
-/// Share of broken ones beyond which connections that stood for so long are not used: a new one costs less.
-const BROKEN_MOST: f64 = 0.3;
-/// Broken ones that must be known of before it counts: some break after any time, and a few may be chance.
-const BROKEN_LEAST: f64 = 5.0;
-/// What a second leaves of what is known: after about a minute a span that was given up is tried again.
-const MEMORY: f64 = 0.98;
-
-/// What became of connections that were used again.
+#[cfg(test)]
+mod tests;
+
+/// Idle times are grouped by doublings of a millisecond; the last group takes all that are longer.
+const GROUP_COUNT: usize = 16;
+/// Fraction of broken connections above which a group's connections are not reused: opening one costs less.
+const MAX_BROKEN_FRACTION: f64 = 0.3;
+/// Broken connections that must have been seen before that counts: a few may break by chance after any time.
+const MIN_BROKEN_COUNT: f64 = 5.0;
+/// What remains of each count after a second: after about a minute a group that was not reused is tried again.
+const DECAY_PER_SECOND: f64 = 0.98;
+
+/// How many connections of a group were reused, with older ones counting less.
 #[derive(Clone, Copy, Debug, Default)]
-struct Used {
+struct ReuseCounts {
     all: f64,
     broken: f64,
 }
 
-/// What use shows of idle times, over all hosts.
+/// An estimate, over all endpoints, of the idle time after which connections break.
 #[derive(Debug, Default)]
-pub struct IdleTimeoutEstimate([Used; SPANS]);
+pub struct IdleTimeoutEstimate([ReuseCounts; GROUP_COUNT]);
 
-fn span(idle: Duration) -> usize {
+fn group_of(idle: Duration) -> usize {
     let doublings = (idle.as_millis() as u64).checked_ilog2().map_or(0, |log| log as usize + 1);
-    doublings.min(SPANS - 1)
+    doublings.min(GROUP_COUNT - 1)
 }
 
 impl IdleTimeoutEstimate {
-    /// Notes that a connection was used after it had been idle for this long, and whether it broke at once.
-    pub fn record_reuse(&mut self, idle: Duration, broken: bool) {
-        let used = &mut self.0[span(idle)];
-        used.all += 1.0;
-        used.broken += f64::from(u8::from(broken));
+    /// Records that a connection was reused after it had been idle for this long, and whether it broke at once.
+    pub fn record_reuse(&mut self, idle: Duration, is_broken: bool) {
+        let counts = &mut self.0[group_of(idle)];
+        counts.all += 1.0;
+        if is_broken {
+            counts.broken += 1.0;
+        }
     }
 
-    /// Another second has passed.
+    /// Ages the counts by a second.
     pub fn decay(&mut self) {
-        for used in &mut self.0 {
-            (used.all, used.broken) = (used.all * MEMORY, used.broken * MEMORY);
+        for counts in &mut self.0 {
+            counts.all *= DECAY_PER_SECOND;
+            counts.broken *= DECAY_PER_SECOND;
         }
     }
 
-    /// From which idle time on too many break; `None`: none is known.
+    /// The idle time from which on too many connections break; `None` if there is none.
     pub fn limit(&self) -> Option<Duration> {
-        let bad = |used: &Used| used.broken >= BROKEN_LEAST && used.broken > used.all * BROKEN_MOST;
-        let first = self.0.iter().position(bad)?;
-        Some(first.checked_sub(1).map_or(Duration::ZERO, |log| Duration::from_millis(1 << log)))
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const MS: fn(u64) -> Duration = Duration::from_millis;
-
-    #[test]
-    fn idle_times_after_which_many_break_are_given_up_until_that_is_forgotten() {
-        let mut idle = IdleTimeoutEstimate::default();
-        for _ in 0..10 {
-            idle.record_reuse(MS(20), false);
-            idle.record_reuse(MS(150), false);
-            idle.record_reuse(MS(150), true);
-        }
-        assert_eq!(idle.limit(), Some(MS(128)));
-        (0..100).for_each(|_| idle.decay());
-        assert_eq!(idle.limit(), None);
-    }
-
-    #[test]
-    fn a_few_that_break_at_any_time_give_nothing_up() {
-        let mut idle = IdleTimeoutEstimate::default();
-        idle.record_reuse(MS(0), true);
-        for ms in [0, 5, 50, 500, 5_000] {
-            (0..100).for_each(|n| idle.record_reuse(MS(ms), n % 10 == 0));
-        }
-        assert_eq!(idle.limit(), None);
+        let is_bad = |counts: &ReuseCounts| {
+            counts.broken >= MIN_BROKEN_COUNT && counts.broken > counts.all * MAX_BROKEN_FRACTION
+        };
+        let first_bad = self.0.iter().position(is_bad)?;
+        Some(first_bad.checked_sub(1).map_or(Duration::ZERO, |log| Duration::from_millis(1 << log)))
     }
 }
