--- a/proxy/src/downstream/open_request.rs
+++ b/proxy/src/downstream/open_request.rs
@@ -2,9 +2,9 @@
 //! handed over.
 
 use super::phase::Phase;
-use crate::body::ResponseBody;
+use crate::body::{ResponseBody, ResponseBodyError};
 use crate::socket::Socket;
-use crate::upstream::BoxError;
+
 use hyper::body::{Body, Bytes, Frame, SizeHint};
 use std::cell::Cell;
 use std::pin::Pin;
@@ -48,12 +48,12 @@
 
 impl Body for TrackedBody {
     type Data = Bytes;
-    type Error = BoxError;
+    type Error = ResponseBodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         Pin::new(&mut self.body).poll_frame(context)
     }
 
--- a/proxy/src/downstream/request.rs
+++ b/proxy/src/downstream/request.rs
@@ -24,7 +24,7 @@
     #[error("the request does not have the form of its class")]
     ClassMismatch,
     /// Its body is longer than any may be.
-    #[error("the body is longer than {BODY_MOST} bytes")]
+    #[error("the body is longer than {MAX_BODY_BYTES} bytes")]
     BodyTooLong,
     /// A request with its id is in flight.
     #[error("a request with this id is in flight")]
