--- /dev/null
+++ b/proxy/src/control/attempt.rs
@@ -0,0 +1,175 @@
+//! One attempt: its connection, its exchange and its end.
+
+use crate::control::connection_pool::IdleConnection;
+use crate::control::endpoints::EndpointProcess;
+use crate::control::request::ForwardedRequest;
+use crate::control::Control;
+use crate::upstream::{self, AttemptEnd, Connection, ExchangeContext};
+use crate::write_guard::WriteGuard;
+use balancer::Outcome;
+use std::future::pending;
+use std::rc::Rc;
+use tokio::task::spawn_local;
+use tokio::time::{sleep_until, Instant};
+
+/// An attempt as its task runs it.
+pub(super) struct Attempt {
+    pub(super) control: Control,
+    /// Where it is sent.
+    pub(super) process: EndpointProcess,
+    pub(super) forwarded: Rc<ForwardedRequest>,
+    /// When it times out, unless its request is still being read.
+    pub(super) deadline: Instant,
+    pub(super) write_guard: WriteGuard,
+}
+
+impl Attempt {
+    /// Runs the attempt, on the idle connection if that can be used. It ends at its deadline unless
+    /// its response is being streamed by then.
+    pub(super) async fn run(&self, idle_connection: Option<IdleConnection>) -> AttemptEnd {
+        let end = tokio::select! {
+            // A response that is there at the last moment is passed on.
+            biased;
+            end = self.exchange(idle_connection) => match end.outcome {
+                Outcome::ConnectFailed if self.write_guard.is_late() => {
+                    AttemptEnd::without_answer(Outcome::NeverSent)
+                }
+                _ => end,
+            },
+            () = self.write_guard.closed() => AttemptEnd::without_answer(Outcome::NeverSent),
+            () = self.expired() => AttemptEnd::without_answer(self.timeout_outcome()),
+        };
+        // What the client did says nothing about the endpoint.
+        match self.forwarded.payload.upload().and_then(|upload| upload.end()) {
+            Some(Err(_)) => AttemptEnd::without_answer(Outcome::Cancelled),
+            _ => end,
+        }
+    }
+
+    /// Returns when the attempt times out, or shutdown must end.
+    async fn expired(&self) {
+        let shutdown = self.control.state().shutdown.clone();
+        tokio::select! {
+            () = self.deadline_passed() => {}
+            () = shutdown.ends() => {}
+        }
+    }
+
+    /// Returns when the client no longer waits. While its request is being read that is not known; one
+    /// whose upload fails is cancelled elsewhere.
+    async fn deadline_passed(&self) {
+        let deadline = match self.forwarded.payload.upload() {
+            None => self.deadline,
+            Some(upload) => match upload.ended().await {
+                Ok(completed_at) => {
+                    let deadline = completed_at + self.forwarded.budget;
+                    self.control.state().shutdown.limit(deadline)
+                }
+                Err(_) => pending().await,
+            },
+        };
+        sleep_until(deadline).await;
+    }
+
+    fn timeout_outcome(&self) -> Outcome {
+        let upload = self.forwarded.payload.upload();
+        if self.write_guard.is_whole() {
+            Outcome::TimedOut
+        } else if upload.is_some_and(|upload| upload.is_spent()) {
+            Outcome::Truncated
+        } else {
+            Outcome::ConnectFailed
+        }
+    }
+
+    async fn exchange(&self, idle_connection: Option<IdleConnection>) -> AttemptEnd {
+        if let Some(idle_connection) = settled(idle_connection).await {
+            if let Some(end) = self.exchange_on_reused(idle_connection).await {
+                return end;
+            }
+            self.write_guard.restart();
+        }
+        // What a reused connection has taken is lost with it. What is written now is the beginning, and
+        // the endpoint may have been listed as draining since.
+        if self.write_guard.is_late() || !self.control.state().endpoints.accepts(self.process) {
+            return AttemptEnd::without_answer(Outcome::NeverSent);
+        }
+        // The request has not been written completely, so this does not send it twice.
+        self.exchange_on_new().await
+    }
+
+    /// `None`: the connection was closed before the request was written; all of it can be written
+    /// again.
+    async fn exchange_on_reused(&self, idle_connection: IdleConnection) -> Option<AttemptEnd> {
+        let idle_time = idle_connection.since.elapsed();
+        let end = self.exchange_on(idle_connection.connection).await;
+        if end.is_none() {
+            if let Some(end) = self.end_if_disconnected() {
+                return Some(end);
+            }
+        }
+        let is_broken = end.as_ref().is_none_or(|end| end.outcome == Outcome::Stale);
+        if is_broken {
+            self.control.metrics().count().broken_reuse += 1;
+        }
+        self.control.state_mut().pool.note_reuse(idle_time, is_broken);
+        end
+    }
+
+    async fn exchange_on_new(&self) -> AttemptEnd {
+        let Some(permit) = self.control.state_mut().reserve_connection() else {
+            return AttemptEnd::without_answer(Outcome::NeverSent);
+        };
+        let connect_timeout = self.control.config().connect_timeout;
+        let opened = Connection::open(self.process.address, connect_timeout, permit).await;
+        let metrics = self.control.metrics();
+        let end = match opened {
+            Ok(connection) => {
+                metrics.count().opened += 1;
+                self.exchange_on(connection).await.or_else(|| self.end_if_disconnected())
+            }
+            Err(error) => {
+                metrics.count().open_failed += 1;
+                upstream::is_local(&error).then(|| AttemptEnd::without_answer(Outcome::NeverSent))
+            }
+        };
+        end.unwrap_or_else(|| AttemptEnd::without_answer(Outcome::ConnectFailed))
+    }
+
+    async fn exchange_on(&self, connection: Connection) -> Option<AttemptEnd> {
+        let memory = self.control.memory();
+        let (control, process) = (self.control.clone(), self.process);
+        let context = ExchangeContext {
+            payload: &self.forwarded.payload,
+            write_guard: &self.write_guard,
+            memory: &memory,
+            back: Box::new(move |connection| return_when_settled(control, process, connection)),
+        };
+        let message = self.forwarded.message(self.deadline, &self.write_guard);
+        upstream::exchange(connection, message, context).await
+    }
+
+    /// The end of an attempt that was not written completely because its client has disconnected; that
+    /// says nothing about the endpoint.
+    fn end_if_disconnected(&self) -> Option<AttemptEnd> {
+        if !self.forwarded.client.has_left() {
+            return None;
+        }
+        let is_unwritten = self.write_guard.written() == 0;
+        let outcome = if is_unwritten { Outcome::NeverSent } else { Outcome::Cancelled };
+        Some(AttemptEnd::without_answer(outcome))
+    }
+}
+
+async fn settled(idle_connection: Option<IdleConnection>) -> Option<IdleConnection> {
+    idle_connection?.settled().await
+}
+
+/// Returns the connection of a large response that has been passed on.
+fn return_when_settled(control: Control, process: EndpointProcess, connection: Connection) {
+    spawn_local(async move {
+        if let Some(connection) = connection.settled().await {
+            control.state_mut().return_connection(process, connection);
+        }
+    });
+}
--- /dev/null
+++ b/proxy/src/control/attempts.rs
@@ -0,0 +1,129 @@
+//! Attempts as the balancer orders them: their start, their cancellation and their outcome.
+
+use crate::control::attempt::Attempt;
+use crate::control::endpoints::{EndpointProcess, ReadyEndpoint};
+use crate::control::in_flight::{ended_by_proxy, InFlightAttempt};
+use crate::control::request::Reply;
+use crate::control::{Control, ControlState};
+use crate::invariants::AnswerKind;
+use crate::upstream::{self, AttemptEnd, Connection};
+use crate::write_guard::WriteGuard;
+use balancer::{EndpointId, Event, Outcome, RequestId};
+use std::time::Duration;
+use tokio::time::Instant;
+
+impl ControlState {
+    /// Starts an attempt, or reports it as never sent. `start_within`: when its first byte must be
+    /// written, if that is limited.
+    pub(super) fn start_attempt(
+        &mut self,
+        control: &Control,
+        id: RequestId,
+        endpoint_id: EndpointId,
+        start_within: Option<Duration>,
+    ) {
+        let now = Instant::now();
+        self.cancel_if_disconnected(id);
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let endpoint = self.endpoints.ready(endpoint_id);
+        let Some(endpoint) = endpoint.filter(|_| request.may_start_attempt(now)) else {
+            return self.skip_attempt(id);
+        };
+        let ReadyEndpoint { process, target } = endpoint;
+        let start_before = start_within.map(|start_within| now + start_within);
+        let client = &request.forwarded.client;
+        let record = request.record.attempt(target);
+        let write_guard = WriteGuard::new(&self.metrics, client, start_before, record);
+        let attempt = Attempt {
+            control: control.clone(),
+            process,
+            forwarded: request.forwarded.clone(),
+            deadline: request.deadline,
+            write_guard: write_guard.clone(),
+        };
+        let max_idle = self.pool.max_idle(self.config.conn_idle);
+        let idle_connection = self.pool.take(endpoint_id, max_idle);
+        let number = request.attempts.len() as u32;
+        let control = control.clone();
+        let task = upstream::spawn(async move {
+            let end = attempt.run(idle_connection).await;
+            control.end_attempt(id, number, end);
+        });
+        self.metrics.count().attempts += 1;
+        let in_flight = InFlightAttempt { process, started_at: now, write_guard, _task: task };
+        request.attempts.push(Some(in_flight));
+    }
+
+    /// Cancels a request whose client is known to have disconnected, though the task of its connection
+    /// has not been run since.
+    fn cancel_if_disconnected(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        if request.forwarded.client.is_left() && request.cancel(id, &mut self.events) {
+            request.forwarded.client.close();
+        }
+    }
+
+    /// Reports the request's next attempt as never sent.
+    fn skip_attempt(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let attempt = request.attempts.len() as u32;
+        request.attempts.push(None);
+        let request_finished = request.has_reply();
+        let outcome = Outcome::NeverSent;
+        let event = ended_by_proxy(id, attempt, outcome, Duration::ZERO, request_finished);
+        self.events.push_back(event);
+        self.requests.clean_up(id, &mut self.events);
+    }
+
+    /// Cancels an attempt: its connection is closed.
+    pub(super) fn cancel_attempt(&mut self, id: RequestId, number: u32) {
+        let Some((request, attempt)) = self.requests.take_attempt(id, number) else { return };
+        let outcome = Outcome::Cancelled;
+        attempt.bar(outcome);
+        let elapsed = attempt.started_at.elapsed();
+        let event = ended_by_proxy(id, number, outcome, elapsed, request.has_reply());
+        self.events.push_back(event);
+        self.requests.clean_up(id, &mut self.events);
+    }
+
+    /// Returns a connection to the pool, if its endpoint may get another request on it.
+    pub(super) fn return_connection(&mut self, process: EndpointProcess, connection: Connection) {
+        if self.endpoints.accepts(process) {
+            self.pool.put(process.endpoint_id, connection);
+        }
+    }
+}
+
+impl Control {
+    /// Passes an attempt's response on and reports its outcome to the balancer.
+    fn end_attempt(&self, id: RequestId, number: u32, mut end: AttemptEnd) {
+        let mut state = self.state_mut();
+        let ControlState { requests, events, .. } = &mut *state;
+        let Some((request, attempt)) = requests.take_attempt(id, number) else { return };
+        attempt.write_guard.ended(end.outcome);
+        if let Some(response) = end.answer.take() {
+            if let Some(sender) = request.reply.take() {
+                request.record.answered(AnswerKind::Served);
+                // A client that has just disconnected has no use for it.
+                let _ = sender.send(Reply::Served(response));
+            }
+        }
+        events.push_back(Event::AttemptEnded {
+            request: id,
+            attempt: number,
+            outcome: end.outcome,
+            elapsed: request.elapsed(&attempt),
+            request_finished: request.has_reply(),
+            load: end.load,
+        });
+        requests.clean_up(id, events);
+        // Before the outcome is reported: the next request would open another connection.
+        if let Some(connection) = end.connection {
+            state.return_connection(attempt.process, connection);
+        }
+        drop(state);
+        self.dispatch([]);
+        // Dropped last: this may be the very task of the attempt.
+        drop(attempt);
+    }
+}
--- /dev/null
+++ b/proxy/src/control/background.rs
@@ -0,0 +1,38 @@
+//! Tasks that run beside all requests: the balancer's timer, and the periodic sweep and log line.
+
+use crate::control::Control;
+use balancer::Event;
+use std::time::Duration;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+/// How often idle connections that have expired are closed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Sweeps from one line of metrics in the log to the next.
+const SWEEPS_PER_LOG_LINE: u32 = 10;
+
+impl Control {
+    /// Starts the tasks. They run for as long as the thread's task set.
+    pub(super) fn spawn_background_tasks(&self) {
+        spawn_local(self.clone().run_timer());
+        spawn_local(self.clone().sweep_periodically());
+    }
+
+    async fn run_timer(self) {
+        let timer = self.state().timer.clone();
+        loop {
+            timer.expired().await;
+            self.dispatch([Event::Timer]);
+        }
+    }
+
+    async fn sweep_periodically(self) {
+        for sweep in 1_u32.. {
+            sleep(SWEEP_INTERVAL).await;
+            self.state_mut().sweep();
+            if sweep % SWEEPS_PER_LOG_LINE == 0 {
+                self.log_counts();
+            }
+        }
+    }
+}
--- a/proxy/src/control/endpoints.rs
+++ b/proxy/src/control/endpoints.rs
@@ -1,64 +1,144 @@
-//! Hosts of the list as the network code has them, and their idle connections.
+//! The endpoints of the list, as far as the network code needs them.
 
-use crate::discovery::ListedState;
+use crate::control::connection_pool::ConnectionPool;
+use crate::control::endpoint_ids::EndpointIds;
+use crate::discovery::{EndpointList, ListedEndpoint, ListedState};
 use crate::invariants::AttemptTarget;
-use crate::metrics::{EndpointCloseReason, Metrics};
-use crate::upstream::Connection;
-use balancer::EndpointId;
+use balancer::{CellId, EndpointEntry, EndpointId};
+use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::time::Duration;
-use tokio::time::{sleep_until, Instant};
-
-/// How long a connection is left alone after an answer: a second one may come some milliseconds behind it, and would be
-/// taken for that of the next request.
-const SETTLING: Duration = Duration::from_millis(10);
-
-/// A kept connection once it has settled, if it is of use then.
-pub(crate) async fn settled(kept: Option<(Instant, Connection)>) -> Option<(Instant, Connection)> {
-    let (since, connection) = kept?;
-    sleep_until(since + SETTLING).await;
-    connection.is_ready().then_some((since, connection))
-}
 
-/// The process of a host that an attempt was meant for: a later one at the same address is another, and cold.
+/// A process of an endpoint. A later one at the same address is another one, which starts slowly.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct EndpointProcess {
-    pub(crate) endpoint_id: EndpointId,
-    pub(crate) address: SocketAddr,
-    pub(crate) started_at_ms: u64,
+pub(super) struct EndpointProcess {
+    pub(super) endpoint_id: EndpointId,
+    pub(super) address: SocketAddr,
+    started_at_ms: u64,
 }
 
-/// A host of the list, and this proxy's idle connections to it, the most recently used last.
-pub(crate) struct Endpoint {
-    pub(crate) address: SocketAddr,
-    pub(crate) started_at_ms: u64,
-    pub(crate) state: ListedState,
-    pub(crate) target: AttemptTarget,
-    pub(crate) idle: Vec<(Instant, Connection)>,
+/// An endpoint of the list.
+pub(super) struct Endpoint {
+    address: SocketAddr,
+    started_at_ms: u64,
+    state: ListedState,
+    /// Where its attempts go, as the invariants see it.
+    target: AttemptTarget,
 }
 
 impl Endpoint {
-    /// The connection that was used last of those that have settled, or the one that will have first.
-    pub(crate) fn take_idle(&mut self) -> Option<(Instant, Connection)> {
-        let settled = self.idle.iter().rposition(|(since, _)| since.elapsed() >= SETTLING);
-        (!self.idle.is_empty()).then(|| self.idle.remove(settled.unwrap_or(0)))
+    fn new(entry: &ListedEndpoint) -> Endpoint {
+        Endpoint {
+            address: entry.address,
+            started_at_ms: entry.started_at_ms,
+            state: entry.state,
+            target: AttemptTarget::default(),
+        }
+    }
+
+    fn is_ready(&self) -> bool {
+        self.state == ListedState::Ready
+    }
+
+    /// Whether a new attempt may be written to this process of it.
+    fn accepts(&self, process: EndpointProcess) -> bool {
+        self.is_ready() && self.address == process.address && self.started_at_ms == process.started_at_ms
+    }
+}
+
+/// An endpoint that takes new attempts.
+pub(super) struct ReadyEndpoint {
+    pub(super) process: EndpointProcess,
+    pub(super) target: AttemptTarget,
+}
+
+/// Owns the endpoints by their ids.
+#[derive(Default)]
+pub(super) struct Endpoints {
+    by_id: HashMap<EndpointId, Endpoint>,
+    ids: EndpointIds,
+}
+
+impl Endpoints {
+    /// Number of endpoints.
+    pub(super) fn count(&self) -> usize {
+        self.by_id.len()
+    }
+
+    /// Number of endpoints that the list says are ready.
+    pub(super) fn ready_count(&self) -> usize {
+        self.by_id.values().filter(|endpoint| endpoint.is_ready()).count()
+    }
+
+    /// The endpoint, if the list says that it is ready.
+    pub(super) fn ready(&self, endpoint_id: EndpointId) -> Option<ReadyEndpoint> {
+        let endpoint = self.by_id.get(&endpoint_id).filter(|endpoint| endpoint.is_ready())?;
+        let &Endpoint { address, started_at_ms, .. } = endpoint;
+        Some(ReadyEndpoint {
+            process: EndpointProcess { endpoint_id, address, started_at_ms },
+            target: endpoint.target.clone(),
+        })
+    }
+
+    /// Whether a new attempt may be written to this process.
+    pub(super) fn accepts(&self, process: EndpointProcess) -> bool {
+        self.by_id.get(&process.endpoint_id).is_some_and(|endpoint| endpoint.accepts(process))
     }
 
-    /// Closes the idle connections for which `keeps` does not hold, and counts them.
-    pub(crate) fn close_idle(
+    /// Updates the endpoints from a list and returns its entries for the balancer. Endpoints that a
+    /// full list does not name are marked as removed until [`Endpoints::forget_removed`].
+    pub(super) fn update(
         &mut self,
-        metrics: &Metrics,
-        close: EndpointCloseReason,
-        keeps: impl Fn(&(Instant, Connection)) -> bool,
-    ) {
-        let before = self.idle.len();
-        self.idle.retain(keeps);
-        metrics.count().closed_to_hosts(close, before - self.idle.len());
+        list: &EndpointList,
+        is_full: bool,
+        pool: &mut ConnectionPool,
+    ) -> Vec<EndpointEntry> {
+        if is_full {
+            for endpoint in self.by_id.values_mut() {
+                endpoint.state = ListedState::Removed;
+            }
+        }
+        let entries = list.endpoints.iter().map(|entry| self.update_endpoint(entry, pool)).collect();
+        for endpoint in self.by_id.values() {
+            endpoint.target.drain_status.listed(endpoint.is_ready());
+        }
+        entries
     }
 
-    /// Whether something new may be written to this process of it.
-    pub(crate) fn takes(&self, process: EndpointProcess) -> bool {
-        self.state == ListedState::Ready
-            && (self.address, self.started_at_ms) == (process.address, process.started_at_ms)
+    fn update_endpoint(&mut self, entry: &ListedEndpoint, pool: &mut ConnectionPool) -> EndpointEntry {
+        let endpoint_id = self.ids.get(&entry.name, |id| {
+            // The balancer's log lines have the id alone.
+            crate::log::line(&format!("endpoint {} is {} at {}", id.0, entry.name, entry.address));
+        });
+        let endpoint = self.by_id.entry(endpoint_id).or_insert_with(|| Endpoint::new(entry));
+        if endpoint.address != entry.address || endpoint.started_at_ms != entry.started_at_ms {
+            endpoint.address = entry.address;
+            endpoint.started_at_ms = entry.started_at_ms;
+            pool.close_all(endpoint_id);
+            // Attempts for the process before may no longer start.
+            std::mem::take(&mut endpoint.target.drain_status).listed(false);
+        }
+        endpoint.state = entry.state;
+        endpoint.target.zone = balancer_settings::zone(&entry.zone);
+        endpoint.target.cell = CellId(entry.cell);
+        EndpointEntry {
+            endpoint: endpoint_id,
+            state: entry.state.into(),
+            zone: endpoint.target.zone,
+            cell: endpoint.target.cell,
+            started_at: entry.started_at_ms.saturating_mul(1_000),
+            weight: entry.weight,
+        }
+    }
+
+    /// Ids of the endpoints that take no new attempts.
+    pub(super) fn unready(&self) -> impl Iterator<Item = EndpointId> + '_ {
+        self.by_id.iter().filter(|(_, endpoint)| !endpoint.is_ready()).map(|(&id, _)| id)
+    }
+
+    /// Forgets the endpoints that are no longer listed.
+    pub(super) fn forget_removed(&mut self) {
+        self.by_id.retain(|_, endpoint| endpoint.state != ListedState::Removed);
+        let by_id = &self.by_id;
+        self.ids.retain(|endpoint_id| by_id.contains_key(&endpoint_id));
     }
 }
--- a/proxy/src/control/in_flight.rs
+++ b/proxy/src/control/in_flight.rs
@@ -1,161 +1,207 @@
-//! Requests on their way: what hosts get of one, the answer that it gets, and the attempts that are out for it.
+//! Requests in flight and their attempts.
 
-use crate::body::{AttemptBody, RequestBody, ResponseBody};
+use crate::control::clock::to_micros;
 use crate::control::endpoints::EndpointProcess;
+pub(crate) use crate::control::request::{ForwardedRequest, Reply, RequestDescriptor};
 use crate::invariants::RequestRecord;
-use crate::socket::Socket;
-use crate::upstream;
+use crate::upstream::ScopedTask;
 use crate::write_guard::WriteGuard;
-use balancer::{ClassId, Event, LoadReport, Micros, Outcome, RequestId, TenantId};
-use hyper::header::{HeaderMap, HeaderValue};
-use hyper::{Method, Request, Response, Uri};
-use std::collections::VecDeque;
+use balancer::{Event, LoadReport, Micros, Outcome, RequestId};
+use hyper::header::HeaderValue;
+use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A client's request as hosts get it.
-#[derive(Debug)]
-pub struct ForwardedRequest {
-    /// Its method.
-    pub method: Method,
-    /// Its path and query.
-    pub target: Uri,
-    /// Its headers, without those of the client's connection.
-    pub headers: HeaderMap,
-    /// Its body.
-    pub payload: RequestBody,
-    /// How long its client waits for the answer, from its last byte on.
-    pub budget: Duration,
-    /// Where it came.
-    pub client: Socket,
+/// Owns the requests in flight: from their arrival until they have their reply and none of their
+/// attempts is in flight.
+#[derive(Default)]
+pub(super) struct InFlightRequests {
+    by_id: BTreeMap<RequestId, InFlightRequest>,
+    /// The clients' ids of these requests. Endpoints would take two requests with one id for the same.
+    client_ids: HashSet<HeaderValue>,
+    last_id: u64,
 }
 
-impl ForwardedRequest {
-    /// The request for one attempt, which is given up at `until`.
-    pub(crate) fn request(&self, until: Instant, write_guard: &WriteGuard) -> Request<AttemptBody> {
-        let mut request = Request::new(AttemptBody::new(&self.payload, write_guard));
-        *request.method_mut() = self.method.clone();
-        *request.uri_mut() = self.target.clone();
-        *request.headers_mut() = self.headers.clone();
-        let whole = self.payload.upload().is_none_or(|upload| upload.end().is_some());
-        // All of one that is still being read may have come by now.
-        let until = if whole { until } else { self.client.came_at() + self.budget };
-        let left = until.saturating_duration_since(Instant::now());
-        let left = left.as_millis() as u64;
-        write_guard.tell(Duration::from_millis(left));
-        request.headers_mut().insert("x-budget-ms", HeaderValue::from(left.max(1)));
-        request
+impl InFlightRequests {
+    /// A number for a request with this id. `None`: there is one with this id already.
+    pub(super) fn reserve_id(&mut self, client_id: &HeaderValue) -> Option<RequestId> {
+        if !self.client_ids.insert(client_id.clone()) {
+            return None;
+        }
+        self.last_id += 1;
+        Some(RequestId(self.last_id))
     }
-}
 
-/// What the decision module is told of a request.
-#[derive(Clone, Debug)]
-pub struct RequestDescriptor {
-    /// Its id, which no other open request has.
-    pub id: HeaderValue,
-    /// Its class.
-    pub class: ClassId,
-    /// Whose it is.
-    pub tenant: Option<TenantId>,
-    /// Until when the client is to have its answer.
-    pub deadline: Instant,
-    /// The client has tried before.
-    pub client_retry: bool,
-}
+    /// Adds a request under its reserved number.
+    pub(super) fn insert(&mut self, id: RequestId, request: InFlightRequest) {
+        self.by_id.insert(id, request);
+    }
+
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut InFlightRequest> {
+        self.by_id.get_mut(&id)
+    }
+
+    /// Takes an attempt that has ended out of its request.
+    pub(super) fn take_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+    ) -> Option<(&mut InFlightRequest, InFlightAttempt)> {
+        let request = self.by_id.get_mut(&id)?;
+        let ended = request.attempts.get_mut(attempt as usize)?.take()?;
+        Some((request, ended))
+    }
 
-/// The one final answer of a request.
-#[derive(Debug)]
-pub enum Reply {
-    /// A host's answer.
-    Served(Response<ResponseBody>),
-    /// Turned away; the client may come again after this time.
-    Rejected(Duration),
-    /// Failed; it may have run.
-    Failed,
+    /// Lets no request end later than this.
+    pub(super) fn limit_deadlines(&mut self, end: Instant) {
+        for request in self.by_id.values_mut() {
+            request.deadline = request.deadline.min(end);
+        }
+    }
+
+    /// Ends the unwritten attempts of all requests for processes that take none now.
+    pub(super) fn withdraw_attempts(
+        &mut self,
+        events: &mut VecDeque<Event>,
+        is_accepted: impl Fn(EndpointProcess) -> bool,
+    ) {
+        for (&id, request) in &mut self.by_id {
+            request.end_unwritten_attempts(id, events, |attempt| !is_accepted(attempt.process));
+        }
+    }
+
+    /// Once a request has its reply, nothing more is written for it, and it is removed when none of
+    /// its attempts is in flight.
+    pub(super) fn clean_up(&mut self, id: RequestId, events: &mut VecDeque<Event>) {
+        let Some(request) = self.by_id.get_mut(&id).filter(|request| request.has_reply()) else {
+            return;
+        };
+        request.end_incomplete_attempts(id, events);
+        if request.attempts.iter().all(Option::is_none) {
+            if let Some(request) = self.by_id.remove(&id) {
+                self.client_ids.remove(&request.client_id);
+            }
+        }
+    }
 }
 
-/// A call from its request until it is answered and none of its attempts is out.
-pub(crate) struct InFlightRequest {
-    pub(crate) id: HeaderValue,
-    pub(crate) forward: Rc<ForwardedRequest>,
-    pub(crate) deadline: Instant,
-    pub(crate) record: RequestRecord,
-    /// `None`: it is over.
-    pub(crate) reply: Option<oneshot::Sender<Reply>>,
+/// A request in flight.
+pub(super) struct InFlightRequest {
+    pub(super) client_id: HeaderValue,
+    pub(super) forwarded: Rc<ForwardedRequest>,
+    pub(super) deadline: Instant,
+    pub(super) record: RequestRecord,
+    /// `None`: it has its reply, or its client has disconnected.
+    pub(super) reply: Option<oneshot::Sender<Reply>>,
     /// `None`: that attempt has ended.
-    pub(crate) attempts: Vec<Option<InFlightAttempt>>,
+    pub(super) attempts: Vec<Option<InFlightAttempt>>,
 }
 
 impl InFlightRequest {
-    /// Whether the client's time has begun: all of its request has come.
-    pub(crate) fn is_whole(&self) -> bool {
-        self.forward.payload.upload().is_none_or(|upload| upload.end().is_some())
+    /// Whether it needs no further reply.
+    pub(super) fn has_reply(&self) -> bool {
+        self.reply.is_none()
+    }
+
+    /// Whether an attempt may start now.
+    pub(super) fn may_start_attempt(&self, now: Instant) -> bool {
+        !self.has_reply() && (now < self.deadline || !self.forwarded.is_complete())
+    }
+
+    /// The request has become complete: its deadline is known, and its attempts' time begins.
+    pub(super) fn complete(&mut self, deadline: Instant) {
+        self.deadline = deadline;
+        self.record.whole(deadline);
+        for attempt in self.attempts.iter_mut().flatten() {
+            attempt.started_at = Instant::now();
+        }
+    }
+
+    /// Cancels it, as its client has disconnected. `false`: it had its reply before.
+    pub(super) fn cancel(&mut self, id: RequestId, events: &mut VecDeque<Event>) -> bool {
+        if self.reply.take().is_none() {
+            return false;
+        }
+        self.record.left();
+        events.push_back(Event::RequestCancelled { request: id });
+        true
     }
 
-    /// How long an attempt has taken so far; not while its request is still coming.
-    pub(crate) fn took(&self, sent: Instant) -> Micros {
-        if self.is_whole() {
-            sent.elapsed().as_micros() as Micros
+    /// How long an attempt has taken so far; 0 while the request is still being read.
+    pub(super) fn elapsed(&self, attempt: &InFlightAttempt) -> Micros {
+        if self.forwarded.is_complete() {
+            to_micros(attempt.started_at.elapsed())
         } else {
             0
         }
     }
 
-    /// Ends the attempts that are unwanted and of which nothing is written yet. Unlike one that is called off,
-    /// such an attempt surely never ran.
-    pub(crate) fn withdraw(
+    /// Ends the unwanted attempts of which nothing is written yet. Unlike cancelled ones, these were
+    /// certainly not executed.
+    fn end_unwritten_attempts(
         &mut self,
         id: RequestId,
         events: &mut VecDeque<Event>,
-        unwanted: impl Fn(&InFlightAttempt) -> bool,
+        is_unwanted: impl Fn(&InFlightAttempt) -> bool,
     ) {
-        self.take_back(id, events, Outcome::NeverSent, |out| out.write_guard.written() == 0 && unwanted(out));
+        self.end_attempts(id, events, Outcome::NeverSent, |attempt| {
+            attempt.write_guard.written() == 0 && is_unwanted(attempt)
+        });
     }
 
-    /// Ends the attempts of a call that is over of which a part is not written yet: nothing more is sent for it. No host
-    /// begins with such an attempt.
-    pub(crate) fn cut_off(&mut self, id: RequestId, events: &mut VecDeque<Event>) {
-        self.withdraw(id, events, |_| true);
-        self.take_back(id, events, Outcome::Cancelled, |out| !out.write_guard.is_whole());
+    /// Ends the attempts that are not completely written. No endpoint executes those.
+    fn end_incomplete_attempts(&mut self, id: RequestId, events: &mut VecDeque<Event>) {
+        self.end_unwritten_attempts(id, events, |_| true);
+        self.end_attempts(id, events, Outcome::Cancelled, |attempt| !attempt.write_guard.is_whole());
     }
 
-    pub(crate) fn take_back(
+    fn end_attempts(
         &mut self,
         id: RequestId,
         events: &mut VecDeque<Event>,
         outcome: Outcome,
-        unwanted: impl Fn(&InFlightAttempt) -> bool,
+        is_unwanted: impl Fn(&InFlightAttempt) -> bool,
     ) {
-        let closed = self.reply.is_none();
-        for (attempt, out) in (0..).zip(&mut self.attempts) {
-            if let Some(out) = out.take_if(|out| unwanted(out)) {
-                out.write_guard.bar();
-                out.write_guard.ended(outcome);
-                events.push_back(ended(id, attempt, outcome, out.sent.elapsed(), closed));
+        let request_finished = self.has_reply();
+        for (number, attempt) in (0..).zip(&mut self.attempts) {
+            if let Some(attempt) = attempt.take_if(|attempt| is_unwanted(attempt)) {
+                attempt.bar(outcome);
+                let elapsed = attempt.started_at.elapsed();
+                events.push_back(ended_by_proxy(id, number, outcome, elapsed, request_finished));
             }
         }
     }
 }
 
-/// The outcome of an attempt that the proxy itself has ended.
-pub(crate) fn ended(
+/// An attempt in flight.
+pub(super) struct InFlightAttempt {
+    pub(super) process: EndpointProcess,
+    /// When it started, or its request became complete if that was later.
+    pub(super) started_at: Instant,
+    pub(super) write_guard: WriteGuard,
+    /// Ends the exchange and closes its connection when dropped.
+    pub(super) _task: ScopedTask,
+}
+
+impl InFlightAttempt {
+    /// Lets nothing more be written of it, as the proxy has ended it.
+    pub(super) fn bar(&self, outcome: Outcome) {
+        self.write_guard.bar();
+        self.write_guard.ended(outcome);
+    }
+}
+
+/// The end of an attempt that the proxy itself has ended.
+pub(super) fn ended_by_proxy(
     request: RequestId,
     attempt: u32,
     outcome: Outcome,
     elapsed: Duration,
     request_finished: bool,
 ) -> Event {
-    let (elapsed, load) = (elapsed.as_micros() as Micros, LoadReport::default());
+    let elapsed = to_micros(elapsed);
+    let load = LoadReport::default();
     Event::AttemptEnded { request, attempt, outcome, elapsed, request_finished, load }
 }
-
-/// An attempt that is out.
-pub(crate) struct InFlightAttempt {
-    pub(crate) to: EndpointProcess,
-    pub(crate) sent: Instant,
-    pub(crate) write_guard: WriteGuard,
-    /// Ends the exchange and closes its connection when dropped.
-    pub(crate) _task: upstream::ScopedTask,
-}
--- /dev/null
+++ b/proxy/src/control/requests.rs
@@ -0,0 +1,152 @@
+//! A request's course: its arrival, its completion, its cancellation and its final reply.
+
+use crate::control::clock::micros_until;
+use crate::control::in_flight::InFlightRequest;
+use crate::control::request::{ForwardedRequest, Reply, RequestDescriptor};
+use crate::control::{Control, ControlState};
+use crate::invariants::{AnswerKind, RequestPolicy, RequestRecord};
+use crate::metrics::{RequestEnd, RequestTracker};
+use balancer::{ClassId, Event, FailureReason, Idempotency, RequestId};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+/// A request that waits for its reply. Dropped before that, it is cancelled: its client has
+/// disconnected.
+pub struct PendingReply {
+    control: Control,
+    request: RequestId,
+    reply: oneshot::Receiver<Reply>,
+    tracker: Option<RequestTracker>,
+}
+
+impl PendingReply {
+    /// The request's final reply.
+    pub async fn reply(&mut self) -> Reply {
+        // The sender is only ever dropped with the request, after a reply or with the process.
+        let mut reply = (&mut self.reply).await.unwrap_or(Reply::Failed);
+        if let Some(tracker) = self.tracker.take() {
+            match &mut reply {
+                Reply::Served(response) => response.body_mut().ends(tracker),
+                Reply::Rejected(_) => tracker.end(RequestEnd::Rejected),
+                Reply::Failed => tracker.end(RequestEnd::Failed),
+            }
+        }
+        reply
+    }
+
+    /// The request is complete: its client waits for `time_left` from now.
+    pub fn uploaded(&mut self, time_left: Duration) {
+        if let Some(tracker) = &mut self.tracker {
+            tracker.set_whole();
+        }
+        self.control.complete_request(self.request, time_left);
+    }
+}
+
+impl Drop for PendingReply {
+    fn drop(&mut self) {
+        self.control.cancel_request(self.request);
+    }
+}
+
+impl Control {
+    /// Takes a request. `None`: one with its id is in flight already.
+    pub fn request(
+        &self,
+        descriptor: RequestDescriptor,
+        forwarded: ForwardedRequest,
+    ) -> Option<PendingReply> {
+        let class = descriptor.class;
+        let non_replayable = forwarded.payload.upload().is_some();
+        let mut state = self.state_mut();
+        let request = state.requests.reserve_id(&descriptor.id)?;
+        let tracker = state.metrics.take(class, !non_replayable);
+        let (sender, reply) = oneshot::channel();
+        let deadline = state.shutdown.limit(descriptor.deadline);
+        let time_left = micros_until(deadline);
+        let record = RequestRecord::new(
+            state.metrics.clone(),
+            descriptor.id.clone(),
+            state.request_policy(class),
+            (!non_replayable).then_some(deadline),
+        );
+        let in_flight = InFlightRequest {
+            client_id: descriptor.id,
+            forwarded: Rc::new(forwarded),
+            deadline,
+            record,
+            reply: Some(sender),
+            attempts: Vec::new(),
+        };
+        state.requests.insert(request, in_flight);
+        drop(state);
+        self.dispatch([Event::RequestReceived {
+            request,
+            class,
+            tenant: descriptor.tenant,
+            time_left,
+            client_retry: descriptor.client_retry,
+            non_replayable,
+        }]);
+        Some(PendingReply { control: self.clone(), request, reply, tracker: Some(tracker) })
+    }
+
+    /// Rejects a request that the balancer never saw, or that it knows to be cancelled.
+    pub fn refuse(&self, class: ClassId) -> Reply {
+        self.metrics().take(class, true).end(RequestEnd::Rejected);
+        Reply::Rejected(Duration::ZERO)
+    }
+
+    fn complete_request(&self, id: RequestId, time_left: Duration) {
+        let mut state = self.state_mut();
+        let deadline = state.shutdown.limit(Instant::now() + time_left);
+        let Some(request) = state.requests.get_mut(id) else { return };
+        request.complete(deadline);
+        let time_left = micros_until(deadline);
+        drop(state);
+        self.dispatch([Event::RequestCompleted { request: id, time_left }]);
+    }
+
+    fn cancel_request(&self, id: RequestId) {
+        let mut state = self.state_mut();
+        let ControlState { requests, events, .. } = &mut *state;
+        if requests.get_mut(id).is_some_and(|request| request.cancel(id, events)) {
+            requests.clean_up(id, events);
+            drop(state);
+            self.dispatch([]);
+        }
+    }
+}
+
+impl ControlState {
+    /// Replies to a request that the balancer rejects or fails.
+    pub(super) fn reply_unserved(&mut self, id: RequestId, reason: FailureReason, reply: Reply) {
+        if let Some(request) = self.requests.get_mut(id) {
+            if let Some(sender) = request.reply.take() {
+                self.metrics.count().given_up(reason);
+                request.record.given_up(reason);
+                request.record.answered(match reply {
+                    Reply::Failed => AnswerKind::Failed,
+                    Reply::Rejected(_) | Reply::Served(_) => AnswerKind::Rejected,
+                });
+                // A client that has just disconnected has no use for it.
+                let _ = sender.send(reply);
+            }
+        }
+        self.requests.clean_up(id, &mut self.events);
+    }
+
+    /// What the invariants allow for requests of a class.
+    fn request_policy(&self, class: ClassId) -> RequestPolicy {
+        let settings = &self.config.settings;
+        let class = settings.classes.get(class.0);
+        RequestPolicy {
+            idempotency: class.map_or(Idempotency::NonIdempotent, |class| class.idempotency),
+            attempts: settings.limits.max_attempts as usize,
+            copies: settings.limits.hedging,
+            drain_grace: self.config.drain_grace,
+        }
+    }
+}
--- /dev/null
+++ b/proxy/src/control/snapshot.rs
@@ -0,0 +1,29 @@
+//! Metrics as operators and the log get them.
+
+use crate::control::Control;
+use crate::log;
+
+impl Control {
+    /// The metrics so far, as operators read them.
+    pub fn figures(&self) -> serde_json::Value {
+        let state = self.state();
+        // Draining endpoints are unavailable by the list's word, whatever the balancer thinks of them.
+        let draining = state.endpoints.count() - state.endpoints.ready_count();
+        let unavailable = state.balancer.avoided(state.clock.now()) + draining;
+        let metrics = state.metrics.get();
+        metrics.to_json(&state.config.classes, state.endpoints.count(), unavailable)
+    }
+
+    /// Writes the metrics so far to the log.
+    pub fn log_counts(&self) {
+        let snapshot = self.figures();
+        let state = self.state();
+        let open = state.pool.open_count();
+        let idle = state.pool.idle_count();
+        let max_idle = state.pool.max_idle(state.config.conn_idle);
+        let metrics = state.metrics.get();
+        log::line(&format!(
+            "{open} connections ({idle} idle, for at most {max_idle:?}), {snapshot}, {metrics}"
+        ));
+    }
+}
