--- a/proxy/src/control/in_flight.rs
+++ b/proxy/src/control/in_flight.rs
@@ -2,7 +2,7 @@
 
 use crate::control::clock::to_micros;
 use crate::control::endpoints::EndpointProcess;
-pub(crate) use crate::control::request::{ForwardedRequest, Reply, RequestDescriptor};
+use crate::control::request::{ForwardedRequest, Reply};
 use crate::invariants::RequestRecord;
 use crate::upstream::ScopedTask;
 use crate::write_guard::WriteGuard;
--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -15,7 +15,7 @@
 pub mod endpoint_ids;
 mod endpoint_list;
 mod endpoints;
-pub(crate) mod in_flight;
+mod in_flight;
 mod reload;
 pub mod request;
 mod requests;
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -485,7 +485,7 @@
 mod tests {
     use super::*;
     use crate::body::RequestBody;
-    use crate::control::in_flight::{ForwardedRequest, Reply, RequestDescriptor};
+    use crate::control::request::{ForwardedRequest, Reply, RequestDescriptor};
     use balancer::ClassId;
     use hyper::rt::Write;
     use hyper::{HeaderMap, Method, Uri};
--- a/proxy/src/downstream/request.rs
+++ b/proxy/src/downstream/request.rs
@@ -1,7 +1,7 @@
 //! What a client's request says and whether it can be used, and the answers that clients get.
 
 use crate::body::{RequestBody, ResponseBody, Upload, UploadError, BODY_MOST};
-use crate::control::in_flight::{ForwardedRequest, Reply, RequestDescriptor};
+use crate::control::request::{ForwardedRequest, Reply, RequestDescriptor};
 use crate::control::Control;
 use crate::socket::Socket;
 use balancer::{ClassId, Idempotency, TenantId};
