--- a/proxy/src/control/attempts.rs
+++ b/proxy/src/control/attempts.rs
@@ -41,7 +41,7 @@
             deadline: request.deadline,
             write_guard: write_guard.clone(),
         };
-        let max_idle = self.pool.max_idle(self.config.conn_idle);
+        let max_idle = self.pool.max_idle(self.config.connection_idle_timeout);
         let idle_connection = self.pool.take(endpoint_id, max_idle);
         let number = request.attempts.len() as u32;
         let control = control.clone();
--- a/proxy/src/control/endpoint_list.rs
+++ b/proxy/src/control/endpoint_list.rs
@@ -23,7 +23,7 @@
             generation: self.watch.next_generation(),
             discovery: self.config.discovery,
             since: self.watch.version,
-            timeouts: self.config.watch_patience(),
+            timeouts: self.config.watch_timeouts(),
         };
         self.watch.set_task(upstream::spawn(control.clone().follow_watch(request)));
     }
--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -82,7 +82,7 @@
             timer: DeadlineTimer::default(),
             shutdown: ShutdownState::default(),
             metrics,
-            memory: BodyMemory::new(config.bodies),
+            memory: BodyMemory::new(config.body_memory_bytes),
             is_accepting: false,
             config,
         }
@@ -111,12 +111,12 @@
 
     /// Reserves a descriptor for a connection to an endpoint, until the permit is dropped.
     fn reserve_connection(&mut self) -> Option<Rc<()>> {
-        self.pool.reserve(self.config.connections_to_hosts())
+        self.pool.reserve(self.config.max_endpoint_connections())
     }
 
     /// Closes idle connections that have expired; to be called once a second.
     fn sweep(&mut self) {
-        self.pool.sweep(self.config.conn_idle);
+        self.pool.sweep(self.config.connection_idle_timeout);
     }
 }
 
@@ -125,10 +125,10 @@
     pub fn start(config: Rc<Config>) -> Control {
         let control = Control(Rc::new(RefCell::new(ControlState::new(config.clone()))));
         // Set before the start: the balancer may subscribe at once, from this version on.
-        let cached_version = config.known.as_ref().map(|list| list.version);
+        let cached_version = config.cached_list.as_ref().map(|list| list.version);
         control.state_mut().watch.version = cached_version;
         control.dispatch([Event::Start]);
-        if let Some(cached_list) = &config.known {
+        if let Some(cached_list) = &config.cached_list {
             control.apply_cached_list(cached_list);
         }
         if config.settings.discovery.mode == DiscoveryMode::Push {
--- a/proxy/src/control/reload.rs
+++ b/proxy/src/control/reload.rs
@@ -1,6 +1,6 @@
 //! Changes of the configuration while the proxy runs.
 
-use crate::config::Config;
+use crate::config::{Config, Reloaded};
 use crate::control::Control;
 use crate::log;
 use balancer::{DiscoveryMode, Event, ListUpdate};
@@ -11,10 +11,10 @@
     /// list that the proxy has.
     pub fn reload(&self, config: Config) {
         let mut state = self.state_mut();
-        let (config, needs_restart) = state.config.renewed(config);
+        let Reloaded { config, needs_restart } = state.config.reloaded(config);
         let discovery_changed = config.discovery != state.config.discovery;
-        let note = if needs_restart { "; what else changed takes a restart" } else { "" };
-        log::line(&format!("configuration read again, discovery at {}{note}", config.discovery));
+        let note = if needs_restart { "; its other changes need a restart" } else { "" };
+        log::line(&format!("configuration reloaded, discovery at {}{note}", config.discovery));
         state.config = Rc::new(config);
         if !discovery_changed {
             return;
@@ -31,10 +31,10 @@
 
     /// Shares the descriptors with so many processes of the program, this one included. Idle
     /// connections beyond this one's part are closed.
-    pub fn share(&self, processes: usize) {
+    pub fn share(&self, process_count: usize) {
         let mut state = self.state_mut();
-        state.config = Rc::new(Config { processes, ..Config::clone(&state.config) });
-        let max_open = state.config.connections_to_hosts();
+        state.config = Rc::new(Config { process_count, ..Config::clone(&state.config) });
+        let max_open = state.config.max_endpoint_connections();
         state.pool.shrink(max_open);
     }
 }
--- a/proxy/src/control/snapshot.rs
+++ b/proxy/src/control/snapshot.rs
@@ -20,7 +20,7 @@
         let state = self.state();
         let open = state.pool.open_count();
         let idle = state.pool.idle_count();
-        let max_idle = state.pool.max_idle(state.config.conn_idle);
+        let max_idle = state.pool.max_idle(state.config.connection_idle_timeout);
         let metrics = state.metrics.get();
         log::line(&format!(
             "{open} connections ({idle} idle, for at most {max_idle:?}), {snapshot}, {metrics}"
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -65,7 +65,7 @@
 /// Serves until `stop` is done, then goes on for as long as new connections may come, then closes connections
 /// between requests and returns when none is left.
 pub async fn serve(listener: TcpListener, driver: Control, stop: impl Future<Output = ()>) {
-    let longest = driver.config().longest_deadline().min(DEADLINE_MOST);
+    let longest = driver.config().max_deadline().min(DEADLINE_MOST);
     let mut clients =
         ClientConnections { driver, open: Vec::new(), crowded: Rc::default(), stopping: Rc::default() };
     clients.driver.set_accepting(true);
@@ -378,8 +378,8 @@
     /// then the one that has been idle the longest. Clients that keep connections and say nothing must not keep
     /// others out.
     fn make_room(&mut self) -> bool {
-        let most = self.driver.config().connections_to_clients();
-        self.crowded.set(self.open.len() > self.driver.config().crowded_from());
+        let most = self.driver.config().max_client_connections();
+        self.crowded.set(self.open.len() > self.driver.config().busy_client_connections());
         if self.open.len() >= most {
             self.open.retain(|client| !client.task.is_finished());
         }
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,5 +1,5 @@
-//! client-proxy is a client proxy: it takes an application's requests and passes each to a host of a fleet, as
-//! the decision module `balancer` says.
+//! A client-side proxy: it takes an application's requests and forwards each to an endpoint of a
+//! fleet, as the [`balancer`] decides.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -18,106 +18,143 @@
 pub mod upstream;
 mod write_guard;
 
-use config::Config;
-use std::future::Future;
+use config::{Config, LoadError};
+use control::Control;
+use std::future::{pending, Future};
 use std::io;
 use std::path::PathBuf;
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
+/// How long clients wait for the first endpoint list. Without one they are rejected, unless another
+/// process serves them.
+const LIST_TIMEOUT: Duration = Duration::from_secs(2);
+/// When a process is ready, with or without a list: a restarted one must be within 6 s.
+const READY_DELAY: Duration = Duration::from_secs(5);
+/// The same beside another process, which may be about to end: it must be ready within 10 s.
+const READY_DELAY_BESIDE_OTHER: Duration = Duration::from_secs(8);
+
 /// Where the program listens.
 #[derive(Debug)]
 pub struct Listeners {
-    /// For clients. It begins to listen once there is a list of hosts, or after a while without one.
+    /// For clients. It begins to listen once there is an endpoint list, or after a while without one.
     pub clients: TcpSocket,
     /// For operators, if they have an address.
     pub operators: Option<TcpListener>,
 }
 
-/// How long clients are kept waiting for a list of hosts: without one they are at least told so, unless another process
-/// serves them.
-const LIST_WAIT: Duration = Duration::from_secs(2);
-/// A restarted process is ready within 6 s, list or not, and one beside another within 10 s: the other may be about to end.
-const READY_ALONE: Duration = Duration::from_secs(5);
-const READY_BESIDE: Duration = Duration::from_secs(8);
+/// Why the proxy cannot serve.
+#[derive(Debug, Error)]
+pub enum RunError {
+    /// The clients' address cannot be listened to.
+    #[error("cannot listen for clients: {0}")]
+    Listen(io::Error),
+}
 
-/// Serves until `stop` is done and all that was taken is answered. `reload` gives the next configuration each
-/// time there is one, and `None` when none will come. `folder` is where a second process of the program shows itself, if
-/// there may be one. Runs inside a [`tokio::task::LocalSet`].
+/// Serves until `shutdown` is done and every request that was taken has its response. `reload` gives
+/// each new configuration, and `None` when no more follow. `presence_folder` is where another process
+/// of the program is found, if there may be one. Runs inside a [`tokio::task::LocalSet`].
+///
+/// # Errors
+/// The clients' address cannot be listened to.
 pub async fn run(
     config: Config,
     listeners: Listeners,
-    folder: Option<PathBuf>,
-    mut reload: impl AsyncFnMut() -> Option<Result<Config, String>>,
-    stop: impl Future<Output = ()>,
-) -> io::Result<()> {
-    let driver = control::Control::start(Rc::new(config));
+    presence_folder: Option<PathBuf>,
+    reload: impl AsyncFnMut() -> Option<Result<Config, LoadError>>,
+    shutdown: impl Future<Output = ()>,
+) -> Result<(), RunError> {
+    let control = Control::start(Rc::new(config));
     let operators =
-        listeners.operators.map(|listener| upstream::spawn(operators::serve(listener, driver.clone())));
-    let reloads = async {
-        while let Some(config) = reload().await {
-            match config {
-                Ok(config) => driver.reload(config),
-                // A broken file must not end what serves well with the one before.
-                Err(reason) => log::line(&format!("configuration kept: {}", reason.replace('\n', " "))),
-            }
-        }
-        std::future::pending().await
-    };
-    let _readiness = upstream::spawn(be_ready(driver.clone()));
-    let _presence = folder.map(|folder| upstream::spawn(share(folder, driver.clone())));
-    let serving = async {
-        let mut stop = pin!(stop);
-        tokio::select! {
-            biased;
-            // Nothing has been taken.
-            () = &mut stop => return Ok(()),
-            () = may_listen(&driver) => {}
-        }
-        downstream::serve(listeners.clients.listen(downstream::BACKLOG)?, driver.clone(), stop).await;
-        driver.log_counts();
-        Ok(())
-    };
+        listeners.operators.map(|listener| upstream::spawn(operators::serve(listener, control.clone())));
+    let _list_wait = upstream::spawn(end_list_wait(control.clone()));
+    let _presence = presence_folder.map(|folder| upstream::spawn(share_with_other(folder, control.clone())));
     let ended = tokio::select! {
-        ended = serving => ended,
-        () = reloads => Ok(()),
+        ended = serve_clients(listeners.clients, &control, shutdown) => ended,
+        () = apply_reloads(&control, reload) => Ok(()),
     };
     drop(operators);
     ended
 }
 
-/// Returns when clients can be taken. One that connects before there is a list could only be turned away, and one of a
-/// process that is to be replaced would have been served there.
-async fn may_listen(driver: &control::Control) {
+/// Serves clients once there is a list, until shutdown has ended.
+async fn serve_clients(
+    socket: TcpSocket,
+    control: &Control,
+    shutdown: impl Future<Output = ()>,
+) -> Result<(), RunError> {
+    let mut shutdown = pin!(shutdown);
+    tokio::select! {
+        biased;
+        // No request has been taken.
+        () = &mut shutdown => return Ok(()),
+        () = listening_allowed(control) => {}
+    }
+    let listener = socket.listen(downstream::BACKLOG).map_err(RunError::Listen)?;
+    downstream::serve(listener, control.clone(), shutdown).await;
+    control.log_counts();
+    Ok(())
+}
+
+/// Applies each new configuration; it never returns.
+async fn apply_reloads(
+    control: &Control,
+    mut reload: impl AsyncFnMut() -> Option<Result<Config, LoadError>>,
+) {
+    while let Some(config) = reload().await {
+        match config {
+            Ok(config) => control.reload(config),
+            // An invalid file must not end what serves well with the one before.
+            Err(error) => {
+                let reason = error.to_string().replace('\n', " ");
+                log::line(&format!("configuration kept: {reason}"));
+            }
+        }
+    }
+    pending().await
+}
+
+/// Returns when clients may connect. Before there is a list they could only be rejected; while another
+/// process is to be replaced, that one serves them.
+async fn listening_allowed(control: &Control) {
     let start = Instant::now();
-    let wait = || if driver.config().processes > 1 { READY_BESIDE } else { LIST_WAIT };
-    while start.elapsed() < wait() {
-        let left = wait().saturating_sub(start.elapsed()).min(LIST_WAIT);
-        if timeout(left, driver.listed()).await.is_ok() {
+    let list_timeout = || match control.config().process_count {
+        0 | 1 => LIST_TIMEOUT,
+        _ => READY_DELAY_BESIDE_OTHER,
+    };
+    while start.elapsed() < list_timeout() {
+        let left = list_timeout().saturating_sub(start.elapsed()).min(LIST_TIMEOUT);
+        if timeout(left, control.listed()).await.is_ok() {
             return;
         }
     }
 }
 
-/// Says that the process is ready once it need not wait for a list any longer.
-async fn be_ready(driver: control::Control) {
+/// Reports the process ready once it has waited long enough for a list.
+async fn end_list_wait(control: Control) {
     let start = Instant::now();
-    sleep(READY_ALONE).await;
-    if driver.config().processes > 1 {
-        sleep_until(start + READY_BESIDE).await;
+    sleep(READY_DELAY).await;
+    if control.config().process_count > 1 {
+        sleep_until(start + READY_DELAY_BESIDE_OTHER).await;
     }
-    driver.wait_no_longer();
+    control.wait_no_longer();
 }
 
 /// Shares the limits with another process of the program for as long as there is one.
-async fn share(folder: PathBuf, driver: control::Control) {
-    let shared = |shared| {
-        log::line(if shared { "another process serves too" } else { "no other process serves any more" });
-        driver.share(if shared { 2 } else { 1 });
+async fn share_with_other(folder: PathBuf, control: Control) {
+    let on_change = |is_shared| {
+        if is_shared {
+            log::line("another process serves too");
+            control.share(2);
+        } else {
+            log::line("no other process serves any more");
+            control.share(1);
+        }
     };
-    let Err(error) = process_handoff::keep_presence(&folder, shared).await;
+    let Err(error) = process_handoff::keep_presence(&folder, on_change).await;
     log::line(&format!("{}: {error}", folder.display()));
 }
--- a/proxy/src/operators.rs
+++ b/proxy/src/operators.rs
@@ -1,6 +1,7 @@
 //! Where operators call: one line to a connection, and one answer. Callers that say nothing hold a place for a bounded
 //! time only, and give it up as soon as another needs it.
 
+use crate::config::MAX_OPERATOR_CONNECTIONS;
 use crate::control::Control;
 use crate::log;
 use std::cell::Cell;
@@ -14,8 +15,6 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, timeout};
 
-/// Most connections at once; descriptors are reserved for them.
-pub const CALLERS_MOST: usize = 12;
 /// Longest line.
 const LINE_MOST: usize = 256;
 /// Time for the line, and for the answer to be taken.
@@ -29,7 +28,7 @@
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(CALLERS_MOST as u32 * 8)
+    socket.listen(MAX_OPERATOR_CONNECTIONS as u32 * 8)
 }
 
 /// A connection, and whether its line is there.
@@ -51,7 +50,7 @@
             }
         };
         callers.retain(|caller| !caller.task.is_finished());
-        if callers.len() >= CALLERS_MOST {
+        if callers.len() >= MAX_OPERATOR_CONNECTIONS {
             let oldest = callers.iter().position(|caller| !caller.heard.get()).unwrap_or(0);
             if let Some(caller) = callers.remove(oldest) {
                 caller.task.abort();
--- a/proxy/tests/common/mod.rs
+++ b/proxy/tests/common/mod.rs
@@ -315,7 +315,7 @@
     pub address: SocketAddr,
     pub admin: Option<SocketAddr>,
     pub stop: Option<oneshot::Sender<()>>,
-    pub task: JoinHandle<std::io::Result<()>>,
+    pub task: JoinHandle<Result<(), client_proxy::RunError>>,
 }
 
 impl Proxy {
--- a/proxy/tests/departures.rs
+++ b/proxy/tests/departures.rs
@@ -193,7 +193,7 @@
             .await;
             let text =
                 configuration(proxy.address, &[], |config| config["limits"]["sockets"] = sockets.into());
-            let places = Config::parse(&text).expect("a configuration").connections_to_clients();
+            let places = Config::parse(&text).expect("a configuration").max_client_connections();
             let mut clients = Vec::new();
             for number in 1..=places {
                 let mut client = proxy.client().await;
--- a/proxy/tests/faults.rs
+++ b/proxy/tests/faults.rs
@@ -91,7 +91,7 @@
                 config["limits"]["sockets"] = 70.into();
             };
             let text = configuration(discovery.address, from_ref(&host), few);
-            let places = client_proxy::config::Config::parse(&text).expect("good").connections_to_clients();
+            let places = client_proxy::config::Config::parse(&text).expect("good").max_client_connections();
             let mut command = program(&text, &format!("accept-{failure}.json")).0;
             command.env("ROUTER_ADMIN", admin.to_string());
             let failures = json!({"rules": [{"call": "accept", "failure": failure, "share": 0.5}]});
--- a/proxy/tests/names.rs
+++ b/proxy/tests/names.rs
@@ -29,12 +29,12 @@
     assert_eq!(config.listen.port(), 1);
     assert_eq!(config.discovery.port(), 2);
     assert_eq!(config.admin.expect("an address").port(), 3);
-    assert_eq!((config.seed, config.sockets, config.bodies), (255, 555, 16 << 20));
+    assert_eq!((config.seed, config.max_descriptors, config.body_memory_bytes), (255, 555, 16 << 20));
     assert_eq!((&config.classes[..], &config.tenants[..]), (&["free".to_owned()][..], &["t".to_owned()][..]));
     assert_eq!(config.connect_timeout, Duration::from_millis(7));
-    assert_eq!(config.conn_idle, Duration::from_millis(8));
+    assert_eq!(config.connection_idle_timeout, Duration::from_millis(8));
     assert_eq!(config.drain_grace, Duration::from_millis(9));
-    let list = config.known.expect("a list");
+    let list = config.cached_list.expect("a list");
     assert_eq!((list.version, list.is_full), (6, true));
     let host = &list.endpoints[0];
     assert_eq!((host.name.as_str(), host.address.port(), host.zone.as_str()), ("s-1", 9, "split-dc"));
--- a/proxy/tests/process.rs
+++ b/proxy/tests/process.rs
@@ -211,7 +211,7 @@
             };
             let config = configuration(told, &hosts, change);
             let parsed = client_proxy::config::Config::parse(&config).expect("a good configuration");
-            let (places, to_hosts) = (parsed.connections_to_clients(), parsed.connections_to_hosts());
+            let (places, to_hosts) = (parsed.max_client_connections(), parsed.max_endpoint_connections());
             let path = program(&config, &format!("full-{way}.json")).1;
             let mut command = Command::new("sh");
             let bound = format!("ulimit -n {SOCKETS}; exec \"$0\"");
@@ -237,7 +237,7 @@
                 silent.push(connect().await);
             }
             let mut callers = Vec::new();
-            for _ in 0..client_proxy::operators::CALLERS_MOST {
+            for _ in 0..client_proxy::config::MAX_OPERATOR_CONNECTIONS {
                 callers.push(TcpStream::connect(operators).await.expect("operators are let in"));
             }
             eventually("it holds what it may", || {
--- a/proxy/tests/stop.rs
+++ b/proxy/tests/stop.rs
@@ -110,7 +110,7 @@
         let mut proxy = Proxy::with(&discovery, from_ref(&host), few).await;
         let admin = proxy.admin.expect("an address for operators");
         let text = configuration(discovery.address, &[], few);
-        let places = client_proxy::config::Config::parse(&text).expect("good").connections_to_clients();
+        let places = client_proxy::config::Config::parse(&text).expect("good").max_client_connections();
         let mut clients = Vec::new();
         for number in 1..=places {
             clients.push(proxy.client().await);
