--- a/proxy/src/operators.rs
+++ b/proxy/src/operators.rs
@@ -1,5 +1,5 @@
-//! Where operators call: one line to a connection, and one answer. Callers that say nothing hold a place for a bounded
-//! time only, and give it up as soon as another needs it.
+//! Operators' commands: a connection sends one line and gets one response. Connections that send
+//! nothing are closed after a while, or as soon as another one needs their place.
 
 use crate::config::MAX_OPERATOR_CONNECTIONS;
 use crate::control::Control;
@@ -10,87 +10,122 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, timeout};
 
-/// Longest line.
-const LINE_MOST: usize = 256;
-/// Time for the line, and for the answer to be taken.
-const LINE_TIME: Duration = Duration::from_secs(5);
-const ANSWER_TIME: Duration = Duration::from_secs(1);
+/// Connections that may wait to be accepted.
+const BACKLOG: u32 = MAX_OPERATOR_CONNECTIONS as u32 * 8;
+/// Longest command.
+const MAX_COMMAND_BYTES: usize = 256;
+/// Time for the command to arrive.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for the response to be read.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause after a failure to accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+
+/// Why a command fails, as operators read it.
+#[derive(Debug, Error)]
+enum CommandError {
+    #[error("no whole line came in time")]
+    TimedOut,
+    #[error("the line is too long")]
+    TooLong,
+    #[error("not a call")]
+    NotText,
+    #[error("unknown call; there are: health, counters")]
+    Unknown,
+    #[error("no: it takes no clients now")]
+    Unhealthy,
+    /// The connection broke; nobody gets a response.
+    #[error(transparent)]
+    Disconnected(#[from] io::Error),
+}
 
 /// Listens for operators.
+///
+/// # Errors
+/// The address cannot be bound.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(MAX_OPERATOR_CONNECTIONS as u32 * 8)
+    socket.listen(BACKLOG)
 }
 
-/// A connection, and whether its line is there.
-struct Caller {
+struct Connection {
     task: JoinHandle<()>,
-    heard: Rc<Cell<bool>>,
+    has_command: Rc<Cell<bool>>,
 }
 
-/// Answers operators for good.
-pub async fn serve(listener: TcpListener, driver: Control) {
-    let mut callers: VecDeque<Caller> = VecDeque::new();
+/// Serves operators for good.
+pub async fn serve(listener: TcpListener, control: Control) {
+    let mut connections: VecDeque<Connection> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
                 log::line(&format!("admin: accept: {error}"));
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        callers.retain(|caller| !caller.task.is_finished());
-        if callers.len() >= MAX_OPERATOR_CONNECTIONS {
-            let oldest = callers.iter().position(|caller| !caller.heard.get()).unwrap_or(0);
-            if let Some(caller) = callers.remove(oldest) {
-                caller.task.abort();
-                // Its descriptor is free once the task is gone.
-                let _ = caller.task.await;
-            }
-        }
-        let heard = Rc::new(Cell::new(false));
-        let task = spawn_local(call(stream, driver.clone(), heard.clone()));
-        callers.push_back(Caller { task, heard });
+        evict(&mut connections).await;
+        let has_command = Rc::new(Cell::new(false));
+        let task = spawn_local(serve_connection(stream, control.clone(), has_command.clone()));
+        connections.push_back(Connection { task, has_command });
+    }
+}
+
+/// Makes sure that one more connection may be open: closes the oldest one without a command, or the
+/// oldest.
+async fn evict(connections: &mut VecDeque<Connection>) {
+    connections.retain(|connection| !connection.task.is_finished());
+    if connections.len() < MAX_OPERATOR_CONNECTIONS {
+        return;
+    }
+    let oldest = connections.iter().position(|connection| !connection.has_command.get());
+    if let Some(connection) = connections.remove(oldest.unwrap_or(0)) {
+        connection.task.abort();
+        // Its descriptor is closed once the task has ended.
+        let _ = connection.task.await;
     }
 }
 
-async fn call(mut stream: TcpStream, driver: Control, heard: Rc<Cell<bool>>) {
-    let line = match timeout(LINE_TIME, line(&stream)).await {
-        Ok(Ok(line)) => line,
-        Ok(Err(_)) => return,
-        Err(_) => Err("no whole line came in time"),
+async fn serve_connection(mut stream: TcpStream, control: Control, has_command: Rc<Cell<bool>>) {
+    let command = timeout(COMMAND_TIMEOUT, read_command(&stream)).await;
+    has_command.set(true);
+    let response = match command.unwrap_or(Err(CommandError::TimedOut)) {
+        Ok(command) => respond(&command, &control),
+        Err(error) => Err(error),
     };
-    heard.set(true);
-    let answer =
-        line.and_then(|line| answer(&line, &driver)).unwrap_or_else(|why| format!("FAILURE {why}\n"));
-    let said = async {
-        stream.write_all(answer.as_bytes()).await?;
-        stream.shutdown().await?;
-        // Closing on what is still to be read would reset the connection, and the answer might be lost with it.
-        let mut rest = Vec::with_capacity(LINE_MOST);
-        while read_some(&stream, &mut rest).await? > 0 {
-            rest.clear();
-        }
-        Ok::<_, io::Error>(())
+    let response = match response {
+        Ok(response) => response,
+        Err(CommandError::Disconnected(_)) => return,
+        Err(error) => format!("FAILURE {error}\n"),
     };
-    // A caller that does not take its answer has none.
-    let _ = timeout(ANSWER_TIME, said).await;
+    // An operator that does not read the response gets none.
+    let _ = timeout(RESPONSE_TIMEOUT, send_and_close(&mut stream, &response)).await;
+}
+
+async fn send_and_close(stream: &mut TcpStream, response: &str) -> io::Result<()> {
+    stream.write_all(response.as_bytes()).await?;
+    stream.shutdown().await?;
+    // Closing with unread bytes would reset the connection, and the response might be lost.
+    let mut unread = Vec::with_capacity(MAX_COMMAND_BYTES);
+    while read_some(stream, &mut unread).await? > 0 {
+        unread.clear();
+    }
+    Ok(())
 }
 
-/// Reads what there is and there is room for; 0: the caller has ended its sending. A read that brings less than there is
-/// leaves the stream ready.
+/// Reads into the buffer's unused capacity; 0: the operator has ended its sending.
 async fn read_some(stream: &TcpStream, bytes: &mut Vec<u8>) -> io::Result<usize> {
     loop {
+        // A read that returns less than there is leaves the stream readable.
         stream.readable().await?;
         match stream.try_read_buf(bytes) {
             Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
@@ -99,27 +134,28 @@
     }
 }
 
-/// The caller's line without its end; a caller may also end its sending behind it.
-async fn line(stream: &TcpStream) -> io::Result<Result<String, &'static str>> {
-    let mut line = Vec::with_capacity(LINE_MOST);
+/// The command without its line's end; an operator may also end its sending behind it.
+async fn read_command(stream: &TcpStream) -> Result<String, CommandError> {
+    let mut line = Vec::with_capacity(MAX_COMMAND_BYTES);
     loop {
-        let ended = read_some(stream, &mut line).await? == 0;
-        if let Some(end) = line.iter().position(|&byte| byte == b'\n').or(ended.then_some(line.len())) {
-            line.truncate(end);
-            return Ok(String::from_utf8(line).map_err(|_| "not a call"));
+        let is_end = read_some(stream, &mut line).await? == 0;
+        let newline = line.iter().position(|&byte| byte == b'\n');
+        if let Some(length) = newline.or(is_end.then_some(line.len())) {
+            line.truncate(length);
+            return String::from_utf8(line).map_err(|_| CommandError::NotText);
         }
-        if line.len() >= LINE_MOST {
-            return Ok(Err("the line is too long"));
+        if line.len() >= MAX_COMMAND_BYTES {
+            return Err(CommandError::TooLong);
         }
     }
 }
 
-fn answer(line: &str, driver: &Control) -> Result<String, &'static str> {
-    match line.trim() {
-        "health" if driver.takes_clients() => Ok("SUCCESS yes\n".to_owned()),
-        "health" => Err("no: it takes no clients now"),
-        // The figures stand by themselves: whoever reads them takes all before the last line for them.
-        "counters" => Ok(format!("{}\nEOT\n", driver.figures())),
-        _ => Err("unknown call; there are: health, counters"),
+fn respond(command: &str, control: &Control) -> Result<String, CommandError> {
+    match command.trim() {
+        "health" if control.takes_clients() => Ok("SUCCESS yes\n".to_owned()),
+        "health" => Err(CommandError::Unhealthy),
+        // Without a status word: operators read all before the last line as the metrics.
+        "counters" => Ok(format!("{}\nEOT\n", control.figures())),
+        _ => Err(CommandError::Unknown),
     }
 }
