--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -4,9 +4,9 @@
 use super::phase::Phase;
 use super::service::{self, IncomingRequest};
 use crate::control::Control;
-use crate::invariants::Violation;
 use crate::log;
 use crate::message_limits::MAX_HEAD_BYTES;
+use crate::metrics::Violation;
 use crate::metrics::{ClientCloseReason, Metrics};
 use crate::socket::Socket;
 use hyper::body::Incoming;
@@ -81,7 +81,7 @@
         tracing::debug!(socket = ?self.socket, phase = ?self.phase.get(), reason = ?reason, "closed");
         let is_unanswered = matches!(self.phase.get(), Phase::Open) && reason != ClientCloseReason::Stuck;
         if is_unanswered && !self.socket.has_disconnected() {
-            self.metrics.count().violation(Violation::ClosedUnanswered);
+            self.metrics.count().violation(Violation::ClosedWithoutReply);
             log::line(&format!(
                 "invariant violated: a connection with an open request was closed: {reason:?}"
             ));
--- a/proxy/src/downstream/forward.rs
+++ b/proxy/src/downstream/forward.rs
@@ -3,7 +3,7 @@
 use super::headers::end_to_end;
 use super::request::{validate, RequestError, ValidRequest};
 use crate::body::{RequestBody, Upload};
-use crate::control::in_flight::{ForwardedRequest, Reply, RequestDescriptor};
+use crate::control::request::{ForwardedRequest, Reply, RequestDescriptor};
 use crate::control::{Control, PendingReply};
 use crate::socket::Socket;
 use balancer::ClassId;
--- a/proxy/src/downstream/service.rs
+++ b/proxy/src/downstream/service.rs
@@ -4,7 +4,7 @@
 use super::request::RequestError;
 use super::response::{empty, error_and_close, forwarded, rejected};
 use crate::body::{ResponseBody, Upload};
-use crate::control::in_flight::Reply;
+use crate::control::request::Reply;
 use crate::control::Control;
 use crate::socket::Socket;
 use hyper::body::Incoming;
--- a/proxy/src/socket/tests.rs
+++ b/proxy/src/socket/tests.rs
@@ -38,7 +38,7 @@
 /// The guard of an attempt that may begin before `begin_before`, on behalf of this client.
 fn write_guard(client: &Socket, begin_before: Option<Instant>) -> WriteGuard {
     let (id, idempotency) = (HeaderValue::from_static("1"), Idempotency::Idempotent);
-    let policy = RequestPolicy { idempotency, attempts: 1, copies: false, drain_grace: Duration::MAX };
+    let policy = RequestPolicy { idempotency, max_attempts: 1, hedging: false, drain_grace: Duration::MAX };
     let record = RequestRecord::new(Metrics::default(), id, policy, None).attempt(AttemptTarget::default());
     WriteGuard::new(&Metrics::default(), client.client_presence(), begin_before, record)
 }
