--- a/balancer/src/forwarding.rs
+++ b/balancer/src/forwarding.rs
@@ -22,8 +22,8 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let endpoint = &self.endpoints[index];
         self.zone_outages.begin_trial(endpoint.zone, now, initial_backoff);
-        let earliest = now + self.settings.clock_resolution;
-        let start_within = request.attempt_deadline().map(|end| end.saturating_sub(earliest));
+        let clock_resolution = self.settings.clock_resolution;
+        let start_within = request.attempt_deadline().map(|end| end.saturating_sub(now + clock_resolution));
         let attempt = Attempt {
             endpoint: endpoint.id,
             started_at: endpoint.started_at,
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -4,6 +4,7 @@
 use balancer::*;
 
 pub(crate) const MS: Micros = 1_000;
+pub(crate) const SECOND: Micros = 1_000 * MS;
 
 /// A proxy that carries out nothing and records everything.
 pub(crate) struct Proxy {
@@ -107,6 +108,45 @@
         endpoint
     }
 
+    /// Ends the attempts of a request one after another, until none is forwarded; `actions` are
+    /// those of its arrival. `pause` passes before each end.
+    pub(crate) fn end_attempts(
+        &mut self,
+        request: RequestId,
+        actions: &[Action],
+        elapsed: Micros,
+        pause: Micros,
+        mut outcome_at: impl FnMut(EndpointId) -> Outcome,
+    ) {
+        let mut last = forwarded(actions).first().map(|attempt| attempt.1);
+        let mut attempt = 0;
+        while let Some(endpoint) = last {
+            self.now += pause;
+            let actions = self.end_attempt(request, attempt, outcome_at(endpoint), elapsed);
+            let next = forwarded(&actions).into_iter().find(|forwarded| forwarded.0 == request);
+            last = next.map(|forwarded| forwarded.1);
+            attempt += 1;
+        }
+    }
+
+    /// Ends a request's first attempt, whatever the outcome, as its last.
+    pub(crate) fn end_request(
+        &mut self,
+        request: RequestId,
+        outcome: Outcome,
+        elapsed: Micros,
+        load: LoadReport,
+    ) {
+        self.handle(Event::AttemptEnded {
+            request,
+            attempt: 0,
+            outcome,
+            elapsed,
+            request_finished: true,
+            load,
+        });
+    }
+
     pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
         self.now += span;
         self.handle(Event::Timer)
@@ -168,3 +208,16 @@
         proxy.advance(300 * MS);
     }
 }
+
+/// When the timer that was set fires, from now.
+pub(crate) fn timer_after(actions: &[Action]) -> Option<Micros> {
+    actions.iter().find_map(|action| match action {
+        Action::SetTimer { after } => Some(*after),
+        _ => None,
+    })
+}
+
+/// Whether an action logs that an endpoint was ejected.
+pub(crate) fn is_ejection(action: &Action) -> bool {
+    matches!(action, Action::Log(LogEvent::EndpointEjected(_)))
+}
--- a/balancer/tests/concurrency_limit.rs
+++ b/balancer/tests/concurrency_limit.rs
@@ -187,15 +187,7 @@
     for _ in 0..40 {
         let (request, _) = proxy.request();
         proxy.now += 40 * MS;
-        let (outcome, elapsed) = (Outcome::Served, 40 * MS);
-        proxy.handle(Event::AttemptEnded {
-            request,
-            attempt: 0,
-            outcome,
-            elapsed,
-            request_finished: true,
-            load,
-        });
+        proxy.end_request(request, Outcome::Served, 40 * MS, load);
         proxy.advance(100 * MS);
     }
     assert_eq!(forwarded(&proxy.request().1).len(), 1, "the limit's own request");
--- a/balancer/tests/endpoint_starts.rs
+++ b/balancer/tests/endpoint_starts.rs
@@ -4,7 +4,6 @@
 use balancer::*;
 use common::*;
 
-const SECOND: Micros = 1_000 * MS;
 const HOUR: Micros = 3_600 * SECOND;
 const WARM: u32 = 3;
 const NEW: EndpointId = EndpointId(WARM + 1);
--- a/balancer/tests/models/discovery.rs
+++ b/balancer/tests/models/discovery.rs
@@ -1,10 +1,9 @@
 //! A model of discovery, which answers polls in turn, and of the proxies that poll it.
 
-use crate::common::{polled_discovery, ready, settings, MS};
+use crate::common::{polled_discovery, ready, settings, MS, SECOND};
 use balancer::*;
 use std::collections::VecDeque;
 
-pub(crate) const SECOND: Micros = 1_000 * MS;
 /// How long the proxy waits for anything of a watch, or for the head of its response, until it
 /// times out.
 pub(crate) const SILENCE: Micros = 2_500 * MS;
--- a/balancer/tests/models/slow_start_fleet/mod.rs
+++ b/balancer/tests/models/slow_start_fleet/mod.rs
@@ -1,13 +1,16 @@
 //! A model of many balancers and their endpoints, some of which warm up, in virtual time.
 
-use crate::common::{ready, settings, MS};
+mod faults;
+mod load;
+mod setup;
+
+use crate::common::{MS, SECOND};
 use balancer::*;
-use rand_core::{RngCore, SeedableRng};
+use rand_core::RngCore;
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-pub(crate) const SECOND: Micros = 1_000 * MS;
 /// Requests arrive from here on, and new endpoints start.
 const BEGIN: Micros = 100 * SECOND;
 pub(crate) const START: Micros = BEGIN + 2 * SECOND;
@@ -143,39 +146,6 @@
 }
 
 impl Fleet {
-    pub(crate) fn new(scenario: Scenario, seed: u64) -> Fleet {
-        let mut fleet = Fleet {
-            scenario,
-            random: Pcg32::seed_from_u64(seed),
-            now: BEGIN,
-            next: BinaryHeap::new(),
-            number: 0,
-            processes: Vec::new(),
-            at: BTreeMap::new(),
-            nodes: Vec::new(),
-            slots: Vec::new(),
-            weights: Vec::new(),
-            begun: false,
-        };
-        let there = if scenario.returning { scenario.warming + scenario.warm } else { scenario.warm };
-        for id in 0..there {
-            // New endpoints have the lowest ids.
-            fleet.boot(if scenario.returning { id } else { id + scenario.warming }, 0);
-        }
-        for slot in 0..scenario.balancer_count as usize {
-            let weight = match slot % 6 {
-                _ if !scenario.uneven => 1.0,
-                0 => 4.0,
-                1..=3 => 0.05,
-                _ => 1.0,
-            };
-            fleet.weights.push(weight);
-            let node = fleet.node(slot);
-            fleet.slots.push(vec![node]);
-        }
-        fleet
-    }
-
     fn unit(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / 4_294_967_296.0
     }
@@ -189,43 +159,6 @@
         self.next.push(Reverse((at, self.number, what)));
     }
 
-    fn boot(&mut self, id: u32, started_at: Micros) {
-        let speed = if started_at > 0 { self.scenario.speed } else { 0.7 + 0.6 * self.unit() };
-        let (busy, queued, sent) = (0, VecDeque::new(), Vec::new());
-        self.processes.push(Process { started_at, speed, busy, queued, sent, served: 0.0 });
-        self.at.insert(id, self.processes.len() - 1);
-    }
-
-    fn entries(&self) -> Vec<EndpointEntry> {
-        let entry = |(&id, &process): (&u32, &usize)| {
-            let started_at = self.processes[process].started_at;
-            let weight = if started_at > 0 { 1.0 } else { self.scenario.weight };
-            EndpointEntry { started_at, weight, ..ready(id) }
-        };
-        self.at.iter().map(entry).collect()
-    }
-
-    /// A new process of a balancer, which knows the list of this moment.
-    fn node(&mut self, slot: usize) -> usize {
-        let settings = Settings {
-            balancer_count: self.scenario.balancer_count,
-            balancer_index: slot as u32,
-            slow_start: SlowStart {
-                initial_capacity: INITIAL_CAPACITY,
-                duration: SLOW_START_DURATION,
-                overload_multiple: OVERLOAD_MULTIPLE,
-            },
-            ..settings(Idempotency::Idempotent)
-        };
-        let balancer = Balancer::new(self.random.next_u64(), settings);
-        self.nodes.push(Node { balancer, is_notified: self.begun, alive: true, requests: BTreeMap::new() });
-        let node = self.nodes.len() - 1;
-        self.event(node, Event::Start);
-        let entries = self.entries();
-        self.event(node, Event::EndpointList { kind: ListUpdate::Full, entries });
-        node
-    }
-
     fn event(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
         self.nodes[node].balancer.handle(self.now, event, &mut actions);
@@ -331,61 +264,6 @@
         );
     }
 
-    fn start(&mut self) {
-        let scenario = self.scenario;
-        for id in 0..scenario.warming {
-            let old = self.at.get(&id).copied();
-            self.boot(id, self.now);
-            // What the old process had queued is reset.
-            if let Some(old) = old {
-                let open: Vec<AttemptEnd> = self.processes[old].queued.drain(..).map(|w| w.1).collect();
-                let sent = self.now;
-                open.into_iter().for_each(|end| {
-                    self.later(sent, Step::Ended(AttemptEnd { outcome: Outcome::Reset, ..end }))
-                });
-            }
-        }
-        self.begun = true;
-        for slot in 0..self.slots.len() {
-            let node = self.slots[slot][0];
-            let at = self.now + self.within(scenario.spread);
-            self.later(at, Step::Notify(node));
-            for part in 0..2 {
-                let at = self.now + part * 2 * SECOND + self.within(2 * SECOND);
-                if scenario.restart == Restart::Killed || (scenario.restart == Restart::Upgraded && part == 0)
-                {
-                    self.later(at, Step::Replace(slot));
-                }
-            }
-        }
-    }
-
-    fn notify(&mut self, node: usize) {
-        if self.nodes[node].is_notified {
-            return;
-        }
-        self.nodes[node].is_notified = true;
-        let mut entries = self.entries();
-        let mut kind = ListUpdate::Full;
-        if !self.scenario.full_list {
-            kind = ListUpdate::Delta;
-            entries.retain(|e| e.started_at > 0);
-        }
-        self.event(node, Event::EndpointList { kind, entries });
-    }
-
-    fn replace(&mut self, slot: usize) {
-        let old = self.slots[slot][0];
-        let new = self.node(slot);
-        if self.scenario.restart == Restart::Killed {
-            self.nodes[old].alive = false;
-            self.slots[slot] = vec![new];
-        } else {
-            self.slots[slot] = vec![old, new];
-            self.later(self.now + 2 * SECOND, Step::Retire(slot));
-        }
-    }
-
     pub(crate) fn run(mut self) -> Fleet {
         let gap = self.gap();
         self.later(self.now + gap, Step::RequestArrives);
@@ -416,31 +294,4 @@
         }
         self
     }
-
-    /// The most that one new endpoint was sent by balancers that had been notified, over what
-    /// overloads it; and what all new endpoints were sent, over what they could do.
-    pub(crate) fn load_and_use(&self) -> (f64, f64) {
-        let (mut worst, mut given, mut could) = (0.0_f64, 0.0, 0.0);
-        let rate = CORES as f64 / MEAN_WORK_US * self.scenario.speed;
-        let played = self.scenario.until - START;
-        for process in self.processes.iter().filter(|p| p.started_at > 0) {
-            let (mut sum, mut first) = (0.0, 0);
-            let sent: Vec<_> = process.sent.iter().filter(|s| s.2).collect();
-            for &&(at, work, _) in &sent {
-                sum += work;
-                while sent[first].0 + OVERLOAD_WINDOW <= at {
-                    sum -= sent[first].1;
-                    first += 1;
-                }
-                // The least that it can do within the window.
-                let present =
-                    warm_up(process.started_at, at.saturating_sub(OVERLOAD_WINDOW).max(process.started_at));
-                let allowed = OVERLOAD_MULTIPLE * present * rate * OVERLOAD_WINDOW as f64;
-                worst = worst.max(sum / (allowed + 2.0 * allowed.sqrt() + 2.0));
-            }
-            given += sent.iter().map(|s| s.1).sum::<f64>();
-            could += warm_up(START, START + played / 2) * rate * played as f64;
-        }
-        (worst, given / could)
-    }
 }
--- a/balancer/tests/outlier_detection.rs
+++ b/balancer/tests/outlier_detection.rs
@@ -98,7 +98,6 @@
             let actions = proxy.end_attempt(request, 0, Outcome::Invalid, 2 * MS);
             assert!(failed(&actions, request) && forwarded(&actions).is_empty(), "{actions:?}");
         }
-        let is_ejection = |action: &Action| matches!(action, Action::Log(LogEvent::EndpointEjected(_)));
         assert!(!proxy.actions.iter().any(is_ejection));
     }
 }
@@ -124,7 +123,6 @@
                 "it may have been executed: it is not retried"
             );
         }
-        let is_ejection = |action: &Action| matches!(action, Action::Log(LogEvent::EndpointEjected(_)));
         assert!(!proxy.actions.iter().any(is_ejection), "{outcome:?}");
     }
 }
@@ -159,19 +157,16 @@
     let mut to_failing = 0;
     for round in 0..400 {
         let (request, actions) = proxy.request();
-        let mut at = forwarded(&actions).first().map(|s| s.1);
         proxy.now += 5 * MS;
-        let mut attempt = 0;
-        while let Some(endpoint) = at {
-            let bad = endpoint == EndpointId(1);
-            to_failing += usize::from(bad);
-            let end = if bad && to_failing % 3 != 0 { Outcome::Error } else { Outcome::Served };
-            at = forwarded(&proxy.end_attempt(request, attempt, end, 5 * MS))
-                .iter()
-                .find(|s| s.0 == request)
-                .map(|s| s.1);
-            attempt += 1;
-        }
+        proxy.end_attempts(request, &actions, 5 * MS, 0, |endpoint| {
+            let is_failing = endpoint == EndpointId(1);
+            to_failing += usize::from(is_failing);
+            if is_failing && to_failing % 3 != 0 {
+                Outcome::Error
+            } else {
+                Outcome::Served
+            }
+        });
         assert!(round < 400);
     }
     assert!(to_failing <= 40, "a healthy one would get 100 or more: {to_failing}");
@@ -198,48 +193,20 @@
     for _ in 0..20 {
         // Two ms a round: 40 ms in all, one typical latency.
         let (request, actions) = proxy.request();
-        let mut at = forwarded(&actions).first().map(|s| s.1);
         proxy.now += 2 * MS;
-        let mut attempt = 0;
-        while let Some(endpoint) = at {
-            let full = endpoint == EndpointId(1);
-            to_full += usize::from(full);
-            let end = if full { Outcome::Rejected } else { Outcome::Served };
-            at = forwarded(&proxy.end_attempt(request, attempt, end, 2 * MS))
-                .iter()
-                .find(|s| s.0 == request)
-                .map(|s| s.1);
-            attempt += 1;
-        }
+        proxy.end_attempts(request, &actions, 2 * MS, 0, |endpoint| {
+            let is_full = endpoint == EndpointId(1);
+            to_full += usize::from(is_full);
+            if is_full {
+                Outcome::Rejected
+            } else {
+                Outcome::Served
+            }
+        });
     }
     assert!(to_full <= 2, "{to_full}");
 }
 
-#[test]
-fn timeouts_do_not_eject_an_endpoint_that_serves_others() {
-    let mut proxy = Proxy::new(Settings { balancer_count: 1, ..settings(Idempotency::NonIdempotent) }, 3);
-    let mut log = Vec::new();
-    for _ in 0..30 {
-        // Of the requests at each endpoint the first is served and the others time out.
-        let requests: Vec<(RequestId, Vec<Action>)> = (0..9).map(|_| proxy.request()).collect();
-        let at = |i: usize| forwarded(&requests[i].1).first().map(|s| s.1);
-        let first = |i: usize| (0..i).all(|j| at(j) != at(i));
-        proxy.now += 100 * MS;
-        for i in (0..9).filter(|&i| at(i).is_some() && first(i)) {
-            proxy.end_attempt(requests[i].0, 0, Outcome::Served, 100 * MS);
-        }
-        proxy.now += 400 * MS;
-        for i in (0..9).filter(|&i| at(i).is_some() && !first(i)) {
-            log.extend(proxy.end_attempt(requests[i].0, 0, Outcome::TimedOut, 500 * MS));
-        }
-        proxy.advance(600 * MS);
-    }
-    let failures = log.iter().filter(|a| matches!(a, Action::Fail { .. })).count();
-    assert!(failures > 20, "too few timed out to tell: {failures}");
-    let is_ejection = log.iter().filter(|a| matches!(a, Action::Log(LogEvent::EndpointEjected(_)))).count();
-    assert_eq!(is_ejection, 0, "slow, not gone");
-}
-
 #[test]
 fn a_restarted_endpoint_is_not_judged_by_its_last_process() {
     let mut proxy = Proxy::new(Settings { balancer_count: 1, ..settings(Idempotency::Idempotent) }, 1);
@@ -249,7 +216,6 @@
     for request in requests {
         proxy.end_attempt(request, 0, Outcome::Reset, 5 * MS);
     }
-    let is_ejection = |a: &Action| matches!(a, Action::Log(LogEvent::EndpointEjected(_)));
     assert!(!proxy.actions.iter().any(is_ejection), "the new process has failed nothing");
 }
 
@@ -273,33 +239,6 @@
     assert!(tried < 25, "an eighth of 200 is its normal part: {tried}");
 }
 
-/// Clients may wait for less than responses take. They time out whatever the endpoints do.
-#[test]
-fn timeouts_of_clients_with_short_deadlines_eject_no_endpoint() {
-    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
-    for _ in 0..40 {
-        proxy.serve_request(100 * MS);
-    }
-    for id in 1_000..1_200 {
-        let (request, time_left) = (RequestId(id), 30 * MS);
-        let event = Event::RequestReceived {
-            request,
-            class: ClassId(0),
-            tenant: None,
-            time_left,
-            client_retry: false,
-            non_replayable: false,
-        };
-        let out = !forwarded(&proxy.handle(event)).is_empty();
-        proxy.now += time_left;
-        if out {
-            proxy.end_attempt(request, 0, Outcome::TimedOut, time_left);
-        }
-    }
-    let is_ejection = |a: &&Action| matches!(a, Action::Log(LogEvent::EndpointEjected(_)));
-    assert_eq!(proxy.actions.iter().find(is_ejection), None);
-}
-
 /// An endpoint may reject one class and serve the others. It is not full then, and must not be
 /// ejected for all.
 #[test]
@@ -311,93 +250,16 @@
     for turn in 0..400 {
         let class = turn % 2;
         let (request, actions) = proxy.request_of_class(class);
-        let mut last = forwarded(&actions).first().map(|s| s.1);
-        let mut attempt = 0;
-        while let Some(endpoint) = last {
-            let odd = endpoint == EndpointId(1);
-            count[class] += usize::from(odd);
-            proxy.now += 10 * MS;
-            let outcome = if odd && class == 1 { Outcome::Rejected } else { Outcome::Served };
-            let actions = proxy.end_attempt(request, attempt, outcome, 10 * MS);
-            last = forwarded(&actions).iter().find(|s| s.0 == request).map(|s| s.1);
-            attempt += 1;
-        }
-    }
-    let is_ejection = |a: &&Action| matches!(a, Action::Log(LogEvent::EndpointEjected(_)));
-    assert_eq!(proxy.actions.iter().find(is_ejection), None);
-    assert!(count[0] >= 25 && count[1] <= 10, "of 200 requests each: {count:?}");
-}
-
-/// A hundred balancers that each wait for a second timeout would keep an overloaded endpoint
-/// overloaded with requests that arrive too late.
-#[test]
-fn one_timeout_ejects_an_endpoint_under_a_shared_limit() {
-    // Its client waits for less than some responses take, or for long.
-    for late in [200 * MS, 600 * MS] {
-        let settings = Settings { balancer_count: 100, ..settings(Idempotency::Idempotent) };
-        let mut proxy = Proxy::new(settings, 24);
-        for _ in 0..20 {
-            let out = request_burst(&mut proxy, 40);
-            serve_forwarded(&mut proxy, out, 40 * MS);
-            proxy.advance(300 * MS);
-        }
-        let out: Vec<(RequestId, EndpointId)> = (0..40).flat_map(|_| forwarded(&proxy.request().1)).collect();
-        let (lost, overloaded) = out[0];
-        let mut next = Vec::new();
-        proxy.now += 40 * MS;
-        for (request, _) in &out[1..] {
-            next.extend(forwarded(&proxy.end_attempt(*request, 0, Outcome::Served, 40 * MS)));
-        }
-        serve_forwarded(&mut proxy, next.into_iter().map(|(request, _)| request).collect(), 40 * MS);
-        proxy.now += late;
-        let (outcome, load) = (Outcome::TimedOut, LoadReport::default());
-        proxy.handle(Event::AttemptEnded {
-            request: lost,
-            attempt: 0,
-            outcome,
-            elapsed: late,
-            request_finished: true,
-            load,
-        });
-        let to: Vec<(RequestId, EndpointId)> = (0..40).flat_map(|_| forwarded(&proxy.request().1)).collect();
-        assert!(to.len() >= 20, "all others have capacity: {}", to.len());
-        assert!(to.iter().all(|(_, endpoint)| *endpoint != overloaded), "after {late} us it is used again");
-    }
-}
-
-/// A quarter of the endpoints are silent. All balancers together must try them with only a small
-/// part of their requests.
-#[test]
-fn silent_endpoints_are_tried_with_few_requests_by_all_balancers_together() {
-    let (mut lost, mut all) = (0, 0);
-    for balancer_index in 0..100 {
-        let mut proxy = Proxy::new(
-            Settings { balancer_count: 100, balancer_index, ..settings(Idempotency::Idempotent) },
-            60,
-        );
-        for step in 0..300 {
-            let (request, actions) = proxy.request();
-            let Some(&(_, endpoint)) = forwarded(&actions).first() else {
-                proxy.handle(Event::RequestCancelled { request });
-                continue;
-            };
-            let hangs = endpoint.0 % 4 == 0;
-            let (outcome, elapsed) =
-                if hangs { (Outcome::TimedOut, 200 * MS) } else { (Outcome::Served, 20 * MS) };
-            proxy.now += elapsed;
-            let load = LoadReport::default();
-            proxy.handle(Event::AttemptEnded {
-                request,
-                attempt: 0,
-                outcome,
-                elapsed,
-                request_finished: true,
-                load,
-            });
-            if step >= 100 {
-                (lost, all) = (lost + usize::from(hangs), all + 1);
+        proxy.end_attempts(request, &actions, 10 * MS, 10 * MS, |endpoint| {
+            let rejects_one_class = endpoint == EndpointId(1);
+            count[class] += usize::from(rejects_one_class);
+            if rejects_one_class && class == 1 {
+                Outcome::Rejected
+            } else {
+                Outcome::Served
             }
-        }
+        });
     }
-    assert!(lost * 20 < all, "{lost} of {all} requests went to endpoints that are silent");
+    assert_eq!(proxy.actions.iter().find(|action| is_ejection(action)), None);
+    assert!(count[0] >= 25 && count[1] <= 10, "of 200 requests each: {count:?}");
 }
--- a/balancer/tests/request_outcomes.rs
+++ b/balancer/tests/request_outcomes.rs
@@ -20,10 +20,7 @@
         let (request, mut actions) = proxy.request();
         assert!(forwarded(&actions).is_empty());
         while !rejected(&actions, request) {
-            let after =
-                actions
-                    .iter()
-                    .find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
+            let after = timer_after(&actions);
             actions = proxy.advance(after.expect("a timer for the queued request"));
         }
         assert!(proxy.now < 1_000_000 + 1_200 * MS);
@@ -57,10 +54,7 @@
         let (request, _) = proxy.request();
         let mut actions = proxy.handle(Event::ShutdownStarted { time_left: 100 * MS });
         while !rejected(&actions, request) {
-            let after =
-                actions
-                    .iter()
-                    .find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
+            let after = timer_after(&actions);
             actions = proxy.advance(after.expect("a timer for the queued request"));
         }
         assert!(proxy.now < 1_000_000 + 100 * MS);
@@ -156,8 +150,7 @@
     let mut actions = proxy.end_attempt(request, 0, Outcome::Error, 10 * MS);
     while !failed(&actions, request) {
         assert!(forwarded(&actions).is_empty());
-        let after =
-            actions.iter().find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
+        let after = timer_after(&actions);
         actions = proxy.advance(after.expect("a timer for the queued request"));
     }
     assert_eq!(proxy.now, start + window);
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -16,17 +16,16 @@
     let mut count = 0;
     for _ in 0..600 {
         let (request, actions) = proxy.request();
-        let mut last = forwarded(&actions).first().map(|s| s.1);
         proxy.now += 10 * MS;
-        let mut attempt = 0;
-        while let Some(endpoint) = last {
-            let to_new = endpoint == EndpointId(id);
-            count += usize::from(to_new);
-            let end = if to_new { outcome } else { Outcome::Served };
-            let actions = proxy.end_attempt(request, attempt, end, 10 * MS);
-            last = forwarded(&actions).iter().find(|s| s.0 == request).map(|s| s.1);
-            attempt += 1;
-        }
+        proxy.end_attempts(request, &actions, 10 * MS, 0, |endpoint| {
+            let is_new = endpoint == EndpointId(id);
+            count += usize::from(is_new);
+            if is_new {
+                outcome
+            } else {
+                Outcome::Served
+            }
+        });
     }
     count
 }
--- a/balancer/tests/slow_start_fleet.rs
+++ b/balancer/tests/slow_start_fleet.rs
@@ -5,6 +5,7 @@
 #[path = "models/slow_start_fleet/mod.rs"]
 mod model;
 
+use common::SECOND;
 use model::*;
 
 /// Plays a scenario with few and with many balancers: no new endpoint is sent what overloads it in
