--- a/balancer/src/action.rs
+++ b/balancer/src/action.rs
@@ -1,9 +1,9 @@
-//! What the balancer tells the proxy to do.
+//! Actions that the balancer decides on and the proxy carries out.
 
 use crate::{EndpointId, FailureReason, Micros, RequestId};
 use std::fmt;
 
-/// What the balancer tells the proxy to do.
+/// An action that the proxy carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Forward a request to an endpoint. The first time this is attempt 0 of the request, then 1,
--- a/balancer/src/event.rs
+++ b/balancer/src/event.rs
@@ -1,4 +1,4 @@
-//! What the proxy tells the balancer.
+//! Events that the proxy reports to the balancer.
 
 use crate::{CellId, ClassId, EndpointId, LoadReport, Micros, Outcome, RequestId, TenantId, ZoneId};
 
@@ -49,7 +49,7 @@
     WatchFlapping,
 }
 
-/// What the proxy tells the balancer.
+/// An event that the proxy reports to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The proxy starts. Its cached endpoint list, if there is one, follows.
--- a/balancer/src/forwarding.rs
+++ b/balancer/src/forwarding.rs
@@ -2,8 +2,24 @@
 
 use crate::attempt::{Attempt, Trial};
 use crate::balancer::Balancer;
+use crate::endpoint::Endpoint;
+use crate::request::Request;
 use crate::{Action, Micros, RequestId};
 
+fn new_attempt(now: Micros, request: &Request, endpoint: &Endpoint, trial: Trial) -> Attempt {
+    Attempt {
+        endpoint: endpoint.id,
+        started_at: endpoint.started_at,
+        zone: endpoint.zone,
+        cell: endpoint.cell,
+        class_id: request.class_id,
+        sent_at: now,
+        trial,
+        is_uploading: request.is_uploading,
+        outcome: None,
+    }
+}
+
 impl Balancer {
     /// Forwards a request. The attempt runs for as long as its client waits: the endpoint would
     /// work on one abandoned earlier all the same, but uncounted.
@@ -24,17 +40,7 @@
         self.zone_outages.begin_trial(endpoint.zone, now, initial_backoff);
         let clock_resolution = self.settings.clock_resolution;
         let start_within = request.attempt_deadline().map(|end| end.saturating_sub(now + clock_resolution));
-        let attempt = Attempt {
-            endpoint: endpoint.id,
-            started_at: endpoint.started_at,
-            zone: endpoint.zone,
-            cell: endpoint.cell,
-            class_id: request.class_id,
-            sent_at: now,
-            trial,
-            is_uploading: request.is_uploading,
-            outcome: None,
-        };
+        let attempt = new_attempt(now, request, endpoint, trial);
         request.attempts.push(attempt);
         if !attempt.is_uploading {
             self.begin_work(now, &attempt);
--- a/balancer/src/latency.rs
+++ b/balancer/src/latency.rs
@@ -19,19 +19,20 @@
 /// Fraction of a class's responses that arrive before a request counts as late.
 const TAIL_QUANTILE: f64 = 0.95;
 
-/// A response that takes longer than this multiple of its class's unloaded latency shows pressure,
+/// A response shows latency pressure if it takes longer than this multiple of its class's unloaded
+/// latency or this fraction of its latency objective, whichever is shorter.
 const LIMIT_BASE_MULTIPLE: f64 = 3.0;
-/// ... or one longer than this fraction of its latency objective, whichever is shorter.
 const LIMIT_OBJECTIVE_FRACTION: f64 = 0.33;
 /// The same under the shared concurrency limit, as a fraction of the slack: the time that the
-/// objective leaves for waiting. No balancer sees an endpoint often enough to spare the one that is
+/// objective leaves for waiting. No balancer uses an endpoint often enough to avoid the one that is
 /// overloaded, so all have to stay well below what overloads it.
 const SHARED_LIMIT_SLACK_FRACTION: f64 = 0.2;
-/// ... but not below this multiple of the unloaded latency, nor beyond this fraction of the slack:
-/// tight objectives would make idle endpoints look overloaded.
+/// That limit is at least this multiple of the unloaded latency, up to this fraction of the slack:
+/// else tight objectives would make idle endpoints look overloaded.
 const SHARED_MIN_LIMIT_BASE_MULTIPLE: f64 = 1.5;
 const SHARED_MIN_LIMIT_SLACK_FRACTION: f64 = 0.5;
-/// Maximum latency pressure of one response there: a few from slow endpoints say nothing of all.
+/// Maximum latency pressure of one response under the shared limit: a few from slow endpoints say
+/// nothing of all.
 const MAX_SHARED_LATENCY_PRESSURE: f64 = 2.0;
 
 /// Latency of a class without an estimate of its own.
--- a/balancer/src/selection.rs
+++ b/balancer/src/selection.rs
@@ -38,7 +38,7 @@
         }
         let for_trial =
             self.filter(&candidates, |endpoint| self.may_exceed_limit(now, endpoint, typical_latency));
-        // Both are drawn whether needed or not, so that the random sequence stays in step.
+        // Both draw random numbers, also where one would do: a run stays repeatable.
         let within_limit = self.pick_of_two(&with_capacity);
         let beyond_limit = self.pick_of_two(&for_trial);
         match (within_limit, beyond_limit) {
@@ -50,8 +50,8 @@
     }
 
     /// Indices of the endpoints to choose from: those of the subset that may serve the request.
-    /// Endpoints that accept its class, and then those that it has not been sent to, come first. A
-    /// burst under a shared limit spills over to further endpoints, with one request at each.
+    /// Endpoints that accept its class, and then those that it has not been sent to, are preferred.
+    /// A burst under a shared limit spills over to further endpoints, with one request at each.
     fn candidates(&self, now: Micros, id: RequestId) -> Vec<usize> {
         let request = &self.requests[&id];
         let slow_start = &self.settings.slow_start;
--- a/balancer/src/zone_outages.rs
+++ b/balancer/src/zone_outages.rs
@@ -35,7 +35,7 @@
         self.by_zone.remove(&zone);
     }
 
-    /// Whether so many connections have failed in a row that the whole zone counts as cut off.
+    /// Whether so many connections have failed in a row that all of the zone counts as cut off.
     pub(crate) fn is_out(&self, zone: ZoneId) -> bool {
         self.by_zone.get(&zone).is_some_and(|outage| outage.failures > ZONE_BACKOFF_DOUBLINGS)
     }
--- a/balancer/tests/list_polling.rs
+++ b/balancer/tests/list_polling.rs
@@ -61,7 +61,7 @@
                     let sum = SILENCE + pause + RESPONSE_TIME;
                     assert!(
                         sum <= NOTIFICATION_DEADLINE,
-                        "{balancer_count}: {sum} us after poll {request} of {fails:?}, lost {lost:?}"
+                        "{balancer_count}: {sum} us after {request} of {fails:?}, lost {lost:?}"
                     );
                 }
             }
@@ -133,11 +133,11 @@
 /// When the next poll begins.
 fn next_poll(balancer: &mut Balancer, mut now: Micros, actions: &mut Vec<Action>) -> Micros {
     loop {
-        let mut wakes = actions.iter().filter_map(|action| match action {
+        let mut timers = actions.iter().filter_map(|action| match action {
             Action::SetTimer { after } => Some(*after),
             _ => None,
         });
-        now += wakes.next_back().expect("a timer for the next poll");
+        now += timers.next_back().expect("a timer for the next poll");
         actions.clear();
         balancer.handle(now, Event::Timer, actions);
         if actions.contains(&Action::Subscribe) {
@@ -198,8 +198,8 @@
 #[test]
 fn very_many_are_notified_in_time_when_discovery_returns() {
     for (availability, rejection_cost) in [
-        (Availability::Refuses, 0.0),
-        (Availability::Refuses, 1.0),
+        (Availability::RefusesConnections, 0.0),
+        (Availability::RefusesConnections, 1.0),
         (Availability::Silent, 0.0),
         (Availability::Silent, 1.0),
     ] {
--- a/balancer/tests/models/discovery.rs
+++ b/balancer/tests/models/discovery.rs
@@ -36,7 +36,7 @@
     /// Responds in turn.
     Up,
     /// Refuses connections.
-    Refuses,
+    RefusesConnections,
     /// Sends nothing.
     Silent,
 }
@@ -162,7 +162,7 @@
             for who in 0..self.proxies.len() {
                 let PollingProxy { timer_at, request, loss_noticed_at, .. } = self.proxies[who];
                 let over = match self.availability {
-                    Availability::Refuses => 0,
+                    Availability::RefusesConnections => 0,
                     Availability::Up | Availability::Silent => SILENCE,
                 };
                 if loss_noticed_at <= self.now {
--- a/balancer/tests/models/outage/setup.rs
+++ b/balancer/tests/models/outage/setup.rs
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Some balancers get several times the mean; all get a third less in the end. `capacity` is the
-    /// part of the endpoints' that is used at first.
+    /// Some balancers get several times the mean; all get a third less in the end. `capacity` is
+    /// the part of the endpoints' that is used at first.
     fn add_load(&mut self, balancers: usize, capacity: f64) {
         let shares: Vec<f64> = (0..balancers).map(|_| 0.3 - self.unit().ln()).collect();
         let per_second = capacity * 2e6 / (WORK[0] + WORK[1]) / shares.iter().sum::<f64>();
--- a/balancer/tests/outage_recovery.rs
+++ b/balancer/tests/outage_recovery.rs
@@ -16,7 +16,8 @@
     let mean = |from, to| fleets.iter().map(|fleet| fleet.in_time(from, to)).sum::<f64>() / 3.0;
     let (before, apart, soon, later) = (mean(0, 4), mean(5, 11), mean(12, 16), mean(16, 22));
     let opened: u32 = fleets.iter().flat_map(|fleet| &fleet.seconds).map(|second| second[2]).sum();
-    println!("in time {before:.3}, apart {apart:.3}, back {soon:.3}, later {later:.3}; {opened} connections");
+    println!("in time {before:.3}, apart {apart:.3}, back {soon:.3}, later {later:.3}");
+    println!("{opened} connections");
     assert!(before >= 0.85, "before the faults: {before:.3}");
     assert!(soon >= 0.68, "within 5 s of the return: {soon:.3}");
     assert!(later >= 0.8, "later: {later:.3}");
--- a/balancer/tests/request_outcomes.rs
+++ b/balancer/tests/request_outcomes.rs
@@ -74,6 +74,41 @@
     Outcome::Unknown,
 ];
 
+/// Has two attempts of a request end with these outcomes and checks what follows each.
+fn check_two_attempts(idempotency: Idempotency, first: Outcome, second: Outcome) {
+    let mut proxy = Proxy::new(settings(idempotency), 0);
+    proxy.update_list(ListUpdate::Full, endpoints_of_two_cells());
+    let (request, actions) = proxy.request();
+    let home = forwarded(&actions)[0].1;
+    proxy.now += MS;
+    let actions = proxy.end_attempt(request, 0, first, MS);
+    let again = forwarded(&actions);
+    let never_executed = first.never_ran();
+    if idempotency == Idempotency::NonIdempotent && !never_executed {
+        assert!(again.is_empty() && failed(&actions, request), "{first:?}");
+        return;
+    }
+    assert_eq!(again.len(), 1, "{idempotency:?} after {first:?}");
+    let bound = matches!(
+        idempotency,
+        Idempotency::Keyed { scope: DeduplicationScope::Zone | DeduplicationScope::Cell, .. }
+    );
+    if bound && !never_executed {
+        assert_eq!(again[0].1 .0 % 2, home.0 % 2, "stays with its group");
+    }
+    // The second attempt's end, when no other is possible: rejected only where that is
+    // harmless.
+    proxy.now += 450 * MS;
+    let actions = proxy.end_attempt(request, 1, second, MS);
+    let is_repeatable = match idempotency {
+        Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
+        _ => never_executed && second.never_ran(),
+    };
+    assert!(forwarded(&actions).is_empty(), "too late to be in time");
+    assert_eq!(rejected(&actions, request), is_repeatable, "{idempotency:?} {first:?} {second:?}");
+    assert_eq!(failed(&actions, request), !is_repeatable);
+}
+
 #[test]
 fn each_outcome_against_each_kind_of_idempotency() {
     let guarded = |scope| Idempotency::Keyed { scope, window: 400 * MS };
@@ -87,43 +122,7 @@
     for idempotency in kinds {
         for first in FAILED_OUTCOMES {
             for second in FAILED_OUTCOMES {
-                let mut proxy = Proxy::new(settings(idempotency), 0);
-                proxy.update_list(ListUpdate::Full, endpoints_of_two_cells());
-                let (request, actions) = proxy.request();
-                let home = forwarded(&actions)[0].1;
-                proxy.now += MS;
-                let actions = proxy.end_attempt(request, 0, first, MS);
-                let again = forwarded(&actions);
-                let never_executed = first.never_ran();
-                if idempotency == Idempotency::NonIdempotent && !never_executed {
-                    assert!(again.is_empty() && failed(&actions, request), "{first:?}");
-                    continue;
-                }
-                assert_eq!(again.len(), 1, "{idempotency:?} after {first:?}");
-                let bound = matches!(
-                    idempotency,
-                    Idempotency::Keyed { scope: DeduplicationScope::Zone | DeduplicationScope::Cell, .. }
-                );
-                if bound && !never_executed {
-                    assert_eq!(again[0].1 .0 % 2, home.0 % 2, "stays with its group");
-                }
-                // The second attempt's end, when no other is possible: rejected only where that is
-                // harmless.
-                proxy.now += 450 * MS;
-                let actions = proxy.end_attempt(request, 1, second, MS);
-                let is_repeatable = match idempotency {
-                    Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => {
-                        true
-                    }
-                    _ => never_executed && second.never_ran(),
-                };
-                assert!(forwarded(&actions).is_empty(), "too late to be in time");
-                assert_eq!(
-                    rejected(&actions, request),
-                    is_repeatable,
-                    "{idempotency:?} {first:?} {second:?}"
-                );
-                assert_eq!(failed(&actions, request), !is_repeatable);
+                check_two_attempts(idempotency, first, second);
             }
         }
     }
--- a/balancer/tests/shared_limit.rs
+++ b/balancer/tests/shared_limit.rs
@@ -176,7 +176,7 @@
 #[test]
 fn one_of_a_thousand_has_one_limit_for_all_endpoints_and_one_trial_at_a_time() {
     let (mut proxy, out) = one_of_a_thousand();
-    let (held, actions) = proxy.request();
+    let (queued, actions) = proxy.request();
     assert!(
         forwarded(&actions).is_empty(),
         "sixteen endpoints are idle, but the limit is used and the trial in flight"
@@ -185,7 +185,7 @@
     let actions = proxy.end_attempt(out[3], 0, Outcome::Served, 50 * MS);
     assert_eq!(
         forwarded(&actions).first().map(|s| s.0),
-        Some(held),
+        Some(queued),
         "the trial was served: the next may be forwarded"
     );
 }
--- a/balancer/tests/slow_start_fleet.rs
+++ b/balancer/tests/slow_start_fleet.rs
@@ -16,7 +16,7 @@
         for seed in seeds {
             let (most, used) =
                 Fleet::new(Scenario { balancer_count, warm, ..scenario }, seed).run().load_and_use();
-            println!("{balancer_count} balancers, seed {seed}: {most:.2} of its capacity, {used:.2} used");
+            println!("{balancer_count} balancers, seed {seed}: load {most:.2}, {used:.2} used");
             assert!(
                 most <= 1.0,
                 "{balancer_count} balancers, seed {seed}: {most:.2} of a new endpoint's capacity"
@@ -100,9 +100,7 @@
             Scenario { balancer_count: 100, warm: 54, warming: 6, returning: true, weight, queued, ..BURST };
         let slow = Scenario { speed: 0.7, until: START + 4 * SECOND, ..wide };
         let (most, used) = Fleet::new(slow, seed).run().load_and_use();
-        println!(
-            "weight {weight}, {queued} may be queued, seed {seed}: {most:.2} of its capacity, {used:.2} used"
-        );
+        println!("weight {weight}, queue of {queued}, seed {seed}: load {most:.2}, {used:.2} used");
         assert!(most <= 1.0, "weight {weight}, seed {seed}: {most:.2} of a new endpoint's capacity");
         assert!(used >= 0.3, "weight {weight}, seed {seed}: {used:.2} of what new endpoints can do");
     }
--- a/balancer/tests/uploads.rs
+++ b/balancer/tests/uploads.rs
@@ -32,14 +32,14 @@
     proxy.handle(Event::RequestCompleted { request: RequestId(1_000), time_left: 1_200 * MS });
     let (trial, actions) = proxy.request();
     assert_eq!(forwarded(&actions), [(trial, EndpointId(1))]);
-    let (held, actions) = proxy.request();
+    let (queued, actions) = proxy.request();
     assert!(forwarded(&actions).is_empty());
     proxy.now += 50 * MS;
     assert!(
         forwarded(&proxy.end_attempt(RequestId(1_000), 0, Outcome::Served, 50 * MS)).is_empty(),
         "the trial is in flight"
     );
-    assert_eq!(forwarded(&proxy.end_attempt(trial, 0, Outcome::Served, 50 * MS)), [(held, EndpointId(1))]);
+    assert_eq!(forwarded(&proxy.end_attempt(trial, 0, Outcome::Served, 50 * MS)), [(queued, EndpointId(1))]);
 }
 
 /// What cannot be replayed is retried only if nothing of it was written; truncated, it was not
