--- a/balancer/tests/request_outcomes.rs
+++ b/balancer/tests/request_outcomes.rs
@@ -20,10 +20,7 @@
         let (request, mut actions) = proxy.request();
         assert!(forwarded(&actions).is_empty());
         while !rejected(&actions, request) {
-            let after =
-                actions
-                    .iter()
-                    .find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
+            let after = timer_after(&actions);
             actions = proxy.advance(after.expect("a timer for the queued request"));
         }
         assert!(proxy.now < 1_000_000 + 1_200 * MS);
@@ -57,10 +54,7 @@
         let (request, _) = proxy.request();
         let mut actions = proxy.handle(Event::ShutdownStarted { time_left: 100 * MS });
         while !rejected(&actions, request) {
-            let after =
-                actions
-                    .iter()
-                    .find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
+            let after = timer_after(&actions);
             actions = proxy.advance(after.expect("a timer for the queued request"));
         }
         assert!(proxy.now < 1_000_000 + 100 * MS);
@@ -80,6 +74,41 @@
     Outcome::Unknown,
 ];
 
+/// Has two attempts of a request end with these outcomes and checks what follows each.
+fn check_two_attempts(idempotency: Idempotency, first: Outcome, second: Outcome) {
+    let mut proxy = Proxy::new(settings(idempotency), 0);
+    proxy.update_list(ListUpdate::Full, endpoints_of_two_cells());
+    let (request, actions) = proxy.request();
+    let home = forwarded(&actions)[0].1;
+    proxy.now += MS;
+    let actions = proxy.end_attempt(request, 0, first, MS);
+    let again = forwarded(&actions);
+    let never_executed = first.never_ran();
+    if idempotency == Idempotency::NonIdempotent && !never_executed {
+        assert!(again.is_empty() && failed(&actions, request), "{first:?}");
+        return;
+    }
+    assert_eq!(again.len(), 1, "{idempotency:?} after {first:?}");
+    let bound = matches!(
+        idempotency,
+        Idempotency::Keyed { scope: DeduplicationScope::Zone | DeduplicationScope::Cell, .. }
+    );
+    if bound && !never_executed {
+        assert_eq!(again[0].1 .0 % 2, home.0 % 2, "stays with its group");
+    }
+    // The second attempt's end, when no other is possible: rejected only where that is
+    // harmless.
+    proxy.now += 450 * MS;
+    let actions = proxy.end_attempt(request, 1, second, MS);
+    let is_repeatable = match idempotency {
+        Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
+        _ => never_executed && second.never_ran(),
+    };
+    assert!(forwarded(&actions).is_empty(), "too late to be in time");
+    assert_eq!(rejected(&actions, request), is_repeatable, "{idempotency:?} {first:?} {second:?}");
+    assert_eq!(failed(&actions, request), !is_repeatable);
+}
+
 #[test]
 fn each_outcome_against_each_kind_of_idempotency() {
     let guarded = |scope| Idempotency::Keyed { scope, window: 400 * MS };
@@ -93,43 +122,7 @@
     for idempotency in kinds {
         for first in FAILED_OUTCOMES {
             for second in FAILED_OUTCOMES {
-                let mut proxy = Proxy::new(settings(idempotency), 0);
-                proxy.update_list(ListUpdate::Full, endpoints_of_two_cells());
-                let (request, actions) = proxy.request();
-                let home = forwarded(&actions)[0].1;
-                proxy.now += MS;
-                let actions = proxy.end_attempt(request, 0, first, MS);
-                let again = forwarded(&actions);
-                let never_executed = first.never_ran();
-                if idempotency == Idempotency::NonIdempotent && !never_executed {
-                    assert!(again.is_empty() && failed(&actions, request), "{first:?}");
-                    continue;
-                }
-                assert_eq!(again.len(), 1, "{idempotency:?} after {first:?}");
-                let bound = matches!(
-                    idempotency,
-                    Idempotency::Keyed { scope: DeduplicationScope::Zone | DeduplicationScope::Cell, .. }
-                );
-                if bound && !never_executed {
-                    assert_eq!(again[0].1 .0 % 2, home.0 % 2, "stays with its group");
-                }
-                // The second attempt's end, when no other is possible: rejected only where that is
-                // harmless.
-                proxy.now += 450 * MS;
-                let actions = proxy.end_attempt(request, 1, second, MS);
-                let is_repeatable = match idempotency {
-                    Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => {
-                        true
-                    }
-                    _ => never_executed && second.never_ran(),
-                };
-                assert!(forwarded(&actions).is_empty(), "too late to be in time");
-                assert_eq!(
-                    rejected(&actions, request),
-                    is_repeatable,
-                    "{idempotency:?} {first:?} {second:?}"
-                );
-                assert_eq!(failed(&actions, request), !is_repeatable);
+                check_two_attempts(idempotency, first, second);
             }
         }
     }
@@ -156,8 +149,7 @@
     let mut actions = proxy.end_attempt(request, 0, Outcome::Error, 10 * MS);
     while !failed(&actions, request) {
         assert!(forwarded(&actions).is_empty());
-        let after =
-            actions.iter().find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
+        let after = timer_after(&actions);
         actions = proxy.advance(after.expect("a timer for the queued request"));
     }
     assert_eq!(proxy.now, start + window);
