--- /dev/null
+++ b/balancer/src/feedback.rs
@@ -0,0 +1,203 @@
+//! What an attempt's outcome teaches about its endpoint, its zone and the limits, step by step.
+
+use crate::attempt::{Attempt, Trial};
+use crate::balancer::Balancer;
+use crate::ended_attempt::{EndedAttempt, Verdict, MAX_LATENCY_PRESSURE};
+use crate::latency::LATENCY_SMOOTHING;
+use crate::{Action, LoadReport, Micros, Outcome, RequestId};
+
+/// Factor of the cut after a rejection.
+const REJECTION_CUT_FACTOR: f64 = 0.8;
+/// Latency pressure beyond which a cut goes below the floor.
+const DEEP_CUT_LATENCY_PRESSURE: f64 = 1.5;
+/// Reported CPU utilization that counts like a latency pressure of 1: queues grow steeply above it.
+const FULL_CPU_UTILIZATION: f64 = 0.9;
+
+impl Balancer {
+    /// Records an endpoint's load report: as many requests queued as executed, or nearly all cores
+    /// busy, count like a latency pressure of 1.
+    pub(crate) fn record_load_report(&mut self, id: RequestId, attempt: u32, load: LoadReport) {
+        let request = self.requests.get(&id);
+        let Some(attempt) = request.and_then(|request| request.attempts.get(attempt as usize)) else {
+            return;
+        };
+        let Some(index) = self.endpoints.index_of(attempt.endpoint) else { return };
+        let pressure = match load {
+            LoadReport { in_flight: Some(in_flight), queued: Some(queued), .. } => {
+                queued / (in_flight - queued).max(1.0)
+            }
+            LoadReport { cpu_utilization: Some(busy), .. } => busy / FULL_CPU_UTILIZATION,
+            _ => return,
+        };
+        let is_valid = pressure.is_finite();
+        self.endpoints[index].reported_load =
+            if is_valid { pressure.clamp(0.0, MAX_LATENCY_PRESSURE) } else { 0.0 };
+    }
+
+    /// Updates everything that an ended attempt tells of. `took` is its duration as measured by the
+    /// proxy.
+    pub(crate) fn learn_from_attempt(
+        &mut self,
+        now: Micros,
+        attempt: Attempt,
+        outcome: Outcome,
+        took: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        if attempt.is_uploading {
+            self.begin_work(now, &attempt);
+        }
+        let ended = self.ended_attempt(now, attempt, outcome, took);
+        self.update_shared_limit(&ended);
+        self.update_zone_health(&ended);
+        let Some(index) = self.endpoints.index_of(attempt.endpoint) else { return };
+        if self.endpoints[index].started_at != attempt.started_at {
+            return; // The endpoint has restarted: its last process says nothing of the new one.
+        }
+        self.release_slot(&ended, index);
+        let verdict = self.classify(&ended, index);
+        if verdict == Verdict::Neutral {
+            self.endpoints[index].limit.trial_in_flight &= attempt.trial != Trial::Endpoint;
+            return;
+        }
+        self.update_failure_rate(&ended, index, verdict);
+        let previous_pressure = self.update_latency(&ended, index, verdict);
+        self.update_concurrency_limit(&ended, index);
+        let was_ejected = self.endpoints[index].is_ejected();
+        self.update_steps(&ended, index);
+        self.end_endpoint_trial(&ended, index, was_ejected, actions);
+        if !was_ejected {
+            self.eject_outlier(&ended, index, verdict, previous_pressure, actions);
+        }
+        self.cool_down(&ended, index);
+        if ended.is_served() {
+            self.grant_slow_start_credit(now);
+        }
+        self.refresh_endpoint_counts();
+    }
+
+    fn ended_attempt(&self, now: Micros, attempt: Attempt, outcome: Outcome, took: Micros) -> EndedAttempt {
+        let since_sent = now.saturating_sub(attempt.sent_at);
+        let elapsed = if attempt.is_uploading { 0.0 } else { took.max(since_sent) as f64 };
+        let estimate = self.latencies.get(attempt.class_id);
+        let limit = estimate.map_or(f64::MAX, |estimate| estimate.limit());
+        EndedAttempt {
+            now,
+            attempt,
+            outcome,
+            elapsed,
+            initial_backoff: self.initial_backoff(),
+            longest_latency_objective: self.settings.longest_latency_objective(),
+            longest_typical_latency: self.latencies.longest_typical(),
+            typical_latency: self.typical_latency_of_attempt(&attempt),
+            subset_size: self.subset_size(),
+            latency_pressure: (elapsed / limit).min(MAX_LATENCY_PRESSURE),
+            shared_latency_pressure: estimate
+                .map_or(0.0, |estimate| estimate.shared_latency_pressure(elapsed)),
+            // Under a shared limit a balancer uses an endpoint so seldom that each timeout counts.
+            has_short_deadline: outcome == Outcome::TimedOut
+                && self.shared_limit.is_none()
+                && estimate.is_some_and(|estimate| elapsed < estimate.tail),
+        }
+    }
+
+    fn update_shared_limit(&mut self, ended: &EndedAttempt) {
+        let Some(shared_limit) = &mut self.shared_limit else { return };
+        let EndedAttempt { now, attempt, outcome, elapsed, .. } = ended;
+        shared_limit.end_attempt(*now, *elapsed, ended.typical_latency);
+        // A rejection says something of one endpoint alone, mostly of one that drains.
+        if !outcome.is_neutral() && !outcome.never_ran() {
+            let pressure = ended.shared_latency_pressure;
+            shared_limit.record_latency(*now, attempt.sent_at, pressure, *elapsed);
+        }
+        shared_limit.end_trial(*now, attempt, *outcome, ended.initial_backoff);
+    }
+
+    fn update_zone_health(&mut self, ended: &EndedAttempt) {
+        let zone = ended.attempt.zone;
+        if ended.is_connection_lost() && self.shared_limit.is_some() {
+            self.zone_outages.record_failure(zone, ended.now, ended.initial_backoff);
+        } else if !ended.outcome.is_neutral() && ended.outcome != Outcome::TimedOut {
+            self.zone_outages.record_success(zone);
+        }
+    }
+
+    fn release_slot(&mut self, ended: &EndedAttempt, index: usize) {
+        let endpoint = &mut self.endpoints[index];
+        endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
+        // Fast errors and rejections must not make an endpoint look idle.
+        let is_response = matches!(ended.outcome, Outcome::Served | Outcome::Stale | Outcome::Invalid);
+        let min_time = if is_response { 0.0 } else { ended.longest_latency_objective };
+        let busy_time = min_time.max(ended.elapsed);
+        endpoint.record_busy_time(busy_time, self.forwarded_count, ended.subset_size as f64);
+    }
+
+    fn classify(&mut self, ended: &EndedAttempt, index: usize) -> Verdict {
+        let EndedAttempt { now, ref attempt, outcome, has_short_deadline, .. } = *ended;
+        let endpoint = &mut self.endpoints[index];
+        let rejects_only_class = endpoint.class_rejections.record(
+            attempt.class_id,
+            outcome,
+            attempt.sent_at,
+            now,
+            ended.initial_backoff,
+        );
+        // Late while others were served: the endpoint is slow and should get less, not nothing.
+        let is_only_slow = outcome == Outcome::TimedOut
+            && endpoint.last_served_at > attempt.sent_at
+            && self.shared_limit.is_none();
+        if outcome == Outcome::Served {
+            Verdict::Healthy
+        } else if outcome.is_neutral() || has_short_deadline || rejects_only_class {
+            Verdict::Neutral
+        } else if is_only_slow {
+            Verdict::Healthy
+        } else {
+            Verdict::Failed
+        }
+    }
+
+    /// Returns the endpoint's latency pressure from before.
+    fn update_latency(&mut self, ended: &EndedAttempt, index: usize, verdict: Verdict) -> f64 {
+        let endpoint = &mut self.endpoints[index];
+        let previous_pressure = endpoint.latency_pressure;
+        let gap = ended.now.saturating_sub(endpoint.last_ended_at) as f64;
+        endpoint.last_ended_at = ended.now;
+        if verdict == Verdict::Healthy {
+            // A sample weighs more where few arrive: else old ones would count for too long.
+            let age = gap / ended.longest_latency_objective;
+            let weight = LATENCY_SMOOTHING.max(1.0 - (-age).exp());
+            let pressure = ended.latency_pressure.max(endpoint.reported_load);
+            endpoint.latency_pressure += (pressure - previous_pressure) * weight;
+            endpoint.samples_since_limit_change += 1;
+            // Timeouts count by their time too: else the mean would be that of quick responses.
+            if let Some(estimate) = self.latencies.get_mut(ended.attempt.class_id) {
+                estimate.record(ended.now, ended.elapsed);
+            }
+        }
+        if ended.is_served() {
+            endpoint.last_served_at = ended.now;
+            self.served_count += 1;
+        }
+        previous_pressure
+    }
+
+    /// Cuts the endpoint's limit after a rejection or when its responses take too long.
+    fn update_concurrency_limit(&mut self, ended: &EndedAttempt, index: usize) {
+        let endpoint = &mut self.endpoints[index];
+        if ended.outcome == Outcome::Rejected {
+            endpoint.limit.cut(REJECTION_CUT_FACTOR, true);
+            // Fast rejections make it look idle: it would attract one request after the other.
+            let pause_end = ended.now + ended.longest_typical_latency as Micros;
+            endpoint.paused_until = endpoint.paused_until.max(pause_end);
+        } else if endpoint.latency_pressure > 1.0
+            && endpoint.is_settled(ended.now, ended.longest_typical_latency)
+        {
+            let is_deep = endpoint.latency_pressure > DEEP_CUT_LATENCY_PRESSURE;
+            endpoint.limit.cut(1.0 / endpoint.latency_pressure, is_deep);
+            // The cut is expected to relieve a part of it.
+            endpoint.latency_pressure = endpoint.latency_pressure.sqrt();
+            endpoint.mark_limit_changed(ended.now);
+        }
+    }
+}
--- /dev/null
+++ b/balancer/src/forwarding.rs
@@ -0,0 +1,79 @@
+//! Forwards a request to the endpoint that was selected, and accounts for it.
+
+use crate::attempt::{Attempt, Trial};
+use crate::balancer::Balancer;
+use crate::{Action, Micros, RequestId};
+
+impl Balancer {
+    /// Forwards a request. The attempt runs for as long as its client waits: the endpoint would
+    /// work on one abandoned earlier all the same, but uncounted.
+    pub(crate) fn forward(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        index: usize,
+        trial: Trial,
+        actions: &mut Vec<Action>,
+    ) {
+        self.forwarded_count += 1;
+        self.account_for_slow_start(now, index);
+        let initial_backoff = self.initial_backoff();
+        self.mark_trial(index, trial);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let endpoint = &self.endpoints[index];
+        self.zone_outages.begin_trial(endpoint.zone, now, initial_backoff);
+        let earliest = now + self.settings.clock_resolution;
+        let start_within = request.attempt_deadline().map(|end| end.saturating_sub(earliest));
+        let attempt = Attempt {
+            endpoint: endpoint.id,
+            started_at: endpoint.started_at,
+            zone: endpoint.zone,
+            cell: endpoint.cell,
+            class_id: request.class_id,
+            sent_at: now,
+            trial,
+            is_uploading: request.is_uploading,
+            outcome: None,
+        };
+        request.attempts.push(attempt);
+        if !attempt.is_uploading {
+            self.begin_work(now, &attempt);
+        }
+        actions.push(Action::Forward { request: id, endpoint: attempt.endpoint, start_within });
+        let hedge_at = self.hedge_at(now, &self.requests[&id]);
+        self.set_request_timer(id, hedge_at);
+    }
+
+    fn mark_trial(&mut self, index: usize, trial: Trial) {
+        match trial {
+            Trial::None => {}
+            Trial::Endpoint => self.endpoints[index].limit.trial_in_flight = true,
+            Trial::Shared => {
+                if let Some(shared_limit) = &mut self.shared_limit {
+                    shared_limit.limit.trial_in_flight = true;
+                }
+            }
+        }
+    }
+
+    /// Counts an attempt as work of its endpoint from now on.
+    pub(crate) fn begin_work(&mut self, now: Micros, attempt: &Attempt) {
+        if let Some(index) = self.endpoints.index_of(attempt.endpoint) {
+            let endpoint = &mut self.endpoints[index];
+            if endpoint.started_at == attempt.started_at {
+                endpoint.in_flight += 1;
+            }
+        }
+        let typical_latency = self.typical_latency_of_attempt(attempt);
+        if let Some(shared_limit) = &mut self.shared_limit {
+            shared_limit.begin_attempt(now, typical_latency);
+        }
+    }
+
+    /// Mean latency of an attempt's class, in microseconds.
+    pub(crate) fn typical_latency_of_attempt(&self, attempt: &Attempt) -> f64 {
+        let class = self.settings.classes.get(attempt.class_id);
+        let latency_objective = class.map_or(0, |class| class.latency_objective);
+        self.latencies.typical(attempt.class_id, latency_objective)
+    }
+}
--- /dev/null
+++ b/balancer/src/retry.rs
@@ -0,0 +1,42 @@
+//! Whether a request is retried after an attempt that was not served.
+
+use crate::balancer::Balancer;
+use crate::request::Request;
+use crate::{Action, FailureReason, Micros, Outcome, RequestId};
+
+impl Balancer {
+    /// Queues a request for a retry, or answers it.
+    pub(crate) fn retry_or_abandon(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        outcome: Outcome,
+        actions: &mut Vec<Action>,
+    ) {
+        // A failed connection cost the endpoint nothing: it is retried without a budget too.
+        let is_paid = self.retry_budget.allows_retry() || outcome == Outcome::ConnectFailed;
+        if is_paid && self.may_retry(now, &self.requests[&id], outcome) {
+            self.retry_budget.spend();
+            self.enqueue_retry(now, id);
+        } else {
+            self.abandon(id, self.initial_backoff(), FailureReason::AttemptsExhausted, actions);
+        }
+    }
+
+    /// Whether a retry could be in time, is allowed, and has an endpoint to go to.
+    fn may_retry(&self, now: Micros, request: &Request, outcome: Outcome) -> bool {
+        let is_in_time = now as f64 + self.typical_latency(request) < request.objective_at() as f64;
+        let is_body_lost =
+            request.is_non_replayable && !matches!(outcome, Outcome::ConnectFailed | Outcome::NeverSent);
+        is_in_time
+            && !is_body_lost
+            && self.has_attempts_left(request)
+            && self.endpoints.iter().any(|endpoint| {
+                endpoint.is_listed && request.may_attempt(now, endpoint, self.settings.clock_resolution)
+            })
+    }
+
+    pub(crate) fn has_attempts_left(&self, request: &Request) -> bool {
+        (request.attempts.len() as u32) < self.settings.limits.max_attempts
+    }
+}
--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -6,9 +6,9 @@
 use crate::control::Control;
 use crate::invariants::Violation;
 use crate::log;
+use crate::message_limits::MAX_HEAD_BYTES;
 use crate::metrics::{ClientCloseReason, Metrics};
 use crate::socket::Socket;
-use crate::upstream::HEAD_MOST;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
 use hyper::service::service_fn;
@@ -109,7 +109,7 @@
         hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(None)
-            .max_buf_size(HEAD_MOST)
+            .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(socket, service_fn(move |request| self.respond(request)))
     }
 
--- a/proxy/src/downstream/forward.rs
+++ b/proxy/src/downstream/forward.rs
@@ -59,17 +59,17 @@
     let buffered = tokio::select! {
         biased;
         () = control.closed() => return Ok(None),
-        buffered = upload.gather(&memory) => buffered?,
+        buffered = upload.buffer(&memory) => buffered?,
     };
     Ok(Some(match buffered {
-        Some(bytes) => RequestBody::Whole(bytes),
+        Some(bytes) => RequestBody::Buffered(bytes),
         None => RequestBody::Upload(upload.clone()),
     }))
 }
 
 /// The client's time runs from the request's last byte.
 fn deadline(upload: &Upload, budget: Duration) -> Instant {
-    match upload.end() {
+    match upload.result() {
         Some(Ok(completed_at)) => completed_at + budget,
         _ => Instant::now() + budget,
     }
@@ -90,7 +90,7 @@
 ) -> Result<Reply, RequestError> {
     tokio::select! {
         biased;
-        ended = upload.ended() => {
+        ended = upload.finished() => {
             let deadline = ended? + budget;
             pending.uploaded(deadline.saturating_duration_since(Instant::now()));
         }
--- a/proxy/src/downstream/listener.rs
+++ b/proxy/src/downstream/listener.rs
@@ -80,11 +80,11 @@
 /// when to accept again: at once after a signal or a connection that ended before it was accepted.
 fn handle_failure(connections: &mut ClientConnections, error: &io::Error) -> Instant {
     match ErrorClass::of(error) {
-        ErrorClass::Momentary => return Instant::now(),
-        ErrorClass::NoRoom => {
+        ErrorClass::Temporary => return Instant::now(),
+        ErrorClass::ResourcesExhausted => {
             connections.evict();
         }
-        ErrorClass::Peer | ErrorClass::Lasting => {}
+        ErrorClass::Peer | ErrorClass::Permanent => {}
     }
     log::line(&format!("cannot accept a client's connection: {error}"));
     Instant::now() + ACCEPT_RETRY_DELAY
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -20,7 +20,7 @@
 use crate::downstream::client_connections::ClientConnections;
 use crate::downstream::listener::{accept_remaining, accept_until};
 use crate::log;
-use crate::process_handoff::lead_away;
+use crate::process_handoff::steer_to_newer_process;
 use std::future::Future;
 use tokio::net::TcpListener;
 use tokio::time::sleep;
@@ -37,7 +37,7 @@
     control.set_accepting(true);
     accept_until(&listener, &mut connections, stop).await;
     connections.begin_shutdown(shutdown::schedule(longest_deadline));
-    if let Err(error) = lead_away(&listener) {
+    if let Err(error) = steer_to_newer_process(&listener) {
         log::line(&format!("cannot lead new connections to the next process: {error}"));
     }
     accept_until(&listener, &mut connections, sleep(shutdown::ACCEPT_DURATION)).await;
--- a/proxy/src/downstream/request.rs
+++ b/proxy/src/downstream/request.rs
@@ -1,8 +1,9 @@
 //! Validates a client's request: what its head says, and whether it has the form of its class.
 
 use super::headers::{self, single_value};
-use crate::body::{UploadError, BODY_MOST};
+use crate::body::UploadError;
 use crate::config::Config;
+use crate::message_limits::MAX_BODY_BYTES;
 use balancer::{ClassId, Idempotency, TenantId};
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
@@ -23,7 +24,7 @@
     #[error("the request does not have the form of its class")]
     ClassMismatch,
     /// Its body is longer than any may be.
-    #[error("the body is longer than {BODY_MOST} bytes")]
+    #[error("the body is longer than {MAX_BODY_BYTES} bytes")]
     BodyTooLong,
     /// A request with its id is in flight.
     #[error("a request with this id is in flight")]
@@ -76,7 +77,7 @@
     let tenant = single_value(&head.headers, headers::TENANT);
     let tenant = tenant.and_then(|name| index_of(&config.tenants, name)).map(TenantId);
     let is_client_retry = single_value(&head.headers, headers::CLIENT_RETRY) == Some("1");
-    if body_length.is_some_and(|length| length > BODY_MOST) {
+    if body_length.is_some_and(|length| length > MAX_BODY_BYTES) {
         return Err(RequestError::BodyTooLong);
     }
     Ok(ValidRequest { id, class: ClassId(class), tenant, is_client_retry, timeout })
--- a/proxy/src/downstream/response.rs
+++ b/proxy/src/downstream/response.rs
@@ -33,7 +33,7 @@
 
 /// A response of a status alone.
 pub(super) fn empty(status: StatusCode) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::whole(Bytes::new()));
+    let mut response = Response::new(ResponseBody::buffered(Bytes::new()));
     *response.status_mut() = status;
     response
 }
--- a/proxy/src/downstream/service.rs
+++ b/proxy/src/downstream/service.rs
@@ -52,8 +52,8 @@
         },
         _ => error_and_close(StatusCode::NOT_FOUND),
     };
-    if upload.end().is_none() {
-        spawn_local(async move { upload.drain().await });
+    if upload.result().is_none() {
+        spawn_local(async move { upload.discard().await });
     }
     response
 }
--- a/proxy/src/downstream/tests.rs
+++ b/proxy/src/downstream/tests.rs
@@ -66,7 +66,7 @@
         method: Method::GET,
         target: Uri::from_static("/api"),
         headers: HeaderMap::new(),
-        payload: RequestBody::Whole(Bytes::new()),
+        payload: RequestBody::Buffered(Bytes::new()),
         budget,
         client,
     }
