--- a/proxy/tests/bodies.rs
+++ b/proxy/tests/bodies.rs
@@ -13,16 +13,19 @@
 const LARGE: usize = 1 << 20;
 
 /// A host that a test plays itself: the address, and its connections as they come.
-struct Played {
-    host: Host,
+struct ManualEndpoint {
+    endpoint: TestEndpoint,
     listener: TcpListener,
 }
 
-impl Played {
-    async fn start() -> Played {
+impl ManualEndpoint {
+    async fn start() -> ManualEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        Played { host: Host { address, ..Host::start([Act::Stall]).await }, listener }
+        ManualEndpoint {
+            endpoint: TestEndpoint { address, ..TestEndpoint::start([ScriptedResponse::Stall]).await },
+            listener,
+        }
     }
 
     async fn accept(&self) -> TcpStream {
@@ -53,22 +56,22 @@
 /// What is read of a body goes on before the rest is there, and its time begins with its last byte.
 #[test]
 fn a_large_body_goes_on_as_it_comes() {
-    run(async {
-        let played = Played::start().await;
-        let proxy = Proxy::start(from_ref(&played.host)).await;
+    run_test(async {
+        let played = ManualEndpoint::start().await;
+        let proxy = Proxy::start(from_ref(&played.endpoint)).await;
         let mut client = proxy.client().await;
         client.send(&upload("unsafe", LARGE).replace("8000", "300")).await;
         client.send(&"a".repeat(LARGE / 2)).await;
-        let (mut host, _) = played.request().await;
-        host.read_exact(&mut vec![0; LARGE / 2]).await.expect("the first half");
+        let (mut endpoint, _) = played.request().await;
+        endpoint.read_exact(&mut vec![0; LARGE / 2]).await.expect("the first half");
         // Longer than its client waits for the answer.
         sleep(Duration::from_millis(500)).await;
         client.send(&"b".repeat(LARGE / 2)).await;
         let mut rest = vec![0; LARGE / 2];
-        host.read_exact(&mut rest).await.expect("the second half");
+        endpoint.read_exact(&mut rest).await.expect("the second half");
         assert!(rest.iter().all(|&byte| byte == b'b'));
-        let Act::Say(answer) = ok("got it") else { return };
-        host.write_all(answer.as_bytes()).await.expect("written");
+        let response = ok_response("got it");
+        endpoint.write_all(response.as_bytes()).await.expect("written");
         assert_eq!(client.message().await.expect("an answer").body, b"got it");
     });
 }
@@ -77,30 +80,31 @@
 /// request.
 #[test]
 fn chunked_bodies_and_what_follows_them_are_read() {
-    run(async {
-        let host = Host::start([ok("small"), ok("next")]).await;
-        let proxy = Proxy::start(from_ref(&host)).await;
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("small"), ok("next")]).await;
+        let proxy = Proxy::start(from_ref(&endpoint)).await;
         let mut client = proxy.client().await;
         let chunked = request("unsafe", "Transfer-Encoding: chunked\r\nTrailer: x-sum\r\n", "");
         client.send(&format!("{chunked}3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 1\r\n\r\n")).await;
         client.send(&request("unsafe", "", "behind")).await;
         assert_eq!(client.message().await.expect("an answer").body, b"small");
         assert_eq!(client.message().await.expect("an answer").body, b"next");
-        let bodies: Vec<Vec<u8>> = host.seen.borrow().iter().map(|message| message.body.clone()).collect();
+        let bodies: Vec<Vec<u8>> =
+            endpoint.requests.borrow().iter().map(|message| message.body.clone()).collect();
         assert_eq!(bodies, [b"abcde".to_vec(), b"behind".to_vec()]);
 
-        let played = Played::start().await;
-        let proxy = Proxy::start(from_ref(&played.host)).await;
+        let played = ManualEndpoint::start().await;
+        let proxy = Proxy::start(from_ref(&played.endpoint)).await;
         let mut client = proxy.client().await;
         let piece = "x".repeat(50_000);
         let chunk = format!("{:x}\r\n{piece}\r\n", piece.len());
         client.send(&format!("{chunked}{chunk}{chunk}{chunk}0\r\n\r\n")).await;
-        let mut host = played.accept().await;
-        assert!(read_until(&mut host, "\r\n\r\n")
+        let mut endpoint = played.accept().await;
+        assert!(read_until(&mut endpoint, "\r\n\r\n")
             .await
             .to_lowercase()
             .contains("transfer-encoding: chunked"));
-        let body = read_until(&mut host, "0\r\n\r\n").await;
+        let body = read_until(&mut endpoint, "0\r\n\r\n").await;
         assert_eq!(body.bytes().filter(|&byte| byte == b'x').count(), 150_000);
     });
 }
@@ -108,30 +112,30 @@
 /// A client that asks first is told to go on.
 #[test]
 fn a_client_that_waits_to_be_told_is_told() {
-    run(async {
-        let host = Host::start([ok("served")]).await;
-        let proxy = Proxy::start(from_ref(&host)).await;
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let proxy = Proxy::start(from_ref(&endpoint)).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "Expect: 100-continue\r\nContent-Length: 4\r\n", "")).await;
         assert_eq!(client.message().await.expect("a word").status(), 100);
         client.send("body").await;
         assert_eq!(client.message().await.expect("an answer").body, b"served");
-        assert_eq!(host.seen.borrow()[0].header("expect"), None);
+        assert_eq!(endpoint.requests.borrow()[0].header("expect"), None);
     });
 }
 
 /// A large body of which something was spent can't go again; its request never ran, and is refused.
 #[test]
 fn a_large_body_that_was_begun_does_not_go_again() {
-    run(async {
-        let played = Played::start().await;
-        let proxy = Proxy::start(from_ref(&played.host)).await;
+    run_test(async {
+        let played = ManualEndpoint::start().await;
+        let proxy = Proxy::start(from_ref(&played.endpoint)).await;
         let mut client = proxy.client().await;
         client.send(&upload("unsafe", LARGE)).await;
         client.send(&"a".repeat(LARGE / 2)).await;
-        let mut host = played.accept().await;
-        host.read_exact(&mut vec![0; LARGE / 4]).await.expect("a part");
-        drop(host);
+        let mut endpoint = played.accept().await;
+        endpoint.read_exact(&mut vec![0; LARGE / 4]).await.expect("a part");
+        drop(endpoint);
         assert_eq!(client.message().await.expect("an answer").status(), 503);
         let again = tokio::time::timeout(Duration::from_millis(100), played.accept()).await;
         assert!(again.is_err(), "nothing is sent again");
@@ -141,24 +145,24 @@
 /// The client's fault is not the host's: it is told so, and the host stays in service.
 #[test]
 fn a_large_body_that_stands_still_ends_its_request() {
-    run(async {
-        let host = Host::start([ok("served")]).await;
-        let proxy = Proxy::start(from_ref(&host)).await;
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let proxy = Proxy::start(from_ref(&endpoint)).await;
         let mut client = proxy.client().await;
         client.send(&upload("unsafe", LARGE)).await;
         client.send(&"a".repeat(1_000)).await;
         assert_eq!(client.message().await.expect("an answer").status(), 408);
-        eventually("its connection is closed", || host.open.get() == 0).await;
-        assert_eq!(proxy.client().await.ask(&request("unsafe", "", "")).await.status(), 200);
+        wait_until("its connection is closed", || endpoint.open_connections.get() == 0).await;
+        assert_eq!(proxy.client().await.exchange(&request("unsafe", "", "")).await.status(), 200);
     });
 }
 
 /// An honest client's body takes as long as it takes.
 #[test]
 fn a_slow_body_is_waited_for() {
-    run(async {
-        let host = Host::start([ok("served")]).await;
-        let proxy = Proxy::start(from_ref(&host)).await;
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let proxy = Proxy::start(from_ref(&endpoint)).await;
         let mut client = proxy.client().await;
         let (pieces, piece) = (14, "x".repeat(16_000));
         client.send(&upload("unsafe", pieces * piece.len())).await;
@@ -174,21 +178,21 @@
 /// came behind its own does not end it.
 #[test]
 fn a_large_answer_is_passed_on_as_it_comes() {
-    run(async {
-        let played = Played::start().await;
-        let proxy = Proxy::start(from_ref(&played.host)).await;
+    run_test(async {
+        let played = ManualEndpoint::start().await;
+        let proxy = Proxy::start(from_ref(&played.endpoint)).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "").replace("8000", "1000")).await;
-        let (mut host, _) = played.request().await;
+        let (mut endpoint, _) = played.request().await;
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n");
-        host.write_all(head.as_bytes()).await.expect("written");
-        host.write_all(&vec![b'a'; LARGE / 2]).await.expect("written");
+        endpoint.write_all(head.as_bytes()).await.expect("written");
+        endpoint.write_all(&vec![b'a'; LARGE / 2]).await.expect("written");
         read_until(&mut client.stream, "\r\n\r\n").await;
         client.stream.read_exact(&mut vec![0; LARGE / 2]).await.expect("the first half");
         client.send("GET /_health HTTP/1.1\r\n").await;
         // Longer than a request may take to come, and than its client waits for the answer.
         sleep(Duration::from_millis(3_200)).await;
-        host.write_all(&vec![b'b'; LARGE / 2]).await.expect("written");
+        endpoint.write_all(&vec![b'b'; LARGE / 2]).await.expect("written");
         client.stream.read_exact(&mut vec![0; LARGE / 2]).await.expect("the second half");
         client.send("\r\n").await;
         assert_eq!(client.message().await.expect("an answer").status(), 200);
@@ -200,19 +204,20 @@
 fn a_large_answer_that_breaks_shows_as_broken() {
     let (length, chunked) = (format!("Content-Length: {LARGE}"), "Transfer-Encoding: chunked".to_owned());
     for framing in [length, chunked] {
-        run(async {
-            let played = Played::start().await;
-            let proxy = Proxy::start(from_ref(&played.host)).await;
+        run_test(async {
+            let played = ManualEndpoint::start().await;
+            let proxy = Proxy::start(from_ref(&played.endpoint)).await;
             let mut client = proxy.client().await;
             client.send(&request("free", "", "")).await;
-            let (mut host, _) = played.request().await;
+            let (mut endpoint, _) = played.request().await;
             let piece = format!("19000\r\n{}\r\n", "a".repeat(0x19000));
-            host.write_all(format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n{piece}").as_bytes())
+            endpoint
+                .write_all(format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n{piece}").as_bytes())
                 .await
                 .expect("written");
             let head = read_until(&mut client.stream, "\r\n\r\n").await;
             assert!(head.starts_with("HTTP/1.1 200"), "{head}");
-            drop(host);
+            drop(endpoint);
             let mut rest = Vec::new();
             // A reset shows as well as an early end.
             let _ = client.stream.read_to_end(&mut rest).await;
@@ -224,19 +229,19 @@
 /// A large answer goes no faster from the host than its client takes it, so that little of it is held.
 #[test]
 fn a_large_answer_waits_for_its_client() {
-    run(async {
+    run_test(async {
         const MANY: usize = 64 << 20;
-        let played = Played::start().await;
-        let proxy = Proxy::start(from_ref(&played.host)).await;
+        let played = ManualEndpoint::start().await;
+        let proxy = Proxy::start(from_ref(&played.endpoint)).await;
         let mut client = proxy.client().await;
         client.send(&request("free", "", "")).await;
-        let (mut host, _) = played.request().await;
-        host.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.expect("written");
+        let (mut endpoint, _) = played.request().await;
+        endpoint.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.expect("written");
         let written = std::rc::Rc::new(std::cell::Cell::new(0));
         let count = written.clone();
         let writing = spawn_local(async move {
             let piece = format!("10000\r\n{}\r\n", "a".repeat(0x10000));
-            while count.get() < MANY && host.write_all(piece.as_bytes()).await.is_ok() {
+            while count.get() < MANY && endpoint.write_all(piece.as_bytes()).await.is_ok() {
                 count.set(count.get() + piece.len());
             }
         });
@@ -254,21 +259,21 @@
 /// is told no more than what is left of that.
 #[test]
 fn a_large_body_that_was_held_tells_what_is_left_of_its_clients_time() {
-    run(async {
-        let host = Host::start([ok("served")]).await;
-        let leaving = list(42, true, &[entry("s-0", host.address, "Terminating")]);
-        let discovery = Discovery::start([format!("{WATCH}{}", chunk(&leaving))]).await;
-        let proxy = Proxy::with(&discovery, &[], |_| ()).await;
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let leaving = list(42, true, &[entry("s-0", endpoint.address, "Terminating")]);
+        let discovery = TestDiscovery::start([format!("{WATCH_HEAD}{}", chunk(&leaving))]).await;
+        let proxy = Proxy::start_with(&discovery, &[], |_| ()).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", &"b".repeat(100_000))).await;
         let whole = Instant::now();
         sleep(Duration::from_millis(400)).await;
-        assert_eq!(host.count(), 0, "it is held");
-        let back = list(43, false, &[entry("s-0", host.address, "Ready")]);
+        assert_eq!(endpoint.request_count(), 0, "it is held");
+        let back = list(43, false, &[entry("s-0", endpoint.address, "Ready")]);
         discovery.push(&chunk(&back)).await;
-        eventually("the host has it", || host.count() == 1).await;
+        wait_until("the host has it", || endpoint.request_count() == 1).await;
         let left = Duration::from_millis(8_000).saturating_sub(whole.elapsed());
-        let told = host.seen.borrow()[0].header("x-budget-ms").and_then(|ms| ms.parse().ok());
+        let told = endpoint.requests.borrow()[0].header("x-budget-ms").and_then(|ms| ms.parse().ok());
         let told = Duration::from_millis(told.expect("a time"));
         assert!(told <= left + Duration::from_millis(150), "{told:?} of {left:?}");
         assert_eq!(client.message().await.expect("an answer").status(), 200);
@@ -278,15 +283,15 @@
 /// A client that has sent most of a body and stops is owed its error within 3 s, however much it had sent.
 #[test]
 fn a_client_that_stops_in_a_body_is_answered_within_its_time() {
-    run(async {
-        let host = Host::start([ok("served")]).await;
-        let proxy = Proxy::start(from_ref(&host)).await;
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let proxy = Proxy::start(from_ref(&endpoint)).await;
         let begun = Instant::now();
         let mut client = proxy.client().await;
         let text = request("unsafe", "", &"b".repeat(60_000));
         client.send(&text[..text.len() - 100]).await;
-        let answer = client.message().await.expect("an answer");
-        assert_eq!(answer.status(), 408);
+        let response = client.message().await.expect("an answer");
+        assert_eq!(response.status(), 408);
         assert!(begun.elapsed() < Duration::from_secs(3), "{:?}", begun.elapsed());
     });
 }
--- a/proxy/tests/busy.rs
+++ b/proxy/tests/busy.rs
@@ -11,56 +11,48 @@
 use tokio::net::TcpListener;
 
 /// Connections that are open beside the one at hand.
-const CROWD: usize = 500;
+const CROWD_SIZE: usize = 500;
 
 /// Room for a crowd of which none has to go.
-fn roomy(config: &mut Value) {
+fn allow_many_sockets(config: &mut Value) {
     config["limits"]["sockets"] = 4_096.into();
 }
 
 /// Many clients, each of which has been answered once. They end by resets, as the system remembers other ends for long.
-async fn crowd(proxy: &Proxy) -> Vec<Client> {
+async fn connect_crowd(proxy: &Proxy) -> Vec<Client> {
     let mut clients = Vec::new();
-    for _ in 0..CROWD {
+    for _ in 0..CROWD_SIZE {
         let client = proxy.client().await;
         client.stream.set_zero_linger().expect("lingers not");
         clients.push(client);
     }
     for client in &mut clients {
-        assert_eq!(client.ask(HEALTH).await.status(), 200);
+        assert_eq!(client.exchange(HEALTH_REQUEST).await.status(), 200);
     }
     clients
 }
 
 /// Writes at once. Nothing here is waited for, so the proxy, which has the same thread, gets no turn.
-fn say(client: &Client, text: &str) {
+fn write_now(client: &Client, text: &str) {
     assert_eq!(client.stream.try_write(text.as_bytes()).expect("written"), text.len());
 }
 
 /// All of them ask at once.
-fn ask_all(crowd: &[Client]) {
-    crowd.iter().for_each(|client| say(client, HEALTH));
+fn request_health_on_all(crowd: &[Client]) {
+    crowd.iter().for_each(|client| write_now(client, HEALTH_REQUEST));
 }
 
 /// Leaves, and keeps the thread until the system has told the proxy's end of it.
-fn leave_unseen(client: Client, way: Leave, proxy: &Proxy) {
+fn disconnect_unnoticed(client: Client, how: Disconnect, proxy: &Proxy) {
     let from = client.stream.local_addr().expect("an address");
-    leave(client, way);
+    disconnect(client, how);
     while is_established(proxy.address, from) {}
 }
 
-const ANSWER: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-const TURN_AWAY: &str = "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
-
-/// A host whose connections the test itself takes, so that what it says is said without a turn of the proxy.
-async fn scripted() -> (Host, TcpListener) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
-    (Host { address, ..Host::start([Act::Stall]).await }, listener)
-}
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 /// The next connection to a host, and the body of the request that came on it.
-async fn taken(listener: &TcpListener) -> (Client, Vec<u8>) {
+async fn accept_request(listener: &TcpListener) -> (Client, Vec<u8>) {
     let mut connection = Client::new(listener.accept().await.expect("the proxy connects").0);
     let body = connection.message().await.expect("a request").body;
     (connection, body)
@@ -70,18 +62,18 @@
 async fn next_body(connection: &mut Client, listeners: [&TcpListener; 2]) -> Vec<u8> {
     tokio::select! {
         message = connection.message() => message.expect("a request").body,
-        (_, body) = taken(listeners[0]) => body,
-        (_, body) = taken(listeners[1]) => body,
+        (_, body) = accept_request(listeners[0]) => body,
+        (_, body) = accept_request(listeners[1]) => body,
     }
 }
 
 /// Attempts that were written whole.
-async fn sent(admin: SocketAddr) -> u64 {
-    figures(admin).await["upstream_requests"].as_u64().expect("a number")
+async fn upstream_requests(admin: SocketAddr) -> u64 {
+    metrics(admin).await["upstream_requests"].as_u64().expect("a number")
 }
 
 /// What comes behind a request on its connection: nothing, a part of a next one, or all of it.
-fn behind() -> [String; 3] {
+fn pipelined_bytes() -> [String; 3] {
     ["".to_owned(), "GET /api HT".to_owned(), request("free", "", "")]
 }
 
@@ -90,33 +82,35 @@
 #[test]
 fn a_held_request_is_not_sent_when_its_client_leaves_as_a_place_becomes_free() {
     let long = |part: usize| (format!("Content-Length: {}\r\n", 30 << 20), "x".repeat(part));
-    let bodies = behind().map(|behind| (String::new(), behind));
-    for (head, behind) in bodies.into_iter().chain([long(0), long(100 << 10)]) {
-        for (way, busy) in WAYS.into_iter().flat_map(|way| [(way, true), (way, false)]) {
-            run(async {
-                let (host, listener) = scripted().await;
-                let (proxy, admin) =
-                    started(from_ref(&host), |config| (narrow(config), roomy(config)).0).await;
-                let crowd = if busy { crowd(&proxy).await } else { Vec::new() };
+    let bodies = pipelined_bytes().map(|pipelined| (String::new(), pipelined));
+    for (head, pipelined) in bodies.into_iter().chain([long(0), long(100 << 10)]) {
+        for (how, busy) in DISCONNECTS.into_iter().flat_map(|how| [(how, true), (how, false)]) {
+            run_test(async {
+                let (endpoint, listener) = manual_endpoint().await;
+                let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |config| {
+                    (limit_to_two_in_flight(config), allow_many_sockets(config)).0
+                })
+                .await;
+                let crowd = if busy { connect_crowd(&proxy).await } else { Vec::new() };
                 let (mut first, mut second) = (proxy.client().await, proxy.client().await);
-                say(&first, &request("free", "", ""));
-                let (mut connection, _) = taken(&listener).await;
-                say(&second, &request("free", "", ""));
-                let (mut other, _) = taken(&listener).await;
+                write_now(&first, &request("free", "", ""));
+                let (mut connection, _) = accept_request(&listener).await;
+                write_now(&second, &request("free", "", ""));
+                let (mut other, _) = accept_request(&listener).await;
                 let mut client = proxy.client().await;
                 client.send(&request("unsafe", &head, "")).await;
-                client.send(&behind).await;
+                client.send(&pipelined).await;
                 // It is held: with its body unread it does not count as pending.
                 if head.is_empty() {
-                    pending(admin, 3).await;
+                    wait_for_pending(admin, 3).await;
                 } else {
-                    assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
+                    assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
                 }
-                ask_all(&crowd);
+                request_health_on_all(&crowd);
                 for connection in [&connection, &other] {
-                    say(connection, ANSWER);
+                    write_now(connection, OK_RESPONSE);
                 }
-                leave_unseen(client, way, &proxy);
+                disconnect_unnoticed(client, how, &proxy);
                 assert_eq!(first.message().await.expect("an answer").status(), 200);
                 assert_eq!(second.message().await.expect("an answer").status(), 200);
                 first.send(&request("unsafe", "", "the next")).await;
@@ -124,8 +118,8 @@
                     next = next_body(&mut connection, [&listener, &listener]) => next,
                     message = other.message() => message.expect("a request").body,
                 };
-                assert_eq!(next, b"the next", "{way:?}, {head}{}", &behind[..behind.len().min(20)]);
-                assert_eq!(sent(admin).await, 3);
+                assert_eq!(next, b"the next", "{how:?}, {head}{}", &pipelined[..pipelined.len().min(20)]);
+                assert_eq!(upstream_requests(admin).await, 3);
             });
         }
     }
@@ -134,38 +128,41 @@
 /// Turned away by one host, with another one free: the client leaves in the same turn.
 #[test]
 fn a_request_does_not_go_to_another_host_when_its_client_leaves_as_it_is_turned_away() {
-    for behind in behind() {
-        for (way, first) in WAYS.into_iter().flat_map(|way| [(way, true), (way, false)]) {
+    for pipelined in pipelined_bytes() {
+        for (how, first) in DISCONNECTS.into_iter().flat_map(|how| [(how, true), (how, false)]) {
             for busy in [true, false] {
-                run(async {
-                    let hosts = [scripted().await, scripted().await];
-                    let (proxy, admin) =
-                        started(&hosts.each_ref().map(|(host, _)| host.clone()), roomy).await;
-                    let [one, other] = hosts.each_ref().map(|(_, listener)| listener);
-                    let crowd = if busy { crowd(&proxy).await } else { Vec::new() };
+                run_test(async {
+                    let endpoints = [manual_endpoint().await, manual_endpoint().await];
+                    let (proxy, admin) = start_without_cancellation(
+                        &endpoints.each_ref().map(|(endpoint, _)| endpoint.clone()),
+                        allow_many_sockets,
+                    )
+                    .await;
+                    let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
+                    let crowd = if busy { connect_crowd(&proxy).await } else { Vec::new() };
                     let client = proxy.client().await;
-                    say(&client, &(request("unsafe", "", "the body") + &behind));
+                    write_now(&client, &(request("unsafe", "", "the body") + &pipelined));
                     let (mut connection, _) = tokio::select! {
-                        taken = taken(one) => taken,
-                        taken = taken(other) => taken,
+                        taken = accept_request(one) => taken,
+                        taken = accept_request(other) => taken,
                     };
-                    ask_all(&crowd);
+                    request_health_on_all(&crowd);
                     if first {
-                        leave_unseen(client, way, &proxy);
-                        say(&connection, TURN_AWAY);
+                        disconnect_unnoticed(client, how, &proxy);
+                        write_now(&connection, REJECTION);
                     } else {
-                        say(&connection, TURN_AWAY);
-                        leave_unseen(client, way, &proxy);
+                        write_now(&connection, REJECTION);
+                        disconnect_unnoticed(client, how, &proxy);
                     }
-                    pending(admin, 0).await;
+                    wait_for_pending(admin, 0).await;
                     let mut next = proxy.client().await;
                     next.send(&request("unsafe", "", "the next")).await;
                     assert_eq!(
                         next_body(&mut connection, [one, other]).await,
                         b"the next",
-                        "{way:?}, {behind}"
+                        "{how:?}, {pipelined}"
                     );
-                    assert_eq!(sent(admin).await, 2);
+                    assert_eq!(upstream_requests(admin).await, 2);
                 });
             }
         }
@@ -175,30 +172,35 @@
 /// Its connection comes up after its client has left, and the proxy learns of both in one turn.
 #[test]
 fn a_request_is_not_written_when_its_client_leaves_before_its_connection_is_up() {
-    for (way, behind) in WAYS.into_iter().flat_map(|way| ["", "GET /api HT"].map(|behind| (way, behind))) {
-        run(async {
-            let (stuck, full, listener) = never_up().await;
-            let (proxy, admin) = started(from_ref(&stuck), |config| {
+    for (how, pipelined) in
+        DISCONNECTS.into_iter().flat_map(|how| ["", "GET /api HT"].map(|pipelined| (how, pipelined)))
+    {
+        run_test(async {
+            let (stuck, full, listener) = endpoint_with_full_backlog().await;
+            let (proxy, admin) = start_without_cancellation(from_ref(&stuck), |config| {
                 config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
-                roomy(config);
+                allow_many_sockets(config);
             })
             .await;
-            let crowd = crowd(&proxy).await;
+            let crowd = connect_crowd(&proxy).await;
             let client = proxy.client().await;
-            say(&client, &(request("unsafe", "", "the body") + behind));
-            pending(admin, 1).await;
+            write_now(&client, &(request("unsafe", "", "the body") + pipelined));
+            wait_for_pending(admin, 1).await;
             let listener = listener.into_std().expect("a listener");
             let waiting = full.len();
             drop(full);
             (0..waiting).for_each(|_| drop(listener.accept().expect("accepted")));
-            ask_all(&crowd);
-            leave_unseen(client, way, &proxy);
-            while !is_reached(stuck.address) {}
-            let host = Host::on(TcpListener::from_std(listener).expect("a listener"), [ok("served")]);
-            pending(admin, 0).await;
-            assert_eq!(proxy.client().await.ask(&request("unsafe", "", "the next")).await.status(), 200);
-            let bodies: Vec<_> = host.seen.borrow().iter().map(|seen| seen.body.clone()).collect();
-            assert_eq!(bodies, [b"the next"], "{way:?}, {behind}");
+            request_health_on_all(&crowd);
+            disconnect_unnoticed(client, how, &proxy);
+            while !has_established_connection(stuck.address) {}
+            let endpoint = TestEndpoint::on_listener(
+                TcpListener::from_std(listener).expect("a listener"),
+                [ok("served")],
+            );
+            wait_for_pending(admin, 0).await;
+            assert_eq!(proxy.client().await.exchange(&request("unsafe", "", "the next")).await.status(), 200);
+            let bodies: Vec<_> = endpoint.requests.borrow().iter().map(|seen| seen.body.clone()).collect();
+            assert_eq!(bodies, [b"the next"], "{how:?}, {pipelined}");
         });
     }
 }
@@ -206,24 +208,28 @@
 /// Behind another of its connection, which is answered as the client leaves.
 #[test]
 fn a_request_behind_another_is_not_sent_when_its_client_leaves_as_that_is_answered() {
-    for behind in behind() {
-        for (way, busy) in WAYS.into_iter().flat_map(|way| [(way, true), (way, false)]) {
-            run(async {
-                let (host, listener) = scripted().await;
-                let (proxy, admin) = started(from_ref(&host), roomy).await;
-                let crowd = if busy { crowd(&proxy).await } else { Vec::new() };
+    for pipelined in pipelined_bytes() {
+        for (how, busy) in DISCONNECTS.into_iter().flat_map(|how| [(how, true), (how, false)]) {
+            run_test(async {
+                let (endpoint, listener) = manual_endpoint().await;
+                let (proxy, admin) =
+                    start_without_cancellation(from_ref(&endpoint), allow_many_sockets).await;
+                let crowd = if busy { connect_crowd(&proxy).await } else { Vec::new() };
                 let client = proxy.client().await;
-                say(&client, &(request("free", "", "") + &request("unsafe", "", "the body") + &behind));
-                let (mut connection, _) = taken(&listener).await;
-                ask_all(&crowd);
-                say(&connection, ANSWER);
-                leave_unseen(client, way, &proxy);
-                pending(admin, 0).await;
+                write_now(
+                    &client,
+                    &(request("free", "", "") + &request("unsafe", "", "the body") + &pipelined),
+                );
+                let (mut connection, _) = accept_request(&listener).await;
+                request_health_on_all(&crowd);
+                write_now(&connection, OK_RESPONSE);
+                disconnect_unnoticed(client, how, &proxy);
+                wait_for_pending(admin, 0).await;
                 let mut next = proxy.client().await;
                 next.send(&request("unsafe", "", "the next")).await;
                 let next = next_body(&mut connection, [&listener, &listener]).await;
-                assert_eq!(next, b"the next", "{way:?}, {behind}");
-                assert_eq!(sent(admin).await, 2);
+                assert_eq!(next, b"the next", "{how:?}, {pipelined}");
+                assert_eq!(upstream_requests(admin).await, 2);
             });
         }
     }
@@ -232,23 +238,28 @@
 /// Many at once that nobody has accepted yet, each with its client's end.
 #[test]
 fn requests_whose_clients_left_before_they_were_accepted_are_not_sent() {
-    for behind in behind() {
-        for way in WAYS {
-            run(async {
-                let (host, listener) = scripted().await;
-                let (proxy, admin) = started(from_ref(&host), roomy).await;
-                let crowd = crowd(&proxy).await;
-                ask_all(&crowd);
-                for _ in 0..CROWD / 5 {
-                    come_and_leave(proxy.address, &(request("unsafe", "", "the body") + &behind), way);
+    for pipelined in pipelined_bytes() {
+        for how in DISCONNECTS {
+            run_test(async {
+                let (endpoint, listener) = manual_endpoint().await;
+                let (proxy, admin) =
+                    start_without_cancellation(from_ref(&endpoint), allow_many_sockets).await;
+                let crowd = connect_crowd(&proxy).await;
+                request_health_on_all(&crowd);
+                for _ in 0..CROWD_SIZE / 5 {
+                    send_and_disconnect(
+                        proxy.address,
+                        &(request("unsafe", "", "the body") + &pipelined),
+                        how,
+                    );
                 }
                 let mut next = proxy.client().await;
                 next.send(&request("unsafe", "", "the next")).await;
-                let (connection, body) = taken(&listener).await;
-                assert_eq!(body, b"the next", "{way:?}, {behind}");
-                say(&connection, ANSWER);
+                let (connection, body) = accept_request(&listener).await;
+                assert_eq!(body, b"the next", "{how:?}, {pipelined}");
+                write_now(&connection, OK_RESPONSE);
                 assert_eq!(next.message().await.expect("an answer").status(), 200);
-                assert_eq!((ended(admin).await[0], sent(admin).await), (1, 1));
+                assert_eq!((request_ends(admin).await[0], upstream_requests(admin).await), (1, 1));
             });
         }
     }
@@ -257,52 +268,60 @@
 /// Late, while a second copy is due: the client leaves before that, in the same turn.
 #[test]
 fn no_second_copy_goes_out_when_its_client_has_left() {
-    const AIM: Duration = Duration::from_secs(1);
-    for behind in behind() {
-        for way in WAYS {
-            run(async {
-                let hosts = [scripted().await, scripted().await];
-                let (proxy, admin) = started(&hosts.each_ref().map(|(host, _)| host.clone()), |config| {
-                    config["settings"]["limits"]["second_copies"] = true.into();
-                    config["settings"]["classes"][0]["objective_us"] = (AIM.as_micros() as u64).into();
-                    roomy(config);
-                })
+    const OBJECTIVE: Duration = Duration::from_secs(1);
+    for pipelined in pipelined_bytes() {
+        for how in DISCONNECTS {
+            run_test(async {
+                let endpoints = [manual_endpoint().await, manual_endpoint().await];
+                let (proxy, admin) = start_without_cancellation(
+                    &endpoints.each_ref().map(|(endpoint, _)| endpoint.clone()),
+                    |config| {
+                        config["settings"]["limits"]["second_copies"] = true.into();
+                        config["settings"]["classes"][0]["objective_us"] =
+                            (OBJECTIVE.as_micros() as u64).into();
+                        allow_many_sockets(config);
+                    },
+                )
                 .await;
-                let [one, other] = hosts.each_ref().map(|(_, listener)| listener);
-                let crowd = crowd(&proxy).await;
+                let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
+                let crowd = connect_crowd(&proxy).await;
                 // Answers show what is usual, and earn the credit that a copy is paid from.
                 let mut before = proxy.client().await;
-                let answers = [one, other].map(|listener| async move {
+                let responses = [one, other].map(|listener| async move {
                     let mut open = Vec::new();
                     loop {
-                        let (connection, _) = taken(listener).await;
-                        say(&connection, &ANSWER.replace("OK\r\n", "OK\r\nConnection: close\r\n"));
+                        let (connection, _) = accept_request(listener).await;
+                        write_now(&connection, &OK_RESPONSE.replace("OK\r\n", "OK\r\nConnection: close\r\n"));
                         open.push(connection);
                     }
                 });
-                let [ones, others] = answers;
+                let [ones, others] = responses;
                 tokio::select! {
                     () = ones => {}
                     () = others => {}
                     () = async { for _ in 0..60 {
-                        assert_eq!(before.ask(&request("free", "", "")).await.status(), 200);
+                        assert_eq!(before.exchange(&request("free", "", "")).await.status(), 200);
                     } } => {}
                 }
-                let before_it = sent(admin).await;
+                let before_it = upstream_requests(admin).await;
                 let client = proxy.client().await;
-                say(&client, &(request("free", "", "") + &behind));
+                write_now(&client, &(request("free", "", "") + &pipelined));
                 let (mut connection, _) = tokio::select! {
-                    taken = taken(one) => taken,
-                    taken = taken(other) => taken,
+                    taken = accept_request(one) => taken,
+                    taken = accept_request(other) => taken,
                 };
-                ask_all(&crowd);
-                leave_unseen(client, way, &proxy);
+                request_health_on_all(&crowd);
+                disconnect_unnoticed(client, how, &proxy);
                 let left = Instant::now();
-                while left.elapsed() < AIM {}
-                pending(admin, 0).await;
+                while left.elapsed() < OBJECTIVE {}
+                wait_for_pending(admin, 0).await;
                 before.send(&request("unsafe", "", "the next")).await;
-                assert_eq!(next_body(&mut connection, [one, other]).await, b"the next", "{way:?}, {behind}");
-                assert_eq!(sent(admin).await, before_it + 2);
+                assert_eq!(
+                    next_body(&mut connection, [one, other]).await,
+                    b"the next",
+                    "{how:?}, {pipelined}"
+                );
+                assert_eq!(upstream_requests(admin).await, before_it + 2);
             });
         }
     }
--- /dev/null
+++ b/proxy/tests/common/connections.rs
@@ -0,0 +1,51 @@
+//! What the system reports about connections, in its table (`proc_net(5)`).
+
+use std::net::SocketAddr;
+
+/// The states of a connection as the system numbers them.
+const ESTABLISHED: &str = "01";
+const SYN_SENT: &str = "02";
+
+fn connection_table() -> String {
+    std::fs::read_to_string("/proc/net/tcp").expect("a table of connections")
+}
+
+/// An address as it stands in the table.
+fn table_address(address: SocketAddr) -> String {
+    match address {
+        SocketAddr::V4(v4) => format!("{:08X}:{:04X}", u32::from_le_bytes(v4.ip().octets()), v4.port()),
+        SocketAddr::V6(_) => String::new(),
+    }
+}
+
+/// Whether there is a connection to this address in this state.
+fn is_in_state(to: SocketAddr, state: &str) -> bool {
+    let SocketAddr::V4(_) = to else { return false };
+    connection_table().contains(&format!("{} {state} ", table_address(to)))
+}
+
+/// Whether a connection to this address is established.
+pub fn has_established_connection(address: SocketAddr) -> bool {
+    is_in_state(address, ESTABLISHED)
+}
+
+/// Whether a connection to this address is being opened, and nothing was received from there.
+pub fn is_connecting(address: SocketAddr) -> bool {
+    is_in_state(address, SYN_SENT)
+}
+
+/// The connection from one address to another: its state, and how many of its bytes are unread.
+pub fn connection_state(from: SocketAddr, to: SocketAddr) -> Option<(String, u64)> {
+    let table = connection_table();
+    let ends = format!("{} {}", table_address(from), table_address(to));
+    let line = table.lines().find(|line| line.contains(&ends))?;
+    let mut columns = line.split_whitespace().skip(3);
+    let (state, queues) = (columns.next()?, columns.next()?);
+    let unread = u64::from_str_radix(queues.split(':').nth(1)?, 16).ok()?;
+    Some((state.to_owned(), unread))
+}
+
+/// Whether the connection from one address to another is established.
+pub fn is_established(from: SocketAddr, to: SocketAddr) -> bool {
+    connection_state(from, to).is_some_and(|(state, _)| state == ESTABLISHED)
+}
--- /dev/null
+++ b/proxy/tests/common/http.rs
@@ -0,0 +1,138 @@
+//! HTTP/1.1 messages, read and written without a library.
+
+use std::sync::atomic::{AtomicU64, Ordering};
+use tokio::io::AsyncReadExt;
+
+/// A message as it was received: its start line, its headers in lower case, its body.
+#[derive(Clone, Debug)]
+pub struct Message {
+    pub start_line: String,
+    pub headers: Vec<(String, String)>,
+    pub body: Vec<u8>,
+}
+
+impl Message {
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
+    }
+
+    pub fn status(&self) -> u16 {
+        self.start_line.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status")
+    }
+}
+
+/// Reads messages off a stream.
+pub struct MessageReader<R> {
+    pub stream: R,
+    buffer: Vec<u8>,
+}
+
+impl<R: AsyncReadExt + Unpin> MessageReader<R> {
+    pub fn new(stream: R) -> Self {
+        MessageReader { stream, buffer: Vec::new() }
+    }
+
+    /// Reads more into the buffer; whether there was more.
+    pub async fn read_more(&mut self) -> bool {
+        self.stream.read_buf(&mut self.buffer).await.is_ok_and(|count| count > 0)
+    }
+
+    /// The next message; `None` if the stream ends before it is complete.
+    pub async fn message(&mut self) -> Option<Message> {
+        let end = loop {
+            match self.buffer.windows(4).position(|w| w == b"\r\n\r\n") {
+                Some(end) => break end,
+                None if !self.read_more().await => return None,
+                None => {}
+            }
+        };
+        let head = String::from_utf8_lossy(&self.buffer[..end]).into_owned();
+        let mut lines = head.split("\r\n");
+        let start_line = lines.next()?.to_owned();
+        let headers = lines.filter_map(|line| line.split_once(':'));
+        let headers: Vec<_> =
+            headers.map(|(name, value)| (name.to_lowercase(), value.trim().to_owned())).collect();
+        let mut message = Message { start_line, headers, body: Vec::new() };
+        let length: usize = message.header("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
+        while self.buffer.len() < end + 4 + length {
+            if !self.read_more().await {
+                return None;
+            }
+        }
+        message.body = self.buffer[end + 4..end + 4 + length].to_vec();
+        self.buffer.drain(..end + 4 + length);
+        Some(message)
+    }
+
+    /// The next response, whose body may be chunked; `None` if it is not complete.
+    pub async fn response(&mut self) -> Option<Message> {
+        let mut response = self.message().await?;
+        if response.header("transfer-encoding") != Some("chunked") {
+            return Some(response);
+        }
+        loop {
+            let size = self.line().await?;
+            let size = usize::from_str_radix(&size, 16).ok()?;
+            let (chunk, end) = (self.exactly(size).await?, self.exactly(2).await?);
+            assert_eq!(end, b"\r\n");
+            if size == 0 {
+                return Some(response);
+            }
+            response.body.extend(chunk);
+        }
+    }
+
+    async fn line(&mut self) -> Option<String> {
+        loop {
+            if let Some(end) = self.buffer.windows(2).position(|w| w == b"\r\n") {
+                let line = String::from_utf8_lossy(&self.buffer[..end]).into_owned();
+                self.buffer.drain(..end + 2);
+                return Some(line);
+            }
+            if !self.read_more().await {
+                return None;
+            }
+        }
+    }
+
+    async fn exactly(&mut self, count: usize) -> Option<Vec<u8>> {
+        while self.buffer.len() < count {
+            if !self.read_more().await {
+                return None;
+            }
+        }
+        Some(self.buffer.drain(..count).collect())
+    }
+}
+
+/// A request for the proxy's health.
+pub const HEALTH_REQUEST: &str = "GET /_health HTTP/1.1\r\n\r\n";
+
+/// A request of a class, with further header lines and a body. Each has an id of its own.
+pub fn request(class: &str, headers: &str, body: &str) -> String {
+    static NEXT_ID: AtomicU64 = AtomicU64::new(0);
+    let (id, length) = (NEXT_ID.fetch_add(1, Ordering::Relaxed), body.len());
+    let (method, key) = match class {
+        "free" => ("GET", String::new()),
+        "keyed" if !headers.contains("Idempotency-Key") => ("POST", format!("Idempotency-Key: k{id}\r\n")),
+        _ => ("POST", String::new()),
+    };
+    let length = if body.is_empty() { String::new() } else { format!("Content-Length: {length}\r\n") };
+    format!(
+        "{method} /api HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: {id:016x}\r\nX-Call-Class: {class}\r\n\
+         X-Budget-Ms: 8000\r\n{key}{headers}{length}\r\n{body}"
+    )
+}
+
+/// A response with status 200 and this body.
+pub fn ok_response(body: &str) -> String {
+    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+}
+
+/// A response that proves that the request has not run.
+pub const REJECTION: &str = "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
+
+/// A chunk with this line.
+pub fn chunk(line: &str) -> String {
+    format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
+}
--- /dev/null
+++ b/proxy/tests/common/proxy.rs
@@ -0,0 +1,163 @@
+//! A proxy that runs inside the test, its configuration, and what its operators read.
+
+use super::client::{connect_when_listening, Client};
+use super::discovery::{entry, TestDiscovery};
+use super::endpoint::TestEndpoint;
+use client_proxy::config::Config;
+use serde_json::json;
+use std::net::SocketAddr;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::sync::oneshot;
+use tokio::task::{spawn_local, yield_now, JoinHandle};
+
+/// A configuration that lists these endpoints; `change` edits it before it is parsed.
+pub fn configuration(
+    discovery: SocketAddr,
+    endpoints: &[TestEndpoint],
+    change: impl FnOnce(&mut serde_json::Value),
+) -> String {
+    let entries = endpoints.iter().enumerate();
+    let entries: Vec<_> =
+        entries.map(|(n, endpoint)| entry(&format!("s-{n}"), endpoint.address, "Ready")).collect();
+    let class = |name: &str, kind: &str| {
+        json!({"name": name, "objective_us": 5_000_000, "deadline_us": 9_000_000, "worth": 1.0,
+               "idempotency": kind, "dedup_scope": "cell", "repeat_window_us": 9_000_000})
+    };
+    let mut config = json!({
+        "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1_024},
+        "known": {"seq": 41, "whole": true, "hosts": entries},
+        "settings": {
+            "balancers": 1, "me": 0, "discovery": "ask", "tick_us": 1_000,
+            "classes": [class("free", "free"), class("keyed", "guarded"), class("unsafe", "single_shot")],
+            "limits": {"cancel": true, "max_attempts": 3, "second_copies": false, "max_retry_after_us": 750_000,
+                       "connect_timeout_us": 1_000_000, "conn_idle_us": 60_000_000},
+            "invariants": {"cold_from": 0.3, "cold_us": 7_500_000, "ask_every_us": 320_000}
+        }
+    });
+    change(&mut config);
+    config.to_string()
+}
+
+/// Changes a configuration so that operators have an address.
+pub fn with_admin(config: &mut serde_json::Value) {
+    config["admin"] = "127.0.0.1:0".into();
+}
+
+/// Changes a configuration so that two requests can be in flight, one of them as the trial that may raise the limit, and a
+/// third waits in the queue.
+pub fn limit_to_two_in_flight(config: &mut serde_json::Value) {
+    config["settings"]["balancers"] = 7.into();
+}
+
+/// A running proxy.
+pub struct Proxy {
+    pub address: SocketAddr,
+    pub admin: Option<SocketAddr>,
+    /// Dropped, it orders the proxy to shut down.
+    pub stop: Option<oneshot::Sender<()>>,
+    pub task: JoinHandle<std::io::Result<()>>,
+}
+
+impl Proxy {
+    pub async fn start(endpoints: &[TestEndpoint]) -> Proxy {
+        Proxy::start_with(&TestDiscovery::without_updates().await, endpoints, |_| ()).await
+    }
+
+    /// Starts one whose configuration is changed.
+    pub async fn start_with(
+        discovery: &TestDiscovery,
+        endpoints: &[TestEndpoint],
+        change: impl FnOnce(&mut serde_json::Value),
+    ) -> Proxy {
+        let config = configuration(discovery.address, endpoints, change);
+        let config = Config::parse(&config).expect("a good configuration");
+        let listener = client_proxy::process_handoff::bind(config.listen).expect("bound");
+        let address = listener.local_addr().expect("an address");
+        let (stop, stopped) = oneshot::channel();
+        let operators =
+            config.admin.map(|address| client_proxy::operators::listen(address).expect("it listens"));
+        let admin = operators.as_ref().map(|listener| listener.local_addr().expect("an address"));
+        let listeners = client_proxy::Listeners { clients: listener, operators };
+        let task = spawn_local(client_proxy::run(config, listeners, None, async || None, async {
+            let _ = stopped.await;
+        }));
+        Proxy { address, admin, stop: Some(stop), task }
+    }
+
+    /// A client of it, once it listens: it does so only once it has an endpoint list, or has waited for one.
+    pub async fn client(&self) -> Client {
+        connect_when_listening(self.address).await
+    }
+}
+
+/// A proxy with an address for operators.
+pub async fn start_with_admin(
+    endpoints: &[TestEndpoint],
+    change: impl FnOnce(&mut serde_json::Value),
+) -> (Proxy, SocketAddr) {
+    let proxy = Proxy::start_with(&TestDiscovery::without_updates().await, endpoints, |config| {
+        with_admin(config);
+        change(config);
+    })
+    .await;
+    let admin = proxy.admin.expect("an address for operators");
+    (proxy, admin)
+}
+
+/// A proxy with an address for operators, which may not cancel attempts that have begun.
+pub async fn start_without_cancellation(
+    endpoints: &[TestEndpoint],
+    change: impl FnOnce(&mut serde_json::Value),
+) -> (Proxy, SocketAddr) {
+    start_with_admin(endpoints, |config| {
+        config["settings"]["limits"]["cancel"] = false.into();
+        change(config);
+    })
+    .await
+}
+
+/// The response to an operator's command, up to the end of its connection.
+pub async fn admin_command(admin: SocketAddr, line: &str) -> String {
+    let mut stream = TcpStream::connect(admin).await.expect("operators are admitted");
+    // Some tests send very many, and the system remembers connections that ended in order: its table would grow long.
+    stream.set_zero_linger().expect("zero linger");
+    stream.write_all(line.as_bytes()).await.expect("written");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await.expect("a response");
+    response
+}
+
+/// The metrics that operators read.
+pub async fn metrics(admin: SocketAddr) -> serde_json::Value {
+    let response = admin_command(admin, "counters\n").await;
+    let json = response.strip_suffix("\nEOT\n");
+    serde_json::from_str(json.expect("the form of metrics")).expect("metrics")
+}
+
+/// Whether the process whose operators have this address reports that it takes clients.
+pub async fn is_ready(admin: SocketAddr) -> bool {
+    let mut response = String::new();
+    if let Ok(mut stream) = TcpStream::connect(admin).await {
+        // The process may end meanwhile.
+        let _ = stream.write_all(b"health\n").await;
+        let _ = stream.read_to_string(&mut response).await;
+    }
+    response == "SUCCESS yes\n"
+}
+
+/// Waits until this many requests are pending.
+pub async fn wait_for_pending(admin: SocketAddr, count: u64) {
+    while metrics(admin).await["pending"] != count {
+        yield_now().await;
+    }
+}
+
+/// How many requests have ended, over all classes: completed, rejected, failed.
+pub async fn request_ends(admin: SocketAddr) -> [u64; 3] {
+    let metrics = metrics(admin).await;
+    let classes = metrics["downstream_requests"].as_object().expect("classes").clone();
+    ["completed", "rejected", "failed"]
+        .map(|end| classes.values().map(|class| class[end].as_u64().expect("a number")).sum())
+}
--- /dev/null
+++ b/proxy/tests/common/scripted_discovery.rs
@@ -0,0 +1,115 @@
+//! Discovery that follows a script, one watch request after the other.
+
+use super::discovery::WATCH_HEAD;
+use super::http::MessageReader;
+use super::program::reserve_port;
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::AsyncWriteExt;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, Instant};
+
+/// What discovery does with one watch request.
+#[derive(Clone, Debug)]
+pub enum WatchResponse {
+    /// Writes this and keeps the connection open.
+    Respond(String),
+    /// Writes it after this time.
+    RespondAfter(Duration, String),
+    /// Resets the connection.
+    Reset,
+    /// Nobody listens for this time.
+    Unreachable(Duration),
+}
+use WatchResponse::{Reset, Respond, RespondAfter, Unreachable};
+
+pub const UNAVAILABLE: &str = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
+pub const NO_UPDATES: fn() -> WatchResponse = || Respond(WATCH_HEAD.to_owned());
+pub const NO_RESPONSE: fn() -> WatchResponse = || Respond(String::new());
+pub const REJECTED: fn() -> WatchResponse = || Respond(UNAVAILABLE.to_owned());
+pub const LATE_REJECTED: fn() -> WatchResponse =
+    || RespondAfter(Duration::from_secs(2), UNAVAILABLE.to_owned());
+pub const PARTIAL_HEAD: fn() -> WatchResponse = || Respond("HTTP/1.1 200 OK\r\nTransfer-Enc".to_owned());
+
+/// Discovery that gives one response after the other, and then has no updates.
+#[derive(Clone)]
+pub struct ScriptedDiscovery {
+    pub address: SocketAddr,
+    pub request_count: Rc<Cell<usize>>,
+    /// When it last became reachable.
+    pub reachable_since: Rc<Cell<Option<Instant>>>,
+    pub open_connections: Rc<RefCell<Vec<TcpStream>>>,
+}
+
+impl ScriptedDiscovery {
+    pub async fn start(script: impl IntoIterator<Item = WatchResponse>) -> ScriptedDiscovery {
+        // Reserved while nobody listens there.
+        let port = reserve_port();
+        let address = port.local_addr().expect("an address");
+        let mut listener = TcpListener::bind(address).await.expect("it listens");
+        let discovery = ScriptedDiscovery {
+            address,
+            request_count: Rc::default(),
+            reachable_since: Rc::default(),
+            open_connections: Rc::default(),
+        };
+        let serving = discovery.clone();
+        let mut script: VecDeque<_> = script.into_iter().collect();
+        spawn_local(async move {
+            let _port = port;
+            loop {
+                if let Some(Unreachable(span)) = script.front() {
+                    drop(listener);
+                    sleep(*span).await;
+                    listener = TcpListener::bind(address).await.expect("the same port");
+                    serving.reachable_since.set(Some(Instant::now()));
+                    script.pop_front();
+                    continue;
+                }
+                let (mut stream, _) = listener.accept().await.expect("a connection");
+                let mut reader = MessageReader::new(&mut stream);
+                if reader.message().await.is_none() {
+                    continue;
+                }
+                serving.request_count.set(serving.request_count.get() + 1);
+                serving.respond(stream, script.pop_front().unwrap_or_else(NO_UPDATES)).await;
+            }
+        });
+        discovery
+    }
+
+    async fn respond(&self, mut stream: TcpStream, response: WatchResponse) {
+        match response {
+            Respond(text) => {
+                stream.write_all(text.as_bytes()).await.expect("written");
+                self.open_connections.borrow_mut().push(stream);
+            }
+            RespondAfter(delay, text) => {
+                let open_connections = self.open_connections.clone();
+                spawn_local(async move {
+                    sleep(delay).await;
+                    // The request may have been abandoned.
+                    let _ = stream.write_all(text.as_bytes()).await;
+                    open_connections.borrow_mut().push(stream);
+                });
+            }
+            Reset => reset_connection(&stream),
+            Unreachable(_) => unreachable!("the listener waits before it accepts"),
+        }
+    }
+
+    /// Resets the open connections.
+    pub fn reset(&self) {
+        for stream in self.open_connections.borrow_mut().drain(..) {
+            reset_connection(&stream);
+        }
+    }
+}
+
+fn reset_connection(stream: &TcpStream) {
+    socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("zero linger");
+}
--- a/proxy/tests/crossings.rs
+++ b/proxy/tests/crossings.rs
@@ -17,41 +17,41 @@
 /// connection comes up only after that must not be written, and its client is told at the window's end.
 #[test]
 fn a_repeat_whose_connection_comes_up_after_its_window_is_not_written() {
-    run(async {
-        let first = Host::start([Act::Stall]).await;
-        let (stuck, full, listener) = never_up().await;
-        let discovery = Discovery::quiet().await;
-        let proxy = Proxy::with(&discovery, from_ref(&first), |config| {
+    run_test(async {
+        let first = TestEndpoint::start([ScriptedResponse::Stall]).await;
+        let (stuck, full, listener) = endpoint_with_full_backlog().await;
+        let discovery = TestDiscovery::without_updates().await;
+        let proxy = Proxy::start_with(&discovery, from_ref(&first), |config| {
             config["settings"]["classes"][1]["repeat_window_us"] = 500_000.into();
             config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
         })
         .await;
-        eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
+        wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
         let mut client = proxy.client().await;
         client.send(&request("keyed", "", "the first")).await;
-        eventually("the host has it", || first.count() == 1).await;
-        let hosts = [entry("s-0", first.address, "Terminating"), entry("s-1", stuck.address, "Ready")];
-        discovery.push(&chunk(&list(42, false, &hosts))).await;
-        assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
+        wait_until("the host has it", || first.request_count() == 1).await;
+        let endpoints = [entry("s-0", first.address, "Terminating"), entry("s-1", stuck.address, "Ready")];
+        discovery.push(&chunk(&list(42, false, &endpoints))).await;
+        assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
         first.reset();
         // Well past the window, and long before the connection is given up.
         let told = timeout(Duration::from_secs(2), client.message()).await;
-        let host = Host::on(listener, [ok("served")]);
+        let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
         drop(full);
-        let answer = match told {
-            Ok(answer) => answer,
+        let response = match told {
+            Ok(response) => response,
             Err(_) => client.message().await,
         };
-        assert_eq!(answer.expect("an answer").status(), 502);
+        assert_eq!(response.expect("an answer").status(), 502);
         let mut client = proxy.client().await;
-        assert_eq!(client.ask(&request("unsafe", "", "the second")).await.body, b"served");
-        let bodies: Vec<_> = host.seen.borrow().iter().map(|message| message.body.clone()).collect();
+        assert_eq!(client.exchange(&request("unsafe", "", "the second")).await.body, b"served");
+        let bodies: Vec<_> = endpoint.requests.borrow().iter().map(|message| message.body.clone()).collect();
         assert_eq!(bodies, [b"the second"]);
     });
 }
 
 /// An address that takes little of what is sent to it until somebody reads.
-fn narrow() -> TcpListener {
+fn listen_with_small_buffer() -> TcpListener {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(1_024).expect("a small buffer");
     // Else one piece of what is sent would be larger than all of a body.
@@ -60,62 +60,58 @@
     socket.listen(16).expect("it listens")
 }
 
-async fn accepted(listener: &TcpListener) -> Client {
-    Reader::new(listener.accept().await.expect("the proxy connects").0)
+async fn accept(listener: &TcpListener) -> Client {
+    MessageReader::new(listener.accept().await.expect("the proxy connects").0)
 }
 
-async fn say(host: &mut Client, body: &str) {
-    let Act::Say(answer) = ok(body) else { return };
-    host.send(&answer).await;
+async fn respond_ok(endpoint: &mut Client, body: &str) {
+    let response = ok_response(body);
+    endpoint.send(&response).await;
 }
 
 /// Waits until the proxy has taken in a list with so many hosts.
-async fn members(proxy: &Proxy, number: u64) {
+async fn wait_for_members(proxy: &Proxy, number: u64) {
     let admin = proxy.admin.expect("an address for operators");
-    while figures(admin).await["members"] != number {}
-}
-
-fn with_admin(config: &mut serde_json::Value) {
-    config["admin"] = "127.0.0.1:0".into();
+    while metrics(admin).await["members"] != number {}
 }
 
 /// A host that was told to be leaving gets nothing new. What it had begun to get on a connection that then breaks is
 /// written from its beginning on, so it goes elsewhere.
 #[test]
 fn what_broke_off_in_the_middle_is_not_begun_anew_at_a_host_that_drains() {
-    run(async {
-        let (listener, other) = (narrow(), Host::start([ok("other")]).await);
-        let discovery = Discovery::quiet().await;
-        let leaving = Host { address: listener.local_addr().expect("an address"), ..other.clone() };
-        let proxy = Proxy::with(&discovery, from_ref(&leaving), with_admin).await;
+    run_test(async {
+        let (listener, other) = (listen_with_small_buffer(), TestEndpoint::start([ok("other")]).await);
+        let discovery = TestDiscovery::without_updates().await;
+        let leaving = TestEndpoint { address: listener.local_addr().expect("an address"), ..other.clone() };
+        let proxy = Proxy::start_with(&discovery, from_ref(&leaving), with_admin).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
-        let mut kept = accepted(&listener).await;
+        let mut kept = accept(&listener).await;
         kept.message().await.expect("a request");
-        say(&mut kept, "first").await;
+        respond_ok(&mut kept, "first").await;
         assert_eq!(client.message().await.expect("an answer").body, b"first");
         client.send(&request("unsafe", "", &"x".repeat(60_000))).await;
         kept.stream.readable().await.expect("it has begun to come");
-        let hosts = [entry("s-0", leaving.address, "Terminating"), entry("s-1", other.address, "Ready")];
-        discovery.push(&chunk(&list(42, false, &hosts))).await;
-        members(&proxy, 2).await;
-        reset(kept);
-        let answered = async { client.message().await.expect("an answer").body };
+        let endpoints = [entry("s-0", leaving.address, "Terminating"), entry("s-1", other.address, "Ready")];
+        discovery.push(&chunk(&list(42, false, &endpoints))).await;
+        wait_for_members(&proxy, 2).await;
+        reset_connection(kept);
+        let responded = async { client.message().await.expect("an answer").body };
         tokio::select! {
-            body = answered => assert_eq!(body, b"other"),
-            mut again = accepted(&listener) => panic!("it came again: {:?}", again.message().await.map(|m| m.first)),
+            body = responded => assert_eq!(body, b"other"),
+            mut again = accept(&listener) => panic!("it came again: {:?}", again.message().await.map(|m| m.start_line)),
         }
-        assert_eq!(other.count(), 1);
+        assert_eq!(other.request_count(), 1);
     });
 }
 
-fn reset(peer: Client) {
+fn reset_connection(peer: Client) {
     socket2::SockRef::from(&peer.stream).set_linger(Some(Duration::ZERO)).expect("lingers not");
 }
 
 /// The entry of a host whose process is a new one, so old by now that it is warm.
-fn restarted(name: &str, host: &Host) -> serde_json::Value {
-    let mut entry = entry(name, host.address, "Ready");
+fn restarted_entry(name: &str, endpoint: &TestEndpoint) -> serde_json::Value {
+    let mut entry = entry(name, endpoint.address, "Ready");
     entry["born_ms"] = 1.into();
     entry
 }
@@ -125,26 +121,26 @@
 #[test]
 fn what_is_not_yet_written_is_not_written_to_a_later_process() {
     for moved in [false, true] {
-        run(async {
-            let (stuck, _full, _listener) = never_up().await;
-            let other = Host::start([ok("other")]).await;
-            let discovery = Discovery::quiet().await;
-            let proxy = Proxy::with(&discovery, from_ref(&stuck), |config| {
+        run_test(async {
+            let (stuck, _full, _listener) = endpoint_with_full_backlog().await;
+            let other = TestEndpoint::start([ok("other")]).await;
+            let discovery = TestDiscovery::without_updates().await;
+            let proxy = Proxy::start_with(&discovery, from_ref(&stuck), |config| {
                 config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
             })
             .await;
-            eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
+            wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
             let mut client = proxy.client().await;
             client.send(&request("unsafe", "", "")).await;
             // Sent later and answered: the proxy has read the request before.
-            assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
-            let hosts = match moved {
-                true => vec![restarted("s-0", &other)],
-                false => vec![restarted("s-0", &stuck), entry("s-1", other.address, "Ready")],
+            assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
+            let endpoints = match moved {
+                true => vec![restarted_entry("s-0", &other)],
+                false => vec![restarted_entry("s-0", &stuck), entry("s-1", other.address, "Ready")],
             };
-            discovery.push(&chunk(&list(42, false, &hosts))).await;
+            discovery.push(&chunk(&list(42, false, &endpoints))).await;
             assert_eq!(client.message().await.expect("an answer").body, b"other", "{moved}");
-            assert_eq!(other.count(), 1);
+            assert_eq!(other.request_count(), 1);
         });
     }
 }
@@ -152,20 +148,20 @@
 /// An answer of the process before: whatever its connection leads to by now is not kept.
 #[test]
 fn a_connection_to_an_earlier_process_is_not_kept() {
-    run(async {
-        let host = Host::start([Act::Stall, ok("next")]).await;
-        let discovery = Discovery::quiet().await;
-        let proxy = Proxy::with(&discovery, from_ref(&host), with_admin).await;
+    run_test(async {
+        let endpoint = TestEndpoint::start([ScriptedResponse::Stall, ok("next")]).await;
+        let discovery = TestDiscovery::without_updates().await;
+        let proxy = Proxy::start_with(&discovery, from_ref(&endpoint), with_admin).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
-        eventually("the host has it", || host.count() == 1).await;
-        let hosts = [restarted("s-0", &host), entry("s-1", host.address, "Terminating")];
-        discovery.push(&chunk(&list(42, false, &hosts))).await;
-        members(&proxy, 2).await;
-        host.release.notify_one();
+        wait_until("the host has it", || endpoint.request_count() == 1).await;
+        let endpoints = [restarted_entry("s-0", &endpoint), entry("s-1", endpoint.address, "Terminating")];
+        discovery.push(&chunk(&list(42, false, &endpoints))).await;
+        wait_for_members(&proxy, 2).await;
+        endpoint.release.notify_one();
         assert_eq!(client.message().await.expect("an answer").body, b"released");
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"next");
-        assert_eq!(host.opened.get(), 2);
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"next");
+        assert_eq!(endpoint.opened_connections.get(), 2);
     });
 }
 
@@ -175,29 +171,34 @@
 fn a_repeat_goes_to_the_new_process_of_its_host_as_its_class_allows() {
     for list_first in [false, true] {
         for (class, status, sent) in [("free", 200, 2), ("keyed", 200, 2), ("unsafe", 502, 1)] {
-            run(async {
+            run_test(async {
                 // One that has just answered is not set aside for one reset.
-                let host = Host::start([ok("before"), Act::Stall, ok("again")]).await;
-                let discovery = Discovery::quiet().await;
-                let proxy = Proxy::with(&discovery, from_ref(&host), with_admin).await;
+                let endpoint =
+                    TestEndpoint::start([ok("before"), ScriptedResponse::Stall, ok("again")]).await;
+                let discovery = TestDiscovery::without_updates().await;
+                let proxy = Proxy::start_with(&discovery, from_ref(&endpoint), with_admin).await;
                 let mut client = proxy.client().await;
-                assert_eq!(client.ask(&request(class, "", "")).await.body, b"before");
+                assert_eq!(client.exchange(&request(class, "", "")).await.body, b"before");
                 client.send(&request(class, "", "")).await;
-                eventually("the host has it", || host.count() == 2).await;
-                let hosts = [restarted("s-0", &host), entry("s-1", host.address, "Terminating")];
-                let list = chunk(&list(42, false, &hosts));
+                wait_until("the host has it", || endpoint.request_count() == 2).await;
+                let endpoints =
+                    [restarted_entry("s-0", &endpoint), entry("s-1", endpoint.address, "Terminating")];
+                let list = chunk(&list(42, false, &endpoints));
                 if list_first {
                     discovery.push(&list).await;
-                    members(&proxy, 2).await;
+                    wait_for_members(&proxy, 2).await;
                 }
-                host.reset();
-                eventually("its connection is gone", || host.open.get() == 0 || host.opened.get() == 2).await;
+                endpoint.reset();
+                wait_until("its connection is gone", || {
+                    endpoint.open_connections.get() == 0 || endpoint.opened_connections.get() == 2
+                })
+                .await;
                 if !list_first {
                     discovery.push(&list).await;
                 }
-                let answer = client.message().await.expect("an answer");
-                assert_eq!(answer.status(), status, "{class}, {list_first}");
-                let seen = host.seen.borrow()[1..].to_vec();
+                let response = client.message().await.expect("an answer");
+                assert_eq!(response.status(), status, "{class}, {list_first}");
+                let seen = endpoint.requests.borrow()[1..].to_vec();
                 assert_eq!(seen.len(), sent, "{class}, {list_first}");
                 for name in ["x-call-id", "idempotency-key"] {
                     assert!(seen.iter().all(|message| message.header(name) == seen[0].header(name)));
@@ -211,40 +212,38 @@
 /// ended, and shows as broken; one that is slow, and longer on its way than any host may be silent, is not.
 #[test]
 fn an_answer_in_small_pieces_that_never_end_is_ended() {
-    run(async {
-        let (endless, slow) = tokio::join!(trickle(1), trickle(400));
+    run_test(async {
+        let (endless, slow) = tokio::join!(stream_in_pieces(1), stream_in_pieces(400));
         assert!(!endless.ends_with("0\r\n\r\n") && endless.len() < 1_000, "{} bytes", endless.len());
         assert!(slow.ends_with("0\r\n\r\n"), "{} bytes", slow.len());
     });
 }
 
 /// A proxy, a client that has sent an unsafe request, and the connection of its host, which has read it.
-async fn asked() -> (Proxy, Client, Client) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let host = Host { address, ..Host::start([Act::Stall]).await };
-    let proxy = Proxy::start(from_ref(&host)).await;
+async fn unsafe_request_in_flight() -> (Proxy, Client, Client) {
+    let (endpoint, listener) = manual_endpoint().await;
+    let proxy = Proxy::start(from_ref(&endpoint)).await;
     let mut client = proxy.client().await;
     client.send(&request("unsafe", "", "")).await;
-    let mut host = accepted(&listener).await;
-    host.message().await.expect("a request");
-    (proxy, client, host)
+    let mut endpoint = accept(&listener).await;
+    endpoint.message().await.expect("a request");
+    (proxy, client, endpoint)
 }
 
 /// What a client gets of an answer that comes in 120 pieces of this size, ten a second.
-async fn trickle(size: usize) -> String {
-    let (_proxy, mut client, mut host) = asked().await;
+async fn stream_in_pieces(size: usize) -> String {
+    let (_proxy, mut client, mut endpoint) = unsafe_request_in_flight().await;
     let writing = async {
-        host.send(WATCH).await;
+        endpoint.send(WATCH_HEAD).await;
         let piece = format!("{size:x}\r\n{}\r\n", "x".repeat(size));
         for _ in 0..120 {
             // Nobody may read on.
-            if host.stream.write_all(piece.as_bytes()).await.is_err() {
+            if endpoint.stream.write_all(piece.as_bytes()).await.is_err() {
                 return;
             }
             sleep(Duration::from_millis(100)).await;
         }
-        host.send("0\r\n\r\n").await;
+        endpoint.send("0\r\n\r\n").await;
     };
     let mut read = Vec::new();
     let reading = async {
@@ -255,40 +254,39 @@
 }
 
 /// Writes at once: nothing of the proxy runs before this returns.
-async fn at_once(host: &Client, text: &str) {
-    host.stream.writable().await.expect("it can be written to");
-    assert_eq!(host.stream.try_write(text.as_bytes()).expect("written"), text.len());
+async fn write_now(endpoint: &Client, text: &str) {
+    endpoint.stream.writable().await.expect("it can be written to");
+    assert_eq!(endpoint.stream.try_write(text.as_bytes()).expect("written"), text.len());
 }
 
 /// Answers everything that still comes on a connection.
-fn go_on(mut host: Client) {
+fn keep_responding(mut endpoint: Client) {
     spawn_local(async move {
-        while host.message().await.is_some() {
-            say(&mut host, "next").await;
+        while endpoint.message().await.is_some() {
+            respond_ok(&mut endpoint, "next").await;
         }
     });
 }
 
 /// Requests of all classes by how they ended: completed, rejected, failed.
-async fn ends(proxy: &Proxy) -> [u64; 3] {
-    let figures = figures(proxy.admin.expect("an address for operators")).await;
-    assert_eq!(figures["pending"], 0);
-    let classes = figures["downstream_requests"].as_object().expect("classes").clone();
+async fn request_ends(proxy: &Proxy) -> [u64; 3] {
+    let metrics = metrics(proxy.admin.expect("an address for operators")).await;
+    assert_eq!(metrics["pending"], 0);
+    let classes = metrics["downstream_requests"].as_object().expect("classes").clone();
     ["completed", "rejected", "failed"]
         .map(|end| classes.values().map(|class| class[end].as_u64().expect("a number")).sum())
 }
 
 /// A host that the test plays, a proxy that knows it, and a client whose request is out there.
-async fn one_out(text: &str) -> (Proxy, Client, TcpListener, Client) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let host = Host { address, ..Host::start([Act::Stall]).await };
-    let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&host), with_admin).await;
+async fn request_in_flight(text: &str) -> (Proxy, Client, TcpListener, Client) {
+    let (endpoint, listener) = manual_endpoint().await;
+    let proxy =
+        Proxy::start_with(&TestDiscovery::without_updates().await, from_ref(&endpoint), with_admin).await;
     let mut client = proxy.client().await;
     client.send(text).await;
-    let mut host = accepted(&listener).await;
-    host.message().await.expect("a request");
-    (proxy, client, listener, host)
+    let mut endpoint = accept(&listener).await;
+    endpoint.message().await.expect("a request");
+    (proxy, client, listener, endpoint)
 }
 
 /// The answer and the end of its time are there before the proxy looks at either: the answer is passed on or surely
@@ -297,24 +295,24 @@
 #[test]
 fn an_answer_in_the_instant_of_its_deadline_is_passed_on_or_dropped() {
     for (class, given_up) in [("unsafe", 502), ("keyed", 502), ("free", 503)] {
-        run(async {
+        run_test(async {
             let text = request(class, "", "").replace("8000", "500");
-            let (proxy, mut client, listener, host) = one_out(&text).await;
-            host.stream.writable().await.expect("it can be written to");
+            let (proxy, mut client, listener, endpoint) = request_in_flight(&text).await;
+            endpoint.stream.writable().await.expect("it can be written to");
             // Not a wait: this keeps the proxy, on the same thread, from its turn until both are there.
             std::thread::sleep(Duration::from_millis(510));
-            let Act::Say(late) = ok("late") else { return };
-            at_once(&host, &late).await;
-            go_on(host);
-            let others = Host::on(listener, [ok("next")]);
-            let answer = client.message().await.expect("an answer");
-            let passed_on = answer.status() == 200 && answer.body == b"late";
-            assert!(passed_on || answer.status() == given_up, "{class}: {answer:?}");
-            assert_eq!(client.ask(&request(class, "", "")).await.body, b"next", "{class}");
-            assert!(others.count() <= 1, "{class}");
-            assert_eq!(ends(&proxy).await.iter().sum::<u64>(), 2, "{class}");
-            let figures = figures(proxy.admin.expect("an address for operators")).await;
-            assert_eq!(figures["upstream_requests"], 2, "{class}: nothing is sent again");
+            let late = ok_response("late");
+            write_now(&endpoint, &late).await;
+            keep_responding(endpoint);
+            let others = TestEndpoint::on_listener(listener, [ok("next")]);
+            let response = client.message().await.expect("an answer");
+            let passed_on = response.status() == 200 && response.body == b"late";
+            assert!(passed_on || response.status() == given_up, "{class}: {response:?}");
+            assert_eq!(client.exchange(&request(class, "", "")).await.body, b"next", "{class}");
+            assert!(others.request_count() <= 1, "{class}");
+            assert_eq!(request_ends(&proxy).await.iter().sum::<u64>(), 2, "{class}");
+            let metrics = metrics(proxy.admin.expect("an address for operators")).await;
+            assert_eq!(metrics["upstream_requests"], 2, "{class}: nothing is sent again");
         });
     }
 }
@@ -324,34 +322,34 @@
 #[test]
 fn an_answer_that_crosses_its_clients_end_is_nobodys() {
     for class in ["free", "keyed", "unsafe"] {
-        run(async {
+        run_test(async {
             let text = request(class, "", "");
-            let (proxy, client, listener, host) = one_out(&text).await;
-            let Act::Say(late) = ok("late") else { return };
-            at_once(&host, &late).await;
+            let (proxy, client, listener, endpoint) = request_in_flight(&text).await;
+            let late = ok_response("late");
+            write_now(&endpoint, &late).await;
             drop(client);
-            go_on(host);
-            let others = Host::on(listener, [ok("next")]);
+            keep_responding(endpoint);
+            let others = TestEndpoint::on_listener(listener, [ok("next")]);
             // Until the proxy has seen the end, the id is taken.
             let mut client = proxy.client().await;
-            let answer = loop {
-                match client.ask(&text).await {
-                    answer if answer.status() == 409 => client = proxy.client().await,
-                    answer => break answer,
+            let response = loop {
+                match client.exchange(&text).await {
+                    response if response.status() == 409 => client = proxy.client().await,
+                    response => break response,
                 }
             };
-            assert_eq!(answer.body, b"next", "{class}");
-            assert!(others.count() <= 1);
-            assert_eq!(ends(&proxy).await.iter().sum::<u64>(), 2, "{class}");
+            assert_eq!(response.body, b"next", "{class}");
+            assert!(others.request_count() <= 1);
+            assert_eq!(request_ends(&proxy).await.iter().sum::<u64>(), 2, "{class}");
         });
     }
 }
 
 /// What comes first where an answer's end and the word that its host is leaving come together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum First {
+enum FirstSeen {
     Answer,
-    Word,
+    List,
     Neither,
 }
 
@@ -360,62 +358,65 @@
 #[test]
 fn a_connection_that_comes_back_as_its_host_begins_to_drain_is_closed() {
     for large in [false, true] {
-        for first in [First::Answer, First::Word, First::Neither] {
-            run(async {
+        for first in [FirstSeen::Answer, FirstSeen::List, FirstSeen::Neither] {
+            run_test(async {
                 let (listener, other) =
-                    (TcpListener::bind("127.0.0.1:0").await, Host::start([ok("other")]).await);
+                    (TcpListener::bind("127.0.0.1:0").await, TestEndpoint::start([ok("other")]).await);
                 let listener = listener.expect("a port");
                 let address = listener.local_addr().expect("an address");
-                let leaving = Host { address, ..other.clone() };
-                let discovery = Discovery::quiet().await;
-                let proxy = Proxy::with(&discovery, from_ref(&leaving), with_admin).await;
-                eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
+                let leaving = TestEndpoint { address, ..other.clone() };
+                let discovery = TestDiscovery::without_updates().await;
+                let proxy = Proxy::start_with(&discovery, from_ref(&leaving), with_admin).await;
+                wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
                 let mut client = proxy.client().await;
                 client.send(&request("unsafe", "", "")).await;
-                let mut host = accepted(&listener).await;
-                host.message().await.expect("a request");
+                let mut endpoint = accept(&listener).await;
+                endpoint.message().await.expect("a request");
                 // A large one is passed on before its end; all of either but the last byte.
                 let size = if large { 100_000 } else { 10 };
-                host.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n")).await;
-                host.send(&"x".repeat(size - 1)).await;
-                let hosts = [entry("s-0", address, "Terminating"), entry("s-1", other.address, "Ready")];
-                let word = chunk(&list(42, false, &hosts));
+                endpoint.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n")).await;
+                endpoint.send(&"x".repeat(size - 1)).await;
+                let endpoints = [entry("s-0", address, "Terminating"), entry("s-1", other.address, "Ready")];
+                let word = chunk(&list(42, false, &endpoints));
                 if large {
                     client.stream.readable().await.expect("it is passed on");
                 }
-                let mut answer = None;
+                let mut response = None;
                 match first {
-                    First::Answer => {
-                        at_once(&host, "x").await;
-                        answer = client.message().await;
+                    FirstSeen::Answer => {
+                        write_now(&endpoint, "x").await;
+                        response = client.message().await;
                         discovery.push(&word).await;
                     }
-                    First::Word => {
+                    FirstSeen::List => {
                         discovery.push(&word).await;
-                        members(&proxy, 2).await;
-                        at_once(&host, "x").await;
+                        wait_for_members(&proxy, 2).await;
+                        write_now(&endpoint, "x").await;
                     }
-                    First::Neither => {
-                        host.stream.writable().await.expect("it can be written to");
+                    FirstSeen::Neither => {
+                        endpoint.stream.writable().await.expect("it can be written to");
                         discovery.push(&word).await;
-                        at_once(&host, "x").await;
+                        write_now(&endpoint, "x").await;
                     }
                 }
-                let answer = match answer {
-                    Some(answer) => Some(answer),
+                let response = match response {
+                    Some(response) => Some(response),
                     None => client.message().await,
                 };
-                assert_eq!(answer.expect("an answer").body.len(), size, "{large}, {first:?}");
-                assert!(host.message().await.is_none(), "{large}, {first:?}: closed, and nothing more came");
-                members(&proxy, 2).await;
-                assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"other");
+                assert_eq!(response.expect("an answer").body.len(), size, "{large}, {first:?}");
+                assert!(
+                    endpoint.message().await.is_none(),
+                    "{large}, {first:?}: closed, and nothing more came"
+                );
+                wait_for_members(&proxy, 2).await;
+                assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"other");
             });
         }
     }
 }
 
 /// What a cut answer looks like: its head, a part of its body, and whether its connection is reset or ended.
-const CUTS: [(&str, &str, bool); 7] = [
+const TRUNCATED_RESPONSES: [(&str, &str, bool); 7] = [
     ("Content-Length: 10\r\n", "half", false),
     ("Content-Length: 10\r\n", "half", true),
     ("Content-Length: 10\r\n", "", true),
@@ -429,33 +430,35 @@
 /// connection's, and a reset is no end. Nothing of it is passed on; its request goes again as its class allows.
 #[test]
 fn an_answer_that_breaks_off_is_none() {
-    for (framing, part, is_reset) in CUTS {
+    for (framing, part, is_reset) in TRUNCATED_RESPONSES {
         for (class, status) in [("free", 200), ("keyed", 200), ("unsafe", 502)] {
-            run(async {
+            run_test(async {
                 let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
                 let address = listener.local_addr().expect("an address");
-                let (cut, good) =
-                    (Host { address, ..Host::start([Act::Stall]).await }, Host::start([ok("good")]).await);
-                let discovery = Discovery::quiet().await;
-                let proxy = Proxy::with(&discovery, from_ref(&cut), with_admin).await;
-                eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
+                let (cut, good) = (
+                    TestEndpoint { address, ..TestEndpoint::start([ScriptedResponse::Stall]).await },
+                    TestEndpoint::start([ok("good")]).await,
+                );
+                let discovery = TestDiscovery::without_updates().await;
+                let proxy = Proxy::start_with(&discovery, from_ref(&cut), with_admin).await;
+                wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
                 let mut client = proxy.client().await;
                 client.send(&request(class, "", "")).await;
-                let mut host = accepted(&listener).await;
-                host.message().await.expect("a request");
-                let hosts = [entry("s-0", address, "Terminating"), entry("s-1", good.address, "Ready")];
-                discovery.push(&chunk(&list(42, false, &hosts))).await;
-                members(&proxy, 2).await;
-                at_once(&host, &format!("HTTP/1.1 200 OK\r\n{framing}\r\n{part}")).await;
+                let mut endpoint = accept(&listener).await;
+                endpoint.message().await.expect("a request");
+                let endpoints = [entry("s-0", address, "Terminating"), entry("s-1", good.address, "Ready")];
+                discovery.push(&chunk(&list(42, false, &endpoints))).await;
+                wait_for_members(&proxy, 2).await;
+                write_now(&endpoint, &format!("HTTP/1.1 200 OK\r\n{framing}\r\n{part}")).await;
                 match is_reset {
-                    true => reset(host),
-                    false => drop(host),
+                    true => reset_connection(endpoint),
+                    false => drop(endpoint),
                 }
-                let answer = client.message().await.expect("an answer");
+                let response = client.message().await.expect("an answer");
                 let case = format!("{framing:?}, {part:?}, {is_reset}, {class}");
-                assert_eq!(answer.status(), status, "{case}");
-                assert!(status != 200 || answer.body == b"good", "{case}: {answer:?}");
-                assert_eq!(good.count(), usize::from(status == 200), "{case}");
+                assert_eq!(response.status(), status, "{case}");
+                assert!(status != 200 || response.body == b"good", "{case}: {response:?}");
+                assert_eq!(good.request_count(), usize::from(status == 200), "{case}");
             });
         }
     }
@@ -466,16 +469,19 @@
 #[test]
 fn an_answer_without_a_length_that_comes_whole_is_passed_on() {
     for (class, size) in [("free", 0), ("free", 4), ("unsafe", 4), ("keyed", 50_000), ("unsafe", 200_000)] {
-        run(async {
+        run_test(async {
             let body = "b".repeat(size);
-            let host = Host::start([Act::SayAndClose(format!("HTTP/1.1 200 OK\r\n\r\n{body}"))]).await;
-            let proxy = Proxy::start(from_ref(&host)).await;
+            let endpoint = TestEndpoint::start([ScriptedResponse::WriteAndClose(format!(
+                "HTTP/1.1 200 OK\r\n\r\n{body}"
+            ))])
+            .await;
+            let proxy = Proxy::start(from_ref(&endpoint)).await;
             let mut client = proxy.client().await;
             client.send(&request(class, "", "")).await;
-            let answer = client.answer().await.expect("a whole answer");
-            assert_eq!((answer.status(), answer.body.len()), (200, size), "{class}");
-            assert!(answer.body == body.as_bytes());
-            assert_eq!(host.count(), 1);
+            let response = client.response().await.expect("a whole answer");
+            assert_eq!((response.status(), response.body.len()), (200, size), "{class}");
+            assert!(response.body == body.as_bytes());
+            assert_eq!(endpoint.request_count(), 1);
         });
     }
 }
@@ -483,13 +489,13 @@
 /// Of a large one the beginning is passed on. Reset on its way, it has no end for its client either.
 #[test]
 fn a_large_answer_without_a_length_that_is_reset_shows_as_broken() {
-    run(async {
-        let (_proxy, mut client, mut host) = asked().await;
-        host.send(&format!("HTTP/1.1 200 OK\r\n\r\n{}", "b".repeat(100_000))).await;
+    run_test(async {
+        let (_proxy, mut client, mut endpoint) = unsafe_request_in_flight().await;
+        endpoint.send(&format!("HTTP/1.1 200 OK\r\n\r\n{}", "b".repeat(100_000))).await;
         let mut begun = [0; 1];
         client.stream.peek(&mut begun).await.expect("its beginning");
-        reset(host);
-        assert!(client.answer().await.is_none(), "it has no end");
+        reset_connection(endpoint);
+        assert!(client.response().await.is_none(), "it has no end");
     });
 }
 
@@ -497,35 +503,36 @@
 /// left of that time by then, not at the choice.
 #[test]
 fn a_late_connection_is_told_what_is_left_of_the_time() {
-    run(async {
-        let (stuck, full, listener) = never_up().await;
-        let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&stuck), |config| {
+    run_test(async {
+        let (stuck, full, listener) = endpoint_with_full_backlog().await;
+        let proxy = Proxy::start_with(&TestDiscovery::without_updates().await, from_ref(&stuck), |config| {
             config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
         })
         .await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
         let asked = Instant::now();
-        assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
+        assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
         // From here on connections come up: this one when the system tries it again, a second later.
-        let host = Host::on(listener, [ok("served")]);
+        let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
         drop(full);
-        eventually("it has come", || host.count() > 0).await;
+        wait_until("it has come", || endpoint.request_count() > 0).await;
         assert!(asked.elapsed() > Duration::from_millis(600), "it came up late");
         assert_eq!(client.message().await.expect("an answer").body, b"served");
-        let told =
-            host.seen.borrow()[0].header("x-budget-ms").map(|left| left.parse::<u64>().expect("a number"));
+        let told = endpoint.requests.borrow()[0]
+            .header("x-budget-ms")
+            .map(|left| left.parse::<u64>().expect("a number"));
         assert!(told.is_some_and(|left| left < 7_500), "{told:?} of 8000");
-        assert_eq!(host.count(), 1);
+        assert_eq!(endpoint.request_count(), 1);
     });
 }
 
 /// Small writes must not be held back by the system: at a close they would go with what the other side has not read.
 #[test]
 fn every_connection_sends_small_writes_at_once() {
-    run(async {
-        let (_proxy, client, _listener, host) = one_out(&request("unsafe", "", "")).await;
-        for far in [&client, &host] {
+    run_test(async {
+        let (_proxy, client, _listener, endpoint) = request_in_flight(&request("unsafe", "", "")).await;
+        for far in [&client, &endpoint] {
             let (near, far) =
                 (far.stream.peer_addr().expect("an end"), far.stream.local_addr().expect("an end"));
             assert_eq!(without_delay(near, far), Some(true), "{near} to {far}");
--- a/proxy/tests/departures.rs
+++ b/proxy/tests/departures.rs
@@ -8,42 +8,43 @@
 use std::net::SocketAddr;
 use std::slice::from_ref;
 use std::time::{Duration, Instant};
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpStream;
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 
 /// Two that are out, on a host that answers when it is told to.
-async fn two_out(proxy: &Proxy, host: &Host) -> (Client, Client) {
+async fn two_in_flight(proxy: &Proxy, endpoint: &TestEndpoint) -> (Client, Client) {
     let (mut first, mut second) = (proxy.client().await, proxy.client().await);
     first.send(&request("free", "", "")).await;
-    eventually("the first is out", || host.count() == 1).await;
+    wait_until("the first is out", || endpoint.request_count() == 1).await;
     second.send(&request("free", "", "")).await;
-    eventually("the second is out", || host.count() == 2).await;
+    wait_until("the second is out", || endpoint.request_count() == 2).await;
     (first, second)
 }
 
 /// Held as all hosts are full, with and without bytes of a next request behind it.
 #[test]
 fn a_held_request_of_a_client_that_left_is_not_sent() {
-    for way in WAYS {
-        for behind in ["", "GET /api HT", &request("free", "", "")] {
-            run(async {
-                let host = Host::start([Act::Stall]).await;
-                let (proxy, admin) = started(from_ref(&host), narrow).await;
-                let (mut first, mut second) = two_out(&proxy, &host).await;
+    for how in DISCONNECTS {
+        for pipelined in ["", "GET /api HT", &request("free", "", "")] {
+            run_test(async {
+                let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
+                let (proxy, admin) =
+                    start_without_cancellation(from_ref(&endpoint), limit_to_two_in_flight).await;
+                let (mut first, mut second) = two_in_flight(&proxy, &endpoint).await;
                 let (mut client, text) = (proxy.client().await, request("keyed", "", "held"));
-                client.send(&format!("{text}{behind}")).await;
-                pending(admin, 3).await;
-                leave(client, way);
-                pending(admin, 2).await;
-                host.release.notify_one();
-                host.release.notify_one();
+                client.send(&format!("{text}{pipelined}")).await;
+                wait_for_pending(admin, 3).await;
+                disconnect(client, how);
+                wait_for_pending(admin, 2).await;
+                endpoint.release.notify_one();
+                endpoint.release.notify_one();
                 assert_eq!(first.message().await.expect("an answer").status(), 200);
                 assert_eq!(second.message().await.expect("an answer").status(), 200);
-                host.acts.borrow_mut().push_front(ok("later"));
-                assert_eq!(proxy.client().await.ask(&text).await.body, b"later", "its id is free");
-                assert_eq!(host.count(), 3, "{way:?}, {behind}");
-                assert_eq!(ended(admin).await.iter().sum::<u64>(), 4);
+                endpoint.script.borrow_mut().push_front(ok("later"));
+                assert_eq!(proxy.client().await.exchange(&text).await.body, b"later", "its id is free");
+                assert_eq!(endpoint.request_count(), 3, "{how:?}, {pipelined}");
+                assert_eq!(request_ends(admin).await.iter().sum::<u64>(), 4);
             });
         }
     }
@@ -52,68 +53,72 @@
 /// Waiting for a connection, which comes up when the client has left.
 #[test]
 fn a_request_of_a_client_that_left_is_not_sent_on_a_late_connection() {
-    run(async {
-        let cases = WAYS.into_iter().flat_map(|way| ["", "GET /api HT"].map(|behind| (way, behind)));
-        let cases: Vec<_> =
-            cases.map(|(way, behind)| spawn_local(leaves_before_its_connection(way, behind))).collect();
+    run_test(async {
+        let cases =
+            DISCONNECTS.into_iter().flat_map(|how| ["", "GET /api HT"].map(|pipelined| (how, pipelined)));
+        let cases: Vec<_> = cases
+            .map(|(how, pipelined)| spawn_local(client_disconnects_before_connection_opens(how, pipelined)))
+            .collect();
         for case in cases {
             case.await.expect("it holds");
         }
     });
 }
 
-async fn leaves_before_its_connection(way: Leave, behind: &str) {
-    let (stuck, full, listener) = never_up().await;
-    let (proxy, admin) = started(from_ref(&stuck), |config| {
+async fn client_disconnects_before_connection_opens(how: Disconnect, pipelined: &str) {
+    let (stuck, full, listener) = endpoint_with_full_backlog().await;
+    let (proxy, admin) = start_without_cancellation(from_ref(&stuck), |config| {
         config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
     })
     .await;
     let (mut client, text) = (proxy.client().await, request("unsafe", "", "the body"));
-    client.send(&format!("{text}{behind}")).await;
-    pending(admin, 1).await;
-    leave(client, way);
-    pending(admin, 0).await;
+    client.send(&format!("{text}{pipelined}")).await;
+    wait_for_pending(admin, 1).await;
+    disconnect(client, how);
+    wait_for_pending(admin, 0).await;
     let mut client = proxy.client().await;
     client.send(&text.replace("the body", "new body")).await;
-    pending(admin, 1).await;
-    let host = Host::on(listener, [ok("served")]);
+    wait_for_pending(admin, 1).await;
+    let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
     drop(full);
     assert_eq!(client.message().await.expect("an answer").status(), 200);
-    let bodies: Vec<_> = host.seen.borrow().iter().map(|seen| seen.body.clone()).collect();
-    assert_eq!(bodies, [b"new body"], "{way:?}, {behind}");
-    assert_eq!(ended(admin).await.iter().sum::<u64>(), 2);
+    let bodies: Vec<_> = endpoint.requests.borrow().iter().map(|seen| seen.body.clone()).collect();
+    assert_eq!(bodies, [b"new body"], "{how:?}, {pipelined}");
+    assert_eq!(request_ends(admin).await.iter().sum::<u64>(), 2);
 }
 
 /// Between two attempts: the first was turned away, and its host is left alone for a while.
 #[test]
 fn a_request_of_a_client_that_left_does_not_go_again() {
-    run(async {
-        let cases = WAYS.into_iter().flat_map(|way| ["", "GET /api HT"].map(|behind| (way, behind)));
-        let cases: Vec<_> =
-            cases.map(|(way, behind)| spawn_local(leaves_between_attempts(way, behind))).collect();
+    run_test(async {
+        let cases =
+            DISCONNECTS.into_iter().flat_map(|how| ["", "GET /api HT"].map(|pipelined| (how, pipelined)));
+        let cases: Vec<_> = cases
+            .map(|(how, pipelined)| spawn_local(client_disconnects_between_attempts(how, pipelined)))
+            .collect();
         for case in cases {
             case.await.expect("it holds");
         }
     });
 }
 
-async fn leaves_between_attempts(way: Leave, behind: &str) {
-    let host = Host::start([turn_away(), ok("served")]).await;
-    let (proxy, admin) = started(from_ref(&host), |_| ()).await;
+async fn client_disconnects_between_attempts(how: Disconnect, pipelined: &str) {
+    let endpoint = TestEndpoint::start([reject(), ok("served")]).await;
+    let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |_| ()).await;
     let (mut client, text) = (proxy.client().await, request("unsafe", "", "the body"));
-    client.send(&format!("{text}{behind}")).await;
-    eventually("it is turned away", || host.count() == 1).await;
-    pending(admin, 1).await;
-    leave(client, way);
-    pending(admin, 0).await;
+    client.send(&format!("{text}{pipelined}")).await;
+    wait_until("it is turned away", || endpoint.request_count() == 1).await;
+    wait_for_pending(admin, 1).await;
+    disconnect(client, how);
+    wait_for_pending(admin, 0).await;
     let text = text.replace("the body", "new body");
-    assert_eq!(proxy.client().await.ask(&text).await.status(), 200);
-    assert_eq!(host.count(), 2, "{way:?}, {behind}");
-    assert_eq!(host.seen.borrow()[1].body, b"new body");
+    assert_eq!(proxy.client().await.exchange(&text).await.status(), 200);
+    assert_eq!(endpoint.request_count(), 2, "{how:?}, {pipelined}");
+    assert_eq!(endpoint.requests.borrow()[1].body, b"new body");
 }
 
-fn unread(at: SocketAddr, from: SocketAddr) -> u64 {
-    connection(at, from).expect("the connection").1
+fn unread_bytes(at: SocketAddr, from: SocketAddr) -> u64 {
+    connection_state(at, from).expect("the connection").1
 }
 
 /// Sends pieces of a body until nobody reads them any more.
@@ -122,7 +127,7 @@
     loop {
         client.send(&"x".repeat(32 << 10)).await;
         let mut looks = 0..30;
-        while looks.next().is_some() && unread(proxy, from) > 0 {
+        while looks.next().is_some() && unread_bytes(proxy, from) > 0 {
             sleep(Duration::from_millis(1)).await;
         }
         if looks.is_empty() {
@@ -134,26 +139,27 @@
 /// Its body comes, but its host reads nothing of it any more: the client's end stands behind bytes that nobody reads.
 #[test]
 fn no_more_of_a_body_goes_out_when_its_client_has_left() {
-    for way in WAYS {
-        run(async {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let address = listener.local_addr().expect("an address");
-            let host = Host { address, ..Host::start([Act::Stall]).await };
-            let (proxy, admin) = started(from_ref(&host), |_| ()).await;
+    for how in DISCONNECTS {
+        run_test(async {
+            let (endpoint, listener) = manual_endpoint().await;
+            let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |_| ()).await;
             let mut client = proxy.client().await;
             client.send(&request("unsafe", "Content-Length: 30000000\r\n", "")).await;
             let stream = listener.accept().await.expect("the proxy connects").0;
             let near = stream.peer_addr().expect("the proxy's end");
             send_until_unread(&mut client, proxy.address).await;
-            assert!(is_established(near, address));
+            assert!(is_established(near, endpoint.address));
             let left = Instant::now();
-            leave(client, way);
-            eventually("its attempt is over", || !is_established(near, address)).await;
-            assert!(left.elapsed() < Duration::from_millis(300), "{way:?}");
+            disconnect(client, how);
+            wait_until("its attempt is over", || !is_established(near, endpoint.address)).await;
+            assert!(left.elapsed() < Duration::from_millis(300), "{how:?}");
             // It was not whole, so it counts nowhere.
-            assert_eq!((figures(admin).await["pending"].clone(), ended(admin).await), (0.into(), [0; 3]));
-            let _host = Host::on(listener, [ok("served")]);
-            assert_eq!(proxy.client().await.ask(&request("unsafe", "", "")).await.status(), 200);
+            assert_eq!(
+                (metrics(admin).await["pending"].clone(), request_ends(admin).await),
+                (0.into(), [0; 3])
+            );
+            let _host = TestEndpoint::on_listener(listener, [ok("served")]);
+            assert_eq!(proxy.client().await.exchange(&request("unsafe", "", "")).await.status(), 200);
         });
     }
 }
@@ -161,20 +167,20 @@
 /// Come whole, together with its client's end.
 #[test]
 fn a_request_that_comes_with_its_clients_end_is_not_sent() {
-    for way in WAYS {
-        for behind in ["", "GET /api HT"] {
-            run(async {
-                let host = Host::start([ok("served")]).await;
-                let (proxy, admin) = started(from_ref(&host), |_| ()).await;
-                assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
+    for how in DISCONNECTS {
+        for pipelined in ["", "GET /api HT"] {
+            run_test(async {
+                let endpoint = TestEndpoint::start([ok("served")]).await;
+                let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |_| ()).await;
+                assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
                 let text = request("unsafe", "", "");
-                come_and_leave(proxy.address, &format!("{text}{behind}"), way);
-                assert_eq!(proxy.client().await.ask(&text).await.status(), 200);
-                assert_eq!(host.count(), 1, "{way:?}, {behind}");
+                send_and_disconnect(proxy.address, &format!("{text}{pipelined}"), how);
+                assert_eq!(proxy.client().await.exchange(&text).await.status(), 200);
+                assert_eq!(endpoint.request_count(), 1, "{how:?}, {pipelined}");
                 // Its end may be read before the request is taken; then it counts nowhere.
-                let [completed, rejected, failed] = ended(admin).await;
-                assert!((completed, failed) == (1, 0) && rejected <= 1, "{way:?}, {behind}");
-                assert_eq!(figures(admin).await["pending"], 0);
+                let [completed, rejected, failed] = request_ends(admin).await;
+                assert!((completed, failed) == (1, 0) && rejected <= 1, "{how:?}, {pipelined}");
+                assert_eq!(metrics(admin).await["pending"], 0);
             });
         }
     }
@@ -183,11 +189,11 @@
 /// Not read yet, as its connection waits to be accepted while all places are taken.
 #[test]
 fn a_request_whose_client_left_before_it_was_accepted_is_not_sent() {
-    for way in WAYS {
-        run(async {
-            let host = Host::start([Act::Stall]).await;
+    for how in DISCONNECTS {
+        run_test(async {
+            let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
             let sockets = 70;
-            let (proxy, admin) = started(from_ref(&host), |config| {
+            let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |config| {
                 config["limits"]["sockets"] = sockets.into();
             })
             .await;
@@ -198,24 +204,24 @@
             for number in 1..=places {
                 let mut client = proxy.client().await;
                 client.send(&request("free", "", "")).await;
-                pending(admin, number as u64).await;
+                wait_for_pending(admin, number as u64).await;
                 clients.push(client);
             }
-            come_and_leave(proxy.address, &request("unsafe", "", "the body"), way);
+            send_and_disconnect(proxy.address, &request("unsafe", "", "the body"), how);
             let last = TcpStream::connect(proxy.address).await.expect("it waits too");
             let mut last = Client::new(last);
             last.send(&request("unsafe", "", "new body")).await;
             clients.clear();
-            host.acts.borrow_mut().push_front(ok("served"));
-            while host.seen.borrow().iter().all(|seen| seen.body.is_empty()) {
-                host.release.notify_one();
+            endpoint.script.borrow_mut().push_front(ok("served"));
+            while endpoint.requests.borrow().iter().all(|seen| seen.body.is_empty()) {
+                endpoint.release.notify_one();
                 yield_now().await;
             }
             assert_eq!(last.message().await.expect("an answer").status(), 200);
-            let seen = host.seen.borrow();
+            let seen = endpoint.requests.borrow();
             let bodies: Vec<_> =
                 seen.iter().filter(|seen| !seen.body.is_empty()).map(|s| s.body.clone()).collect();
-            assert_eq!(bodies, [b"new body"], "{way:?}");
+            assert_eq!(bodies, [b"new body"], "{how:?}");
         });
     }
 }
@@ -224,16 +230,16 @@
 /// connection is closed.
 #[test]
 fn a_client_that_ends_its_sending_has_left() {
-    run(async {
-        let host = Host::start([Act::Stall]).await;
-        let (proxy, admin) = started(from_ref(&host), narrow).await;
-        let _out = two_out(&proxy, &host).await;
+    run_test(async {
+        let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
+        let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), limit_to_two_in_flight).await;
+        let _out = two_in_flight(&proxy, &endpoint).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
-        pending(admin, 3).await;
+        wait_for_pending(admin, 3).await;
         socket2::SockRef::from(&client.stream).shutdown(std::net::Shutdown::Write).expect("half closed");
         assert!(client.message().await.is_none(), "closed without an answer");
-        pending(admin, 2).await;
-        assert_eq!(host.count(), 2);
+        wait_for_pending(admin, 2).await;
+        assert_eq!(endpoint.request_count(), 2);
     });
 }
--- a/proxy/tests/faults.rs
+++ b/proxy/tests/faults.rs
@@ -11,15 +11,15 @@
 use tokio::time::sleep;
 
 /// A configuration for these hosts at an address that is kept for it.
-fn at(address: SocketAddr, discovery: &Discovery, hosts: &[Host]) -> String {
-    configuration(discovery.address, hosts, |config| config["listen"] = address.to_string().into())
+fn at(address: SocketAddr, discovery: &TestDiscovery, endpoints: &[TestEndpoint]) -> String {
+    configuration(discovery.address, endpoints, |config| config["listen"] = address.to_string().into())
 }
 
 /// The program's first client, once it listens; `None` if it ends instead.
-async fn first_client(program: &mut Started, address: SocketAddr) -> Option<Client> {
+async fn first_client(program: &mut RunningProgram, address: SocketAddr) -> Option<Client> {
     loop {
         if let Ok(stream) = TcpStream::connect(address).await {
-            return Some(Reader::new(stream));
+            return Some(MessageReader::new(stream));
         }
         if program.0.try_wait().expect("it can be waited for").is_some() {
             return None;
@@ -31,18 +31,21 @@
 /// The system may be out of buffers or descriptors for a moment as the program starts: it tries again.
 #[test]
 fn a_socket_call_that_fails_for_a_moment_does_not_end_the_start() {
-    run(async {
-        let host = Host::start([ok("served")]).await;
-        let discovery = Discovery::quiet().await;
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let discovery = TestDiscovery::without_updates().await;
         for failure in ["ENOBUFS", "ENFILE", "EMFILE", "ENOMEM"] {
-            let port = port();
+            let port = reserve_port();
             let address = port.local_addr().expect("an address");
-            let mut command =
-                program(&at(address, &discovery, from_ref(&host)), &format!("socket-{failure}.json")).0;
+            let mut command = program_command(
+                &at(address, &discovery, from_ref(&endpoint)),
+                &format!("socket-{failure}.json"),
+            )
+            .0;
             let failures = json!({"rules": [{"call": "socket", "failure": failure, "most": 3}]});
-            let mut program = start_with(&mut command, &failures);
+            let mut program = start_with_faults(&mut command, &failures);
             let mut client = first_client(&mut program, address).await.expect("it starts");
-            assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"served", "{failure}");
+            assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"served", "{failure}");
         }
     });
 }
@@ -51,26 +54,27 @@
 /// requests, answers and the list.
 #[test]
 fn a_short_read_leaves_nothing_unread() {
-    run(async {
-        let (host, other) = (Host::start([ok(&"a".repeat(5_000))]).await, Host::start([ok("b")]).await);
-        let discovery = Discovery::quiet().await;
-        let (port, operators) = (port(), self::port());
+    run_test(async {
+        let (endpoint, other) =
+            (TestEndpoint::start([ok(&"a".repeat(5_000))]).await, TestEndpoint::start([ok("b")]).await);
+        let discovery = TestDiscovery::without_updates().await;
+        let (port, operators) = (reserve_port(), reserve_port());
         let address = port.local_addr().expect("an address");
         let admin = operators.local_addr().expect("an address");
-        let mut command = program(&at(address, &discovery, from_ref(&host)), "short.json").0;
+        let mut command = program_command(&at(address, &discovery, from_ref(&endpoint)), "short.json").0;
         command.env("ROUTER_ADMIN", admin.to_string());
         let failures = json!({"rules": [{"call": "receive", "failure": "SHORT"}]});
-        let mut program = start_with(&mut command, &failures);
+        let mut program = start_with_faults(&mut command, &failures);
         let mut client = first_client(&mut program, address).await.expect("it starts");
         for _ in 0..3 {
-            let answer = client.ask(&request("keyed", "", &"c".repeat(3_000))).await;
-            assert_eq!((answer.status(), answer.body.len()), (200, 5_000));
+            let response = client.exchange(&request("keyed", "", &"c".repeat(3_000))).await;
+            assert_eq!((response.status(), response.body.len()), (200, 5_000));
         }
-        assert_eq!(host.seen.borrow()[0].body.len(), 3_000);
+        assert_eq!(endpoint.requests.borrow()[0].body.len(), 3_000);
         // The name alone is longer than one read.
         let long = entry(&"n".repeat(2_000), other.address, "Ready");
         discovery.push(&chunk(&list(42, false, &[long]))).await;
-        while figures(admin).await["members"] != 2 {}
+        while metrics(admin).await["members"] != 2 {}
     });
 }
 
@@ -80,30 +84,30 @@
 fn a_failure_to_accept_after_the_order_to_stop_turns_nobody_away() {
     const WAITING: usize = 8;
     for failure in ["ECONNABORTED", "ENOBUFS"] {
-        run(async {
-            let host = Host::start([Act::Stall]).await;
-            let discovery = Discovery::quiet().await;
-            let (port, operators) = (port(), self::port());
+        run_test(async {
+            let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
+            let discovery = TestDiscovery::without_updates().await;
+            let (port, operators) = (reserve_port(), reserve_port());
             let address = port.local_addr().expect("an address");
             let admin = operators.local_addr().expect("an address");
             let few = |config: &mut serde_json::Value| {
                 config["listen"] = address.to_string().into();
                 config["limits"]["sockets"] = 70.into();
             };
-            let text = configuration(discovery.address, from_ref(&host), few);
+            let text = configuration(discovery.address, from_ref(&endpoint), few);
             let places = client_proxy::config::Config::parse(&text).expect("good").connections_to_clients();
-            let mut command = program(&text, &format!("accept-{failure}.json")).0;
+            let mut command = program_command(&text, &format!("accept-{failure}.json")).0;
             command.env("ROUTER_ADMIN", admin.to_string());
             let failures = json!({"rules": [{"call": "accept", "failure": failure, "share": 0.5}]});
-            let mut program = start_with(&mut command, &failures);
+            let mut program = start_with_faults(&mut command, &failures);
             let mut clients = vec![first_client(&mut program, address).await.expect("it starts")];
             while clients.len() < places + WAITING {
-                clients.push(Reader::new(TcpStream::connect(address).await.expect("connected")));
+                clients.push(MessageReader::new(TcpStream::connect(address).await.expect("connected")));
             }
             for client in &mut clients {
                 client.send(&request("free", "", "")).await;
             }
-            pending(admin, places as u64).await;
+            wait_for_pending(admin, places as u64).await;
             program.stop();
             for client in &mut clients {
                 assert!(client.message().await.is_some(), "{failure}: it gets its answer");
@@ -117,20 +121,20 @@
 #[test]
 fn a_new_configuration_that_cannot_be_read_at_once_is_read_again() {
     for failure in ["ENFILE", "EIO", "ENOENT"] {
-        run(async {
-            let host = Host::start([ok("served")]).await;
-            let (old, new) = (Discovery::quiet().await, Discovery::quiet().await);
-            let port = port();
+        run_test(async {
+            let endpoint = TestEndpoint::start([ok("served")]).await;
+            let (old, new) = (TestDiscovery::without_updates().await, TestDiscovery::without_updates().await);
+            let port = reserve_port();
             let address = port.local_addr().expect("an address");
             let name = format!("reload-{failure}.json");
-            let (mut command, path) = program(&at(address, &old, from_ref(&host)), &name);
+            let (mut command, path) = program_command(&at(address, &old, from_ref(&endpoint)), &name);
             let failures =
                 json!({"rules": [{"call": "open", "path": name, "failure": failure, "after": 1, "most": 3}]});
-            let mut program = start_with(&mut command, &failures);
+            let mut program = start_with_faults(&mut command, &failures);
             first_client(&mut program, address).await.expect("it starts");
-            std::fs::write(path, at(address, &new, from_ref(&host))).expect("written");
+            std::fs::write(path, at(address, &new, from_ref(&endpoint))).expect("written");
             program.signal("HUP");
-            eventually("the new discovery is watched", || new.asked.borrow().len() == 1).await;
+            wait_until("the new discovery is watched", || new.watch_requests.borrow().len() == 1).await;
         });
     }
 }
@@ -138,20 +142,20 @@
 /// No local port or no way for the moment is not the server's fault: it is tried again, and the server is not set aside.
 #[test]
 fn a_connection_that_fails_for_the_moment_is_tried_again() {
-    run(async {
+    run_test(async {
         for failure in ["EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS"] {
-            let host = Host::start([ok("served")]).await;
-            let discovery = Discovery::quiet().await;
-            let port = port();
+            let endpoint = TestEndpoint::start([ok("served")]).await;
+            let discovery = TestDiscovery::without_updates().await;
+            let port = reserve_port();
             let address = port.local_addr().expect("an address");
             let name = format!("connect-{failure}.json");
-            let mut command = program(&at(address, &discovery, from_ref(&host)), &name).0;
+            let mut command = program_command(&at(address, &discovery, from_ref(&endpoint)), &name).0;
             // The first is the watch's.
             let rule = json!({"call": "connect", "failure": failure, "after": 1, "most": 2});
-            let mut program = start_with(&mut command, &json!({"rules": [rule]}));
+            let mut program = start_with_faults(&mut command, &json!({"rules": [rule]}));
             let mut client = first_client(&mut program, address).await.expect("it starts");
-            eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
-            assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"served", "{failure}");
+            wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
+            assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"served", "{failure}");
         }
     });
 }
@@ -159,23 +163,24 @@
 /// The folder in which processes of the program see each other may fail for a while: they see each other as soon as it works.
 #[test]
 fn a_folder_that_fails_for_the_moment_is_used_later() {
-    run(async {
+    run_test(async {
         for (call, failure) in [("open", "EIO"), ("open", "ENOSPC"), ("lock", "EIO")] {
-            let host = Host::start([ok("served")]).await;
-            let discovery = Discovery::quiet().await;
-            let port = port();
+            let endpoint = TestEndpoint::start([ok("served")]).await;
+            let discovery = TestDiscovery::without_updates().await;
+            let port = reserve_port();
             let address = port.local_addr().expect("an address");
             let name = format!("folder-{call}-{failure}");
             let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(&name);
             std::fs::create_dir_all(&folder).expect("a folder");
-            let mut command = program(&at(address, &discovery, from_ref(&host)), &format!("{name}.json")).0;
+            let mut command =
+                program_command(&at(address, &discovery, from_ref(&endpoint)), &format!("{name}.json")).0;
             command.env("TMPDIR", &folder);
             let path = if call == "open" { "nettleworks.lock" } else { "" };
             let rule = json!({"call": call, "path": path, "failure": failure, "most": 3});
-            let mut program = start_with(&mut command, &json!({"rules": [rule]}));
+            let mut program = start_with_faults(&mut command, &json!({"rules": [rule]}));
             first_client(&mut program, address).await.expect("it starts");
             let file = std::fs::File::create(folder.join("nettleworks.lock")).expect("a file");
-            eventually("it holds its lock", || {
+            wait_until("it holds its lock", || {
                 let is_held = file.try_lock().is_err();
                 file.unlock().expect("unlocked");
                 is_held
--- a/proxy/tests/names.rs
+++ b/proxy/tests/names.rs
@@ -12,13 +12,13 @@
 
 #[test]
 fn each_key_of_the_configuration_and_of_the_list_is_read_under_its_name() {
-    let host = json!({"host": "s-1", "dial": "127.0.0.1:9", "site": "split-dc", "block": 4, "health": "Terminating",
+    let endpoint = json!({"host": "s-1", "dial": "127.0.0.1:9", "site": "split-dc", "block": 4, "health": "Terminating",
         "share": 2.5, "born_ms": 77});
     let class = json!({"name": "free", "objective_us": 1, "deadline_us": 2, "idempotency": "free"});
     let config = json!({
         "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "admin": "127.0.0.1:3", "seed": "ff",
         "limits": {"sockets": 555, "memory_mb": 64},
-        "known": {"seq": 6, "whole": true, "hosts": [host]},
+        "known": {"seq": 6, "whole": true, "hosts": [endpoint]},
         "settings": {
             "balancers": 1, "classes": [class], "tenants": [{"name": "t"}],
             "limits": {"connect_timeout_us": 7_000, "conn_idle_us": 8_000},
@@ -36,32 +36,35 @@
     assert_eq!(config.drain_grace, Duration::from_millis(9));
     let list = config.known.expect("a list");
     assert_eq!((list.version, list.is_full), (6, true));
-    let host = &list.endpoints[0];
-    assert_eq!((host.name.as_str(), host.address.port(), host.zone.as_str()), ("s-1", 9, "split-dc"));
-    assert_eq!((host.cell, host.weight, host.started_at_ms), (4, 2.5, 77));
-    assert_eq!(host.state, ListedState::Draining);
+    let endpoint = &list.endpoints[0];
+    assert_eq!(
+        (endpoint.name.as_str(), endpoint.address.port(), endpoint.zone.as_str()),
+        ("s-1", 9, "split-dc")
+    );
+    assert_eq!((endpoint.cell, endpoint.weight, endpoint.started_at_ms), (4, 2.5, 77));
+    assert_eq!(endpoint.state, ListedState::Draining);
 }
 
 /// What a host is asked, what a client is answered, and how a watch of the list is asked for.
 #[test]
 fn messages_on_the_sockets_keep_their_names() {
-    run(async {
-        let discovery = Discovery::quiet().await;
-        let host = Host::start([turn_away()]).await;
-        let proxy = Proxy::with(&discovery, from_ref(&host), |_| ()).await;
+    run_test(async {
+        let discovery = TestDiscovery::without_updates().await;
+        let endpoint = TestEndpoint::start([reject()]).await;
+        let proxy = Proxy::start_with(&discovery, from_ref(&endpoint), |_| ()).await;
         let mut client = proxy.client().await;
         let again = "X-Again: 1\r\nX-Caller: t\r\n";
-        let answer = client.ask(&request("keyed", again, "body")).await;
-        assert_eq!(answer.first, "HTTP/1.1 503 Service Unavailable");
-        assert!(answer.header("retry-after").is_some());
-        let seen = host.seen.borrow()[0].clone();
-        assert_eq!(seen.first, "POST /api HTTP/1.1");
+        let response = client.exchange(&request("keyed", again, "body")).await;
+        assert_eq!(response.start_line, "HTTP/1.1 503 Service Unavailable");
+        assert!(response.header("retry-after").is_some());
+        let seen = endpoint.requests.borrow()[0].clone();
+        assert_eq!(seen.start_line, "POST /api HTTP/1.1");
         for name in ["x-call-id", "x-call-class", "x-budget-ms", "idempotency-key", "x-again", "x-caller"] {
             assert!(seen.header(name).is_some(), "{name}");
         }
-        eventually("the list is watched", || !discovery.asked.borrow().is_empty()).await;
-        assert_eq!(discovery.asked.borrow()[0], "GET /catalog/members?follow=1&since=41 HTTP/1.1");
-        let health = client.ask(HEALTH).await;
+        wait_until("the list is watched", || !discovery.watch_requests.borrow().is_empty()).await;
+        assert_eq!(discovery.watch_requests.borrow()[0], "GET /catalog/members?follow=1&since=41 HTTP/1.1");
+        let health = client.exchange(HEALTH_REQUEST).await;
         assert_eq!(health.status(), 200);
     });
 }
--- a/proxy/tests/process.rs
+++ b/proxy/tests/process.rs
@@ -13,26 +13,26 @@
 
 #[test]
 fn the_program_serves_and_ends_well_on_sigterm() {
-    run(async {
-        let host = Host::start([ok("served"), Act::Stall]).await;
-        let discovery = Discovery::quiet().await;
-        let port = port();
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served"), ScriptedResponse::Stall]).await;
+        let discovery = TestDiscovery::without_updates().await;
+        let port = reserve_port();
         let address = port.local_addr().expect("an address");
-        let config = configuration(discovery.address, from_ref(&host), |config| {
+        let config = configuration(discovery.address, from_ref(&endpoint), |config| {
             config["listen"] = address.to_string().into();
         });
-        let mut child = program(&config, "good.json").0.spawn().expect("it starts");
+        let mut child = program_command(&config, "good.json").0.spawn().expect("it starts");
         let mut client = loop {
             match TcpStream::connect(address).await {
-                Ok(stream) => break Reader::new(stream),
+                Ok(stream) => break MessageReader::new(stream),
                 Err(_) => sleep(Duration::from_millis(5)).await,
             }
         };
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"served");
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"served");
         // Its time is longer than a stop may take: it gets its answer early.
-        let mut stuck = Reader::new(TcpStream::connect(address).await.expect("the program accepts"));
+        let mut stuck = MessageReader::new(TcpStream::connect(address).await.expect("the program accepts"));
         stuck.send(&request("unsafe", "", "")).await;
-        eventually("the host has it", || host.count() == 2).await;
+        wait_until("the host has it", || endpoint.request_count() == 2).await;
         // A second order, and a new configuration beside it, change nothing.
         for order in ["-TERM", "-HUP", "-TERM"] {
             let sent = Command::new("kill").args([order, &child.id().to_string()]).status();
@@ -54,54 +54,59 @@
 }
 
 /// What a call of operators gets, or nothing while nobody listens there.
-async fn call(admin: &str, line: &str) -> String {
-    let mut answer = String::new();
+async fn admin_command(admin: &str, line: &str) -> String {
+    let mut response = String::new();
     if let Ok(mut stream) = TcpStream::connect(admin).await {
         stream.write_all(line.as_bytes()).await.expect("written");
-        stream.read_to_string(&mut answer).await.expect("an answer");
+        stream.read_to_string(&mut response).await.expect("an answer");
     }
-    answer
+    response
 }
 
 /// The new process takes over the address; the old one answers what comes on its connections, and ends.
 #[test]
 fn a_new_process_takes_over_from_the_old_one() {
-    run(async {
-        let host = Host::start([ok("served"), Act::Stall, ok("served")]).await;
-        let discovery = Discovery::quiet().await;
-        let port = port();
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served"), ScriptedResponse::Stall, ok("served")]).await;
+        let discovery = TestDiscovery::without_updates().await;
+        let port = reserve_port();
         let address = port.local_addr().expect("an address");
-        let config = configuration(discovery.address, from_ref(&host), |config| {
+        let config = configuration(discovery.address, from_ref(&endpoint), |config| {
             config["listen"] = address.to_string().into();
         });
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("beside");
         std::fs::create_dir_all(&folder).expect("a folder");
         let start = |admin: &str| {
-            let mut command = program(&config, "beside.json").0;
+            let mut command = program_command(&config, "beside.json").0;
             command.env("TMPDIR", &folder).env("ROUTER_ADMIN", admin).stderr(Stdio::null());
-            Started(command.spawn().expect("it starts"))
+            RunningProgram(command.spawn().expect("it starts"))
         };
-        let admins = [self::port(), self::port()];
+        let admins = [reserve_port(), reserve_port()];
         let [here, there] = admins.each_ref().map(|port| port.local_addr().expect("an address").to_string());
         let (here, there) = (here.as_str(), there.as_str());
         let mut old = start(here);
-        while call(here, "health\n").await != "SUCCESS yes\n" {}
-        let mut client = Reader::new(TcpStream::connect(address).await.expect("the program accepts"));
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"served");
-        let mut busy = Reader::new(TcpStream::connect(address).await.expect("the program accepts"));
+        while admin_command(here, "health\n").await != "SUCCESS yes\n" {}
+        let mut client = MessageReader::new(TcpStream::connect(address).await.expect("the program accepts"));
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"served");
+        let mut busy = MessageReader::new(TcpStream::connect(address).await.expect("the program accepts"));
         busy.send(&request("unsafe", "", "")).await;
-        eventually("the host has it", || host.count() == 2).await;
+        wait_until("the host has it", || endpoint.request_count() == 2).await;
         let mut new = start(there);
-        while call(there, "health\n").await != "SUCCESS yes\n" {}
+        while admin_command(there, "health\n").await != "SUCCESS yes\n" {}
         assert!(Command::new("kill").arg(old.0.id().to_string()).status().expect("kill runs").success());
-        while call(here, "health\n").await == "SUCCESS yes\n" {}
+        while admin_command(here, "health\n").await == "SUCCESS yes\n" {}
         for _ in 0..16 {
-            let mut next = Reader::new(TcpStream::connect(address).await.expect("the program accepts"));
-            let answer = next.ask(&request("unsafe", "", "")).await;
-            assert_eq!((answer.status(), answer.header("connection")), (200, None), "it is the new one's");
+            let mut next =
+                MessageReader::new(TcpStream::connect(address).await.expect("the program accepts"));
+            let response = next.exchange(&request("unsafe", "", "")).await;
+            assert_eq!(
+                (response.status(), response.header("connection")),
+                (200, None),
+                "it is the new one's"
+            );
         }
         assert!(client.message().await.is_none(), "closed between requests");
-        host.release.notify_one();
+        endpoint.release.notify_one();
         let last = busy.message().await.expect("an answer");
         assert_eq!((last.status(), last.header("connection")), (200, Some("close")), "it is the old one's");
         let ended = loop {
@@ -111,7 +116,7 @@
             }
         };
         assert!(ended.success());
-        assert_eq!(call(there, "health\n").await, "SUCCESS yes\n");
+        assert_eq!(admin_command(there, "health\n").await, "SUCCESS yes\n");
         assert!(new.0.try_wait().expect("it can be waited for").is_none(), "it still runs");
     });
 }
@@ -120,26 +125,27 @@
 /// the new discovery at once, from the version in hand, and what the old one still says no longer counts.
 #[test]
 fn a_new_configuration_moves_the_watch_and_keeps_the_hosts() {
-    run(async {
-        let (host, other) = (Host::start([ok("first")]).await, Host::start([ok("second")]).await);
-        let (old, new) = (Discovery::quiet().await, Discovery::quiet().await);
-        let port = port();
+    run_test(async {
+        let (endpoint, other) =
+            (TestEndpoint::start([ok("first")]).await, TestEndpoint::start([ok("second")]).await);
+        let (old, new) = (TestDiscovery::without_updates().await, TestDiscovery::without_updates().await);
+        let port = reserve_port();
         let address = port.local_addr().expect("an address");
-        let config = |discovery: &Discovery| {
-            configuration(discovery.address, from_ref(&host), |config| {
+        let config = |discovery: &TestDiscovery| {
+            configuration(discovery.address, from_ref(&endpoint), |config| {
                 config["listen"] = address.to_string().into();
             })
         };
-        let (mut command, path) = program(&config(&old), "reload.json");
+        let (mut command, path) = program_command(&config(&old), "reload.json");
         let mut child = command.spawn().expect("it starts");
         let id = child.id().to_string();
         let hangup = || {
             let sent = Command::new("kill").args(["-HUP", &id]).status();
             assert!(sent.expect("kill runs").success());
         };
-        eventually("the old watch is open", || old.asked.borrow().len() == 1).await;
-        let mut client = Reader::new(TcpStream::connect(address).await.expect("the program accepts"));
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"first");
+        wait_until("the old watch is open", || old.watch_requests.borrow().len() == 1).await;
+        let mut client = MessageReader::new(TcpStream::connect(address).await.expect("the program accepts"));
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"first");
         std::fs::write(&path, "{ broken").expect("written");
         hangup();
         // Read in order: the line about the broken file comes before that of the good one.
@@ -147,12 +153,12 @@
         while !log.next().expect("a line").expect("text").contains("configuration kept") {}
         std::fs::write(&path, config(&new)).expect("written");
         hangup();
-        eventually("the new watch is open", || new.asked.borrow().len() == 1).await;
-        assert_eq!(new.asked.borrow()[0], "GET /catalog/members?follow=1&since=41 HTTP/1.1");
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"first");
-        eventually("the old watch is closed", || old.is_left()).await;
+        wait_until("the new watch is open", || new.watch_requests.borrow().len() == 1).await;
+        assert_eq!(new.watch_requests.borrow()[0], "GET /catalog/members?follow=1&since=41 HTTP/1.1");
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"first");
+        wait_until("the old watch is closed", || old.is_disconnected()).await;
         new.push(&chunk(&list(42, true, &[entry("s-9", other.address, "Ready")]))).await;
-        while client.ask(&request("unsafe", "", "")).await.body != b"second" {}
+        while client.exchange(&request("unsafe", "", "")).await.body != b"second" {}
         child.kill().expect("it still runs");
         child.wait().expect("it can be waited for");
     });
@@ -160,7 +166,7 @@
 
 #[test]
 fn a_broken_configuration_ends_it_with_one_line() {
-    let good = run(async { configuration(Discovery::quiet().await.address, &[], |_| ()) });
+    let good = run_test(async { configuration(TestDiscovery::without_updates().await.address, &[], |_| ()) });
     let cases = [
         ("{", "EOF"),
         (&good.replace("127.0.0.1:0", "nowhere"), "address"),
@@ -175,7 +181,7 @@
         (&good.replace("\"connect_timeout_us\":1000000", "\"connect_timeout_us\":0"), "connect_timeout_us"),
     ];
     for (number, (config, reason)) in cases.iter().enumerate() {
-        let output = program(config, &format!("broken-{number}.json")).0.output().expect("it runs");
+        let output = program_command(config, &format!("broken-{number}.json")).0.output().expect("it runs");
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{config}");
         assert_eq!(text.lines().count(), 1, "{text}");
@@ -194,44 +200,47 @@
 #[test]
 fn descriptors_are_kept_for_the_watch_servers_and_operators() {
     const SOCKETS: usize = 256;
-    for way in ["ask", "push"] {
-        run(async {
-            let mut hosts = Vec::new();
+    for how in ["ask", "push"] {
+        run_test(async {
+            let mut endpoints = Vec::new();
             for _ in 0..24 {
-                hosts.push(Host::start([Act::Stall]).await);
+                endpoints.push(TestEndpoint::start([ScriptedResponse::Stall]).await);
             }
-            let [listen, admin, discovery] = [port(), port(), port()];
+            let [listen, admin, discovery] = [reserve_port(), reserve_port(), reserve_port()];
             let [address, operators, told] =
                 [&listen, &admin, &discovery].map(|port| port.local_addr().expect("an address"));
             let change = |config: &mut serde_json::Value| {
                 config["listen"] = address.to_string().into();
                 config["admin"] = operators.to_string().into();
                 config["limits"]["sockets"] = SOCKETS.into();
-                config["settings"]["discovery"] = way.into();
+                config["settings"]["discovery"] = how.into();
             };
-            let config = configuration(told, &hosts, change);
+            let config = configuration(told, &endpoints, change);
             let parsed = client_proxy::config::Config::parse(&config).expect("a good configuration");
-            let (places, to_hosts) = (parsed.connections_to_clients(), parsed.connections_to_hosts());
-            let path = program(&config, &format!("full-{way}.json")).1;
+            let (places, to_endpoints) = (parsed.connections_to_clients(), parsed.connections_to_hosts());
+            let path = program_command(&config, &format!("full-{how}.json")).1;
             let mut command = Command::new("sh");
             let bound = format!("ulimit -n {SOCKETS}; exec \"$0\"");
             command.args(["-c", &bound, env!("CARGO_BIN_EXE_client-proxy")]).env("ROUTER_CONFIG", &path);
             let log = path.with_extension("log");
             command.stdout(Stdio::null()).stderr(std::fs::File::create(&log).expect("a log"));
-            let process = Started(command.spawn().expect("it starts"));
+            let process = RunningProgram(command.spawn().expect("it starts"));
             let connect = async || loop {
                 match TcpStream::connect(address).await {
-                    Ok(stream) => break Reader::new(stream),
+                    Ok(stream) => break MessageReader::new(stream),
                     Err(_) => sleep(Duration::from_millis(5)).await,
                 }
             };
             // As many requests as there are places for connections to servers, and then clients that say nothing.
             let mut stuck = Vec::new();
-            for _ in 0..to_hosts {
+            for _ in 0..to_endpoints {
                 stuck.push(connect().await);
                 stuck.last_mut().expect("one").send(&request("free", "", "")).await;
             }
-            eventually("all are out", || hosts.iter().map(Host::count).sum::<usize>() == to_hosts).await;
+            wait_until("all are out", || {
+                endpoints.iter().map(TestEndpoint::request_count).sum::<usize>() == to_endpoints
+            })
+            .await;
             let mut silent = Vec::new();
             for _ in 0..2 * places {
                 silent.push(connect().await);
@@ -240,40 +249,40 @@
             for _ in 0..client_proxy::operators::CALLERS_MOST {
                 callers.push(TcpStream::connect(operators).await.expect("operators are let in"));
             }
-            eventually("it holds what it may", || {
-                descriptors(process.0.id()) >= to_hosts + places + callers.len()
+            wait_until("it holds what it may", || {
+                descriptors(process.0.id()) >= to_endpoints + places + callers.len()
             })
             .await;
             // It comes back with the first of them draining.
             let entries: Vec<_> = (0..)
-                .zip(&hosts)
-                .map(|(number, host)| {
+                .zip(&endpoints)
+                .map(|(number, endpoint)| {
                     entry(
                         &format!("s-{number}"),
-                        host.address,
+                        endpoint.address,
                         if number == 0 { "Terminating" } else { "Ready" },
                     )
                 })
                 .collect();
-            let discovery = Discovery::on(
+            let discovery = TestDiscovery::on_listener(
                 discovery.listen(8).expect("it listens"),
-                [format!("{WATCH}{}", chunk(&list(42, true, &entries)))],
+                [format!("{WATCH_HEAD}{}", chunk(&list(42, true, &entries)))],
             );
-            eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
-            while figures(operators).await["members_unavailable"] == 0 {}
-            let drained = hosts[0].count();
-            for host in &hosts {
-                *host.acts.borrow_mut() = [ok("served")].into();
-                host.release.notify_waiters();
+            wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
+            while metrics(operators).await["members_unavailable"] == 0 {}
+            let drained = endpoints[0].request_count();
+            for endpoint in &endpoints {
+                *endpoint.script.borrow_mut() = [ok("served")].into();
+                endpoint.release.notify_waiters();
             }
             for client in &mut stuck {
                 assert_eq!(client.message().await.expect("an answer").status(), 200, "it has its place");
             }
-            for _ in 0..3 * hosts.len() {
-                let answer = connect().await.ask(&request("unsafe", "", "")).await;
-                assert_eq!(answer.status(), 200, "it finds a place");
+            for _ in 0..3 * endpoints.len() {
+                let response = connect().await.exchange(&request("unsafe", "", "")).await;
+                assert_eq!(response.status(), 200, "it finds a place");
             }
-            assert_eq!(hosts[0].count(), drained, "it gets nothing more");
+            assert_eq!(endpoints[0].request_count(), drained, "it gets nothing more");
             let log = std::fs::read_to_string(&log).expect("a log");
             assert!(!log.contains("os error 24"), "{log}");
             drop((silent, callers, listen, admin));
@@ -284,25 +293,25 @@
 /// Nobody reads the log, and its pipe is full: requests are answered all the same.
 #[test]
 fn a_log_that_nobody_reads_holds_nothing_up() {
-    run(async {
-        let host = Host::start([ok("served")]).await;
-        let discovery = Discovery::quiet().await;
-        let port = port();
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let discovery = TestDiscovery::without_updates().await;
+        let port = reserve_port();
         let address = port.local_addr().expect("an address");
-        let config = configuration(discovery.address, from_ref(&host), |config| {
+        let config = configuration(discovery.address, from_ref(&endpoint), |config| {
             config["listen"] = address.to_string().into();
         });
-        let mut command = program(&config, "unread-log.json").0;
+        let mut command = program_command(&config, "unread-log.json").0;
         // Some hundred bytes a request, of the 64 KiB that a pipe holds.
-        let _program = Started(command.env("ROUTER_TRACE", "1").spawn().expect("it starts"));
+        let _program = RunningProgram(command.env("ROUTER_TRACE", "1").spawn().expect("it starts"));
         let mut client = loop {
             match TcpStream::connect(address).await {
-                Ok(stream) => break Reader::new(stream),
+                Ok(stream) => break MessageReader::new(stream),
                 Err(_) => sleep(Duration::from_millis(5)).await,
             }
         };
         for _ in 0..500 {
-            assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"served");
+            assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"served");
         }
     });
 }
--- a/proxy/tests/ready.rs
+++ b/proxy/tests/ready.rs
@@ -3,8 +3,9 @@
 mod common;
 
 use client_proxy::config::Config;
-use common::still::Call::{Away, Say};
-use common::still::*;
+use common::paused_time::*;
+use common::scripted_discovery::WatchResponse::{Respond, Unreachable};
+use common::scripted_discovery::*;
 use common::*;
 use std::cell::Cell;
 use std::fs::File;
@@ -22,7 +23,7 @@
         if let Ok(stream) = TcpStream::connect(address).await {
             let [listens, _] = at.get();
             let now = Some(begun.elapsed());
-            let status = Reader::new(stream).ask(HEALTH).await.status();
+            let status = MessageReader::new(stream).exchange(HEALTH_REQUEST).await.status();
             at.set([listens.or(now), (status == 200).then_some(()).and(now)]);
             if status == 200 {
                 return;
@@ -38,13 +39,13 @@
     balancer_count: u32,
     known: bool,
     beside: bool,
-    calls: Vec<Call>,
+    calls: Vec<WatchResponse>,
 ) -> [Duration; 2] {
-    let host = Host::start([ok("served")]).await;
-    let news = format!("{WATCH}{}", chunk(&list(42, true, &[entry("s-0", host.address, "Ready")])));
-    let discovery = Script::start(calls.into_iter().chain(vec![Say(news); 3])).await;
-    let hosts = if known { from_ref(&host) } else { &[] };
-    let config = configuration(discovery.address, hosts, |config| {
+    let endpoint = TestEndpoint::start([ok("served")]).await;
+    let news = format!("{WATCH_HEAD}{}", chunk(&list(42, true, &[entry("s-0", endpoint.address, "Ready")])));
+    let discovery = ScriptedDiscovery::start(calls.into_iter().chain(vec![Respond(news); 3])).await;
+    let endpoints = if known { from_ref(&endpoint) } else { &[] };
+    let config = configuration(discovery.address, endpoints, |config| {
         config["settings"]["discovery"] = mode.into();
         config["settings"]["balancers"] = balancer_count.into();
         config["settings"]["invariants"]["ask_every_us"] = 10_000_000.into();
@@ -63,24 +64,25 @@
     let (begun, at) = (Instant::now(), Rc::new(Cell::new([None; 2])));
     spawn_local(client_proxy::run(read, listeners, Some(folder), async || None, std::future::pending()));
     spawn_local(watch_health(address, begun, at.clone()));
-    until("ready", || at.get()[1].is_some()).await;
+    advance_until("ready", || at.get()[1].is_some()).await;
     at.get().map(|time| time.expect("seen"))
 }
 
 /// Nine in ten restarted processes are to be ready within 10 s, within 6 s on short days.
 #[test]
 fn a_process_is_ready_in_time_whatever_discovery_does() {
-    let discoveries: [fn() -> Vec<Call>; 5] = [
+    let discoveries: [fn() -> Vec<WatchResponse>; 5] = [
         Vec::new,
-        || vec![REFUSES(); 1_000],
-        || vec![WAITS(); 200],
-        || vec![SILENT(); 200],
-        || vec![Away(Duration::from_secs(60))],
+        || vec![REJECTED(); 1_000],
+        || vec![LATE_REJECTED(); 200],
+        || vec![NO_RESPONSE(); 200],
+        || vec![Unreachable(Duration::from_secs(60))],
     ];
     for (mode, balancer_count) in [("ask", 5), ("ask", 300), ("push", 5)] {
         for (number, calls) in discoveries.into_iter().enumerate() {
             for (known, beside) in [(true, true), (true, false), (false, true), (false, false)] {
-                let [listens, ready] = run_still(readiness(mode, balancer_count, known, beside, calls()));
+                let [listens, ready] =
+                    run_with_paused_time(readiness(mode, balancer_count, known, beside, calls()));
                 let name = format!(
                     "{mode}, {balancer_count} balancers, discovery {number}, known {known}, beside {beside}: \
                      listens at {listens:?}, ready at {ready:?}"
--- a/proxy/tests/stop.rs
+++ b/proxy/tests/stop.rs
@@ -17,18 +17,18 @@
 /// A stop must answer all that was taken, take new connections for as long as they come, and close the rest.
 #[test]
 fn a_stop_answers_what_was_taken() {
-    run(async {
-        let host = Host::start([ok("before"), Act::Stall, ok("after")]).await;
-        let mut proxy = Proxy::start(from_ref(&host)).await;
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("before"), ScriptedResponse::Stall, ok("after")]).await;
+        let mut proxy = Proxy::start(from_ref(&endpoint)).await;
         let (mut idle, mut busy) = (proxy.client().await, proxy.client().await);
         let mut half = proxy.client().await;
-        assert_eq!(idle.ask(&request("unsafe", "", "")).await.body, b"before");
+        assert_eq!(idle.exchange(&request("unsafe", "", "")).await.body, b"before");
         busy.send(&request("unsafe", "", "").replace("8000", "1500")).await;
         half.send("POST /api HTTP/1.1\r\nX-Call").await;
-        eventually("the host has it", || host.count() == 2).await;
+        wait_until("the host has it", || endpoint.request_count() == 2).await;
         drop(proxy.stop.take());
         let mut late = proxy.client().await;
-        assert_eq!(late.ask(&request("unsafe", "", "")).await.body, b"after");
+        assert_eq!(late.exchange(&request("unsafe", "", "")).await.body, b"after");
         assert_eq!(busy.message().await.expect("an answer").status(), 502);
         (&mut proxy.task).await.expect("it ends without a panic").expect("it listened");
         assert!(idle.message().await.is_none(), "closed between requests");
@@ -40,31 +40,29 @@
 /// order to stop is refused, as the process may be killed under a long answer to it.
 #[test]
 fn a_stop_waits_for_a_long_answer_and_refuses_what_comes_late() {
-    run(async {
-        const HALF: usize = 100_000;
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let host = Host { address, ..Host::start([Act::Stall]).await };
-        let mut proxy = Proxy::start(from_ref(&host)).await;
+    run_test(async {
+        const HALF_BYTES: usize = 100_000;
+        let (endpoint, listener) = manual_endpoint().await;
+        let mut proxy = Proxy::start(from_ref(&endpoint)).await;
         let (mut client, mut late) = (proxy.client().await, proxy.client().await);
         client.send(&request("free", "", "")).await;
         let mut stream = listener.accept().await.expect("the proxy connects").0;
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", 2 * HALF);
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", 2 * HALF_BYTES);
         stream.write_all(head.as_bytes()).await.expect("written");
-        stream.write_all(&[b'a'; HALF]).await.expect("written");
+        stream.write_all(&[b'a'; HALF_BYTES]).await.expect("written");
         let text = request("unsafe", "", "body");
         late.send(&text[..text.len() - 1]).await;
         client.stream.readable().await.expect("the answer has begun");
         drop(proxy.stop.take());
         sleep(Duration::from_millis(900)).await;
         late.send("y").await;
-        let answer = late.message().await.expect("an answer");
-        assert_eq!((answer.status(), answer.header("retry-after").is_some()), (503, true));
+        let response = late.message().await.expect("an answer");
+        assert_eq!((response.status(), response.header("retry-after").is_some()), (503, true));
         // Longer than any answer that is not long may take.
         sleep(Duration::from_secs(3)).await;
-        stream.write_all(&[b'b'; HALF]).await.expect("written");
-        let answer = client.message().await.expect("an answer");
-        assert_eq!((answer.body.len(), answer.body.last()), (2 * HALF, Some(&b'b')));
+        stream.write_all(&[b'b'; HALF_BYTES]).await.expect("written");
+        let response = client.message().await.expect("an answer");
+        assert_eq!((response.body.len(), response.body.last()), (2 * HALF_BYTES, Some(&b'b')));
         (&mut proxy.task).await.expect("it ends without a panic").expect("it listened");
     });
 }
@@ -73,11 +71,11 @@
 /// or 3 s where it is longer, and 0.6 s of the 0.7 s that come before it is killed.
 #[test]
 fn a_stop_ends_what_is_held() {
-    run(async {
-        let host = Host::start([ok("served")]).await;
-        let draining = list(42, true, &[entry("s-0", host.address, "Terminating")]);
-        let discovery = Discovery::start([format!("{WATCH}{}", chunk(&draining))]).await;
-        let mut proxy = Proxy::with(&discovery, &[], |config| {
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let draining = list(42, true, &[entry("s-0", endpoint.address, "Terminating")]);
+        let discovery = TestDiscovery::start([format!("{WATCH_HEAD}{}", chunk(&draining))]).await;
+        let mut proxy = Proxy::start_with(&discovery, &[], |config| {
             config["settings"]["classes"][2]["deadline_us"] = 20_000_000.into();
             config["settings"]["classes"][2]["late_value"] = 0.5.into();
         })
@@ -85,13 +83,13 @@
         let mut held = proxy.client().await;
         held.send(&request("unsafe", "", "").replace("8000", "20000")).await;
         // Sent later and answered: the proxy has read the request before.
-        while proxy.client().await.ask(HEALTH).await.status() != 200 {}
+        while proxy.client().await.exchange(HEALTH_REQUEST).await.status() != 200 {}
         let told = Instant::now();
         drop(proxy.stop.take());
-        let answer = held.message().await.expect("an answer");
-        assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
+        let response = held.message().await.expect("an answer");
+        assert_eq!((response.status(), response.header("connection")), (503, Some("close")));
         assert!(told.elapsed() < Duration::from_millis(3_700));
-        assert_eq!(host.count(), 0);
+        assert_eq!(endpoint.request_count(), 0);
         (&mut proxy.task).await.expect("it ends without a panic").expect("it listened");
     });
 }
@@ -100,14 +98,14 @@
 /// under it, which would reset it.
 #[test]
 fn a_stop_answers_what_waits_to_be_accepted() {
-    run(async {
-        let host = Host::start([Act::Stall]).await;
+    run_test(async {
+        let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
         let few = |config: &mut serde_json::Value| {
             config["limits"]["sockets"] = 70.into();
             config["admin"] = "127.0.0.1:0".into();
         };
-        let discovery = Discovery::quiet().await;
-        let mut proxy = Proxy::with(&discovery, from_ref(&host), few).await;
+        let discovery = TestDiscovery::without_updates().await;
+        let mut proxy = Proxy::start_with(&discovery, from_ref(&endpoint), few).await;
         let admin = proxy.admin.expect("an address for operators");
         let text = configuration(discovery.address, &[], few);
         let places = client_proxy::config::Config::parse(&text).expect("good").connections_to_clients();
@@ -115,7 +113,7 @@
         for number in 1..=places {
             clients.push(proxy.client().await);
             clients[number - 1].send(&request("free", "", "")).await;
-            while figures(admin).await["pending"] != number {}
+            while metrics(admin).await["pending"] != number {}
         }
         let mut waiting = proxy.client().await;
         waiting.send(&request("free", "", "")).await;
@@ -128,17 +126,18 @@
 /// What is unread when a connection ends must not reset it: the answer before may still be on its way.
 #[test]
 fn the_end_of_a_connection_does_not_cross_what_came() {
-    run(async {
-        let host = Host::start([ok("served")]).await;
-        let mut proxy = Proxy::start(from_ref(&host)).await;
-        assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
-        let behind = "x".repeat(300_000);
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let mut proxy = Proxy::start(from_ref(&endpoint)).await;
+        assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
+        let pipelined = "x".repeat(300_000);
         let mut clients = Vec::new();
         for text in [request("unheard-of", "", ""), "GET nowhere at all\r\n\r\n".to_owned()] {
             let stream = std::net::TcpStream::connect(proxy.address).expect("connected");
-            std::io::Write::write_all(&mut &stream, format!("{text}{behind}").as_bytes()).expect("written");
+            std::io::Write::write_all(&mut &stream, format!("{text}{pipelined}").as_bytes())
+                .expect("written");
             stream.set_nonblocking(true).expect("nonblocking");
-            clients.push(Reader::new(TcpStream::from_std(stream).expect("a stream")));
+            clients.push(MessageReader::new(TcpStream::from_std(stream).expect("a stream")));
         }
         for client in &clients {
             client.stream.readable().await.expect("it is answered");
@@ -156,7 +155,7 @@
 /// A process that waits for its first list has taken nothing: it ends at once, also beside another that serves.
 #[test]
 fn a_stop_before_the_first_list_ends_the_process() {
-    run(async {
+    run_test(async {
         for beside in [false, true] {
             let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("unlisted-{beside}"));
             std::fs::create_dir_all(&folder).expect("a folder");
@@ -166,7 +165,7 @@
                 ),
                 false => None,
             };
-            let discovery = Discovery::quiet().await;
+            let discovery = TestDiscovery::without_updates().await;
             let config = configuration(discovery.address, &[], |_| ());
             let config = client_proxy::config::Config::parse(&config).expect("a good configuration");
             let clients = client_proxy::process_handoff::bind(config.listen).expect("bound");
@@ -177,7 +176,7 @@
             };
             let run = client_proxy::run(config, listeners, Some(folder), async || None, stopped);
             let task = spawn_local(run);
-            eventually("it asks for a list", || !discovery.asked.borrow().is_empty()).await;
+            wait_until("it asks for a list", || !discovery.watch_requests.borrow().is_empty()).await;
             let told = Instant::now();
             drop(stop);
             task.await.expect("no panic").expect("no error");
@@ -190,7 +189,7 @@
 /// A proxy that was killed leaves connections at its address; the next one must start there at once.
 #[test]
 fn the_address_can_be_used_again_at_once() {
-    run(async {
+    run_test(async {
         // An address that no other test uses: its port is nobody's meanwhile.
         let bind = |address| client_proxy::process_handoff::bind(address).expect("bound");
         let first = bind("127.0.0.2:0".parse().expect("an address")).listen(8).expect("it listens");
@@ -206,7 +205,7 @@
 /// Once led away, connections come to the newer listener alone; when that is gone, to the older one again.
 #[test]
 fn connections_are_led_to_the_newer_listener() {
-    run(async {
+    run_test(async {
         let bind = |address| client_proxy::process_handoff::bind(address).expect("bound");
         let old = bind("127.0.0.3:0".parse().expect("an address")).listen(64).expect("it listens");
         let address = old.local_addr().expect("an address");
@@ -225,11 +224,11 @@
 /// A process without a list leaves clients to the one beside it, for as long as that is there.
 #[test]
 fn a_process_without_a_list_does_not_listen_beside_another() {
-    run(async {
+    run_test(async {
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("listless");
         std::fs::create_dir_all(&folder).expect("a folder");
         let other = client_proxy::process_handoff::announce_presence(&folder, |_| ()).await.expect("shown");
-        let config = configuration(Discovery::quiet().await.address, &[], |_| ());
+        let config = configuration(TestDiscovery::without_updates().await.address, &[], |_| ());
         let config = client_proxy::config::Config::parse(&config).expect("a good configuration");
         let clients = client_proxy::process_handoff::bind(config.listen).expect("bound");
         let address = clients.local_addr().expect("an address");
@@ -249,7 +248,7 @@
 /// Of two processes one has the limits to itself when the other ends.
 #[test]
 fn a_process_knows_whether_it_is_alone() {
-    run(async {
+    run_test(async {
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("presence");
         std::fs::create_dir_all(&folder).expect("a folder");
         use client_proxy::process_handoff::announce_presence as show;
@@ -270,13 +269,13 @@
 #[test]
 fn a_stop_waits_for_the_connection_of_a_second_attempt_while_it_may() {
     for comes_up in [true, false] {
-        run(async {
-            let (stuck, full, listener) = never_up().await;
+        run_test(async {
+            let (stuck, full, listener) = endpoint_with_full_backlog().await;
             let first = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let address = first.local_addr().expect("an address");
-            let discovery = Discovery::quiet().await;
-            let known = [Host { address, ..Host::start([Act::Stall]).await }];
-            let mut proxy = Proxy::with(&discovery, &known, |config| {
+            let discovery = TestDiscovery::without_updates().await;
+            let known = [TestEndpoint { address, ..TestEndpoint::start([ScriptedResponse::Stall]).await }];
+            let mut proxy = Proxy::start_with(&discovery, &known, |config| {
                 config["admin"] = "127.0.0.1:0".into();
                 config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
             })
@@ -284,30 +283,32 @@
             let admin = proxy.admin.expect("an address for operators");
             let mut client = proxy.client().await;
             client.send(&request("unsafe", "", "the body")).await;
-            let mut connection = Reader::new(first.accept().await.expect("the proxy connects").0);
+            let mut connection = MessageReader::new(first.accept().await.expect("the proxy connects").0);
             connection.message().await.expect("the first attempt");
             let more = list(42, false, &[entry("s-1", stuck.address, "Ready")]);
             discovery.push(&chunk(&more)).await;
-            while figures(admin).await["members"] != 2 {}
-            let Act::Say(away) = turn_away() else { return };
+            while metrics(admin).await["members"] != 2 {}
+            let away = REJECTION;
             connection.stream.write_all(away.as_bytes()).await.expect("written");
-            eventually("the second is being opened", || is_being_opened(stuck.address)).await;
+            wait_until("the second is being opened", || is_connecting(stuck.address)).await;
             let told = Instant::now();
             drop(proxy.stop.take());
-            while call(admin, "health\n").await.starts_with("SUCCESS") {}
+            while admin_command(admin, "health\n").await.starts_with("SUCCESS") {}
             let (mut full, mut listener) = (Some(full), Some(listener));
-            let host = listener.take_if(|_| comes_up).map(|listener| {
+            let endpoint = listener.take_if(|_| comes_up).map(|listener| {
                 full.take();
-                Host::on(listener, [ok("served")])
+                TestEndpoint::on_listener(listener, [ok("served")])
             });
-            let answer = client.message().await.expect("an answer");
-            assert_eq!(answer.header("connection"), Some("close"));
-            match &host {
-                Some(host) => {
-                    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"served"[..]));
-                    assert_eq!(host.count(), 1);
+            let response = client.message().await.expect("an answer");
+            assert_eq!(response.header("connection"), Some("close"));
+            match &endpoint {
+                Some(endpoint) => {
+                    assert_eq!((response.status(), response.body.as_slice()), (200, &b"served"[..]));
+                    assert_eq!(endpoint.request_count(), 1);
+                }
+                None => {
+                    assert_eq!((response.status(), response.header("retry-after").is_some()), (503, true))
                 }
-                None => assert_eq!((answer.status(), answer.header("retry-after").is_some()), (503, true)),
             }
             // 3 s for requests, 0.6 s on top, and 0.1 s to spare before it is killed.
             assert!(told.elapsed() < Duration::from_millis(3_700));
@@ -322,10 +323,10 @@
 /// no answer was not sent on; and the process ends all the same.
 #[test]
 fn a_stop_ends_while_clients_go_on_sending() {
-    run(async {
-        let host = Host::start([ok("served")]).await;
-        let mut proxy = Proxy::start(from_ref(&host)).await;
-        let answered = Rc::new(RefCell::new(HashMap::new()));
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let mut proxy = Proxy::start(from_ref(&endpoint)).await;
+        let responded = Rc::new(RefCell::new(HashMap::new()));
         let mut clients = Vec::new();
         for number in 0..24 {
             let (read, mut write) = proxy.client().await.stream.into_split();
@@ -344,25 +345,25 @@
                     }
                 }
             });
-            let answered = answered.clone();
+            let responded = responded.clone();
             clients.push(spawn_local(async move {
-                let mut reader = Reader::new(read);
-                while let Some(answer) = reader.message().await {
+                let mut reader = MessageReader::new(read);
+                while let Some(response) = reader.message().await {
                     let id: String = sent.borrow_mut().pop_front().expect("an answer to something");
-                    answered.borrow_mut().insert(id, answer.status());
+                    responded.borrow_mut().insert(id, response.status());
                     go.notify_one();
                 }
                 writer.abort();
             }));
         }
-        eventually("all are at it", || answered.borrow().len() > 240).await;
+        wait_until("all are at it", || responded.borrow().len() > 240).await;
         drop(proxy.stop.take());
         (&mut proxy.task).await.expect("it ends without a panic").expect("it listened");
         for client in clients {
             client.await.expect("no panic");
         }
-        for seen in host.seen.borrow().iter() {
-            let status = answered.borrow().get(seen.header("x-call-id").expect("an id")).copied();
+        for seen in endpoint.requests.borrow().iter() {
+            let status = responded.borrow().get(seen.header("x-call-id").expect("an id")).copied();
             // On a machine that is very busy an answer may not be there by the end.
             assert!([Some(200), Some(502)].contains(&status), "{status:?}: {seen:?}");
         }
--- a/proxy/tests/told.rs
+++ b/proxy/tests/told.rs
@@ -5,8 +5,9 @@
 mod common;
 
 use client_proxy::config::Config;
-use common::still::Call::{Away, Late, Reset, Say};
-use common::still::*;
+use common::paused_time::*;
+use common::scripted_discovery::WatchResponse::{Reset, Respond, RespondAfter, Unreachable};
+use common::scripted_discovery::*;
 use common::*;
 use std::net::SocketAddr;
 use std::slice::from_ref;
@@ -17,32 +18,43 @@
 use tokio::time::advance;
 
 /// What is left of the times of the pages for the drain grace; the tests' steps are in it.
-const GRACE: Duration = Duration::from_millis(200);
+const MARGIN: Duration = Duration::from_millis(200);
 
 /// A watch that says at once that this host finishes its work.
-fn drains(host: &Host) -> Call {
-    Say(draining(host))
+fn notify_draining(endpoint: &TestEndpoint) -> WatchResponse {
+    Respond(draining_list(endpoint))
 }
 
-fn draining(host: &Host) -> String {
-    format!("{WATCH}{}", chunk(&list(42, true, &[entry("s-0", host.address, "Terminating")])))
+fn draining_list(endpoint: &TestEndpoint) -> String {
+    format!("{WATCH_HEAD}{}", chunk(&list(42, true, &[entry("s-0", endpoint.address, "Terminating")])))
 }
 
 /// A proxy in time that stands still, with a connection that rests at its one host until it hears that this drains.
-struct Still {
-    host: Host,
+struct PausedProxy {
+    endpoint: TestEndpoint,
     address: SocketAddr,
     reload: mpsc::UnboundedSender<Config>,
     config: String,
 }
 
-impl Still {
-    async fn start(mode: &str, balancer_count: u32, discovery: &Script, host: Host) -> Still {
-        Still::seeded(1, mode, balancer_count, discovery, host).await
+impl PausedProxy {
+    async fn start(
+        mode: &str,
+        balancer_count: u32,
+        discovery: &ScriptedDiscovery,
+        endpoint: TestEndpoint,
+    ) -> PausedProxy {
+        PausedProxy::with_seed(1, mode, balancer_count, discovery, endpoint).await
     }
 
-    async fn seeded(seed: u64, mode: &str, balancer_count: u32, discovery: &Script, host: Host) -> Still {
-        let config = configuration(discovery.address, from_ref(&host), |config| {
+    async fn with_seed(
+        seed: u64,
+        mode: &str,
+        balancer_count: u32,
+        discovery: &ScriptedDiscovery,
+        endpoint: TestEndpoint,
+    ) -> PausedProxy {
+        let config = configuration(discovery.address, from_ref(&endpoint), |config| {
             config["seed"] = format!("{seed:x}").into();
             config["settings"]["discovery"] = mode.into();
             config["settings"]["balancers"] = balancer_count.into();
@@ -56,35 +68,35 @@
         let next = async move || reloads.recv().await.map(Ok);
         spawn_local(client_proxy::run(read, listeners, None, next, std::future::pending()));
         settle().await;
-        let mut client = Reader::new(TcpStream::connect(address).await.expect("it listens"));
-        assert_eq!(client.ask(&request("free", "", "")).await.status(), 200);
-        at_once("a connection rests", || host.open.get() == 1).await;
+        let mut client = MessageReader::new(TcpStream::connect(address).await.expect("it listens"));
+        assert_eq!(client.exchange(&request("free", "", "")).await.status(), 200);
+        wait_without_time("a connection rests", || endpoint.open_connections.get() == 1).await;
         // Its client stays.
         spawn_local(async move {
             std::future::pending::<()>().await;
             drop(client)
         });
-        Still { host, address, reload, config }
+        PausedProxy { endpoint, address, reload, config }
     }
 
-    fn move_to(&self, from: &Script, to: &Script) {
+    fn reload_with_discovery(&self, from: &ScriptedDiscovery, to: &ScriptedDiscovery) {
         let config = self.config.replace(&from.address.to_string(), &to.address.to_string());
         self.reload.send(Config::parse(&config).expect("a good configuration")).expect("it runs");
     }
 
     /// Until the proxy acts on what it was told last.
-    async fn told(&self, what: &str) -> Duration {
-        until(what, || self.host.open.get() == 0).await
+    async fn until_draining(&self, what: &str) -> Duration {
+        advance_until(what, || self.endpoint.open_connections.get() == 0).await
     }
 }
 
-fn many(failure: fn() -> Call, count: usize) -> Vec<Call> {
+fn repeated(failure: fn() -> WatchResponse, count: usize) -> Vec<WatchResponse> {
     std::iter::repeat_with(failure).take(count).collect()
 }
 
 /// What calls for a watch that was lost may meet before one is answered, discovery being within reach.
-fn failures() -> Vec<Vec<Call>> {
-    let one = [REFUSES, WAITS, SILENT, HALF, QUIET, || Reset];
+fn failure_sequences() -> Vec<Vec<WatchResponse>> {
+    let one = [REJECTED, LATE_REJECTED, NO_RESPONSE, PARTIAL_HEAD, NO_UPDATES, || Reset];
     let mut paths: Vec<_> = one.into_iter().map(|call| vec![call()]).collect();
     paths.push(Vec::new());
     paths
@@ -95,21 +107,21 @@
 fn what_a_lost_asked_watch_missed_is_acted_on_in_time() {
     let ends = [None, Some(500 * MS), Some(1_500 * MS)];
     for (balancer_count, reset) in [5, 300].into_iter().flat_map(|count| ends.map(|reset| (count, reset))) {
-        for path in failures() {
+        for path in failure_sequences() {
             let name = format!("{balancer_count} balancers, reset after {reset:?}, {path:?}");
-            run_still(async {
-                let host = Host::start([ok("served")]).await;
-                let calls = [QUIET()].into_iter().chain(path).chain([drains(&host)]);
-                let discovery = Script::start(calls).await;
-                let proxy = Still::start("ask", balancer_count, &discovery, host).await;
-                at_once("the watch", || discovery.calls.get() == 1).await;
+            run_with_paused_time(async {
+                let endpoint = TestEndpoint::start([ok("served")]).await;
+                let calls = [NO_UPDATES()].into_iter().chain(path).chain([notify_draining(&endpoint)]);
+                let discovery = ScriptedDiscovery::start(calls).await;
+                let proxy = PausedProxy::start("ask", balancer_count, &discovery, endpoint).await;
+                wait_without_time("the watch", || discovery.request_count.get() == 1).await;
                 if let Some(after) = reset {
                     advance(after).await;
                     settle().await;
                     discovery.reset();
                 }
-                let took = proxy.told("the drain").await;
-                assert!(took <= 6_000 * MS + GRACE, "{took:?}: {name}");
+                let took = proxy.until_draining("the drain").await;
+                assert!(took <= 6_000 * MS + MARGIN, "{took:?}: {name}");
             });
         }
     }
@@ -121,30 +133,34 @@
 fn what_an_asked_discovery_has_on_its_return_is_acted_on_in_time() {
     for balancer_count in [5, 300] {
         for seconds in [1, 4, 8, 13, 20] {
-            run_still(async {
-                let host = Host::start([ok("served")]).await;
-                let away = Away(Duration::from_secs(seconds));
-                let discovery = Script::start([QUIET(), away, drains(&host)]).await;
-                let proxy = Still::start("ask", balancer_count, &discovery, host).await;
-                proxy.told("the drain").await;
-                let back = discovery.back.get().expect("it was away");
+            run_with_paused_time(async {
+                let endpoint = TestEndpoint::start([ok("served")]).await;
+                let away = Unreachable(Duration::from_secs(seconds));
+                let discovery =
+                    ScriptedDiscovery::start([NO_UPDATES(), away, notify_draining(&endpoint)]).await;
+                let proxy = PausedProxy::start("ask", balancer_count, &discovery, endpoint).await;
+                proxy.until_draining("the drain").await;
+                let back = discovery.reachable_since.get().expect("it was away");
                 let took = back.elapsed();
                 assert!(
-                    took <= 6_000 * MS + GRACE,
+                    took <= 6_000 * MS + MARGIN,
                     "{took:?}: away for {seconds} s, {balancer_count} balancers"
                 );
             });
         }
         for silent in 1..=6 {
-            run_still(async {
-                let host = Host::start([ok("served")]).await;
-                let calls = [QUIET()].into_iter().chain(many(SILENT, silent)).chain([drains(&host)]);
-                let discovery = Script::start(calls).await;
-                let proxy = Still::start("ask", balancer_count, &discovery, host).await;
-                until("the last silent call", || discovery.calls.get() > silent).await;
-                let took = proxy.told("the drain").await;
+            run_with_paused_time(async {
+                let endpoint = TestEndpoint::start([ok("served")]).await;
+                let calls = [NO_UPDATES()]
+                    .into_iter()
+                    .chain(repeated(NO_RESPONSE, silent))
+                    .chain([notify_draining(&endpoint)]);
+                let discovery = ScriptedDiscovery::start(calls).await;
+                let proxy = PausedProxy::start("ask", balancer_count, &discovery, endpoint).await;
+                advance_until("the last silent call", || discovery.request_count.get() > silent).await;
+                let took = proxy.until_draining("the drain").await;
                 assert!(
-                    took <= 6_000 * MS + GRACE,
+                    took <= 6_000 * MS + MARGIN,
                     "{took:?} after {silent} silent calls, {balancer_count} balancers"
                 );
             });
@@ -157,48 +173,53 @@
 #[test]
 fn what_the_agent_has_is_acted_on_within_the_drain_grace() {
     let grace = Duration::from_millis(450);
-    let fails = [REFUSES, SILENT, HALF, || Reset, || Away(Duration::from_secs(8))];
-    for path in
-        fails.into_iter().map(|call| vec![call()]).chain([Vec::new(), many(SILENT, 9), many(REFUSES, 9)])
-    {
+    let fails = [REJECTED, NO_RESPONSE, PARTIAL_HEAD, || Reset, || Unreachable(Duration::from_secs(8))];
+    for path in fails.into_iter().map(|call| vec![call()]).chain([
+        Vec::new(),
+        repeated(NO_RESPONSE, 9),
+        repeated(REJECTED, 9),
+    ]) {
         let name = format!("{path:?}");
-        run_still(async {
-            let host = Host::start([ok("served")]).await;
-            let (count, away) = (path.len(), path.iter().any(|call| matches!(call, Away(_))));
-            let calls = [QUIET()].into_iter().chain(path).chain([drains(&host)]);
-            let discovery = Script::start(calls).await;
-            let proxy = Still::start("push", 5, &discovery, host).await;
-            at_once("the watch", || discovery.calls.get() == 1).await;
+        run_with_paused_time(async {
+            let endpoint = TestEndpoint::start([ok("served")]).await;
+            let (count, away) = (path.len(), path.iter().any(|call| matches!(call, Unreachable(_))));
+            let calls = [NO_UPDATES()].into_iter().chain(path).chain([notify_draining(&endpoint)]);
+            let discovery = ScriptedDiscovery::start(calls).await;
+            let proxy = PausedProxy::start("push", 5, &discovery, endpoint).await;
+            wait_without_time("the watch", || discovery.request_count.get() == 1).await;
             advance(Duration::from_secs(1)).await;
             settle().await;
             discovery.reset();
-            until("the last that fails", || away || discovery.calls.get() > count).await;
-            let took = proxy.told("the drain").await;
-            let took = discovery.back.get().map_or(took, |back| back.elapsed());
+            advance_until("the last that fails", || away || discovery.request_count.get() > count).await;
+            let took = proxy.until_draining("the drain").await;
+            let took = discovery.reachable_since.get().map_or(took, |back| back.elapsed());
             assert!(took <= grace, "{took:?}: {name}");
         });
     }
-    for path in failures() {
+    for path in failure_sequences() {
         let name = format!("{path:?}");
-        run_still(async {
-            let host = Host::start([ok("served")]).await;
-            let discovery = Script::start([QUIET()].into_iter().chain(path).chain([drains(&host)])).await;
-            let proxy = Still::start("push", 5, &discovery, host).await;
-            let took = proxy.told("the drain").await;
-            assert!(took <= 6_000 * MS + GRACE, "silent for {took:?}: {name}");
+        run_with_paused_time(async {
+            let endpoint = TestEndpoint::start([ok("served")]).await;
+            let discovery = ScriptedDiscovery::start(
+                [NO_UPDATES()].into_iter().chain(path).chain([notify_draining(&endpoint)]),
+            )
+            .await;
+            let proxy = PausedProxy::start("push", 5, &discovery, endpoint).await;
+            let took = proxy.until_draining("the drain").await;
+            assert!(took <= 6_000 * MS + MARGIN, "silent for {took:?}: {name}");
         });
     }
 }
 
 /// What the proxy is at when a new configuration comes.
 #[derive(Clone, Copy, Debug)]
-enum At {
+enum WatchPhase {
     /// Its watch is open.
-    Watching,
+    Open,
     /// It is opening one, and the old discovery has not answered.
-    Calling,
+    Opening,
     /// It waits before it calls again.
-    PendingReply,
+    Backoff,
 }
 
 /// The time is counted from the signal on, whatever the proxy was at, and the old discovery says nothing more.
@@ -206,27 +227,30 @@
 fn what_a_new_discovery_has_is_acted_on_in_time() {
     let modes =
         [("ask", 300, 2), ("ask", 300, 3), ("ask", 300, 4), ("ask", 300, 1), ("ask", 5, 1), ("push", 5, 1)];
-    for ((mode, balancer_count, seed), at) in
-        modes.into_iter().flat_map(|m| [At::Watching, At::Calling, At::PendingReply].map(|at| (m, at)))
+    for ((mode, balancer_count, seed), at) in modes
+        .into_iter()
+        .flat_map(|m| [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff].map(|at| (m, at)))
     {
-        for path in failures() {
+        for path in failure_sequences() {
             let name = format!("{mode}, {balancer_count} balancers, seed {seed}, {at:?}, {path:?}");
-            run_still(async {
-                let host = Host::start([ok("served")]).await;
+            run_with_paused_time(async {
+                let endpoint = TestEndpoint::start([ok("served")]).await;
                 let old = match at {
-                    At::Watching => vec![QUIET()],
-                    At::Calling => vec![SILENT()],
-                    At::PendingReply => vec![REFUSES(), Away(Duration::from_secs(100))],
+                    WatchPhase::Open => vec![NO_UPDATES()],
+                    WatchPhase::Opening => vec![NO_RESPONSE()],
+                    WatchPhase::Backoff => vec![REJECTED(), Unreachable(Duration::from_secs(100))],
                 };
-                let (old, new) =
-                    (Script::start(old).await, Script::start(path.into_iter().chain([drains(&host)])).await);
-                let proxy = Still::seeded(seed, mode, balancer_count, &old, host).await;
-                at_once("the old one is called", || old.calls.get() == 1).await;
+                let (old, new) = (
+                    ScriptedDiscovery::start(old).await,
+                    ScriptedDiscovery::start(path.into_iter().chain([notify_draining(&endpoint)])).await,
+                );
+                let proxy = PausedProxy::with_seed(seed, mode, balancer_count, &old, endpoint).await;
+                wait_without_time("the old one is called", || old.request_count.get() == 1).await;
                 advance(50 * MS).await;
                 settle().await;
-                proxy.move_to(&old, &new);
-                let took = proxy.told("the drain").await;
-                assert!(took <= 4_000 * MS + GRACE, "{took:?}: {name}");
+                proxy.reload_with_discovery(&old, &new);
+                let took = proxy.until_draining("the drain").await;
+                assert!(took <= 4_000 * MS + MARGIN, "{took:?}: {name}");
             });
         }
     }
@@ -237,24 +261,25 @@
 #[test]
 fn a_call_to_a_new_discovery_is_left_its_turn() {
     for balancer_count in [5, 300] {
-        for at in [At::Watching, At::Calling, At::PendingReply] {
-            run_still(async {
-                let host = Host::start([ok("served")]).await;
+        for at in [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff] {
+            run_with_paused_time(async {
+                let endpoint = TestEndpoint::start([ok("served")]).await;
                 let old = match at {
-                    At::Watching => vec![QUIET()],
-                    At::Calling => vec![Late(500 * MS, draining(&host))],
-                    At::PendingReply => vec![REFUSES(), Away(Duration::from_secs(100))],
+                    WatchPhase::Open => vec![NO_UPDATES()],
+                    WatchPhase::Opening => vec![RespondAfter(500 * MS, draining_list(&endpoint))],
+                    WatchPhase::Backoff => vec![REJECTED(), Unreachable(Duration::from_secs(100))],
                 };
-                let turn = Late(Duration::from_secs(2), draining(&host));
-                let (old, new) = (Script::start(old).await, Script::start([turn]).await);
-                let proxy = Still::start("ask", balancer_count, &old, host).await;
-                at_once("the old one is called", || old.calls.get() == 1).await;
+                let turn = RespondAfter(Duration::from_secs(2), draining_list(&endpoint));
+                let (old, new) =
+                    (ScriptedDiscovery::start(old).await, ScriptedDiscovery::start([turn]).await);
+                let proxy = PausedProxy::start("ask", balancer_count, &old, endpoint).await;
+                wait_without_time("the old one is called", || old.request_count.get() == 1).await;
                 advance(50 * MS).await;
                 settle().await;
-                proxy.move_to(&old, &new);
-                let took = proxy.told("the drain").await;
+                proxy.reload_with_discovery(&old, &new);
+                let took = proxy.until_draining("the drain").await;
                 assert!(took >= Duration::from_secs(2), "{took:?}: the old one was heard, {at:?}");
-                assert_eq!(new.calls.get(), 1, "{balancer_count} balancers, {at:?}");
+                assert_eq!(new.request_count.get(), 1, "{balancer_count} balancers, {at:?}");
             });
         }
     }
@@ -264,20 +289,24 @@
 #[test]
 fn an_old_agent_that_answers_after_the_signal_is_not_heard() {
     for delay in [60 * MS, 100 * MS, 110 * MS] {
-        run_still(async {
-            let host = Host::start([ok("served")]).await;
-            let old = Script::start([Late(delay, draining(&host))]).await;
-            let new = Script::start([QUIET()]).await;
-            let proxy = Still::start("push", 5, &old, host).await;
-            at_once("the old one is called", || old.calls.get() == 1).await;
+        run_with_paused_time(async {
+            let endpoint = TestEndpoint::start([ok("served")]).await;
+            let old = ScriptedDiscovery::start([RespondAfter(delay, draining_list(&endpoint))]).await;
+            let new = ScriptedDiscovery::start([NO_UPDATES()]).await;
+            let proxy = PausedProxy::start("push", 5, &old, endpoint).await;
+            wait_without_time("the old one is called", || old.request_count.get() == 1).await;
             advance(50 * MS).await;
             settle().await;
-            proxy.move_to(&old, &new);
-            at_once("the new one is called", || new.calls.get() == 1).await;
-            until("the old one has answered", || !old.open.borrow().is_empty()).await;
+            proxy.reload_with_discovery(&old, &new);
+            wait_without_time("the new one is called", || new.request_count.get() == 1).await;
+            advance_until("the old one has answered", || !old.open_connections.borrow().is_empty()).await;
             settle().await;
-            assert_eq!(proxy.host.open.get(), 1, "heard after {delay:?}");
-            assert_eq!((old.calls.get(), new.calls.get()), (1, 1), "and nobody is called again");
+            assert_eq!(proxy.endpoint.open_connections.get(), 1, "heard after {delay:?}");
+            assert_eq!(
+                (old.request_count.get(), new.request_count.get()),
+                (1, 1),
+                "and nobody is called again"
+            );
         });
     }
 }
@@ -286,28 +315,33 @@
 /// connections or refuses. What the agent has when it speaks counts as told at once.
 #[test]
 fn a_new_process_serves_by_an_old_list_until_its_agent_speaks() {
-    let absent = [SILENT, HALF, REFUSES, || Reset, || Away(Duration::from_secs(5))];
-    for path in
-        absent.into_iter().map(|failure| many(failure, if matches!(failure(), Away(_)) { 1 } else { 30 }))
+    let absent = [NO_RESPONSE, PARTIAL_HEAD, REJECTED, || Reset, || Unreachable(Duration::from_secs(5))];
+    for path in absent
+        .into_iter()
+        .map(|failure| repeated(failure, if matches!(failure(), Unreachable(_)) { 1 } else { 30 }))
     {
         let name = format!("{:?}", path[0]);
-        run_still(async {
-            let (old, new) = (Host::start([ok("old")]).await, Host::start([ok("new")]).await);
-            let (count, away) = (path.len(), matches!(path[0], Away(_)));
+        run_with_paused_time(async {
+            let (old, new) = (TestEndpoint::start([ok("old")]).await, TestEndpoint::start([ok("new")]).await);
+            let (count, away) = (path.len(), matches!(path[0], Unreachable(_)));
             // It leaves the old one out: that has gone, though it still answers.
             let whole = list(42, true, &[entry("s-1", new.address, "Ready")]);
-            let calls = path.into_iter().chain([Say(format!("{WATCH}{}", chunk(&whole)))]);
-            let discovery = Script::start(calls).await;
+            let calls = path.into_iter().chain([Respond(format!("{WATCH_HEAD}{}", chunk(&whole)))]);
+            let discovery = ScriptedDiscovery::start(calls).await;
             // The start sends a request by the list that it knows.
-            let proxy = Still::start("push", 5, &discovery, old.clone()).await;
-            until("the last that fails", || away || discovery.calls.get() >= count).await;
-            assert_eq!(old.count(), 1, "{name}");
-            let took = proxy.told("what has gone").await;
-            let took = discovery.back.get().map_or(took, |back| back.elapsed());
+            let proxy = PausedProxy::start("push", 5, &discovery, old.clone()).await;
+            advance_until("the last that fails", || away || discovery.request_count.get() >= count).await;
+            assert_eq!(old.request_count(), 1, "{name}");
+            let took = proxy.until_draining("what has gone").await;
+            let took = discovery.reachable_since.get().map_or(took, |back| back.elapsed());
             assert!(took <= Duration::from_millis(450), "{took:?}: {name}");
-            let mut client = Reader::new(TcpStream::connect(proxy.address).await.expect("it listens"));
-            assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"new", "{name}");
-            assert_eq!((old.count(), old.opened.get()), (1, 1), "nothing more to the old one: {name}");
+            let mut client = MessageReader::new(TcpStream::connect(proxy.address).await.expect("it listens"));
+            assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"new", "{name}");
+            assert_eq!(
+                (old.request_count(), old.opened_connections.get()),
+                (1, 1),
+                "nothing more to the old one: {name}"
+            );
         });
     }
 }
