--- a/proxy/tests/client_disconnect.rs
+++ b/proxy/tests/client_disconnect.rs
@@ -1,5 +1,5 @@
-//! Clients that leave while their request waits, by a close or a reset: nothing of it goes out any more, and what it held
-//! is free.
+//! Clients that disconnect while their request waits, by a close or a reset: nothing more of it is
+//! sent, and what it reserved is released.
 
 mod common;
 
@@ -12,19 +12,20 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 
-/// Two that are out, on a host that answers when it is told to.
+/// Two requests in flight at an endpoint that responds when the test releases them.
 async fn two_in_flight(proxy: &Proxy, endpoint: &TestEndpoint) -> (Client, Client) {
     let (mut first, mut second) = (proxy.client().await, proxy.client().await);
     first.send(&request("free", "", "")).await;
-    wait_until("the first is out", || endpoint.request_count() == 1).await;
+    wait_until("the first is in flight", || endpoint.request_count() == 1).await;
     second.send(&request("free", "", "")).await;
-    wait_until("the second is out", || endpoint.request_count() == 2).await;
+    wait_until("the second is in flight", || endpoint.request_count() == 2).await;
     (first, second)
 }
 
-/// Held as all hosts are full, with and without bytes of a next request behind it.
+/// The request is queued as all endpoints are at their limit, with and without pipelined bytes
+/// behind it.
 #[test]
-fn a_held_request_of_a_client_that_left_is_not_sent() {
+fn a_queued_request_is_not_sent_after_its_client_disconnects() {
     for how in DISCONNECTS {
         for pipelined in ["", "GET /api HT", &request("free", "", "")] {
             run_test(async {
@@ -32,17 +33,17 @@
                 let (proxy, admin) =
                     start_without_cancellation(from_ref(&endpoint), limit_to_two_in_flight).await;
                 let (mut first, mut second) = two_in_flight(&proxy, &endpoint).await;
-                let (mut client, text) = (proxy.client().await, request("keyed", "", "held"));
+                let (mut client, text) = (proxy.client().await, request("keyed", "", "queued"));
                 client.send(&format!("{text}{pipelined}")).await;
                 wait_for_pending(admin, 3).await;
                 disconnect(client, how);
                 wait_for_pending(admin, 2).await;
                 endpoint.release.notify_one();
                 endpoint.release.notify_one();
-                assert_eq!(first.message().await.expect("an answer").status(), 200);
-                assert_eq!(second.message().await.expect("an answer").status(), 200);
+                assert_eq!(first.message().await.expect("a response").status(), 200);
+                assert_eq!(second.message().await.expect("a response").status(), 200);
                 endpoint.script.borrow_mut().push_front(ok("later"));
-                assert_eq!(proxy.client().await.exchange(&text).await.body, b"later", "its id is free");
+                assert_eq!(proxy.client().await.exchange(&text).await.body, b"later", "its id is free again");
                 assert_eq!(endpoint.request_count(), 3, "{how:?}, {pipelined}");
                 assert_eq!(request_ends(admin).await.iter().sum::<u64>(), 4);
             });
@@ -50,9 +51,9 @@
     }
 }
 
-/// Waiting for a connection, which comes up when the client has left.
+/// The request waits for a connection, which opens once the client has disconnected.
 #[test]
-fn a_request_of_a_client_that_left_is_not_sent_on_a_late_connection() {
+fn a_request_is_not_sent_on_a_connection_that_opens_after_its_client_disconnects() {
     run_test(async {
         let cases =
             DISCONNECTS.into_iter().flat_map(|how| ["", "GET /api HT"].map(|pipelined| (how, pipelined)));
@@ -60,7 +61,7 @@
             .map(|(how, pipelined)| spawn_local(client_disconnects_before_connection_opens(how, pipelined)))
             .collect();
         for case in cases {
-            case.await.expect("it holds");
+            case.await.expect("it is not sent");
         }
     });
 }
@@ -81,15 +82,16 @@
     wait_for_pending(admin, 1).await;
     let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
     drop(full);
-    assert_eq!(client.message().await.expect("an answer").status(), 200);
+    assert_eq!(client.message().await.expect("a response").status(), 200);
     let bodies: Vec<_> = endpoint.requests.borrow().iter().map(|seen| seen.body.clone()).collect();
     assert_eq!(bodies, [b"new body"], "{how:?}, {pipelined}");
     assert_eq!(request_ends(admin).await.iter().sum::<u64>(), 2);
 }
 
-/// Between two attempts: the first was turned away, and its host is left alone for a while.
+/// The client disconnects between two attempts: the first was rejected, and its endpoint is in its
+/// cool-down.
 #[test]
-fn a_request_of_a_client_that_left_does_not_go_again() {
+fn a_request_is_not_retried_after_its_client_disconnects() {
     run_test(async {
         let cases =
             DISCONNECTS.into_iter().flat_map(|how| ["", "GET /api HT"].map(|pipelined| (how, pipelined)));
@@ -97,7 +99,7 @@
             .map(|(how, pipelined)| spawn_local(client_disconnects_between_attempts(how, pipelined)))
             .collect();
         for case in cases {
-            case.await.expect("it holds");
+            case.await.expect("it is not sent");
         }
     });
 }
@@ -126,19 +128,20 @@
     let from = client.stream.local_addr().expect("an address");
     loop {
         client.send(&"x".repeat(32 << 10)).await;
-        let mut looks = 0..30;
-        while looks.next().is_some() && unread_bytes(proxy, from) > 0 {
+        let mut polls = 0..30;
+        while polls.next().is_some() && unread_bytes(proxy, from) > 0 {
             sleep(Duration::from_millis(1)).await;
         }
-        if looks.is_empty() {
+        if polls.is_empty() {
             return;
         }
     }
 }
 
-/// Its body comes, but its host reads nothing of it any more: the client's end stands behind bytes that nobody reads.
+/// Its body arrives, but its endpoint reads no more of it: the client's end stands behind bytes
+/// that nobody reads.
 #[test]
-fn no_more_of_a_body_goes_out_when_its_client_has_left() {
+fn no_more_of_a_body_is_sent_after_its_client_disconnects() {
     for how in DISCONNECTS {
         run_test(async {
             let (endpoint, listener) = manual_endpoint().await;
@@ -146,14 +149,14 @@
             let mut client = proxy.client().await;
             client.send(&request("unsafe", "Content-Length: 30000000\r\n", "")).await;
             let stream = listener.accept().await.expect("the proxy connects").0;
-            let near = stream.peer_addr().expect("the proxy's end");
+            let proxy_end = stream.peer_addr().expect("the proxy's end");
             send_until_unread(&mut client, proxy.address).await;
-            assert!(is_established(near, endpoint.address));
-            let left = Instant::now();
+            assert!(is_established(proxy_end, endpoint.address));
+            let disconnected = Instant::now();
             disconnect(client, how);
-            wait_until("its attempt is over", || !is_established(near, endpoint.address)).await;
-            assert!(left.elapsed() < Duration::from_millis(300), "{how:?}");
-            // It was not whole, so it counts nowhere.
+            wait_until("its attempt has ended", || !is_established(proxy_end, endpoint.address)).await;
+            assert!(disconnected.elapsed() < Duration::from_millis(300), "{how:?}");
+            // It did not arrive completely, so it is not counted.
             assert_eq!(
                 (metrics(admin).await["pending"].clone(), request_ends(admin).await),
                 (0.into(), [0; 3])
@@ -164,9 +167,9 @@
     }
 }
 
-/// Come whole, together with its client's end.
+/// The request arrives completely, together with its client's end.
 #[test]
-fn a_request_that_comes_with_its_clients_end_is_not_sent() {
+fn a_request_that_arrives_with_its_clients_end_is_not_sent() {
     for how in DISCONNECTS {
         for pipelined in ["", "GET /api HT"] {
             run_test(async {
@@ -177,7 +180,7 @@
                 send_and_disconnect(proxy.address, &format!("{text}{pipelined}"), how);
                 assert_eq!(proxy.client().await.exchange(&text).await.status(), 200);
                 assert_eq!(endpoint.request_count(), 1, "{how:?}, {pipelined}");
-                // Its end may be read before the request is taken; then it counts nowhere.
+                // Its end may be read before the request is admitted; then it is not counted.
                 let [completed, rejected, failed] = request_ends(admin).await;
                 assert!((completed, failed) == (1, 0) && rejected <= 1, "{how:?}, {pipelined}");
                 assert_eq!(metrics(admin).await["pending"], 0);
@@ -186,9 +189,10 @@
     }
 }
 
-/// Not read yet, as its connection waits to be accepted while all places are taken.
+/// The request has not been read, as its connection waits to be accepted while all connections are
+/// in use.
 #[test]
-fn a_request_whose_client_left_before_it_was_accepted_is_not_sent() {
+fn a_request_is_not_sent_if_its_client_disconnected_before_it_was_accepted() {
     for how in DISCONNECTS {
         run_test(async {
             let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
@@ -199,9 +203,9 @@
             .await;
             let text =
                 configuration(proxy.address, &[], |config| config["limits"]["sockets"] = sockets.into());
-            let places = Config::parse(&text).expect("a configuration").connections_to_clients();
+            let max_clients = Config::parse(&text).expect("a configuration").connections_to_clients();
             let mut clients = Vec::new();
-            for number in 1..=places {
+            for number in 1..=max_clients {
                 let mut client = proxy.client().await;
                 client.send(&request("free", "", "")).await;
                 wait_for_pending(admin, number as u64).await;
@@ -217,7 +221,7 @@
                 endpoint.release.notify_one();
                 yield_now().await;
             }
-            assert_eq!(last.message().await.expect("an answer").status(), 200);
+            assert_eq!(last.message().await.expect("a response").status(), 200);
             let seen = endpoint.requests.borrow();
             let bodies: Vec<_> =
                 seen.iter().filter(|seen| !seen.body.is_empty()).map(|s| s.body.clone()).collect();
@@ -226,14 +230,14 @@
     }
 }
 
-/// A client that only ends its sending has left: nobody can tell it from one that closed. Its request is not sent, and its
-/// connection is closed.
+/// A client that only ends its sending counts as disconnected: nobody can tell it from one that
+/// closed. Its request is not sent, and its connection is closed.
 #[test]
-fn a_client_that_ends_its_sending_has_left() {
+fn a_client_that_half_closes_counts_as_disconnected() {
     run_test(async {
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
         let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), limit_to_two_in_flight).await;
-        let _out = two_in_flight(&proxy, &endpoint).await;
+        let _in_flight = two_in_flight(&proxy, &endpoint).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
         wait_for_pending(admin, 3).await;
--- a/proxy/tests/client_disconnect_under_load.rs
+++ b/proxy/tests/client_disconnect_under_load.rs
@@ -1,5 +1,6 @@
-//! Clients that leave while the proxy has much else to do: what would begin an attempt comes in the same turn of its one
-//! thread as the client's end, so that nothing has looked for that in between.
+//! Clients that disconnect while the proxy has much else to do: what would begin an attempt
+//! arrives in the same turn of its one thread as the client's end, so that nothing has checked for
+//! that end in between.
 
 mod common;
 
@@ -10,20 +11,21 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
-/// Connections that are open beside the one at hand.
+/// Connections that are open beside the one under test.
 const CROWD_SIZE: usize = 500;
 
-/// Room for a crowd of which none has to go.
+/// Sets the limit on sockets so high that no connection of the crowd is evicted.
 fn allow_many_sockets(config: &mut Value) {
     config["limits"]["sockets"] = 4_096.into();
 }
 
-/// Many clients, each of which has been answered once. They end by resets, as the system remembers other ends for long.
+/// Many clients, each of which has had one response. They end by resets, as the system remembers
+/// other ends for long.
 async fn connect_crowd(proxy: &Proxy) -> Vec<Client> {
     let mut clients = Vec::new();
     for _ in 0..CROWD_SIZE {
         let client = proxy.client().await;
-        client.stream.set_zero_linger().expect("lingers not");
+        client.stream.set_zero_linger().expect("zero linger");
         clients.push(client);
     }
     for client in &mut clients {
@@ -32,17 +34,17 @@
     clients
 }
 
-/// Writes at once. Nothing here is waited for, so the proxy, which has the same thread, gets no turn.
+/// Writes without waiting, so that the proxy, which runs on the same thread, gets no turn.
 fn write_now(client: &Client, text: &str) {
     assert_eq!(client.stream.try_write(text.as_bytes()).expect("written"), text.len());
 }
 
-/// All of them ask at once.
+/// Every client sends a request at once.
 fn request_health_on_all(crowd: &[Client]) {
     crowd.iter().for_each(|client| write_now(client, HEALTH_REQUEST));
 }
 
-/// Leaves, and keeps the thread until the system has told the proxy's end of it.
+/// Disconnects, and keeps the thread until the system has delivered that to the proxy's end.
 fn disconnect_unnoticed(client: Client, how: Disconnect, proxy: &Proxy) {
     let from = client.stream.local_addr().expect("an address");
     disconnect(client, how);
@@ -51,14 +53,15 @@
 
 const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// The next connection to a host, and the body of the request that came on it.
+/// The next connection to an endpoint, and the body of the request that arrived on it.
 async fn accept_request(listener: &TcpListener) -> (Client, Vec<u8>) {
     let mut connection = Client::new(listener.accept().await.expect("the proxy connects").0);
     let body = connection.message().await.expect("a request").body;
     (connection, body)
 }
 
-/// The body of the next request that reaches a host, on a connection that it has or on a new one to either.
+/// The body of the next request that reaches an endpoint, on its open connection or on a new one
+/// to either.
 async fn next_body(connection: &mut Client, listeners: [&TcpListener; 2]) -> Vec<u8> {
     tokio::select! {
         message = connection.message() => message.expect("a request").body,
@@ -67,20 +70,20 @@
     }
 }
 
-/// Attempts that were written whole.
+/// Attempts that were fully written.
 async fn upstream_requests(admin: SocketAddr) -> u64 {
     metrics(admin).await["upstream_requests"].as_u64().expect("a number")
 }
 
-/// What comes behind a request on its connection: nothing, a part of a next one, or all of it.
+/// What stands behind a request on its connection: nothing, a part of a next one, or all of it.
 fn pipelined_bytes() -> [String; 3] {
     ["".to_owned(), "GET /api HT".to_owned(), request("free", "", "")]
 }
 
-/// Held, also with a long body of which most is unread, while its client leaves and a place becomes free, both in one turn
-/// of a proxy that has much else to do.
+/// The request is queued, also with a large body of which most is unread, while its client
+/// disconnects and capacity becomes free, both in one turn of a proxy that has much else to do.
 #[test]
-fn a_held_request_is_not_sent_when_its_client_leaves_as_a_place_becomes_free() {
+fn a_queued_request_is_not_sent_when_its_client_disconnects_as_capacity_becomes_free() {
     let long = |part: usize| (format!("Content-Length: {}\r\n", 30 << 20), "x".repeat(part));
     let bodies = pipelined_bytes().map(|pipelined| (String::new(), pipelined));
     for (head, pipelined) in bodies.into_iter().chain([long(0), long(100 << 10)]) {
@@ -100,7 +103,7 @@
                 let mut client = proxy.client().await;
                 client.send(&request("unsafe", &head, "")).await;
                 client.send(&pipelined).await;
-                // It is held: with its body unread it does not count as pending.
+                // It is queued: with its body unread it does not count as pending.
                 if head.is_empty() {
                     wait_for_pending(admin, 3).await;
                 } else {
@@ -111,8 +114,8 @@
                     write_now(connection, OK_RESPONSE);
                 }
                 disconnect_unnoticed(client, how, &proxy);
-                assert_eq!(first.message().await.expect("an answer").status(), 200);
-                assert_eq!(second.message().await.expect("an answer").status(), 200);
+                assert_eq!(first.message().await.expect("a response").status(), 200);
+                assert_eq!(second.message().await.expect("a response").status(), 200);
                 first.send(&request("unsafe", "", "the next")).await;
                 let next = tokio::select! {
                     next = next_body(&mut connection, [&listener, &listener]) => next,
@@ -125,9 +128,10 @@
     }
 }
 
-/// Turned away by one host, with another one free: the client leaves in the same turn.
+/// One endpoint rejects the request, with another one free: the client disconnects in the same
+/// turn.
 #[test]
-fn a_request_does_not_go_to_another_host_when_its_client_leaves_as_it_is_turned_away() {
+fn a_request_is_not_retried_when_its_client_disconnects_as_it_is_rejected() {
     for pipelined in pipelined_bytes() {
         for (how, first) in DISCONNECTS.into_iter().flat_map(|how| [(how, true), (how, false)]) {
             for busy in [true, false] {
@@ -169,9 +173,10 @@
     }
 }
 
-/// Its connection comes up after its client has left, and the proxy learns of both in one turn.
+/// The connection opens after the client has disconnected, and the proxy learns of both in one
+/// turn.
 #[test]
-fn a_request_is_not_written_when_its_client_leaves_before_its_connection_is_up() {
+fn a_request_is_not_written_when_its_client_disconnects_before_its_connection_opens() {
     for (how, pipelined) in
         DISCONNECTS.into_iter().flat_map(|how| ["", "GET /api HT"].map(|pipelined| (how, pipelined)))
     {
@@ -205,9 +210,9 @@
     }
 }
 
-/// Behind another of its connection, which is answered as the client leaves.
+/// The request is pipelined behind another, whose response arrives as the client disconnects.
 #[test]
-fn a_request_behind_another_is_not_sent_when_its_client_leaves_as_that_is_answered() {
+fn a_pipelined_request_is_not_sent_when_its_client_disconnects_as_the_one_before_ends() {
     for pipelined in pipelined_bytes() {
         for (how, busy) in DISCONNECTS.into_iter().flat_map(|how| [(how, true), (how, false)]) {
             run_test(async {
@@ -235,9 +240,9 @@
     }
 }
 
-/// Many at once that nobody has accepted yet, each with its client's end.
+/// Many connections at once that nobody has accepted yet, each with its client's end.
 #[test]
-fn requests_whose_clients_left_before_they_were_accepted_are_not_sent() {
+fn requests_are_not_sent_if_their_clients_disconnected_before_they_were_accepted() {
     for pipelined in pipelined_bytes() {
         for how in DISCONNECTS {
             run_test(async {
@@ -258,16 +263,17 @@
                 let (connection, body) = accept_request(&listener).await;
                 assert_eq!(body, b"the next", "{how:?}, {pipelined}");
                 write_now(&connection, OK_RESPONSE);
-                assert_eq!(next.message().await.expect("an answer").status(), 200);
+                assert_eq!(next.message().await.expect("a response").status(), 200);
                 assert_eq!((request_ends(admin).await[0], upstream_requests(admin).await), (1, 1));
             });
         }
     }
 }
 
-/// Late, while a second copy is due: the client leaves before that, in the same turn.
+/// The request is late, and a hedged request is due: the client disconnects before that, in the
+/// same turn.
 #[test]
-fn no_second_copy_goes_out_when_its_client_has_left() {
+fn no_hedged_request_is_sent_after_its_client_disconnects() {
     const OBJECTIVE: Duration = Duration::from_secs(1);
     for pipelined in pipelined_bytes() {
         for how in DISCONNECTS {
@@ -285,7 +291,7 @@
                 .await;
                 let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
                 let crowd = connect_crowd(&proxy).await;
-                // Answers show what is usual, and earn the credit that a copy is paid from.
+                // Responses give the typical latency, and earn the credit that a hedged request is paid from.
                 let mut before = proxy.client().await;
                 let responses = [one, other].map(|listener| async move {
                     let mut open = Vec::new();
@@ -303,7 +309,7 @@
                         assert_eq!(before.exchange(&request("free", "", "")).await.status(), 200);
                     } } => {}
                 }
-                let before_it = upstream_requests(admin).await;
+                let sent_before = upstream_requests(admin).await;
                 let client = proxy.client().await;
                 write_now(&client, &(request("free", "", "") + &pipelined));
                 let (mut connection, _) = tokio::select! {
@@ -312,8 +318,8 @@
                 };
                 request_health_on_all(&crowd);
                 disconnect_unnoticed(client, how, &proxy);
-                let left = Instant::now();
-                while left.elapsed() < OBJECTIVE {}
+                let disconnected = Instant::now();
+                while disconnected.elapsed() < OBJECTIVE {}
                 wait_for_pending(admin, 0).await;
                 before.send(&request("unsafe", "", "the next")).await;
                 assert_eq!(
@@ -321,7 +327,7 @@
                     b"the next",
                     "{how:?}, {pipelined}"
                 );
-                assert_eq!(upstream_requests(admin).await, before_it + 2);
+                assert_eq!(upstream_requests(admin).await, sent_before + 2);
             });
         }
     }
--- a/proxy/tests/discovery.rs
+++ b/proxy/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of hosts as it comes over a watch.
+//! The endpoint list as a watch delivers it.
 
 mod common;
 
@@ -11,7 +11,7 @@
     |config| config["known"]["hosts"] = serde_json::json!([]);
 
 #[test]
-fn a_proxy_without_a_list_is_not_ready_and_with_one_it_serves() {
+fn a_proxy_is_ready_only_once_it_has_an_endpoint_list() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let discovery = TestDiscovery::without_updates().await;
@@ -19,7 +19,7 @@
         let mut client = proxy.client().await;
         assert_eq!(client.exchange(HEALTH_REQUEST).await.status(), 503);
         wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
-        // In two pieces and with an empty line before it, as a watch may bring it.
+        // In two pieces and with an empty line before it, as a watch may deliver it.
         let line = list(42, true, &[entry("s-9", endpoint.address, "Ready")]);
         let (first, second) = line.split_at(20);
         discovery.push(&chunk("")).await;
@@ -30,41 +30,44 @@
     });
 }
 
-/// A watch that ends, is refused, or brings what cannot be read has failed; the next one begins where the
-/// list in hand ends.
+/// A watch that ends, is rejected, or delivers what can't be parsed has failed; the next one
+/// begins at the version of the current list.
 #[test]
-fn a_watch_that_fails_is_opened_again_from_the_version_in_hand() {
+fn a_watch_that_fails_is_reopened_from_the_current_version() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
-        let busy = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned();
-        let news =
+        let rejection = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned();
+        let full =
             format!("{WATCH_HEAD}{}", chunk(&list(50, true, &[entry("s-9", endpoint.address, "Ready")])));
         let bad = format!("{WATCH_HEAD}{}", chunk("{\"seq\":"));
-        let odd =
+        let unknown_state =
             format!("{WATCH_HEAD}{}", chunk(&list(51, false, &[entry("s-9", endpoint.address, "Dancing")])));
         let ended = format!("{WATCH_HEAD}0\r\n\r\n");
-        let discovery = TestDiscovery::start([busy, format!("{news}0\r\n\r\n"), bad, odd, ended]).await;
+        let discovery =
+            TestDiscovery::start([rejection, format!("{full}0\r\n\r\n"), bad, unknown_state, ended]).await;
         let proxy = Proxy::start_with(&discovery, &[], WITHOUT_ENDPOINTS).await;
         wait_until("six watches", || discovery.watch_requests.borrow().len() == 6).await;
-        let asked = discovery.watch_requests.borrow().clone();
-        let versions: Vec<&str> = asked
+        let requests = discovery.watch_requests.borrow().clone();
+        let versions: Vec<&str> = requests
             .iter()
             .filter_map(|line| line.strip_prefix("GET /catalog/members?follow=1&since="))
             .filter_map(|rest| rest.strip_suffix(" HTTP/1.1"))
             .collect();
-        assert_eq!(versions, ["41", "41", "50", "50", "50", "50"], "{asked:?}");
+        assert_eq!(versions, ["41", "41", "50", "50", "50", "50"], "{requests:?}");
         assert_eq!(proxy.client().await.exchange(&request("unsafe", "", "")).await.status(), 200);
     });
 }
 
-/// A watch whose machine has vanished says nothing for good: without heartbeats it has failed. What it misses counts as
-/// told 6 s after it fell silent, and the next one has to bring it by then, also where the call for it fails twice.
+/// A watch whose machine has vanished stays silent: without heartbeats it has failed. A change
+/// that it misses counts as notified 6 s after it fell silent, and the next watch has to deliver
+/// it by then, also where two requests for it fail.
 #[test]
 fn a_silent_watch_is_replaced_in_time() {
     run_test(async {
-        let begun =
+        let beginnings =
             ["", "HTTP/1.1 200 OK\r\nTransfer-Enc", WATCH_HEAD, &format!("{WATCH_HEAD}9\r\n{{\"seq\":1")];
-        let cases = ["ask", "push"].into_iter().flat_map(|mode| begun.map(|begun| (mode, begun.to_owned())));
+        let cases =
+            ["ask", "push"].into_iter().flat_map(|mode| beginnings.map(|begun| (mode, begun.to_owned())));
         let cases: Vec<_> =
             cases.map(|(mode, begun)| spawn_local(silent_watch_is_replaced(mode, begun))).collect();
         for case in cases {
@@ -74,8 +77,8 @@
 }
 
 async fn silent_watch_is_replaced(mode: &str, begun: String) {
-    let refusal = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_owned();
-    let responses = [begun.clone(), refusal.clone(), refusal, WATCH_HEAD.to_owned()];
+    let rejection = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_owned();
+    let responses = [begun.clone(), rejection.clone(), rejection, WATCH_HEAD.to_owned()];
     let discovery = TestDiscovery::start(responses).await;
     let _proxy = Proxy::start_with(&discovery, &[], |config| {
         WITHOUT_ENDPOINTS(config);
@@ -84,11 +87,11 @@
     .await;
     wait_until("the first watch", || discovery.watch_requests.borrow().len() == 1).await;
     let silent = Instant::now();
-    wait_until("the fourth", || discovery.watch_requests.borrow().len() == 4).await;
+    wait_until("the fourth watch", || discovery.watch_requests.borrow().len() == 4).await;
     assert!(silent.elapsed() < Duration::from_millis(4_500), "{mode}, {begun:?}");
 }
 
-/// A proxy of a pushed list with a drain grace of 2 s and one host.
+/// A proxy of a pushed list with a drain grace of 2 s and one endpoint.
 async fn start_with_pushed_list(discovery: &TestDiscovery, endpoint: &TestEndpoint) -> Proxy {
     Proxy::start_with(discovery, from_ref(endpoint), |config| {
         config["settings"]["discovery"] = "push".into();
@@ -97,18 +100,19 @@
     .await
 }
 
-/// What the agent has counts as told whether or not a watch is open: one that was reset is opened again at once, and
-/// goes on being opened while the agent is away, in less than the drain grace each.
+/// What the agent has counts as notified whether or not a watch is open: one that was reset is
+/// reopened at once, and retried while the agent is unreachable, each time in less than the drain
+/// grace.
 #[test]
-fn a_watch_of_a_pushed_list_is_back_within_the_drain_grace() {
+fn a_watch_of_a_pushed_list_is_reopened_within_the_drain_grace() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
-        let drains = format!(
+        let draining = format!(
             "{WATCH_HEAD}{}",
             chunk(&list(42, false, &[entry("s-0", endpoint.address, "Terminating")]))
         );
         let silence = String::new();
-        let discovery = TestDiscovery::start([WATCH_HEAD.to_owned(), drains]).await;
+        let discovery = TestDiscovery::start([WATCH_HEAD.to_owned(), draining]).await;
         let proxy = start_with_pushed_list(&discovery, &endpoint).await;
         let mut client = proxy.client().await;
         assert_eq!(client.exchange(&request("free", "", "")).await.status(), 200);
@@ -117,37 +121,39 @@
         wait_until("its idle connection is closed", || endpoint.open_connections.get() == 0).await;
         assert!(reset.elapsed() < Duration::from_millis(500), "at once");
 
-        let back = list(42, true, &[entry("s-0", endpoint.address, "Terminating")]);
-        let responses = [silence.clone(), silence.clone(), silence, format!("{WATCH_HEAD}{}", chunk(&back))];
+        let draining = list(42, true, &[entry("s-0", endpoint.address, "Terminating")]);
+        let responses =
+            [silence.clone(), silence.clone(), silence, format!("{WATCH_HEAD}{}", chunk(&draining))];
         let discovery = TestDiscovery::start(responses).await;
         let _proxy = start_with_pushed_list(&discovery, &endpoint).await;
         let mut last = Instant::now();
         for number in 1..=4 {
-            wait_until("one more call", || discovery.watch_requests.borrow().len() == number).await;
-            assert!(last.elapsed() < Duration::from_millis(1_200), "call {number}");
+            wait_until("one more request", || discovery.watch_requests.borrow().len() == number).await;
+            assert!(last.elapsed() < Duration::from_millis(1_200), "request {number}");
             last = Instant::now();
         }
     });
 }
 
-/// One that ends as soon as it is open, or brings what is no list, is not opened again without a pause (0.1 s here).
+/// A watch that ends as soon as it is open, or delivers what is no list, is not reopened without a
+/// delay (0.1 s here).
 #[test]
-fn a_watch_that_ends_at_once_is_opened_again_with_a_pause() {
+fn a_watch_that_ends_at_once_is_reopened_with_a_delay() {
     run_test(async {
         for response in [format!("{WATCH_HEAD}0\r\n\r\n"), format!("{WATCH_HEAD}{}", chunk("no list"))] {
             let discovery = TestDiscovery::start(vec![response; 20]).await;
             let endpoint = TestEndpoint::start([ok("served")]).await;
             let start = Instant::now();
             let _proxy = start_with_pushed_list(&discovery, &endpoint).await;
-            wait_until("five calls", || discovery.watch_requests.borrow().len() >= 5).await;
+            wait_until("five requests", || discovery.watch_requests.borrow().len() >= 5).await;
             assert!(start.elapsed() >= Duration::from_millis(400));
         }
     });
 }
 
-/// Lists may come indented, over several lines.
+/// Lists may be indented, over several lines.
 #[test]
-fn an_indented_list_is_read() {
+fn an_indented_list_is_parsed() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let flat = list(42, true, &[entry("s-9", endpoint.address, "Ready")]);
@@ -164,10 +170,10 @@
     });
 }
 
-/// A host that is gone gets nothing more, and idle connections to it are closed; one at its address under
-/// another name is another host.
+/// A removed endpoint gets nothing more, and idle connections to it are closed; an endpoint at its
+/// address under another name is another endpoint.
 #[test]
-fn a_host_that_is_gone_is_left_alone() {
+fn a_removed_endpoint_gets_no_requests() {
     run_test(async {
         let (old, new) = (TestEndpoint::start([ok("old")]).await, TestEndpoint::start([ok("new")]).await);
         let discovery = TestDiscovery::without_updates().await;
@@ -181,14 +187,15 @@
             assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"new");
         }
         discovery.push(&chunk(&list(43, true, &[entry("s-2", old.address, "Ready")]))).await;
-        wait_until("a whole list replaces", || new.open_connections.get() == 0).await;
+        wait_until("a full list replaces the one before", || new.open_connections.get() == 0).await;
         assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"old");
     });
 }
 
-/// A host that was to finish its work and is ready again is used again, also where one line says both.
+/// A draining endpoint that becomes ready again gets requests again, also where one list has both
+/// of its states.
 #[test]
-fn a_host_that_is_ready_again_is_used_again() {
+fn an_endpoint_that_is_ready_again_gets_requests_again() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let discovery = TestDiscovery::without_updates().await;
@@ -198,20 +205,20 @@
         let entries = |states: &[&str]| -> Vec<_> {
             states.iter().map(|state| entry("s-0", endpoint.address, state)).collect()
         };
-        let finishes = "its idle connection is closed";
+        let drained = "its idle connection is closed";
         assert_eq!(client.exchange(&request("unsafe", "", "")).await.status(), 200);
         discovery.push(&chunk(&list(42, false, &entries(&["Terminating"])))).await;
-        wait_until(finishes, || endpoint.open_connections.get() == 0).await;
+        wait_until(drained, || endpoint.open_connections.get() == 0).await;
         discovery.push(&chunk(&list(43, false, &entries(&["Ready"])))).await;
         assert_eq!(client.exchange(&request("unsafe", "", "")).await.status(), 200);
         discovery.push(&chunk(&list(44, false, &entries(&["Terminating", "Ready"])))).await;
         assert_eq!(client.exchange(&request("unsafe", "", "")).await.status(), 200);
         discovery.push(&chunk(&list(45, false, &entries(&["Ready", "Terminating"])))).await;
-        wait_until(finishes, || endpoint.open_connections.get() == 0).await;
+        wait_until(drained, || endpoint.open_connections.get() == 0).await;
     });
 }
 
-/// Where lists are pushed the module never asks: the proxy watches its agent all the same.
+/// Where lists are pushed the balancer never polls: the proxy watches its agent all the same.
 #[test]
 fn a_pushed_list_is_watched_too() {
     run_test(async {
@@ -233,9 +240,9 @@
     });
 }
 
-/// Lists of proxies and servers are as long as the fleet is.
+/// Lists of proxies and endpoints are as long as the fleet is large.
 #[test]
-fn two_thousand_proxies_and_servers_are_no_limit() {
+fn two_thousand_proxies_and_endpoints_are_no_limit() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let discovery = TestDiscovery::without_updates().await;
@@ -255,10 +262,10 @@
         for _ in 0..20 {
             assert_eq!(client.exchange(&request("unsafe", "", "")).await.status(), 200);
         }
-        // All but the last are gone at once.
-        let gone: Vec<_> =
+        // All but the last are removed at once.
+        let removed: Vec<_> =
             (0..1_999).map(|number| entry(&format!("s-{number}"), endpoint.address, "Gone")).collect();
-        discovery.push(&chunk(&list(43, false, &gone))).await;
+        discovery.push(&chunk(&list(43, false, &removed))).await;
         for _ in 0..20 {
             assert_eq!(client.exchange(&request("unsafe", "", "")).await.status(), 200);
         }
--- a/proxy/tests/endpoint_connections.rs
+++ b/proxy/tests/endpoint_connections.rs
@@ -1,16 +1,15 @@
-//! Connections to hosts: kept, given up, withdrawn.
+//! Connections to endpoints: reused, closed, withdrawn.
 
 mod common;
 
 use common::*;
 use std::slice::from_ref;
 use std::time::{Duration, Instant};
-use tokio::net::TcpListener;
 
-/// A connection costs a host many times a request's overhead. It must be back before the outcome is told:
-/// else the request that the outcome lets go opens another.
+/// A connection costs an endpoint many times a request's overhead. It must be idle again before
+/// the outcome is reported: else the request that the outcome admits opens another.
 #[test]
-fn one_request_after_the_other_shares_one_connection() {
+fn sequential_requests_share_one_connection() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served"), reject(), ok("served")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
@@ -22,26 +21,28 @@
     });
 }
 
-/// A connection that the host has closed while it was idle is no failure of the request: nothing is written.
+/// That the endpoint has closed an idle connection is no failure of the next request: nothing is
+/// written on it.
 #[test]
-fn a_connection_closed_by_its_host_is_not_used_again() {
+fn a_connection_closed_by_its_endpoint_is_not_reused() {
     run_test(async {
-        let bye = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-        let endpoint = TestEndpoint::start([ScriptedResponse::WriteAndClose(bye.to_owned())]).await;
+        let last = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+        let endpoint = TestEndpoint::start([ScriptedResponse::WriteAndClose(last.to_owned())]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
         let mut client = proxy.client().await;
         for count in 1..=5 {
             assert_eq!(client.exchange(&request("unsafe", "", "")).await.status(), 200);
-            wait_until("the host closes", || endpoint.open_connections.get() == 0).await;
+            wait_until("the endpoint has closed the connection", || endpoint.open_connections.get() == 0)
+                .await;
             assert_eq!(endpoint.request_count(), count);
         }
     });
 }
 
-/// A host may close a kept connection just as a request is written to it. What may be repeated goes again at once,
-/// to the same host, which is not to blame.
+/// An endpoint may close an idle connection just as a request is written to it. An idempotent
+/// request is retried at once, at the same endpoint, which is not at fault.
 #[test]
-fn a_kept_connection_that_breaks_sets_no_host_aside() {
+fn a_reused_connection_that_breaks_does_not_eject_its_endpoint() {
     run_test(async {
         let endpoint =
             TestEndpoint::start([ok("one"), ScriptedResponse::WriteAndClose(String::new()), ok("three")])
@@ -54,9 +55,10 @@
     });
 }
 
-/// More than belongs to an answer makes its connection useless; a later request must not get it.
+/// More bytes than belong to a response make its connection useless; a later request must not get
+/// them.
 #[test]
-fn what_follows_an_answer_is_nobodys() {
+fn bytes_behind_a_response_are_discarded() {
     run_test(async {
         let double = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirstHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
         let endpoint = TestEndpoint::start([ScriptedResponse::Write(double.to_owned()), ok("right")]).await;
@@ -68,36 +70,35 @@
     });
 }
 
-/// A second answer may come some milliseconds behind the first: until then the connection takes no other request, which
-/// would get it.
+/// A second response may arrive some milliseconds behind the first: until then the connection
+/// carries no other request, which would get it.
 #[test]
 fn a_connection_settles_before_its_next_request() {
     run_test(async {
-        let played = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = played.local_addr().expect("an address");
-        let endpoint = TestEndpoint { address, ..TestEndpoint::start([ScriptedResponse::Stall]).await };
+        let (endpoint, listener) = manual_endpoint().await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
-        let mut server = MessageReader::new(played.accept().await.expect("the proxy connects").0);
-        server.message().await.expect("a request");
-        let good = ok_response("first");
+        let mut connection = MessageReader::new(listener.accept().await.expect("the proxy connects").0);
+        connection.message().await.expect("a request");
+        let first = ok_response("first");
         let responded = Instant::now();
-        server.send(&good).await;
-        assert_eq!(client.message().await.expect("an answer").body, b"first");
+        connection.send(&first).await;
+        assert_eq!(client.message().await.expect("a response").body, b"first");
         client.send(&request("unsafe", "", "")).await;
-        server.message().await.expect("the next request on the same connection");
+        connection.message().await.expect("the next request on the same connection");
         assert!(responded.elapsed() >= Duration::from_millis(10));
     });
 }
 
-/// Answers that announce themselves are passed on as if they had not.
+/// Informational responses (1xx) are skipped, and the final response is forwarded.
 #[test]
-fn informational_answers_are_passed_over() {
+fn informational_responses_are_skipped() {
     run_test(async {
         let early = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
-        let good = ok_response("served");
-        let endpoint = TestEndpoint::start([ScriptedResponse::Write(format!("{early}{good}"))]).await;
+        let final_response = ok_response("served");
+        let endpoint =
+            TestEndpoint::start([ScriptedResponse::Write(format!("{early}{final_response}"))]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
         let mut client = proxy.client().await;
         for _ in 0..3 {
@@ -107,9 +108,10 @@
     });
 }
 
-/// Idle connections are closed before the host does it: a request that crosses the host's close is lost.
+/// Idle connections are closed before the endpoint closes them: a request that crosses the
+/// endpoint's close is lost.
 #[test]
-fn an_idle_connection_is_retired_before_its_host_closes_it() {
+fn an_idle_connection_is_closed_before_its_endpoint_closes_it() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let proxy =
@@ -118,13 +120,14 @@
             })
             .await;
         assert_eq!(proxy.client().await.exchange(&request("free", "", "")).await.status(), 200);
-        wait_until("it is retired", || endpoint.open_connections.get() == 0).await;
+        wait_until("it is closed", || endpoint.open_connections.get() == 0).await;
     });
 }
 
-/// Nor is one used that is due and not yet retired: looking through them now and then would leave a gap.
+/// Nor is one reused that is past its idle timeout and not yet closed: a periodic check would
+/// leave a gap.
 #[test]
-fn a_connection_that_is_due_is_not_used_again() {
+fn a_connection_past_its_idle_timeout_is_not_reused() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let proxy =
@@ -140,10 +143,11 @@
     });
 }
 
-/// A send counts when it is written. One that still waits for its connection when its host is told draining
-/// must not be written there later; it goes elsewhere at once.
+/// An attempt counts when it is written. One that still waits for its connection when the proxy is
+/// notified that its endpoint is draining must not be written there later; it goes to another
+/// endpoint at once.
 #[test]
-fn what_is_not_yet_written_to_a_draining_host_is_withdrawn() {
+fn an_unwritten_attempt_is_withdrawn_when_its_endpoint_drains() {
     run_test(async {
         let (stuck, _full, listener) = endpoint_with_full_backlog().await;
         let other = TestEndpoint::start([ok("served")]).await;
@@ -159,15 +163,16 @@
         assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
         let endpoints = [entry("s-0", stuck.address, "Terminating"), entry("s-1", other.address, "Ready")];
         discovery.push(&chunk(&list(42, false, &endpoints))).await;
-        assert_eq!(client.message().await.expect("an answer").status(), 200);
+        assert_eq!(client.message().await.expect("a response").status(), 200);
         assert_eq!(other.request_count(), 1);
         drop(listener);
     });
 }
 
-/// What has been taken back is told to have never run: it must not be written by a task that already has it at hand.
+/// A withdrawn attempt is reported as never run: it must not be written by a task that already has
+/// it.
 #[test]
-fn what_is_withdrawn_while_it_is_handed_on_is_not_written() {
+fn an_attempt_withdrawn_before_its_task_runs_is_not_written() {
     run_test(async {
         let (leaving, other) =
             (TestEndpoint::start([ok("leaving")]).await, TestEndpoint::start([ok("other")]).await);
@@ -178,23 +183,23 @@
         wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
         let endpoints = [entry("s-0", leaving.address, "Terminating"), entry("s-1", other.address, "Ready")];
         let list = chunk(&list(42, false, &endpoints));
-        // Both come in one turn of the proxy's loop, the request first: it is given to its connection's task, which
-        // comes to its turn only after the list.
+        // Both arrive in one turn of the proxy's loop, the request first: it is given to its connection's task, which
+        // runs only after the list.
         client.send(&request("unsafe", "", "")).await;
         discovery.push(&list).await;
-        assert_eq!(client.message().await.expect("an answer").body, b"other");
+        assert_eq!(client.message().await.expect("a response").body, b"other");
         assert_eq!((leaving.request_count(), other.request_count()), (1, 1));
     });
 }
 
-/// A connection that breaks once the whole request is written: it may have run. What its class forbids does not go again,
-/// and is not told to come again; the rest goes again at once.
+/// A connection breaks once the request is fully written: it may have run. A request whose class
+/// forbids it is not retried, and its client is not advised to retry; others are retried at once.
 #[test]
-fn what_may_have_run_goes_again_only_as_its_class_allows() {
+fn a_request_that_may_have_run_is_retried_only_if_its_class_allows() {
     run_test(async {
-        for kept in [0, 1] {
+        for reused in [0, 1] {
             for (class, status) in [("free", 200), ("keyed", 200), ("unsafe", 502)] {
-                let before = vec![ok("before"); kept];
+                let before = vec![ok("before"); reused];
                 let breaking = TestEndpoint::start(
                     before.into_iter().chain([ScriptedResponse::WriteAndClose(String::new())]),
                 )
@@ -203,25 +208,26 @@
                 let proxy = Proxy::start(&endpoints).await;
                 let mut client = proxy.client().await;
                 let response = loop {
-                    let good = endpoints[1].request_count();
+                    let served_before = endpoints[1].request_count();
                     let response = client.exchange(&request(class, "", "")).await;
-                    if endpoints[0].request_count() > kept {
-                        let again =
-                            endpoints[0].request_count() - kept - 1 + endpoints[1].request_count() - good;
-                        assert_eq!(again, usize::from(status == 200), "{class}, {kept}");
+                    if endpoints[0].request_count() > reused {
+                        let retries = endpoints[0].request_count() - reused - 1
+                            + endpoints[1].request_count()
+                            - served_before;
+                        assert_eq!(retries, usize::from(status == 200), "{class}, {reused}");
                         break response;
                     }
                 };
-                assert_eq!(response.status(), status, "{class}, {kept}");
+                assert_eq!(response.status(), status, "{class}, {reused}");
             }
         }
     });
 }
 
-/// Nothing is sent for a call that is over, also where the site does not let attempts be called off: one that
-/// still waits for its connection must not be written once that comes up.
+/// Nothing is sent for a request that has ended, also where the settings do not allow cancelling
+/// attempts: one that still waits for its connection must not be written once that opens.
 #[test]
-fn what_is_not_yet_written_is_withdrawn_when_its_call_ends() {
+fn an_unwritten_attempt_is_withdrawn_when_its_request_ends() {
     run_test(async {
         let (stuck, full, listener) = endpoint_with_full_backlog().await;
         let proxy = Proxy::start_with(&TestDiscovery::without_updates().await, from_ref(&stuck), |config| {
@@ -236,18 +242,18 @@
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "the second")).await;
         assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
-        // From here on connections come up, the first one's before the second's.
+        // From here on connections open, the first one's before the second's.
         let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
         drop(full);
-        assert_eq!(client.message().await.expect("an answer").status(), 200);
+        assert_eq!(client.message().await.expect("a response").status(), 200);
         let bodies: Vec<_> = endpoint.requests.borrow().iter().map(|message| message.body.clone()).collect();
         assert_eq!(bodies, [b"the second"]);
     });
 }
 
-/// A host that has moved gets nothing at its old address, where another may listen by now.
+/// An endpoint that has moved gets nothing at its old address, where another may listen by now.
 #[test]
-fn a_host_that_has_moved_is_met_at_its_new_address() {
+fn an_endpoint_that_moved_gets_requests_at_its_new_address() {
     run_test(async {
         let (old, new) = (
             TestEndpoint::start([ScriptedResponse::Stall, ok("old")]).await,
@@ -257,21 +263,22 @@
         let proxy = Proxy::start_with(&discovery, from_ref(&old), |_| ()).await;
         let (mut client, mut busy) = (proxy.client().await, proxy.client().await);
         busy.send(&request("unsafe", "", "")).await;
-        wait_until("the host has it", || old.request_count() == 1).await;
+        wait_until("the endpoint has the request", || old.request_count() == 1).await;
         assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"old");
         discovery.push(&chunk(&list(42, false, &[entry("s-0", new.address, "Ready")]))).await;
         wait_until("its idle connection closes", || old.open_connections.get() == 1).await;
         assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"new");
         old.release.notify_one();
-        assert_eq!(busy.message().await.expect("an answer").body, b"released");
+        assert_eq!(busy.message().await.expect("a response").body, b"released");
         wait_until("its last connection closes", || old.open_connections.get() == 0).await;
         assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"new");
     });
 }
 
-/// A connection that does not come up in time proves that the request never ran: it may go elsewhere.
+/// A connection that does not open in time proves that the request never ran: it may go to another
+/// endpoint.
 #[test]
-fn a_connection_that_never_comes_up_is_bounded() {
+fn the_time_to_open_a_connection_is_bounded() {
     run_test(async {
         let (stuck, _full, _listener) = endpoint_with_full_backlog().await;
         let other = TestEndpoint::start([ok("served")]).await;
@@ -288,9 +295,10 @@
     });
 }
 
-/// The limit on sockets holds for hosts too: a call beyond it ends, and no descriptor is opened for it.
+/// The limit on sockets holds for endpoints too: a request beyond it ends, and no descriptor is
+/// opened for it.
 #[test]
-fn connections_to_hosts_stay_under_the_limit() {
+fn connections_to_endpoints_stay_under_the_limit() {
     run_test(async {
         let mut endpoints = Vec::new();
         for _ in 0..24 {
--- a/proxy/tests/endpoint_ids.rs
+++ b/proxy/tests/endpoint_ids.rs
@@ -1,9 +1,9 @@
-//! Numbers of servers: the ring that all proxies share is in their order.
+//! Ids of endpoints: the ring that all proxies share is in their order.
 
 use balancer::EndpointId;
 use client_proxy::control::endpoint_ids::EndpointIds;
 
-fn numbers(names: impl Iterator<Item = String>) -> Vec<(EndpointId, String)> {
+fn assign_ids(names: impl Iterator<Item = String>) -> Vec<(EndpointId, String)> {
     let mut ids = EndpointIds::default();
     names.map(|name| (ids.get(&name, |_| {}), name)).collect()
 }
@@ -13,33 +13,33 @@
 }
 
 #[test]
-fn what_a_proxy_has_heard_of_before_does_not_change_a_servers_number() {
-    let mut forward = numbers((0..2_000).map(name));
-    let mut backward = numbers((0..2_000).rev().map(name));
+fn an_endpoints_id_does_not_depend_on_the_order_of_the_names() {
+    let mut forward = assign_ids((0..2_000).map(name));
+    let mut backward = assign_ids((0..2_000).rev().map(name));
     forward.sort();
     backward.sort();
     assert_eq!(forward, backward);
-    assert!(forward.windows(2).all(|pair| pair[0].0 != pair[1].0), "no two have the same");
+    assert!(forward.windows(2).all(|pair| pair[0].0 != pair[1].0), "ids are unique");
 }
 
-/// Servers that join together are cold together: side by side on the ring, the calls meant for them would all go to the few
-/// servers behind them.
+/// Endpoints that join together are warming up together: side by side on the ring, the requests
+/// meant for them would all go to the few endpoints behind them.
 #[test]
-fn servers_that_join_together_do_not_stand_side_by_side() {
-    let joined = |number: u32| number >= 100;
-    let mut ring = numbers((0..200).map(name));
+fn endpoints_that_join_together_are_spread_over_the_ring() {
+    let has_joined = |number: u32| number >= 100;
+    let mut ring = assign_ids((0..200).map(name));
     ring.sort();
-    let fresh: Vec<bool> =
-        ring.iter().map(|(_, name)| joined(name[2..].parse().expect("a number"))).collect();
-    let longest = fresh.chunk_by(|a, b| a == b).map(<[bool]>::len).max();
+    let is_new: Vec<bool> =
+        ring.iter().map(|(_, name)| has_joined(name[2..].parse().expect("a number"))).collect();
+    let longest = is_new.chunk_by(|a, b| a == b).map(<[bool]>::len).max();
     assert!(longest < Some(16), "{longest:?} of 100");
 }
 
 #[test]
-fn a_name_is_new_once_and_again_when_it_was_forgotten() {
-    let (mut ids, mut met) = (EndpointIds::default(), 0);
-    let first = ids.get("a", |_| met += 1);
-    assert_eq!(ids.get("a", |_| met += 1), first);
+fn a_name_is_new_once_and_again_after_it_was_removed() {
+    let (mut ids, mut new_names) = (EndpointIds::default(), 0);
+    let first = ids.get("a", |_| new_names += 1);
+    assert_eq!(ids.get("a", |_| new_names += 1), first);
     ids.retain(|id| id != first);
-    assert_eq!((ids.get("a", |_| met += 1), met), (first, 2));
+    assert_eq!((ids.get("a", |_| new_names += 1), new_names), (first, 2));
 }
--- a/proxy/tests/endpoint_list_propagation.rs
+++ b/proxy/tests/endpoint_list_propagation.rs
@@ -1,6 +1,6 @@
-//! A change of the list counts as told 6 s after discovery had it and could be reached, 4 s after a new configuration, and
-//! where lists are pushed as soon as the agent has it. Here every wait on the way is added up, in time that only the test
-//! moves.
+//! A change of the endpoint list counts as notified 6 s after discovery had it and could be
+//! reached, 4 s after a new configuration, and where lists are pushed as soon as the agent has it.
+//! Here every wait on the way is added up, in time that only the test advances.
 
 mod common;
 
@@ -17,10 +17,10 @@
 use tokio::task::spawn_local;
 use tokio::time::advance;
 
-/// What is left of the times of the pages for the drain grace; the tests' steps are in it.
+/// What the operators' times leave for the drain grace; the steps of the test's clock are in it.
 const MARGIN: Duration = Duration::from_millis(200);
 
-/// A watch that says at once that this host finishes its work.
+/// A watch whose first list says that this endpoint is draining.
 fn notify_draining(endpoint: &TestEndpoint) -> WatchResponse {
     Respond(draining_list(endpoint))
 }
@@ -29,7 +29,8 @@
     format!("{WATCH_HEAD}{}", chunk(&list(42, true, &[entry("s-0", endpoint.address, "Terminating")])))
 }
 
-/// A proxy in time that stands still, with a connection that rests at its one host until it hears that this drains.
+/// A proxy in paused time, with a connection to its one endpoint that is idle until the proxy is
+/// notified that the endpoint is draining.
 struct PausedProxy {
     endpoint: TestEndpoint,
     address: SocketAddr,
@@ -70,8 +71,8 @@
         settle().await;
         let mut client = MessageReader::new(TcpStream::connect(address).await.expect("it listens"));
         assert_eq!(client.exchange(&request("free", "", "")).await.status(), 200);
-        wait_without_time("a connection rests", || endpoint.open_connections.get() == 1).await;
-        // Its client stays.
+        wait_without_time("a connection is idle", || endpoint.open_connections.get() == 1).await;
+        // Its client stays connected.
         spawn_local(async move {
             std::future::pending::<()>().await;
             drop(client)
@@ -84,7 +85,7 @@
         self.reload.send(Config::parse(&config).expect("a good configuration")).expect("it runs");
     }
 
-    /// Until the proxy acts on what it was told last.
+    /// Advances the clock until the proxy has closed its idle connection, and returns by how much.
     async fn until_draining(&self, what: &str) -> Duration {
         advance_until(what, || self.endpoint.open_connections.get() == 0).await
     }
@@ -94,25 +95,25 @@
     std::iter::repeat_with(failure).take(count).collect()
 }
 
-/// What calls for a watch that was lost may meet before one is answered, discovery being within reach.
+/// The responses that requests for a watch may get before one succeeds, with discovery in reach.
 fn failure_sequences() -> Vec<Vec<WatchResponse>> {
     let one = [REJECTED, LATE_REJECTED, NO_RESPONSE, PARTIAL_HEAD, NO_UPDATES, || Reset];
-    let mut paths: Vec<_> = one.into_iter().map(|call| vec![call()]).collect();
+    let mut paths: Vec<_> = one.into_iter().map(|failure| vec![failure()]).collect();
     paths.push(Vec::new());
     paths
 }
 
-/// A watch that falls silent at once, or is reset soon or later.
+/// The watch is silent from the beginning, or is reset soon or later.
 #[test]
-fn what_a_lost_asked_watch_missed_is_acted_on_in_time() {
+fn a_change_that_a_lost_polled_watch_missed_is_applied_in_time() {
     let ends = [None, Some(500 * MS), Some(1_500 * MS)];
     for (balancer_count, reset) in [5, 300].into_iter().flat_map(|count| ends.map(|reset| (count, reset))) {
         for path in failure_sequences() {
             let name = format!("{balancer_count} balancers, reset after {reset:?}, {path:?}");
             run_with_paused_time(async {
                 let endpoint = TestEndpoint::start([ok("served")]).await;
-                let calls = [NO_UPDATES()].into_iter().chain(path).chain([notify_draining(&endpoint)]);
-                let discovery = ScriptedDiscovery::start(calls).await;
+                let script = [NO_UPDATES()].into_iter().chain(path).chain([notify_draining(&endpoint)]);
+                let discovery = ScriptedDiscovery::start(script).await;
                 let proxy = PausedProxy::start("ask", balancer_count, &discovery, endpoint).await;
                 wait_without_time("the watch", || discovery.request_count.get() == 1).await;
                 if let Some(after) = reset {
@@ -120,61 +121,64 @@
                     settle().await;
                     discovery.reset();
                 }
-                let took = proxy.until_draining("the drain").await;
-                assert!(took <= 6_000 * MS + MARGIN, "{took:?}: {name}");
+                let elapsed = proxy.until_draining("the drain").await;
+                assert!(elapsed <= 6_000 * MS + MARGIN, "{elapsed:?}: {name}");
             });
         }
     }
 }
 
-/// Discovery was away for so long that all waits have grown: from its return on, or from the beginning of a call that
-/// is given up, no more than the time goes by.
+/// Discovery was unreachable for so long that all backoffs have grown: the time counts from its
+/// return, or from the beginning of a request that is abandoned.
 #[test]
-fn what_an_asked_discovery_has_on_its_return_is_acted_on_in_time() {
+fn a_change_is_applied_in_time_once_a_polled_discovery_is_reachable_again() {
     for balancer_count in [5, 300] {
         for seconds in [1, 4, 8, 13, 20] {
             run_with_paused_time(async {
                 let endpoint = TestEndpoint::start([ok("served")]).await;
-                let away = Unreachable(Duration::from_secs(seconds));
+                let unreachable = Unreachable(Duration::from_secs(seconds));
                 let discovery =
-                    ScriptedDiscovery::start([NO_UPDATES(), away, notify_draining(&endpoint)]).await;
+                    ScriptedDiscovery::start([NO_UPDATES(), unreachable, notify_draining(&endpoint)]).await;
                 let proxy = PausedProxy::start("ask", balancer_count, &discovery, endpoint).await;
                 proxy.until_draining("the drain").await;
-                let back = discovery.reachable_since.get().expect("it was away");
-                let took = back.elapsed();
+                let reachable_since = discovery.reachable_since.get().expect("it was unreachable");
+                let elapsed = reachable_since.elapsed();
                 assert!(
-                    took <= 6_000 * MS + MARGIN,
-                    "{took:?}: away for {seconds} s, {balancer_count} balancers"
+                    elapsed <= 6_000 * MS + MARGIN,
+                    "{elapsed:?}: unreachable for {seconds} s, {balancer_count} balancers"
                 );
             });
         }
         for silent in 1..=6 {
             run_with_paused_time(async {
                 let endpoint = TestEndpoint::start([ok("served")]).await;
-                let calls = [NO_UPDATES()]
+                let script = [NO_UPDATES()]
                     .into_iter()
                     .chain(repeated(NO_RESPONSE, silent))
                     .chain([notify_draining(&endpoint)]);
-                let discovery = ScriptedDiscovery::start(calls).await;
+                let discovery = ScriptedDiscovery::start(script).await;
                 let proxy = PausedProxy::start("ask", balancer_count, &discovery, endpoint).await;
-                advance_until("the last silent call", || discovery.request_count.get() > silent).await;
-                let took = proxy.until_draining("the drain").await;
+                advance_until("the last request without a response", || {
+                    discovery.request_count.get() > silent
+                })
+                .await;
+                let elapsed = proxy.until_draining("the drain").await;
                 assert!(
-                    took <= 6_000 * MS + MARGIN,
-                    "{took:?} after {silent} silent calls, {balancer_count} balancers"
+                    elapsed <= 6_000 * MS + MARGIN,
+                    "{elapsed:?} after {silent} requests without a response, {balancer_count} balancers"
                 );
             });
         }
     }
 }
 
-/// Whatever became of the call before, what the agent has counts as told at once: here are the drain grace of 0.4 s and
-/// its slack of 50 ms.
+/// Whatever happened to the request before, what the agent has counts as notified at once: the
+/// bound is the drain grace of 0.4 s and its slack of 50 ms.
 #[test]
-fn what_the_agent_has_is_acted_on_within_the_drain_grace() {
+fn a_change_that_the_agent_has_is_applied_within_the_drain_grace() {
     let grace = Duration::from_millis(450);
     let fails = [REJECTED, NO_RESPONSE, PARTIAL_HEAD, || Reset, || Unreachable(Duration::from_secs(8))];
-    for path in fails.into_iter().map(|call| vec![call()]).chain([
+    for path in fails.into_iter().map(|failure| vec![failure()]).chain([
         Vec::new(),
         repeated(NO_RESPONSE, 9),
         repeated(REJECTED, 9),
@@ -182,18 +186,21 @@
         let name = format!("{path:?}");
         run_with_paused_time(async {
             let endpoint = TestEndpoint::start([ok("served")]).await;
-            let (count, away) = (path.len(), path.iter().any(|call| matches!(call, Unreachable(_))));
-            let calls = [NO_UPDATES()].into_iter().chain(path).chain([notify_draining(&endpoint)]);
-            let discovery = ScriptedDiscovery::start(calls).await;
+            let (count, is_unreachable) =
+                (path.len(), path.iter().any(|response| matches!(response, Unreachable(_))));
+            let script = [NO_UPDATES()].into_iter().chain(path).chain([notify_draining(&endpoint)]);
+            let discovery = ScriptedDiscovery::start(script).await;
             let proxy = PausedProxy::start("push", 5, &discovery, endpoint).await;
             wait_without_time("the watch", || discovery.request_count.get() == 1).await;
             advance(Duration::from_secs(1)).await;
             settle().await;
             discovery.reset();
-            advance_until("the last that fails", || away || discovery.request_count.get() > count).await;
-            let took = proxy.until_draining("the drain").await;
-            let took = discovery.reachable_since.get().map_or(took, |back| back.elapsed());
-            assert!(took <= grace, "{took:?}: {name}");
+            advance_until("the last that fails", || is_unreachable || discovery.request_count.get() > count)
+                .await;
+            let elapsed = proxy.until_draining("the drain").await;
+            let elapsed =
+                discovery.reachable_since.get().map_or(elapsed, |reachable_since| reachable_since.elapsed());
+            assert!(elapsed <= grace, "{elapsed:?}: {name}");
         });
     }
     for path in failure_sequences() {
@@ -205,26 +212,27 @@
             )
             .await;
             let proxy = PausedProxy::start("push", 5, &discovery, endpoint).await;
-            let took = proxy.until_draining("the drain").await;
-            assert!(took <= 6_000 * MS + MARGIN, "silent for {took:?}: {name}");
+            let elapsed = proxy.until_draining("the drain").await;
+            assert!(elapsed <= 6_000 * MS + MARGIN, "silent for {elapsed:?}: {name}");
         });
     }
 }
 
-/// What the proxy is at when a new configuration comes.
+/// What the watch is at when a new configuration arrives.
 #[derive(Clone, Copy, Debug)]
 enum WatchPhase {
-    /// Its watch is open.
+    /// It is open.
     Open,
-    /// It is opening one, and the old discovery has not answered.
+    /// It is being opened, and the old discovery has not responded.
     Opening,
-    /// It waits before it calls again.
+    /// It waits for its backoff.
     Backoff,
 }
 
-/// The time is counted from the signal on, whatever the proxy was at, and the old discovery says nothing more.
+/// The time counts from the reload, whatever the watch was at, and the old discovery sends nothing
+/// more.
 #[test]
-fn what_a_new_discovery_has_is_acted_on_in_time() {
+fn a_change_that_a_new_discovery_has_is_applied_in_time() {
     let modes =
         [("ask", 300, 2), ("ask", 300, 3), ("ask", 300, 4), ("ask", 300, 1), ("ask", 5, 1), ("push", 5, 1)];
     for ((mode, balancer_count, seed), at) in modes
@@ -245,21 +253,21 @@
                     ScriptedDiscovery::start(path.into_iter().chain([notify_draining(&endpoint)])).await,
                 );
                 let proxy = PausedProxy::with_seed(seed, mode, balancer_count, &old, endpoint).await;
-                wait_without_time("the old one is called", || old.request_count.get() == 1).await;
+                wait_without_time("the old discovery has a request", || old.request_count.get() == 1).await;
                 advance(50 * MS).await;
                 settle().await;
                 proxy.reload_with_discovery(&old, &new);
-                let took = proxy.until_draining("the drain").await;
-                assert!(took <= 4_000 * MS + MARGIN, "{took:?}: {name}");
+                let elapsed = proxy.until_draining("the drain").await;
+                assert!(elapsed <= 4_000 * MS + MARGIN, "{elapsed:?}: {name}");
             });
         }
     }
 }
 
-/// A call that waits for its turn at the new discovery is not broken off for one that was planned before, and what the
-/// old one answers after the signal is not taken.
+/// A request that waits for its turn at the new discovery is not replaced by one that was planned
+/// before, and what the old one sends after the reload is ignored.
 #[test]
-fn a_call_to_a_new_discovery_is_left_its_turn() {
+fn a_request_that_queues_at_a_new_discovery_is_not_abandoned() {
     for balancer_count in [5, 300] {
         for at in [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff] {
             run_with_paused_time(async {
@@ -273,48 +281,53 @@
                 let (old, new) =
                     (ScriptedDiscovery::start(old).await, ScriptedDiscovery::start([turn]).await);
                 let proxy = PausedProxy::start("ask", balancer_count, &old, endpoint).await;
-                wait_without_time("the old one is called", || old.request_count.get() == 1).await;
+                wait_without_time("the old discovery has a request", || old.request_count.get() == 1).await;
                 advance(50 * MS).await;
                 settle().await;
                 proxy.reload_with_discovery(&old, &new);
-                let took = proxy.until_draining("the drain").await;
-                assert!(took >= Duration::from_secs(2), "{took:?}: the old one was heard, {at:?}");
+                let elapsed = proxy.until_draining("the drain").await;
+                assert!(
+                    elapsed >= Duration::from_secs(2),
+                    "{elapsed:?}: the old discovery was not ignored, {at:?}"
+                );
                 assert_eq!(new.request_count.get(), 1, "{balancer_count} balancers, {at:?}");
             });
         }
     }
 }
 
-/// The same where lists are pushed: an agent that is slow to answer until the signal is not heard after it.
+/// The same where lists are pushed: an agent that responds only after the reload is ignored.
 #[test]
-fn an_old_agent_that_answers_after_the_signal_is_not_heard() {
+fn a_late_response_of_the_old_agent_is_ignored_after_a_reload() {
     for delay in [60 * MS, 100 * MS, 110 * MS] {
         run_with_paused_time(async {
             let endpoint = TestEndpoint::start([ok("served")]).await;
             let old = ScriptedDiscovery::start([RespondAfter(delay, draining_list(&endpoint))]).await;
             let new = ScriptedDiscovery::start([NO_UPDATES()]).await;
             let proxy = PausedProxy::start("push", 5, &old, endpoint).await;
-            wait_without_time("the old one is called", || old.request_count.get() == 1).await;
+            wait_without_time("the old discovery has a request", || old.request_count.get() == 1).await;
             advance(50 * MS).await;
             settle().await;
             proxy.reload_with_discovery(&old, &new);
-            wait_without_time("the new one is called", || new.request_count.get() == 1).await;
-            advance_until("the old one has answered", || !old.open_connections.borrow().is_empty()).await;
+            wait_without_time("the new discovery has a request", || new.request_count.get() == 1).await;
+            advance_until("the old discovery has responded", || !old.open_connections.borrow().is_empty())
+                .await;
             settle().await;
-            assert_eq!(proxy.endpoint.open_connections.get(), 1, "heard after {delay:?}");
+            assert_eq!(proxy.endpoint.open_connections.get(), 1, "applied after {delay:?}");
             assert_eq!(
                 (old.request_count.get(), new.request_count.get()),
                 (1, 1),
-                "and nobody is called again"
+                "neither gets another request"
             );
         });
     }
 }
 
-/// A new process serves by the list that it was given, which may be old, while its agent says nothing, takes no
-/// connections or refuses. What the agent has when it speaks counts as told at once.
+/// A new process serves by the list in its configuration, which may be old, while its agent sends
+/// nothing, accepts no connections or rejects requests. What the agent has when it responds counts
+/// as notified at once.
 #[test]
-fn a_new_process_serves_by_an_old_list_until_its_agent_speaks() {
+fn a_new_process_serves_by_its_configured_list_until_its_agent_responds() {
     let absent = [NO_RESPONSE, PARTIAL_HEAD, REJECTED, || Reset, || Unreachable(Duration::from_secs(5))];
     for path in absent
         .into_iter()
@@ -323,24 +336,26 @@
         let name = format!("{:?}", path[0]);
         run_with_paused_time(async {
             let (old, new) = (TestEndpoint::start([ok("old")]).await, TestEndpoint::start([ok("new")]).await);
-            let (count, away) = (path.len(), matches!(path[0], Unreachable(_)));
-            // It leaves the old one out: that has gone, though it still answers.
-            let whole = list(42, true, &[entry("s-1", new.address, "Ready")]);
-            let calls = path.into_iter().chain([Respond(format!("{WATCH_HEAD}{}", chunk(&whole)))]);
-            let discovery = ScriptedDiscovery::start(calls).await;
-            // The start sends a request by the list that it knows.
+            let (count, is_unreachable) = (path.len(), matches!(path[0], Unreachable(_)));
+            // It omits the old endpoint: that is removed, though it still responds.
+            let full = list(42, true, &[entry("s-1", new.address, "Ready")]);
+            let script = path.into_iter().chain([Respond(format!("{WATCH_HEAD}{}", chunk(&full)))]);
+            let discovery = ScriptedDiscovery::start(script).await;
+            // The start sends a request by the configured list.
             let proxy = PausedProxy::start("push", 5, &discovery, old.clone()).await;
-            advance_until("the last that fails", || away || discovery.request_count.get() >= count).await;
+            advance_until("the last that fails", || is_unreachable || discovery.request_count.get() >= count)
+                .await;
             assert_eq!(old.request_count(), 1, "{name}");
-            let took = proxy.until_draining("what has gone").await;
-            let took = discovery.reachable_since.get().map_or(took, |back| back.elapsed());
-            assert!(took <= Duration::from_millis(450), "{took:?}: {name}");
+            let elapsed = proxy.until_draining("the removed endpoint").await;
+            let elapsed =
+                discovery.reachable_since.get().map_or(elapsed, |reachable_since| reachable_since.elapsed());
+            assert!(elapsed <= Duration::from_millis(450), "{elapsed:?}: {name}");
             let mut client = MessageReader::new(TcpStream::connect(proxy.address).await.expect("it listens"));
             assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"new", "{name}");
             assert_eq!(
                 (old.request_count(), old.opened_connections.get()),
                 (1, 1),
-                "nothing more to the old one: {name}"
+                "the old endpoint gets nothing more: {name}"
             );
         });
     }
--- a/proxy/tests/external_names.rs
+++ b/proxy/tests/external_names.rs
@@ -1,5 +1,6 @@
-//! Names that others know the program by: keys of its configuration and of the list, headers, paths, calls of operators, the
-//! lock file that a process of another version reads. They are the operators' own and never change.
+//! Names that others know the program by: keys of its configuration and of the endpoint list,
+//! headers, paths, operators' commands, the lock file that a process of another version reads.
+//! They belong to the operators and never change.
 
 mod common;
 
@@ -45,7 +46,7 @@
     assert_eq!(endpoint.state, ListedState::Draining);
 }
 
-/// What a host is asked, what a client is answered, and how a watch of the list is asked for.
+/// What an endpoint gets, what a client gets, and the request for a watch of the list.
 #[test]
 fn messages_on_the_sockets_keep_their_names() {
     run_test(async {
@@ -53,8 +54,8 @@
         let endpoint = TestEndpoint::start([reject()]).await;
         let proxy = Proxy::start_with(&discovery, from_ref(&endpoint), |_| ()).await;
         let mut client = proxy.client().await;
-        let again = "X-Again: 1\r\nX-Caller: t\r\n";
-        let response = client.exchange(&request("keyed", again, "body")).await;
+        let other_headers = "X-Again: 1\r\nX-Caller: t\r\n";
+        let response = client.exchange(&request("keyed", other_headers, "body")).await;
         assert_eq!(response.start_line, "HTTP/1.1 503 Service Unavailable");
         assert!(response.header("retry-after").is_some());
         let seen = endpoint.requests.borrow()[0].clone();
--- a/proxy/tests/graceful_shutdown.rs
+++ b/proxy/tests/graceful_shutdown.rs
@@ -1,4 +1,5 @@
-//! The end of listening. A process that is started meanwhile holds all sockets for a moment, so no test here starts one.
+//! Graceful shutdown. A process that is started meanwhile has all sockets open for a moment, so no
+//! test here starts one.
 
 mod common;
 
@@ -14,9 +15,10 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// A stop must answer all that was taken, take new connections for as long as they come, and close the rest.
+/// A shutdown must respond to every accepted request, accept new connections for as long as they
+/// arrive, and close the rest.
 #[test]
-fn a_stop_answers_what_was_taken() {
+fn a_shutdown_responds_to_every_accepted_request() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("before"), ScriptedResponse::Stall, ok("after")]).await;
         let mut proxy = Proxy::start(from_ref(&endpoint)).await;
@@ -25,21 +27,22 @@
         assert_eq!(idle.exchange(&request("unsafe", "", "")).await.body, b"before");
         busy.send(&request("unsafe", "", "").replace("8000", "1500")).await;
         half.send("POST /api HTTP/1.1\r\nX-Call").await;
-        wait_until("the host has it", || endpoint.request_count() == 2).await;
+        wait_until("the endpoint has the request", || endpoint.request_count() == 2).await;
         drop(proxy.stop.take());
         let mut late = proxy.client().await;
         assert_eq!(late.exchange(&request("unsafe", "", "")).await.body, b"after");
-        assert_eq!(busy.message().await.expect("an answer").status(), 502);
+        assert_eq!(busy.message().await.expect("a response").status(), 502);
         (&mut proxy.task).await.expect("it ends without a panic").expect("it listened");
         assert!(idle.message().await.is_none(), "closed between requests");
         assert!(TcpStream::connect(proxy.address).await.is_err(), "it no longer listens");
     });
 }
 
-/// A long answer goes on for as long as it takes: ending before it would cut it off. What comes whole long after the
-/// order to stop is refused, as the process may be killed under a long answer to it.
+/// A large response goes on for as long as it takes: ending before it would truncate it. A request
+/// that arrives completely only long after the order is rejected, as the process may be killed
+/// during a large response to it.
 #[test]
-fn a_stop_waits_for_a_long_answer_and_refuses_what_comes_late() {
+fn a_shutdown_waits_for_a_large_response_and_rejects_late_requests() {
     run_test(async {
         const HALF_BYTES: usize = 100_000;
         let (endpoint, listener) = manual_endpoint().await;
@@ -56,21 +59,21 @@
         drop(proxy.stop.take());
         sleep(Duration::from_millis(900)).await;
         late.send("y").await;
-        let response = late.message().await.expect("an answer");
+        let response = late.message().await.expect("a response");
         assert_eq!((response.status(), response.header("retry-after").is_some()), (503, true));
-        // Longer than any answer that is not long may take.
+        // Longer than any response that is not large may take.
         sleep(Duration::from_secs(3)).await;
         stream.write_all(&[b'b'; HALF_BYTES]).await.expect("written");
-        let response = client.message().await.expect("an answer");
+        let response = client.message().await.expect("a response");
         assert_eq!((response.body.len(), response.body.last()), (2 * HALF_BYTES, Some(&b'b')));
         (&mut proxy.task).await.expect("it ends without a panic").expect("it listened");
     });
 }
 
-/// A call that is held waits for as long as its client does, but not for longer than the process has: the longest deadline,
-/// or 3 s where it is longer, and 0.6 s of the 0.7 s that come before it is killed.
+/// A queued request waits for as long as its client does, but not for longer than the process has:
+/// the longest deadline, or 3 s where that is longer, and 0.6 s of the 0.7 s before it is killed.
 #[test]
-fn a_stop_ends_what_is_held() {
+fn a_shutdown_ends_queued_requests() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let draining = list(42, true, &[entry("s-0", endpoint.address, "Terminating")]);
@@ -80,24 +83,24 @@
             config["settings"]["classes"][2]["late_value"] = 0.5.into();
         })
         .await;
-        let mut held = proxy.client().await;
-        held.send(&request("unsafe", "", "").replace("8000", "20000")).await;
+        let mut queued = proxy.client().await;
+        queued.send(&request("unsafe", "", "").replace("8000", "20000")).await;
         // Sent later and answered: the proxy has read the request before.
         while proxy.client().await.exchange(HEALTH_REQUEST).await.status() != 200 {}
-        let told = Instant::now();
+        let stopped_at = Instant::now();
         drop(proxy.stop.take());
-        let response = held.message().await.expect("an answer");
+        let response = queued.message().await.expect("a response");
         assert_eq!((response.status(), response.header("connection")), (503, Some("close")));
-        assert!(told.elapsed() < Duration::from_millis(3_700));
+        assert!(stopped_at.elapsed() < Duration::from_millis(3_700));
         assert_eq!(endpoint.request_count(), 0);
         (&mut proxy.task).await.expect("it ends without a panic").expect("it listened");
     });
 }
 
-/// A connection that waits to be accepted, as all places are taken, has been taken all the same: the listener is not closed
-/// under it, which would reset it.
+/// A connection that waits to be accepted, as all are in use, counts as accepted all the same: the
+/// listener is not closed under it, which would reset it.
 #[test]
-fn a_stop_answers_what_waits_to_be_accepted() {
+fn a_shutdown_responds_on_connections_that_wait_to_be_accepted() {
     run_test(async {
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
         let few = |config: &mut serde_json::Value| {
@@ -108,9 +111,9 @@
         let mut proxy = Proxy::start_with(&discovery, from_ref(&endpoint), few).await;
         let admin = proxy.admin.expect("an address for operators");
         let text = configuration(discovery.address, &[], few);
-        let places = client_proxy::config::Config::parse(&text).expect("good").connections_to_clients();
+        let max_clients = client_proxy::config::Config::parse(&text).expect("good").connections_to_clients();
         let mut clients = Vec::new();
-        for number in 1..=places {
+        for number in 1..=max_clients {
             clients.push(proxy.client().await);
             clients[number - 1].send(&request("free", "", "")).await;
             while metrics(admin).await["pending"] != number {}
@@ -118,14 +121,15 @@
         let mut waiting = proxy.client().await;
         waiting.send(&request("free", "", "")).await;
         drop(proxy.stop.take());
-        assert_eq!(waiting.message().await.expect("an answer").status(), 503);
+        assert_eq!(waiting.message().await.expect("a response").status(), 503);
         (&mut proxy.task).await.expect("it ends without a panic").expect("it listened");
     });
 }
 
-/// What is unread when a connection ends must not reset it: the answer before may still be on its way.
+/// Unread bytes must not make a close reset the connection: the response before may still be on
+/// its way.
 #[test]
-fn the_end_of_a_connection_does_not_cross_what_came() {
+fn closing_a_connection_does_not_reset_it() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let mut proxy = Proxy::start(from_ref(&endpoint)).await;
@@ -146,22 +150,25 @@
         (&mut proxy.task).await.expect("it ends without a panic").expect("it listened");
         for client in &mut clients {
             assert!(client.stream.take_error().expect("a state").is_none(), "it is reset");
-            assert_eq!(client.message().await.expect("an answer").status(), 400);
+            assert_eq!(client.message().await.expect("a response").status(), 400);
             assert_eq!(client.stream.read(&mut [0]).await.expect("an end"), 0);
         }
     });
 }
 
-/// A process that waits for its first list has taken nothing: it ends at once, also beside another that serves.
+/// A process that waits for its first list has accepted nothing: it ends at once, also beside
+/// another that serves.
 #[test]
-fn a_stop_before_the_first_list_ends_the_process() {
+fn a_shutdown_before_the_first_endpoint_list_ends_the_process() {
     run_test(async {
         for beside in [false, true] {
             let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("unlisted-{beside}"));
             std::fs::create_dir_all(&folder).expect("a folder");
             let other = match beside {
                 true => Some(
-                    client_proxy::process_handoff::announce_presence(&folder, |_| ()).await.expect("shown"),
+                    client_proxy::process_handoff::announce_presence(&folder, |_| ())
+                        .await
+                        .expect("announced"),
                 ),
                 false => None,
             };
@@ -176,19 +183,20 @@
             };
             let run = client_proxy::run(config, listeners, Some(folder), async || None, stopped);
             let task = spawn_local(run);
-            wait_until("it asks for a list", || !discovery.watch_requests.borrow().is_empty()).await;
-            let told = Instant::now();
+            wait_until("it watches the list", || !discovery.watch_requests.borrow().is_empty()).await;
+            let stopped_at = Instant::now();
             drop(stop);
             task.await.expect("no panic").expect("no error");
-            assert!(told.elapsed() < Duration::from_secs(1), "beside another: {beside}");
+            assert!(stopped_at.elapsed() < Duration::from_secs(1), "beside another: {beside}");
             drop(other);
         }
     });
 }
 
-/// A proxy that was killed leaves connections at its address; the next one must start there at once.
+/// A proxy that was killed leaves connections at its address; the next one must start there at
+/// once.
 #[test]
-fn the_address_can_be_used_again_at_once() {
+fn the_address_can_be_bound_again_at_once() {
     run_test(async {
         // An address that no other test uses: its port is nobody's meanwhile.
         let bind = |address| client_proxy::process_handoff::bind(address).expect("bound");
@@ -202,15 +210,16 @@
     });
 }
 
-/// Once led away, connections come to the newer listener alone; when that is gone, to the older one again.
+/// Once steered, connections reach the newer listener alone; when that has ended, the older one
+/// again.
 #[test]
-fn connections_are_led_to_the_newer_listener() {
+fn connections_are_steered_to_the_newer_listener() {
     run_test(async {
         let bind = |address| client_proxy::process_handoff::bind(address).expect("bound");
         let old = bind("127.0.0.3:0".parse().expect("an address")).listen(64).expect("it listens");
         let address = old.local_addr().expect("an address");
         let new = bind(address).listen(64).expect("it listens too");
-        client_proxy::process_handoff::steer_to_newer_process(&old).expect("led away");
+        client_proxy::process_handoff::steer_to_newer_process(&old).expect("steered");
         for _ in 0..32 {
             let _client = TcpStream::connect(address).await.expect("connected");
             new.accept().await.expect("accepted");
@@ -221,13 +230,14 @@
     });
 }
 
-/// A process without a list leaves clients to the one beside it, for as long as that is there.
+/// A process without a list leaves clients to the other process, for as long as that is there.
 #[test]
 fn a_process_without_a_list_does_not_listen_beside_another() {
     run_test(async {
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("listless");
         std::fs::create_dir_all(&folder).expect("a folder");
-        let other = client_proxy::process_handoff::announce_presence(&folder, |_| ()).await.expect("shown");
+        let other =
+            client_proxy::process_handoff::announce_presence(&folder, |_| ()).await.expect("announced");
         let config = configuration(TestDiscovery::without_updates().await.address, &[], |_| ());
         let config = client_proxy::config::Config::parse(&config).expect("a good configuration");
         let clients = client_proxy::process_handoff::bind(config.listen).expect("bound");
@@ -236,7 +246,7 @@
         let stop = std::future::pending::<()>();
         let proxy = spawn_local(client_proxy::run(config, listeners, Some(folder), async || None, stop));
         sleep(Duration::from_millis(2_500)).await;
-        assert!(TcpStream::connect(address).await.is_err(), "clients are the other's");
+        assert!(TcpStream::connect(address).await.is_err(), "clients are left to the other process");
         drop(other);
         while TcpStream::connect(address).await.is_err() {
             sleep(Duration::from_millis(5)).await;
@@ -247,28 +257,29 @@
 
 /// Of two processes one has the limits to itself when the other ends.
 #[test]
-fn a_process_knows_whether_it_is_alone() {
+fn a_process_is_notified_whether_it_is_alone() {
     run_test(async {
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("presence");
         std::fs::create_dir_all(&folder).expect("a folder");
-        use client_proxy::process_handoff::announce_presence as show;
-        let first = show(&folder, |_| panic!("it is alone")).await.expect("shown");
-        let told = std::cell::RefCell::new(Vec::new());
+        use client_proxy::process_handoff::announce_presence;
+        let first = announce_presence(&folder, |_| panic!("it is alone")).await.expect("announced");
+        let notifications = std::cell::RefCell::new(Vec::new());
         let mut first = Some(first);
         let shared = |shared: bool| {
-            told.borrow_mut().push(shared);
+            notifications.borrow_mut().push(shared);
             first.take();
         };
-        let _second = show(&folder, shared).await.expect("shown");
-        assert_eq!(*told.borrow(), [true, false]);
+        let _second = announce_presence(&folder, shared).await.expect("announced");
+        assert_eq!(*notifications.borrow(), [true, false]);
     });
 }
 
-/// The connection of a second attempt is being opened when the order to stop comes. Up in time, it is used; if not, the
-/// request is refused before the process is killed, as it has not run. Either way the process ends.
+/// The connection of a second attempt is being opened when the order to shut down arrives. If it
+/// opens in time, it is used; if not, the request is rejected before the process is killed, as it
+/// has not run. Either way the process ends.
 #[test]
-fn a_stop_waits_for_the_connection_of_a_second_attempt_while_it_may() {
-    for comes_up in [true, false] {
+fn a_shutdown_waits_a_bounded_time_for_the_connection_of_a_retry() {
+    for opens_in_time in [true, false] {
         run_test(async {
             let (stuck, full, listener) = endpoint_with_full_backlog().await;
             let first = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -285,21 +296,21 @@
             client.send(&request("unsafe", "", "the body")).await;
             let mut connection = MessageReader::new(first.accept().await.expect("the proxy connects").0);
             connection.message().await.expect("the first attempt");
-            let more = list(42, false, &[entry("s-1", stuck.address, "Ready")]);
-            discovery.push(&chunk(&more)).await;
+            let update = list(42, false, &[entry("s-1", stuck.address, "Ready")]);
+            discovery.push(&chunk(&update)).await;
             while metrics(admin).await["members"] != 2 {}
-            let away = REJECTION;
-            connection.stream.write_all(away.as_bytes()).await.expect("written");
-            wait_until("the second is being opened", || is_connecting(stuck.address)).await;
-            let told = Instant::now();
+            let rejection = REJECTION;
+            connection.stream.write_all(rejection.as_bytes()).await.expect("written");
+            wait_until("the second connection is being opened", || is_connecting(stuck.address)).await;
+            let stopped_at = Instant::now();
             drop(proxy.stop.take());
             while admin_command(admin, "health\n").await.starts_with("SUCCESS") {}
             let (mut full, mut listener) = (Some(full), Some(listener));
-            let endpoint = listener.take_if(|_| comes_up).map(|listener| {
+            let endpoint = listener.take_if(|_| opens_in_time).map(|listener| {
                 full.take();
                 TestEndpoint::on_listener(listener, [ok("served")])
             });
-            let response = client.message().await.expect("an answer");
+            let response = client.message().await.expect("a response");
             assert_eq!(response.header("connection"), Some("close"));
             match &endpoint {
                 Some(endpoint) => {
@@ -311,18 +322,19 @@
                 }
             }
             // 3 s for requests, 0.6 s on top, and 0.1 s to spare before it is killed.
-            assert!(told.elapsed() < Duration::from_millis(3_700));
+            assert!(stopped_at.elapsed() < Duration::from_millis(3_700));
             (&mut proxy.task).await.expect("it ends without a panic").expect("it listened");
-            assert!(connection.stream.try_read(&mut [0]).is_err(), "the first host gets nothing more");
+            assert!(connection.stream.try_read(&mut [0]).is_err(), "the first endpoint gets nothing more");
         });
     }
 }
 
-/// Clients go on sending on every connection: the next request as soon as the last is answered, or one after the other
-/// without waiting, so that no connection is ever idle. What the host has seen is answered, and not by a refusal; what gets
-/// no answer was not sent on; and the process ends all the same.
+/// Clients go on sending on every connection: the next request as soon as the last has its
+/// response, or one after the other without waiting, so that no connection is ever idle. Every
+/// request that the endpoint has gets a response other than a rejection; a request without a
+/// response was not forwarded; and the process ends all the same.
 #[test]
-fn a_stop_ends_while_clients_go_on_sending() {
+fn a_shutdown_ends_while_clients_go_on_sending() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let mut proxy = Proxy::start(from_ref(&endpoint)).await;
@@ -349,14 +361,14 @@
             clients.push(spawn_local(async move {
                 let mut reader = MessageReader::new(read);
                 while let Some(response) = reader.message().await {
-                    let id: String = sent.borrow_mut().pop_front().expect("an answer to something");
+                    let id: String = sent.borrow_mut().pop_front().expect("a request for the response");
                     responded.borrow_mut().insert(id, response.status());
                     go.notify_one();
                 }
                 writer.abort();
             }));
         }
-        wait_until("all are at it", || responded.borrow().len() > 240).await;
+        wait_until("all clients are sending", || responded.borrow().len() > 240).await;
         drop(proxy.stop.take());
         (&mut proxy.task).await.expect("it ends without a panic").expect("it listened");
         for client in clients {
@@ -364,7 +376,7 @@
         }
         for seen in endpoint.requests.borrow().iter() {
             let status = responded.borrow().get(seen.header("x-call-id").expect("an id")).copied();
-            // On a machine that is very busy an answer may not be there by the end.
+            // On a very busy machine a response may not arrive before the end.
             assert!([Some(200), Some(502)].contains(&status), "{status:?}: {seen:?}");
         }
     });
--- a/proxy/tests/operators.rs
+++ b/proxy/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators meet at the address that is theirs.
+//! What operators get at their address.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 
 #[test]
-fn health_is_yes_once_there_is_a_list() {
+fn health_is_yes_once_there_is_an_endpoint_list() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let (_proxy, admin) = start_with_admin(from_ref(&endpoint), |_| ()).await;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_is_no_call_gets_a_reason() {
+fn an_unknown_command_gets_an_error_of_one_line() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let (_proxy, admin) = start_with_admin(from_ref(&endpoint), |_| ()).await;
@@ -33,9 +33,10 @@
     });
 }
 
-/// Requests count by class and end, attempts when they are written whole, and what is open is pending.
+/// Requests count by class and end, attempts once they are fully written, and open requests are
+/// pending.
 #[test]
-fn figures_show_what_became_of_requests() {
+fn metrics_count_requests_by_class_and_end() {
     run_test(async {
         let error = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
         let endpoint = TestEndpoint::start([
@@ -55,10 +56,10 @@
             assert_eq!(client.exchange(&text).await.status(), status);
         }
         client.send(&request("free", "", "")).await;
-        wait_until("the host has it", || endpoint.request_count() == 4).await;
-        let tally = |completed, failed| json!({"completed": completed, "rejected": 0, "failed": failed});
+        wait_until("the endpoint has the request", || endpoint.request_count() == 4).await;
+        let counts = |completed, failed| json!({"completed": completed, "rejected": 0, "failed": failed});
         let expected = json!({
-            "downstream_requests": {"free": tally(0, 0), "keyed": tally(1, 0), "unsafe": tally(1, 1)},
+            "downstream_requests": {"free": counts(0, 0), "keyed": counts(1, 0), "unsafe": counts(1, 1)},
             "upstream_requests": 4, "pending": 1, "members": 1, "members_unavailable": 0,
         });
         assert_eq!(metrics(admin).await, expected);
@@ -67,9 +68,10 @@
     });
 }
 
-/// A host set aside by the module is one that is avoided, and so is one that the list says is to get no more.
+/// An endpoint that the balancer has ejected counts as unavailable, and so does one that the list
+/// says is draining.
 #[test]
-fn figures_show_the_hosts_that_are_avoided() {
+fn metrics_count_ejected_and_draining_endpoints_as_unavailable() {
     run_test(async {
         let endpoints = [
             TestEndpoint::start([ok("served")]).await,
@@ -83,8 +85,8 @@
         })
         .await;
         let admin = proxy.admin.expect("an address for operators");
-        let shown = metrics(admin).await;
-        assert_eq!((&shown["members"], &shown["members_unavailable"]), (&json!(3), &json!(1)));
+        let initial = metrics(admin).await;
+        assert_eq!((&initial["members"], &initial["members_unavailable"]), (&json!(3), &json!(1)));
         let mut client = proxy.client().await;
         while metrics(admin).await["members_unavailable"] == 1 {
             client.exchange(&request("unsafe", "", "")).await;
@@ -93,15 +95,15 @@
     });
 }
 
-/// Callers that say nothing, or half a line, keep nobody out.
+/// Operators that send nothing, or half a line, do not block others.
 #[test]
-fn silent_callers_keep_nobody_out() {
+fn silent_operator_connections_do_not_block_others() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let (_proxy, admin) = start_with_admin(from_ref(&endpoint), |_| ()).await;
         let mut silent = Vec::new();
         for _ in 0..100 {
-            let mut stream = TcpStream::connect(admin).await.expect("operators are let in");
+            let mut stream = TcpStream::connect(admin).await.expect("operators are admitted");
             stream.write_all(b"heal").await.expect("written");
             silent.push(stream);
             assert!(admin_command(admin, "counters\n").await.ends_with("\nEOT\n"));
--- a/proxy/tests/process_handoff.rs
+++ b/proxy/tests/process_handoff.rs
@@ -1,4 +1,4 @@
-//! Two processes of the program: which of them is alone, and what is left when one dies.
+//! Two processes of the program: which of them is alone, and what remains when one dies.
 
 mod common;
 
@@ -27,24 +27,24 @@
 
 const LOCK_FILE_NAME: &str = "nettleworks.lock";
 
-/// A process's presence, and what it is told of others.
+/// The presence of a process, and what it is notified of others: whether the limits are shared.
 struct Presence {
     task: JoinHandle<()>,
-    told: Rc<RefCell<Vec<bool>>>,
+    notifications: Rc<RefCell<Vec<bool>>>,
 }
 
 impl Presence {
     fn announce(folder: &Path) -> Presence {
-        let (folder, told) = (folder.to_owned(), Rc::<RefCell<Vec<bool>>>::default());
-        let log = told.clone();
+        let (folder, notifications) = (folder.to_owned(), Rc::<RefCell<Vec<bool>>>::default());
+        let log = notifications.clone();
         let task = spawn_local(async move {
             let _ = maintain_presence(&folder, |shared| log.borrow_mut().push(shared)).await;
         });
-        Presence { task, told }
+        Presence { task, notifications }
     }
 
-    fn told(&self) -> Vec<bool> {
-        self.told.borrow().clone()
+    fn notifications(&self) -> Vec<bool> {
+        self.notifications.borrow().clone()
     }
 
     /// As when the process ends, however it does.
@@ -54,47 +54,52 @@
     }
 }
 
-/// Of two that start at once one is alone, and the other is told that it is not, until the first has ended.
+/// Of two processes that start at once one is alone, and the other is notified that it is not,
+/// until the first has ended.
 #[test]
-fn of_two_that_start_at_once_one_is_told_of_the_other() {
+fn of_two_processes_that_start_at_once_one_is_notified_of_the_other() {
     run_test(async {
         let folder = folder("at-once");
-        let both = [Presence::announce(&folder), Presence::announce(&folder)];
-        wait_until("one is told", || both.iter().any(|one| !one.told().is_empty())).await;
-        let [first, second] = both;
-        let (alone, other) = if first.told().is_empty() { (first, second) } else { (second, first) };
-        assert_eq!((alone.told(), other.told()), (vec![], vec![true]));
+        let processes = [Presence::announce(&folder), Presence::announce(&folder)];
+        wait_until("one is notified", || processes.iter().any(|process| !process.notifications().is_empty()))
+            .await;
+        let [first, second] = processes;
+        let (alone, other) = if first.notifications().is_empty() { (first, second) } else { (second, first) };
+        assert_eq!((alone.notifications(), other.notifications()), (vec![], vec![true]));
         alone.end().await;
-        wait_until("the other is told of the end", || other.told() == [true, false]).await;
+        wait_until("the other is notified of the end", || other.notifications() == [true, false]).await;
     });
 }
 
-/// A lock file that was deleted is of no use to whoever starts next: it is put there again.
+/// A lock file that was deleted is of no use to the next process that starts: it is created again.
 #[test]
-fn a_lock_file_that_is_deleted_comes_back() {
+fn a_deleted_lock_file_is_created_again() {
     run_test(async {
         let folder = folder("deleted");
         let old = Presence::announce(&folder);
         wait_until("there is a file", || folder.join(LOCK_FILE_NAME).exists()).await;
         let waiting = Presence::announce(&folder);
-        wait_until("the second is told", || waiting.told() == [true]).await;
+        wait_until("the second is notified", || waiting.notifications() == [true]).await;
         fs::remove_file(folder.join(LOCK_FILE_NAME)).expect("removed");
         wait_until("there is a file again", || folder.join(LOCK_FILE_NAME).exists()).await;
         let third = Presence::announce(&folder);
-        wait_until("the third is told", || third.told() == [true]).await;
-        // Longer than they take to look again.
+        wait_until("the third is notified", || third.notifications() == [true]).await;
+        // Longer than the interval at which they try again.
         sleep(Duration::from_millis(300)).await;
-        assert_eq!((old.told(), waiting.told(), third.told()), (vec![], vec![true], vec![true]));
+        assert_eq!(
+            (old.notifications(), waiting.notifications(), third.notifications()),
+            (vec![], vec![true], vec![true])
+        );
         old.end().await;
-        let ended = |one: &Presence| one.told() == [true, false];
-        wait_until("one of them is told of the end", || ended(&waiting) || ended(&third)).await;
-        assert!(!(ended(&waiting) && ended(&third)), "one of them has it now");
+        let ended = |process: &Presence| process.notifications() == [true, false];
+        wait_until("one of them is notified of the end", || ended(&waiting) || ended(&third)).await;
+        assert!(!(ended(&waiting) && ended(&third)), "only one of them has locked it now");
     });
 }
 
-/// Two files, each locked by one process: the one whose file others do not find gives in.
+/// Two files, each locked by one process: the process whose file others do not find yields.
 #[test]
-fn a_lock_file_that_was_replaced_is_given_up() {
+fn a_replaced_lock_file_is_abandoned() {
     run_test(async {
         let folder = folder("replaced");
         let old = Presence::announce(&folder);
@@ -102,13 +107,13 @@
         let new = File::create(folder.join("new")).expect("a file");
         new.try_lock().expect("locked");
         fs::rename(folder.join("new"), folder.join(LOCK_FILE_NAME)).expect("replaced");
-        wait_until("it is told of the other", || old.told() == [true]).await;
+        wait_until("it is notified of the other", || old.notifications() == [true]).await;
         drop(new);
-        wait_until("it is told of the end", || old.told() == [true, false]).await;
+        wait_until("it is notified of the end", || old.notifications() == [true, false]).await;
     });
 }
 
-/// Where no file can be locked that is said once, and nobody is waited for.
+/// Where no file can be locked that is reported once, and no process is waited for.
 #[test]
 fn a_folder_that_cannot_be_used_is_an_error() {
     run_test(async {
@@ -117,36 +122,36 @@
             .expect("a folder in the place of the file");
         fs::write(folder.join("file"), "").expect("a file in the place of the folder");
         for unusable in ["missing", "taken", "file"] {
-            let mut told = false;
-            let shown = maintain_presence(&folder.join(unusable), |_| told = true).await;
-            assert!(shown.is_err() && !told, "{unusable}");
+            let mut is_notified = false;
+            let result = maintain_presence(&folder.join(unusable), |_| is_notified = true).await;
+            assert!(result.is_err() && !is_notified, "{unusable}");
         }
     });
 }
 
-/// What one process after the other needs to start at the same address, beside the last.
-struct Site {
+/// What processes need that start one after the other at the same address.
+struct HandoffSite {
     endpoint: TestEndpoint,
     config: String,
     folder: PathBuf,
     address: SocketAddr,
-    /// Kept from all others for as long as the test runs.
+    /// Reserved for as long as the test runs.
     _port: TcpSocket,
     _discovery: TestDiscovery,
 }
 
-impl Site {
-    async fn new(name: &str, acts: impl IntoIterator<Item = ScriptedResponse>) -> Site {
+impl HandoffSite {
+    async fn new(name: &str, script: impl IntoIterator<Item = ScriptedResponse>) -> HandoffSite {
         let (endpoint, discovery, port) =
-            (TestEndpoint::start(acts).await, TestDiscovery::without_updates().await, reserve_port());
+            (TestEndpoint::start(script).await, TestDiscovery::without_updates().await, reserve_port());
         let address = port.local_addr().expect("an address");
         let config = configuration(discovery.address, from_ref(&endpoint), |config| {
             config["listen"] = address.to_string().into();
         });
-        Site { endpoint, config, folder: folder(name), address, _port: port, _discovery: discovery }
+        HandoffSite { endpoint, config, folder: folder(name), address, _port: port, _discovery: discovery }
     }
 
-    /// A process that says yes, and where it says so.
+    /// A process that is ready, and its address for operators.
     async fn start(&self) -> (RunningProgram, SocketAddr) {
         let admin = reserve_port();
         let at = admin.local_addr().expect("an address");
@@ -162,7 +167,7 @@
         Ok(MessageReader::new(TcpStream::connect(self.address).await?))
     }
 
-    /// Whether a new connection is served, and kept.
+    /// Whether a new connection is served, and stays open.
     async fn is_served(&self) -> bool {
         let mut client = self.client().await.expect("the program accepts");
         let response = client.exchange(&request("unsafe", "", "")).await;
@@ -170,12 +175,12 @@
     }
 }
 
-/// A new process says yes and dies before the old one is ordered to stop: the old one has all clients again, and the next
-/// new one takes over from it.
+/// A new process is ready and dies before the old one is ordered to shut down: the old one gets
+/// all clients again, and the next new one takes over from it.
 #[test]
 fn a_new_process_that_dies_leaves_its_clients_to_the_old_one() {
     run_test(async {
-        let site = Site::new("dies-before", [ok("served")]).await;
+        let site = HandoffSite::new("dies-before", [ok("served")]).await;
         let (mut old, old_admin) = site.start().await;
         assert!(site.is_served().await);
         let (mut new, _) = site.start().await;
@@ -194,47 +199,49 @@
     });
 }
 
-/// It dies once the old one has been ordered to stop: the old one takes who comes for as long as it listens, answers what
-/// it has taken, and leaves all others to the next.
+/// The new process dies once the old one has been ordered to shut down: the old one accepts
+/// clients for as long as it listens, responds to what it has accepted, and leaves all others to
+/// the next.
 #[test]
-fn a_new_process_that_dies_in_a_stop_loses_no_request() {
+fn a_new_process_that_dies_during_a_shutdown_loses_no_request() {
     run_test(async {
-        let site = Site::new("dies-after", [ok("served"), ScriptedResponse::Stall, ok("served")]).await;
+        let site =
+            HandoffSite::new("dies-after", [ok("served"), ScriptedResponse::Stall, ok("served")]).await;
         let (mut old, old_admin) = site.start().await;
         assert!(site.is_served().await);
         let mut busy = site.client().await.expect("the program accepts");
         busy.send(&request("unsafe", "", "")).await;
-        wait_until("the host has it", || site.endpoint.request_count() == 2).await;
+        wait_until("the endpoint has the request", || site.endpoint.request_count() == 2).await;
         let (mut new, _) = site.start().await;
         old.stop();
         while is_ready(old_admin).await {}
         new.kill();
         for _ in 0..16 {
-            // Refused is what nobody has taken.
+            // A connection that nobody accepts is refused.
             let Ok(mut client) = site.client().await else { break };
             let response = client.exchange(&request("unsafe", "", "")).await;
             assert_eq!(
                 (response.status(), response.header("connection")),
                 (200, Some("close")),
-                "the old one's"
+                "the old process responds"
             );
         }
         let (_next, _) = site.start().await;
         for _ in 0..16 {
-            assert!(site.is_served().await, "the next one's");
+            assert!(site.is_served().await, "the next process responds");
         }
         site.endpoint.release.notify_one();
-        assert_eq!(busy.message().await.expect("an answer").body, b"released");
+        assert_eq!(busy.message().await.expect("a response").body, b"released");
         assert!(old.ends().await);
         assert!(site.is_served().await);
     });
 }
 
-/// Without a file to lock it serves all the same, and says so.
+/// Without a file to lock it serves all the same, and logs that.
 #[test]
-fn a_process_that_cannot_show_itself_serves() {
+fn a_process_that_cannot_announce_itself_serves() {
     run_test(async {
-        let mut site = Site::new("unshown", [ok("served")]).await;
+        let mut site = HandoffSite::new("unshown", [ok("served")]).await;
         let config = site.folder.join("config.json");
         site.folder = site.folder.join("missing");
         let mut command = program_command(&site.config, config.to_str().expect("text")).0;
--- a/proxy/tests/program.rs
+++ b/proxy/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program's start and stop, as a process.
+//! The program as a process: its start, its signals, its log.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 #[test]
-fn the_program_serves_and_ends_well_on_sigterm() {
+fn the_program_serves_and_shuts_down_on_sigterm() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served"), ScriptedResponse::Stall]).await;
         let discovery = TestDiscovery::without_updates().await;
@@ -22,18 +22,13 @@
             config["listen"] = address.to_string().into();
         });
         let mut child = program_command(&config, "good.json").0.spawn().expect("it starts");
-        let mut client = loop {
-            match TcpStream::connect(address).await {
-                Ok(stream) => break MessageReader::new(stream),
-                Err(_) => sleep(Duration::from_millis(5)).await,
-            }
-        };
+        let mut client = connect_when_listening(address).await;
         assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"served");
-        // Its time is longer than a stop may take: it gets its answer early.
-        let mut stuck = MessageReader::new(TcpStream::connect(address).await.expect("the program accepts"));
+        // Its time is longer than a shutdown may take: it gets its response early.
+        let mut stuck = connect(address).await;
         stuck.send(&request("unsafe", "", "")).await;
-        wait_until("the host has it", || endpoint.request_count() == 2).await;
-        // A second order, and a new configuration beside it, change nothing.
+        wait_until("the endpoint has the request", || endpoint.request_count() == 2).await;
+        // A second order, and a reload beside it, change nothing.
         for order in ["-TERM", "-HUP", "-TERM"] {
             let sent = Command::new("kill").args([order, &child.id().to_string()]).status();
             assert!(sent.expect("kill runs").success());
@@ -45,7 +40,7 @@
             }
         };
         assert_eq!(code, Some(0));
-        assert_eq!(stuck.message().await.expect("an answer").status(), 502);
+        assert_eq!(stuck.message().await.expect("a response").status(), 502);
         let mut log = String::new();
         child.stderr.take().expect("piped").read_to_string(&mut log).expect("text");
         assert!(!log.contains("panicked"), "{log}");
@@ -53,17 +48,18 @@
     });
 }
 
-/// What a call of operators gets, or nothing while nobody listens there.
-async fn admin_command(admin: &str, line: &str) -> String {
+/// The response to an operator's command, or nothing while nobody listens there.
+async fn health_response(admin: &str, line: &str) -> String {
     let mut response = String::new();
     if let Ok(mut stream) = TcpStream::connect(admin).await {
         stream.write_all(line.as_bytes()).await.expect("written");
-        stream.read_to_string(&mut response).await.expect("an answer");
+        stream.read_to_string(&mut response).await.expect("a response");
     }
     response
 }
 
-/// The new process takes over the address; the old one answers what comes on its connections, and ends.
+/// The new process takes over the address; the old one responds to what arrives on its
+/// connections, and ends.
 #[test]
 fn a_new_process_takes_over_from_the_old_one() {
     run_test(async {
@@ -85,30 +81,33 @@
         let [here, there] = admins.each_ref().map(|port| port.local_addr().expect("an address").to_string());
         let (here, there) = (here.as_str(), there.as_str());
         let mut old = start(here);
-        while admin_command(here, "health\n").await != "SUCCESS yes\n" {}
-        let mut client = MessageReader::new(TcpStream::connect(address).await.expect("the program accepts"));
+        while health_response(here, "health\n").await != "SUCCESS yes\n" {}
+        let mut client = connect(address).await;
         assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"served");
-        let mut busy = MessageReader::new(TcpStream::connect(address).await.expect("the program accepts"));
+        let mut busy = connect(address).await;
         busy.send(&request("unsafe", "", "")).await;
-        wait_until("the host has it", || endpoint.request_count() == 2).await;
+        wait_until("the endpoint has the request", || endpoint.request_count() == 2).await;
         let mut new = start(there);
-        while admin_command(there, "health\n").await != "SUCCESS yes\n" {}
+        while health_response(there, "health\n").await != "SUCCESS yes\n" {}
         assert!(Command::new("kill").arg(old.0.id().to_string()).status().expect("kill runs").success());
-        while admin_command(here, "health\n").await == "SUCCESS yes\n" {}
+        while health_response(here, "health\n").await == "SUCCESS yes\n" {}
         for _ in 0..16 {
-            let mut next =
-                MessageReader::new(TcpStream::connect(address).await.expect("the program accepts"));
+            let mut next = connect(address).await;
             let response = next.exchange(&request("unsafe", "", "")).await;
             assert_eq!(
                 (response.status(), response.header("connection")),
                 (200, None),
-                "it is the new one's"
+                "the new process responds"
             );
         }
         assert!(client.message().await.is_none(), "closed between requests");
         endpoint.release.notify_one();
-        let last = busy.message().await.expect("an answer");
-        assert_eq!((last.status(), last.header("connection")), (200, Some("close")), "it is the old one's");
+        let last = busy.message().await.expect("a response");
+        assert_eq!(
+            (last.status(), last.header("connection")),
+            (200, Some("close")),
+            "the old process responds"
+        );
         let ended = loop {
             match old.0.try_wait().expect("it can be waited for") {
                 Some(status) => break status,
@@ -116,15 +115,16 @@
             }
         };
         assert!(ended.success());
-        assert_eq!(admin_command(there, "health\n").await, "SUCCESS yes\n");
+        assert_eq!(health_response(there, "health\n").await, "SUCCESS yes\n");
         assert!(new.0.try_wait().expect("it can be waited for").is_none(), "it still runs");
     });
 }
 
-/// SIGHUP must not end the program. It reads its file again and goes on with the hosts that it has; it watches
-/// the new discovery at once, from the version in hand, and what the old one still says no longer counts.
+/// SIGHUP must not end the program. It reads its file again and goes on with the endpoints that it
+/// has; it watches the new discovery at once, from the current version, and what the old one still
+/// sends is ignored.
 #[test]
-fn a_new_configuration_moves_the_watch_and_keeps_the_hosts() {
+fn a_reload_moves_the_watch_and_keeps_the_endpoints() {
     run_test(async {
         let (endpoint, other) =
             (TestEndpoint::start([ok("first")]).await, TestEndpoint::start([ok("second")]).await);
@@ -144,11 +144,11 @@
             assert!(sent.expect("kill runs").success());
         };
         wait_until("the old watch is open", || old.watch_requests.borrow().len() == 1).await;
-        let mut client = MessageReader::new(TcpStream::connect(address).await.expect("the program accepts"));
+        let mut client = connect(address).await;
         assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"first");
         std::fs::write(&path, "{ broken").expect("written");
         hangup();
-        // Read in order: the line about the broken file comes before that of the good one.
+        // The log is in order: the line about the broken file stands before that about the good one.
         let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
         while !log.next().expect("a line").expect("text").contains("configuration kept") {}
         std::fs::write(&path, config(&new)).expect("written");
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_broken_configuration_ends_it_with_one_line() {
+fn an_invalid_configuration_ends_the_program_with_one_line() {
     let good = run_test(async { configuration(TestDiscovery::without_updates().await.address, &[], |_| ()) });
     let cases = [
         ("{", "EOF"),
@@ -189,16 +189,17 @@
     }
 }
 
-/// Descriptors that a process holds.
-fn descriptors(process: u32) -> usize {
+/// Open descriptors of a process.
+fn open_descriptors(process: u32) -> usize {
     std::fs::read_dir(format!("/proc/{process}/fd")).expect("it runs").count()
 }
 
-/// Clients that say nothing, requests that are stuck, and silent callers of operators fill all that each may hold while
-/// discovery is down. The process is not let have one descriptor more than it was told of. When discovery returns the watch
-/// is opened, what it says counts, operators are answered, and requests find places on both sides.
+/// Clients that send nothing, requests that stall, and silent operators use up all connections
+/// that each may have while discovery is down. The process may not have one descriptor more than
+/// its limit. When discovery returns the watch is opened, its list is applied, operators get
+/// responses, and requests find connections on both sides.
 #[test]
-fn descriptors_are_kept_for_the_watch_servers_and_operators() {
+fn descriptors_are_reserved_for_the_watch_endpoints_and_operators() {
     const SOCKETS: usize = 256;
     for how in ["ask", "push"] {
         run_test(async {
@@ -207,7 +208,7 @@
                 endpoints.push(TestEndpoint::start([ScriptedResponse::Stall]).await);
             }
             let [listen, admin, discovery] = [reserve_port(), reserve_port(), reserve_port()];
-            let [address, operators, told] =
+            let [address, operators, discovery_address] =
                 [&listen, &admin, &discovery].map(|port| port.local_addr().expect("an address"));
             let change = |config: &mut serde_json::Value| {
                 config["listen"] = address.to_string().into();
@@ -215,9 +216,10 @@
                 config["limits"]["sockets"] = SOCKETS.into();
                 config["settings"]["discovery"] = how.into();
             };
-            let config = configuration(told, &endpoints, change);
+            let config = configuration(discovery_address, &endpoints, change);
             let parsed = client_proxy::config::Config::parse(&config).expect("a good configuration");
-            let (places, to_endpoints) = (parsed.connections_to_clients(), parsed.connections_to_hosts());
+            let (max_clients, max_upstream) =
+                (parsed.connections_to_clients(), parsed.connections_to_hosts());
             let path = program_command(&config, &format!("full-{how}.json")).1;
             let mut command = Command::new("sh");
             let bound = format!("ulimit -n {SOCKETS}; exec \"$0\"");
@@ -225,35 +227,30 @@
             let log = path.with_extension("log");
             command.stdout(Stdio::null()).stderr(std::fs::File::create(&log).expect("a log"));
             let process = RunningProgram(command.spawn().expect("it starts"));
-            let connect = async || loop {
-                match TcpStream::connect(address).await {
-                    Ok(stream) => break MessageReader::new(stream),
-                    Err(_) => sleep(Duration::from_millis(5)).await,
-                }
-            };
-            // As many requests as there are places for connections to servers, and then clients that say nothing.
+            let connect = async || connect_when_listening(address).await;
+            // As many requests as there may be connections to endpoints, and then clients that send nothing.
             let mut stuck = Vec::new();
-            for _ in 0..to_endpoints {
+            for _ in 0..max_upstream {
                 stuck.push(connect().await);
                 stuck.last_mut().expect("one").send(&request("free", "", "")).await;
             }
-            wait_until("all are out", || {
-                endpoints.iter().map(TestEndpoint::request_count).sum::<usize>() == to_endpoints
+            wait_until("all are in flight", || {
+                endpoints.iter().map(TestEndpoint::request_count).sum::<usize>() == max_upstream
             })
             .await;
             let mut silent = Vec::new();
-            for _ in 0..2 * places {
+            for _ in 0..2 * max_clients {
                 silent.push(connect().await);
             }
-            let mut callers = Vec::new();
+            let mut silent_operators = Vec::new();
             for _ in 0..client_proxy::operators::CALLERS_MOST {
-                callers.push(TcpStream::connect(operators).await.expect("operators are let in"));
+                silent_operators.push(TcpStream::connect(operators).await.expect("operators are admitted"));
             }
-            wait_until("it holds what it may", || {
-                descriptors(process.0.id()) >= to_endpoints + places + callers.len()
+            wait_until("it has all connections that it may have", || {
+                open_descriptors(process.0.id()) >= max_upstream + max_clients + silent_operators.len()
             })
             .await;
-            // It comes back with the first of them draining.
+            // Discovery returns, and the first endpoint is draining.
             let entries: Vec<_> = (0..)
                 .zip(&endpoints)
                 .map(|(number, endpoint)| {
@@ -276,23 +273,23 @@
                 endpoint.release.notify_waiters();
             }
             for client in &mut stuck {
-                assert_eq!(client.message().await.expect("an answer").status(), 200, "it has its place");
+                assert_eq!(client.message().await.expect("a response").status(), 200, "it is served");
             }
             for _ in 0..3 * endpoints.len() {
                 let response = connect().await.exchange(&request("unsafe", "", "")).await;
-                assert_eq!(response.status(), 200, "it finds a place");
+                assert_eq!(response.status(), 200, "it finds a connection");
             }
             assert_eq!(endpoints[0].request_count(), drained, "it gets nothing more");
             let log = std::fs::read_to_string(&log).expect("a log");
             assert!(!log.contains("os error 24"), "{log}");
-            drop((silent, callers, listen, admin));
+            drop((silent, silent_operators, listen, admin));
         });
     }
 }
 
-/// Nobody reads the log, and its pipe is full: requests are answered all the same.
+/// Nobody reads the log, and its pipe is full: requests are served all the same.
 #[test]
-fn a_log_that_nobody_reads_holds_nothing_up() {
+fn a_log_that_nobody_reads_does_not_block_requests() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let discovery = TestDiscovery::without_updates().await;
@@ -304,12 +301,7 @@
         let mut command = program_command(&config, "unread-log.json").0;
         // Some hundred bytes a request, of the 64 KiB that a pipe holds.
         let _program = RunningProgram(command.env("ROUTER_TRACE", "1").spawn().expect("it starts"));
-        let mut client = loop {
-            match TcpStream::connect(address).await {
-                Ok(stream) => break MessageReader::new(stream),
-                Err(_) => sleep(Duration::from_millis(5)).await,
-            }
-        };
+        let mut client = connect_when_listening(address).await;
         for _ in 0..500 {
             assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"served");
         }
--- a/proxy/tests/readiness.rs
+++ b/proxy/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! When a process that starts takes clients.
+//! When a process that starts begins to take clients.
 
 mod common;
 
@@ -17,12 +17,13 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Asks for the health of whoever listens there until it is good, and notes when it first listened and when it was ready.
-async fn watch_health(address: SocketAddr, begun: Instant, at: Rc<Cell<[Option<Duration>; 2]>>) {
+/// Polls the health at an address until it is good, and records when somebody first listened there
+/// and when it was good.
+async fn record_readiness(address: SocketAddr, started: Instant, at: Rc<Cell<[Option<Duration>; 2]>>) {
     loop {
         if let Ok(stream) = TcpStream::connect(address).await {
             let [listens, _] = at.get();
-            let now = Some(begun.elapsed());
+            let now = Some(started.elapsed());
             let status = MessageReader::new(stream).exchange(HEALTH_REQUEST).await.status();
             at.set([listens.or(now), (status == 200).then_some(()).and(now)]);
             if status == 200 {
@@ -33,18 +34,20 @@
     }
 }
 
-/// After how long a process listens and is ready; another holds the lock in its folder, or none does.
-async fn readiness(
+/// After how long a process listens and is ready; another process has the lock file in its folder
+/// locked, or none does.
+async fn time_to_readiness(
     mode: &str,
     balancer_count: u32,
-    known: bool,
-    beside: bool,
-    calls: Vec<WatchResponse>,
+    has_list: bool,
+    has_other_process: bool,
+    script: Vec<WatchResponse>,
 ) -> [Duration; 2] {
     let endpoint = TestEndpoint::start([ok("served")]).await;
-    let news = format!("{WATCH_HEAD}{}", chunk(&list(42, true, &[entry("s-0", endpoint.address, "Ready")])));
-    let discovery = ScriptedDiscovery::start(calls.into_iter().chain(vec![Respond(news); 3])).await;
-    let endpoints = if known { from_ref(&endpoint) } else { &[] };
+    let listing =
+        format!("{WATCH_HEAD}{}", chunk(&list(42, true, &[entry("s-0", endpoint.address, "Ready")])));
+    let discovery = ScriptedDiscovery::start(script.into_iter().chain(vec![Respond(listing); 3])).await;
+    let endpoints = if has_list { from_ref(&endpoint) } else { &[] };
     let config = configuration(discovery.address, endpoints, |config| {
         config["settings"]["discovery"] = mode.into();
         config["settings"]["balancers"] = balancer_count.into();
@@ -54,16 +57,16 @@
         std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("ready-{}", discovery.address.port()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let other = File::create(folder.join("nettleworks.lock")).expect("a file");
-    if beside {
-        other.try_lock().expect("nobody else serves");
+    if has_other_process {
+        other.try_lock().expect("no other process serves");
     }
     let read = Config::parse(&config).expect("a good configuration");
     let clients = client_proxy::process_handoff::bind(read.listen).expect("bound");
     let address = clients.local_addr().expect("an address");
     let listeners = client_proxy::Listeners { clients, operators: None };
-    let (begun, at) = (Instant::now(), Rc::new(Cell::new([None; 2])));
+    let (started, at) = (Instant::now(), Rc::new(Cell::new([None; 2])));
     spawn_local(client_proxy::run(read, listeners, Some(folder), async || None, std::future::pending()));
-    spawn_local(watch_health(address, begun, at.clone()));
+    spawn_local(record_readiness(address, started, at.clone()));
     advance_until("ready", || at.get()[1].is_some()).await;
     at.get().map(|time| time.expect("seen"))
 }
@@ -79,25 +82,31 @@
         || vec![Unreachable(Duration::from_secs(60))],
     ];
     for (mode, balancer_count) in [("ask", 5), ("ask", 300), ("push", 5)] {
-        for (number, calls) in discoveries.into_iter().enumerate() {
-            for (known, beside) in [(true, true), (true, false), (false, true), (false, false)] {
-                let [listens, ready] =
-                    run_with_paused_time(readiness(mode, balancer_count, known, beside, calls()));
+        for (number, script) in discoveries.into_iter().enumerate() {
+            for (has_list, has_other_process) in [(true, true), (true, false), (false, true), (false, false)]
+            {
+                let [listens, ready] = run_with_paused_time(time_to_readiness(
+                    mode,
+                    balancer_count,
+                    has_list,
+                    has_other_process,
+                    script(),
+                ));
                 let name = format!(
-                    "{mode}, {balancer_count} balancers, discovery {number}, known {known}, beside {beside}: \
+                    "{mode}, {balancer_count} balancers, discovery {number}, list {has_list}, other process {has_other_process}: \
                      listens at {listens:?}, ready at {ready:?}"
                 );
-                let most = match (known || number == 0, beside) {
+                let max_ready = match (has_list || number == 0, has_other_process) {
                     (true, _) => 100 * MS,
                     (false, true) => 9_000 * MS,
                     (false, false) => 5_500 * MS,
                 };
-                assert!(ready <= most, "{name}");
-                // Without a list clients are left to the other process for as long as can be; alone it tells them early.
-                let waits = !known && number != 0;
-                assert!(!(waits && beside) || listens > 7_000 * MS, "{name}");
-                assert!(!waits || beside || (2_000 * MS..3_000 * MS).contains(&listens), "{name}");
-                assert!(!waits || beside || ready > 4_000 * MS, "{name}");
+                assert!(ready <= max_ready, "{name}");
+                // Without a list clients are left to the other process as long as possible; a process that is alone rejects them early.
+                let waits = !has_list && number != 0;
+                assert!(!(waits && has_other_process) || listens > 7_000 * MS, "{name}");
+                assert!(!waits || has_other_process || (2_000 * MS..3_000 * MS).contains(&listens), "{name}");
+                assert!(!waits || has_other_process || ready > 4_000 * MS, "{name}");
             }
         }
     }
--- a/proxy/tests/requests.rs
+++ b/proxy/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What the application meets: requests that are served, refused, failed or unusable.
+//! What the application gets: requests that are served, rejected, failed or invalid.
 
 mod common;
 
@@ -9,7 +9,7 @@
 const CHUNKED: &str = "Transfer-Encoding: chunked\r\n\r\n";
 
 #[test]
-fn a_request_goes_on_unchanged_and_so_does_its_answer() {
+fn a_request_and_its_response_are_forwarded_unchanged() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("the answer")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
@@ -24,26 +24,26 @@
             text.split("\r\n").find_map(|line| line.strip_prefix("X-Call-Id: "))
         );
         assert_eq!(seen.header("idempotency-key"), Some("k1"));
-        assert_eq!(seen.header("x-hop"), None, "a header of the client's connection ends with it");
+        assert_eq!(seen.header("x-hop"), None, "a hop-by-hop header is not forwarded");
         let budget: u64 = seen.header("x-budget-ms").and_then(|v| v.parse().ok()).expect("a budget");
         assert!(budget > 0 && budget < 8_000, "{budget}");
     });
 }
 
-/// What cannot be used must end at once and reach neither the module nor a host.
+/// An invalid request must end at once and reach neither the balancer nor an endpoint.
 #[test]
-fn unusable_requests_are_turned_away_at_once() {
+fn invalid_requests_are_rejected_at_once() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
         let good = request("free", "", "");
         let (post, keyed) = (request("unsafe", "", "body"), request("keyed", "", "body"));
         let id = good.split("\r\n").find(|line| line.starts_with("X-Call-Id")).expect("an id").to_owned();
-        // Whatever its framing says, the second request must not be read, nor passed on in the first's body.
-        let hidden = format!("0\r\n\r\n{}", request("unsafe", "", ""));
+        // Whatever its framing says, the second request must not be read, nor forwarded in the first's body.
+        let smuggled = format!("0\r\n\r\n{}", request("unsafe", "", ""));
         let chunked = "Transfer-Encoding: chunked\r\n";
-        let length = format!("Content-Length: {}\r\n", hidden.len());
-        let framed = |framing: &str| request("unsafe", framing, "") + &hidden;
+        let length = format!("Content-Length: {}\r\n", smuggled.len());
+        let framed = |framing: &str| request("unsafe", framing, "") + &smuggled;
         let cases = [
             (good.replace("X-Call-Id", "X-Other"), 400),
             (good.replace(&id, "X-Call-Id: "), 400),
@@ -75,9 +75,9 @@
         for (text, status) in cases {
             let mut client = proxy.client().await;
             let text = text + &request("unsafe", "", "");
-            // Past what is read on for a while, the rest of a large one may find the connection closed.
+            // The proxy reads the rest only for a while: the end of a large request may find the connection closed.
             let _ = client.stream.write_all(text.as_bytes()).await;
-            let response = client.message().await.expect("an answer");
+            let response = client.message().await.expect("a response");
             assert_eq!(response.status(), status, "{}", &text[..text.len().min(300)]);
             assert_eq!(response.header("connection"), Some("close"), "{}", &text[..text.len().min(300)]);
             assert!(client.message().await.is_none(), "what follows is not read");
@@ -87,39 +87,41 @@
     });
 }
 
-/// Hosts take two requests with one id for one: the second is turned away while the first is open.
+/// Endpoints take two requests with one id for one: the second is rejected while the first is
+/// open.
 #[test]
-fn an_id_that_is_open_is_turned_away() {
+fn a_request_with_the_id_of_an_open_request_is_rejected() {
     run_test(async {
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall, ok("again")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
         let text = request("unsafe", "", "");
         let mut first = proxy.client().await;
         first.send(&text).await;
-        wait_until("the host has it", || endpoint.request_count() == 1).await;
+        wait_until("the endpoint has the request", || endpoint.request_count() == 1).await;
         assert_eq!(proxy.client().await.exchange(&text).await.status(), 409);
         endpoint.release.notify_one();
-        assert_eq!(first.message().await.expect("an answer").body, b"released");
+        assert_eq!(first.message().await.expect("a response").body, b"released");
         assert_eq!(first.exchange(&text).await.body, b"again");
         assert_eq!(endpoint.request_count(), 2);
     });
 }
 
-/// Whoever says nothing, too little or too slowly holds a place: it is closed within the 3 s that it is owed.
+/// A client that sends nothing, too little or too slowly occupies a connection: it is closed
+/// within the 3 s that it is owed.
 #[test]
-fn silent_and_slow_clients_are_closed() {
+fn silent_and_slow_clients_are_disconnected() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
         let head = request("unsafe", "", "the body");
-        let (mut silent, mut half, mut body) =
+        let (mut silent, mut partial_head, mut partial_body) =
             (proxy.client().await, proxy.client().await, proxy.client().await);
-        half.send(&head[..30]).await;
-        body.send(&head[..head.len() - 2]).await;
-        // One whose second request trickles: each byte must not begin its time anew.
+        partial_head.send(&head[..30]).await;
+        partial_body.send(&head[..head.len() - 2]).await;
+        // A client that sends its second request a byte at a time: no byte may restart its time.
         let mut slow = proxy.client().await;
         assert_eq!(slow.exchange(&request("unsafe", "", "")).await.status(), 200);
-        let trickle = async {
+        let send_slowly = async {
             for byte in head.as_bytes().chunks(1).cycle() {
                 if slow.stream.write_all(byte).await.is_err() {
                     break;
@@ -129,16 +131,16 @@
         };
         let rest = async {
             assert!(silent.message().await.is_none());
-            assert!(half.message().await.is_none());
-            assert_eq!(body.message().await.map(|response| response.status()), Some(408));
+            assert!(partial_head.message().await.is_none());
+            assert_eq!(partial_body.message().await.map(|response| response.status()), Some(408));
         };
-        tokio::join!(trickle, rest);
+        tokio::join!(send_slowly, rest);
         assert_eq!(endpoint.request_count(), 1);
     });
 }
 
-/// Clients that ask once and keep their connections for good must not fill the places: while many are open, one
-/// that has asked for the first time is closed with its answer.
+/// Clients that send one request and keep their connections open must not use up the limit: while
+/// many are open, a connection is closed with the response to its first request.
 #[test]
 fn idle_connections_are_closed_while_many_are_open() {
     run_test(async {
@@ -149,7 +151,7 @@
         .await;
         let mut clients = Vec::new();
         let mut closed = 0;
-        // A sixth of 64 descriptors are kept.
+        // A sixth of 64 descriptors may stay open.
         for _ in 0..15 {
             let mut client = proxy.client().await;
             let response = client.exchange(&request("free", "", "")).await;
@@ -158,44 +160,46 @@
             clients.push(client);
         }
         assert!((1..=6).contains(&closed), "{closed}");
-        let left = |client: &Client| client.stream.try_read(&mut [0]).is_ok_and(|count| count == 0);
-        wait_until("they are closed", || clients.iter().filter(|client| left(client)).count() == closed)
+        let is_closed = |client: &Client| client.stream.try_read(&mut [0]).is_ok_and(|count| count == 0);
+        wait_until("they are closed", || clients.iter().filter(|client| is_closed(client)).count() == closed)
             .await;
-        assert_eq!(clients[0].exchange(&request("free", "", "")).await.status(), 200, "the others are kept");
+        assert_eq!(clients[0].exchange(&request("free", "", "")).await.status(), 200, "the others stay open");
     });
 }
 
-/// At the limit those that never asked make room first, and one that has just been answered keeps its connection.
+/// At the limit connections without a request are evicted first, and one that has just had a
+/// response stays open.
 #[test]
-fn clients_that_ask_keep_their_connections() {
+fn clients_that_send_requests_keep_their_connections() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let proxy = Proxy::start_with(&TestDiscovery::without_updates().await, &[endpoint], |config| {
             config["limits"]["sockets"] = 64.into();
         })
         .await;
-        let mut usual = proxy.client().await;
-        assert_eq!(usual.exchange(&request("free", "", "")).await.status(), 200);
+        let mut active = proxy.client().await;
+        assert_eq!(active.exchange(&request("free", "", "")).await.status(), 200);
         let mut silent = Vec::new();
         for _ in 0..100 {
             silent.push(proxy.client().await);
-            assert_eq!(usual.exchange(&request("free", "", "")).await.status(), 200);
+            assert_eq!(active.exchange(&request("free", "", "")).await.status(), 200);
         }
     });
 }
 
-/// An unsafe request that may have run must not be sent again, nor refused as if it had not.
+/// A non-idempotent request that may have run must neither be retried nor be rejected as if it had
+/// not run.
 #[test]
-fn an_unsafe_request_that_may_have_run_fails() {
+fn a_non_idempotent_request_that_may_have_run_fails() {
     let error = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-    let odd = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-    let acts = [
+    let not_rejected = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+    let responses = [
         ScriptedResponse::WriteAndClose(String::new()),
         ScriptedResponse::WriteAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned()),
         ScriptedResponse::Write(error.to_owned()),
-        ScriptedResponse::Write(odd.to_owned()),
+        ScriptedResponse::Write(not_rejected.to_owned()),
         ScriptedResponse::Write("noise\r\n\r\n".to_owned()),
-        // Answers that may be whole or not, or are none.
+        // Responses that may be complete or not, or are none.
         ScriptedResponse::WriteAndClose(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nwhole?".to_owned(),
         ),
@@ -223,20 +227,22 @@
         ),
         ScriptedResponse::Write("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n".to_owned()),
     ];
-    for act in acts {
+    for scripted in responses {
         run_test(async {
-            let endpoints =
-                [TestEndpoint::start([act.clone()]).await, TestEndpoint::start([act.clone()]).await];
+            let endpoints = [
+                TestEndpoint::start([scripted.clone()]).await,
+                TestEndpoint::start([scripted.clone()]).await,
+            ];
             let proxy = Proxy::start(&endpoints).await;
             let response = proxy.client().await.exchange(&request("unsafe", "", "")).await;
-            assert_eq!(response.status(), 502, "{act:?}");
-            assert_eq!(endpoints[0].request_count() + endpoints[1].request_count(), 1, "{act:?}");
+            assert_eq!(response.status(), 502, "{scripted:?}");
+            assert_eq!(endpoints[0].request_count() + endpoints[1].request_count(), 1, "{scripted:?}");
         });
     }
 }
 
 #[test]
-fn an_unsafe_request_that_surely_never_ran_goes_again() {
+fn a_non_idempotent_request_that_never_ran_is_retried() {
     run_test(async {
         let endpoints = [TestEndpoint::start([reject()]).await, TestEndpoint::start([reject()]).await];
         endpoints[1].script.borrow_mut().clear();
@@ -246,51 +252,51 @@
         for _ in 0..8 {
             assert_eq!(client.exchange(&request("unsafe", "", "")).await.status(), 200);
         }
-        assert!(endpoints[0].request_count() > 0, "the picks are random, but never all the same");
+        assert!(endpoints[0].request_count() > 0, "choices are random, but never all the same");
     });
 }
 
-/// Given up, a request is answered at once, and told when to come back.
+/// A request that is abandoned is rejected at once, with a Retry-After header.
 #[test]
-fn a_refusal_comes_at_once_with_advice() {
+fn a_rejection_is_sent_at_once_with_retry_after() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("")]).await;
-        let gone = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let dead = TestEndpoint { address: gone.local_addr().expect("an address"), ..endpoint };
-        drop(gone);
-        let proxy = Proxy::start(&[dead]).await;
+        let closed = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let unreachable = TestEndpoint { address: closed.local_addr().expect("an address"), ..endpoint };
+        drop(closed);
+        let proxy = Proxy::start(&[unreachable]).await;
         let started = std::time::Instant::now();
         let response = proxy.client().await.exchange(&request("unsafe", "", "")).await;
         assert_eq!(response.status(), 503);
-        assert!(started.elapsed().as_millis() < 7_000, "not sat on until its deadline");
+        assert!(started.elapsed().as_millis() < 7_000, "not kept until its deadline");
         let retry_after = response.header("retry-after").and_then(|v| v.parse::<f64>().ok());
         assert!(retry_after.is_some_and(|seconds| seconds > 0.0 && seconds <= 0.75), "{response:?}");
     });
 }
 
-/// A client that goes away must not leave its attempt behind.
+/// A client that disconnects must not leave its attempt behind.
 #[test]
-fn a_client_that_closes_ends_its_attempt() {
+fn a_client_that_disconnects_ends_its_attempt() {
     run_test(async {
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
         let proxy =
             Proxy::start_with(&TestDiscovery::without_updates().await, from_ref(&endpoint), |config| {
-                // Else the attempt would time out while the test waits.
+                // Otherwise the attempt would time out while the test waits.
                 config["settings"]["classes"][2]["objective_us"] = 60_000_000.into();
                 config["settings"]["classes"][2]["deadline_us"] = 60_000_000.into();
             })
             .await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "").replace("8000", "60000")).await;
-        wait_until("the host has it", || endpoint.request_count() == 1).await;
+        wait_until("the endpoint has the request", || endpoint.request_count() == 1).await;
         drop(client);
         wait_until("the attempt's connection closes", || endpoint.open_connections.get() == 0).await;
     });
 }
 
-/// A time-out closes the attempt's connection and fails the request within the client's time.
+/// A timeout closes the attempt's connection and fails the request within the client's time.
 #[test]
-fn a_host_that_says_nothing_is_given_up_in_the_clients_time() {
+fn an_attempt_without_a_response_times_out_within_the_clients_time() {
     run_test(async {
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
@@ -302,9 +308,10 @@
     });
 }
 
-/// What is kept back for the way to the client must leave a hurried one nearly all of its time.
+/// What is reserved for the way back to the client must leave a request with a short deadline
+/// nearly all of its time.
 #[test]
-fn a_hurried_clients_request_gets_nearly_all_of_its_time() {
+fn a_request_with_a_short_deadline_gets_nearly_all_of_its_time() {
     run_test(async {
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
@@ -315,10 +322,11 @@
     });
 }
 
-/// A host goes on with what it has, whatever the proxy does: an attempt that was given up at its aim was work thrown
-/// away that no budget counted any more, and a client that asks again doubles it.
+/// An endpoint goes on with a request, whatever the proxy does: to abandon an attempt at its
+/// latency objective would waste work that no budget counts any more, and a client that retries
+/// would double it.
 #[test]
-fn an_answer_after_the_aim_is_passed_on_while_its_client_waits() {
+fn a_response_after_the_latency_objective_is_forwarded_while_its_client_waits() {
     run_test(async {
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
         let proxy =
@@ -328,17 +336,18 @@
             .await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
-        wait_until("the host has it", || endpoint.request_count() == 1).await;
+        wait_until("the endpoint has the request", || endpoint.request_count() == 1).await;
         let early = tokio::time::timeout(std::time::Duration::from_millis(200), client.message()).await;
-        assert!(early.is_err(), "{early:?} while the host is at it");
+        assert!(early.is_err(), "{early:?} before the endpoint has responded");
         endpoint.release.notify_one();
-        assert_eq!(client.message().await.expect("an answer").status(), 200);
+        assert_eq!(client.message().await.expect("a response").status(), 200);
     });
 }
 
-/// Clients that connect and say nothing must not keep others out, nor cost more descriptors than there are.
+/// Clients that connect and send nothing must not block others, nor cost more descriptors than
+/// there are.
 #[test]
-fn silent_connections_do_not_keep_others_out() {
+fn silent_connections_do_not_block_others() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let proxy = Proxy::start_with(&TestDiscovery::without_updates().await, &[endpoint], |config| {
--- a/proxy/tests/system_call_faults.rs
+++ b/proxy/tests/system_call_faults.rs
@@ -10,8 +10,8 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// A configuration for these hosts at an address that is kept for it.
-fn at(address: SocketAddr, discovery: &TestDiscovery, endpoints: &[TestEndpoint]) -> String {
+/// A configuration for these endpoints with this address for clients.
+fn configuration_at(address: SocketAddr, discovery: &TestDiscovery, endpoints: &[TestEndpoint]) -> String {
     configuration(discovery.address, endpoints, |config| config["listen"] = address.to_string().into())
 }
 
@@ -28,9 +28,9 @@
     }
 }
 
-/// The system may be out of buffers or descriptors for a moment as the program starts: it tries again.
+/// The system may be out of buffers or descriptors temporarily as the program starts: it retries.
 #[test]
-fn a_socket_call_that_fails_for_a_moment_does_not_end_the_start() {
+fn a_socket_call_that_fails_temporarily_does_not_end_the_start() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let discovery = TestDiscovery::without_updates().await;
@@ -38,7 +38,7 @@
             let port = reserve_port();
             let address = port.local_addr().expect("an address");
             let mut command = program_command(
-                &at(address, &discovery, from_ref(&endpoint)),
+                &configuration_at(address, &discovery, from_ref(&endpoint)),
                 &format!("socket-{failure}.json"),
             )
             .0;
@@ -50,8 +50,8 @@
     });
 }
 
-/// A read may bring less than there is, and the event queue tells of bytes only once: what is left is read all the same, of
-/// requests, answers and the list.
+/// A read may return less than there is, and the event queue reports bytes only once: the rest is
+/// read all the same, of requests, responses and the list.
 #[test]
 fn a_short_read_leaves_nothing_unread() {
     run_test(async {
@@ -61,7 +61,8 @@
         let (port, operators) = (reserve_port(), reserve_port());
         let address = port.local_addr().expect("an address");
         let admin = operators.local_addr().expect("an address");
-        let mut command = program_command(&at(address, &discovery, from_ref(&endpoint)), "short.json").0;
+        let mut command =
+            program_command(&configuration_at(address, &discovery, from_ref(&endpoint)), "short.json").0;
         command.env("ROUTER_ADMIN", admin.to_string());
         let failures = json!({"rules": [{"call": "receive", "failure": "SHORT"}]});
         let mut program = start_with_faults(&mut command, &failures);
@@ -72,16 +73,16 @@
         }
         assert_eq!(endpoint.requests.borrow()[0].body.len(), 3_000);
         // The name alone is longer than one read.
-        let long = entry(&"n".repeat(2_000), other.address, "Ready");
-        discovery.push(&chunk(&list(42, false, &[long]))).await;
+        let long_name = entry(&"n".repeat(2_000), other.address, "Ready");
+        discovery.push(&chunk(&list(42, false, &[long_name]))).await;
         while metrics(admin).await["members"] != 2 {}
     });
 }
 
-/// A connection that ended before it was accepted, or a system short of buffers, is no sign that nobody waits: those who have
-/// come by the order to stop are answered.
+/// A connection that ended before it was accepted, or a system short of buffers, does not mean
+/// that nobody waits: clients that had connected by the order to shut down get responses.
 #[test]
-fn a_failure_to_accept_after_the_order_to_stop_turns_nobody_away() {
+fn a_failure_to_accept_during_a_shutdown_rejects_nobody() {
     const WAITING: usize = 8;
     for failure in ["ECONNABORTED", "ENOBUFS"] {
         run_test(async {
@@ -95,31 +96,32 @@
                 config["limits"]["sockets"] = 70.into();
             };
             let text = configuration(discovery.address, from_ref(&endpoint), few);
-            let places = client_proxy::config::Config::parse(&text).expect("good").connections_to_clients();
+            let max_clients =
+                client_proxy::config::Config::parse(&text).expect("good").connections_to_clients();
             let mut command = program_command(&text, &format!("accept-{failure}.json")).0;
             command.env("ROUTER_ADMIN", admin.to_string());
             let failures = json!({"rules": [{"call": "accept", "failure": failure, "share": 0.5}]});
             let mut program = start_with_faults(&mut command, &failures);
             let mut clients = vec![first_client(&mut program, address).await.expect("it starts")];
-            while clients.len() < places + WAITING {
+            while clients.len() < max_clients + WAITING {
                 clients.push(MessageReader::new(TcpStream::connect(address).await.expect("connected")));
             }
             for client in &mut clients {
                 client.send(&request("free", "", "")).await;
             }
-            wait_for_pending(admin, places as u64).await;
+            wait_for_pending(admin, max_clients as u64).await;
             program.stop();
             for client in &mut clients {
-                assert!(client.message().await.is_some(), "{failure}: it gets its answer");
+                assert!(client.message().await.is_some(), "{failure}: it gets its response");
             }
             assert!(program.ends().await);
         });
     }
 }
 
-/// The file of the configuration may not be to be read just as the signal comes, which is not sent again.
+/// The configuration's file may be unreadable just as the signal arrives, which is not sent again.
 #[test]
-fn a_new_configuration_that_cannot_be_read_at_once_is_read_again() {
+fn a_reload_that_cannot_read_its_file_is_retried() {
     for failure in ["ENFILE", "EIO", "ENOENT"] {
         run_test(async {
             let endpoint = TestEndpoint::start([ok("served")]).await;
@@ -127,21 +129,23 @@
             let port = reserve_port();
             let address = port.local_addr().expect("an address");
             let name = format!("reload-{failure}.json");
-            let (mut command, path) = program_command(&at(address, &old, from_ref(&endpoint)), &name);
+            let (mut command, path) =
+                program_command(&configuration_at(address, &old, from_ref(&endpoint)), &name);
             let failures =
                 json!({"rules": [{"call": "open", "path": name, "failure": failure, "after": 1, "most": 3}]});
             let mut program = start_with_faults(&mut command, &failures);
             first_client(&mut program, address).await.expect("it starts");
-            std::fs::write(path, at(address, &new, from_ref(&endpoint))).expect("written");
+            std::fs::write(path, configuration_at(address, &new, from_ref(&endpoint))).expect("written");
             program.signal("HUP");
             wait_until("the new discovery is watched", || new.watch_requests.borrow().len() == 1).await;
         });
     }
 }
 
-/// No local port or no way for the moment is not the server's fault: it is tried again, and the server is not set aside.
+/// That there is no local port or no route temporarily is not the endpoint's fault: the connection
+/// is retried, and the endpoint is not ejected.
 #[test]
-fn a_connection_that_fails_for_the_moment_is_tried_again() {
+fn a_connection_that_fails_temporarily_is_retried() {
     run_test(async {
         for failure in ["EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS"] {
             let endpoint = TestEndpoint::start([ok("served")]).await;
@@ -149,8 +153,9 @@
             let port = reserve_port();
             let address = port.local_addr().expect("an address");
             let name = format!("connect-{failure}.json");
-            let mut command = program_command(&at(address, &discovery, from_ref(&endpoint)), &name).0;
-            // The first is the watch's.
+            let mut command =
+                program_command(&configuration_at(address, &discovery, from_ref(&endpoint)), &name).0;
+            // The first connection is the watch's.
             let rule = json!({"call": "connect", "failure": failure, "after": 1, "most": 2});
             let mut program = start_with_faults(&mut command, &json!({"rules": [rule]}));
             let mut client = first_client(&mut program, address).await.expect("it starts");
@@ -160,9 +165,10 @@
     });
 }
 
-/// The folder in which processes of the program see each other may fail for a while: they see each other as soon as it works.
+/// The folder in which processes of the program announce themselves may fail for a while: they
+/// find each other as soon as it works.
 #[test]
-fn a_folder_that_fails_for_the_moment_is_used_later() {
+fn a_folder_that_fails_temporarily_is_used_later() {
     run_test(async {
         for (call, failure) in [("open", "EIO"), ("open", "ENOSPC"), ("lock", "EIO")] {
             let endpoint = TestEndpoint::start([ok("served")]).await;
@@ -172,18 +178,21 @@
             let name = format!("folder-{call}-{failure}");
             let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(&name);
             std::fs::create_dir_all(&folder).expect("a folder");
-            let mut command =
-                program_command(&at(address, &discovery, from_ref(&endpoint)), &format!("{name}.json")).0;
+            let mut command = program_command(
+                &configuration_at(address, &discovery, from_ref(&endpoint)),
+                &format!("{name}.json"),
+            )
+            .0;
             command.env("TMPDIR", &folder);
             let path = if call == "open" { "nettleworks.lock" } else { "" };
             let rule = json!({"call": call, "path": path, "failure": failure, "most": 3});
             let mut program = start_with_faults(&mut command, &json!({"rules": [rule]}));
             first_client(&mut program, address).await.expect("it starts");
             let file = std::fs::File::create(folder.join("nettleworks.lock")).expect("a file");
-            wait_until("it holds its lock", || {
-                let is_held = file.try_lock().is_err();
+            wait_until("it has locked the file", || {
+                let is_locked = file.try_lock().is_err();
                 file.unlock().expect("unlocked");
-                is_held
+                is_locked
             })
             .await;
         }
