--- a/proxy/src/body/attempt_body.rs
+++ b/proxy/src/body/attempt_body.rs
@@ -19,7 +19,7 @@
 
 impl RequestBody {
     /// The upload, if the body is streamed.
-    pub fn upload(&self) -> Option<&Rc<Upload>> {
+    pub(crate) fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
             RequestBody::Buffered(_) => None,
             RequestBody::Upload(upload) => Some(upload),
@@ -27,9 +27,10 @@
     }
 }
 
-/// The body of one attempt. It notifies the attempt's write guard when its last byte has been handed to hyper.
+/// The body of one attempt. It notifies the attempt's write guard when its last byte has been
+/// handed to hyper.
 #[derive(Debug)]
-pub struct AttemptBody {
+pub(crate) struct AttemptBody {
     buffered: Full<Bytes>,
     upload: Option<Rc<Upload>>,
     write_guard: WriteGuard,
@@ -37,7 +38,7 @@
 
 impl AttemptBody {
     /// The body of the attempt that has this write guard.
-    pub fn new(request_body: &RequestBody, write_guard: &WriteGuard) -> AttemptBody {
+    pub(crate) fn new(request_body: &RequestBody, write_guard: &WriteGuard) -> AttemptBody {
         let (buffered, upload) = match request_body {
             RequestBody::Buffered(bytes) => (Full::new(bytes.clone()), None),
             RequestBody::Upload(upload) => (Full::default(), Some(upload.clone())),
--- a/proxy/src/body/memory.rs
+++ b/proxy/src/body/memory.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 /// Maximum size of a body that is buffered.
-pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
+pub(crate) const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
 
 /// The bytes that all buffered bodies together may still reserve; clones share them.
 #[derive(Clone, Debug)]
@@ -13,12 +13,12 @@
 
 impl BodyMemory {
     /// A memory limit of this many bytes.
-    pub fn new(bytes: usize) -> BodyMemory {
+    pub(crate) fn new(bytes: usize) -> BodyMemory {
         BodyMemory(Arc::new(AtomicUsize::new(bytes)))
     }
 
     /// Reserves this many bytes; `None` if fewer are available.
-    pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
+    pub(crate) fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let available = self.0.load(Ordering::Relaxed).checked_sub(bytes)?;
         self.0.store(available, Ordering::Relaxed);
         Some(MemoryReservation { memory: self.clone(), bytes })
@@ -27,7 +27,7 @@
 
 /// Reserved bytes, which are released when this is dropped.
 #[derive(Debug)]
-pub struct MemoryReservation {
+pub(crate) struct MemoryReservation {
     memory: BodyMemory,
     bytes: usize,
 }
@@ -46,9 +46,10 @@
     }
 }
 
-/// A body that is being buffered. Its reservation is released when the last reference to its bytes is dropped.
+/// A body that is being buffered. Its reservation is released when the last reference to its bytes
+/// is dropped.
 #[derive(Debug)]
-pub struct BufferedBody {
+pub(crate) struct BufferedBody {
     bytes: Vec<u8>,
     reservation: MemoryReservation,
 }
@@ -60,9 +61,9 @@
 }
 
 impl BufferedBody {
-    /// An empty buffer for a body of this length, or of unknown length. `None` if the body is too long to be buffered, or
-    /// the memory for it is not available.
-    pub fn new(memory: &BodyMemory, length: Option<u64>) -> Option<BufferedBody> {
+    /// An empty buffer for a body of this length, or of unknown length. `None` if the body is too
+    /// long to be buffered, or the memory for it is not available.
+    pub(crate) fn new(memory: &BodyMemory, length: Option<u64>) -> Option<BufferedBody> {
         let max_length = match length {
             Some(length) => usize::try_from(length).ok()?,
             None => MAX_BUFFERED_BODY_BYTES,
@@ -74,14 +75,15 @@
         Some(BufferedBody { bytes: Vec::new(), reservation })
     }
 
-    /// Appends data, and returns whether the body still fits into its reservation. The data is appended in either case.
-    pub fn append(&mut self, data: &[u8]) -> bool {
+    /// Appends data, and returns whether the body still fits into its reservation. The data is
+    /// appended in either case.
+    pub(crate) fn append(&mut self, data: &[u8]) -> bool {
         self.bytes.extend_from_slice(data);
         self.bytes.len() <= self.reservation.bytes
     }
 
     /// All data that was appended; what else was reserved is released.
-    pub fn into_bytes(mut self) -> Bytes {
+    pub(crate) fn into_bytes(mut self) -> Bytes {
         self.bytes.shrink_to_fit();
         self.reservation.shrink(self.bytes.len());
         Bytes::from_owner(self)
--- a/proxy/src/body/response_body.rs
+++ b/proxy/src/body/response_body.rs
@@ -13,7 +13,8 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Lowest rate at which an endpoint may send a response: a slower one would occupy its client and its connection for ever.
+/// Lowest rate at which an endpoint may send a response: a slower one would occupy its client and
+/// its connection for ever.
 const MIN_RESPONSE_BYTES_PER_SECOND: f64 = 1_000.0;
 /// Maximum time that the proxy waits for more of a streamed response.
 const MAX_RESPONSE_WAIT: Duration = Duration::from_secs(10);
@@ -33,7 +34,7 @@
 }
 
 /// Called once all of a streamed response has been read; dropped if that does not happen.
-pub type OnCompleted = Box<dyn FnOnce()>;
+pub(crate) type OnCompleted = Box<dyn FnOnce()>;
 
 /// A large response as it arrives from its endpoint, read only as fast as the client takes it.
 pub struct StreamedResponse {
@@ -56,9 +57,14 @@
 }
 
 impl StreamedResponse {
-    /// A response that arrives on this socket, of which `prefix` has been read. `on_completed` is called when the rest has
-    /// been read as well.
-    pub fn new(prefix: Bytes, rest: Incoming, socket: Socket, on_completed: OnCompleted) -> StreamedResponse {
+    /// A response that arrives on this socket, of which `prefix` has been read. `on_completed` is
+    /// called when the rest has been read as well.
+    pub(crate) fn new(
+        prefix: Bytes,
+        rest: Incoming,
+        socket: Socket,
+        on_completed: OnCompleted,
+    ) -> StreamedResponse {
         StreamedResponse {
             read_bytes: prefix.len() as u64,
             prefix: Some(prefix),
@@ -134,12 +140,13 @@
 
 impl ResponseBody {
     /// A body that is completely in memory.
-    pub fn buffered(bytes: Bytes) -> ResponseBody {
+    pub(crate) fn buffered(bytes: Bytes) -> ResponseBody {
         ResponseBody::Buffered(Full::new(bytes))
     }
 
-    /// Ends the tracked request with this body: at once if it is buffered, else when it has been streamed or has failed.
-    pub fn track(&mut self, tracker: RequestTracker) {
+    /// Ends the tracked request with this body: at once if it is buffered, else when it has been
+    /// streamed or has failed.
+    pub(crate) fn track(&mut self, tracker: RequestTracker) {
         match self {
             ResponseBody::Buffered(_) => tracker.end(RequestEnd::Completed),
             ResponseBody::Streamed(stream) => stream.tracker = Some(tracker),
--- a/proxy/src/body/transfer_timer.rs
+++ b/proxy/src/body/transfer_timer.rs
@@ -6,8 +6,9 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// How long the proxy may still wait for a peer's data. The allowance shrinks only while the proxy waits, not while
-/// nobody reads, and grows with each byte by what that byte may take at the lowest accepted rate.
+/// How long the proxy may still wait for a peer's data. The allowance shrinks only while the proxy
+/// waits, not while nobody reads, and grows with each byte by what that byte may take at the lowest
+/// accepted rate.
 #[derive(Debug)]
 pub(super) struct TransferTimer {
     allowance: Duration,
--- a/proxy/src/body/upload.rs
+++ b/proxy/src/body/upload.rs
@@ -17,16 +17,16 @@
 
 /// Lowest rate at which an honest client sends, with some slack.
 const MIN_UPLOAD_BYTES_PER_SECOND: f64 = 48_000.0;
-/// Maximum time that the proxy waits for more of an upload: a client that stalls is owed its error within 3 s, however
-/// much it has sent.
+/// Maximum time that the proxy waits for more of an upload: a client that stalls is owed its error
+/// within 3 s, however much it has sent.
 const MAX_UPLOAD_WAIT: Duration = Duration::from_millis(2_750);
-/// How long the rest of an upload that is of no use is read: closing while the client sends would reset the connection,
-/// and the response could be lost with it.
+/// How long the rest of an upload that is of no use is read: closing while the client sends would
+/// reset the connection, and the response could be lost with it.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a client's body did not arrive completely.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum UploadError {
+pub(crate) enum UploadError {
     /// It arrived too slowly.
     #[error("the request body arrives too slowly")]
     TooSlow,
@@ -40,7 +40,7 @@
 
 impl UploadError {
     /// The status that the client gets.
-    pub fn status(self) -> StatusCode {
+    pub(crate) fn status(self) -> StatusCode {
         match self {
             UploadError::TooSlow => StatusCode::REQUEST_TIMEOUT,
             UploadError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
@@ -53,7 +53,8 @@
 #[derive(Debug)]
 struct UploadSource {
     body: Incoming,
-    /// Data that was read before the upload turned out to be too long to buffer; it is returned first.
+    /// Data that was read before the upload turned out to be too long to buffer; it is returned
+    /// first.
     unread_prefix: Option<Bytes>,
     read_bytes: u64,
     timer: TransferTimer,
@@ -71,8 +72,9 @@
 }
 
 impl Upload {
-    /// A body that arrives on this socket, with its first data expected by the instant `first_data_by`.
-    pub fn new(body: Incoming, socket: Socket, first_data_by: Instant) -> Upload {
+    /// A body that arrives on this socket, with its first data expected by the instant
+    /// `first_data_by`.
+    pub(crate) fn new(body: Incoming, socket: Socket, first_data_by: Instant) -> Upload {
         let length = body.size_hint().exact();
         let allowance = first_data_by.saturating_duration_since(Instant::now());
         let timer = TransferTimer::new(allowance, MAX_UPLOAD_WAIT, MIN_UPLOAD_BYTES_PER_SECOND);
@@ -88,22 +90,22 @@
     }
 
     /// Its length in bytes, if the head gives it.
-    pub fn length(&self) -> Option<u64> {
+    pub(crate) fn length(&self) -> Option<u64> {
         self.length
     }
 
     /// Whether part of it was passed to an attempt, so that no other attempt can have all of it.
-    pub fn is_consumed(&self) -> bool {
+    pub(crate) fn is_consumed(&self) -> bool {
         self.is_consumed.get()
     }
 
     /// When its last byte arrived, or why that will not arrive; `None` while it is still arriving.
-    pub fn result(&self) -> Option<Result<Instant, UploadError>> {
+    pub(crate) fn result(&self) -> Option<Result<Instant, UploadError>> {
         self.result.get()
     }
 
     /// Waits for its result.
-    pub async fn finished(&self) -> Result<Instant, UploadError> {
+    pub(crate) async fn finished(&self) -> Result<Instant, UploadError> {
         loop {
             let finished = self.finished.notified();
             match self.result.get() {
@@ -113,9 +115,9 @@
         }
     }
 
-    /// Reads it into memory, if it is small enough. `None`: it is too long; what was read of it is returned first when
-    /// it is read again.
-    pub async fn buffer(&self, memory: &BodyMemory) -> Result<Option<Bytes>, UploadError> {
+    /// Reads it into memory, if it is small enough. `None`: it is too long; what was read of it is
+    /// returned first when it is read again.
+    pub(crate) async fn buffer(&self, memory: &BodyMemory) -> Result<Option<Bytes>, UploadError> {
         let Some(mut buffer) = BufferedBody::new(memory, self.length) else {
             return Ok(None);
         };
@@ -129,7 +131,7 @@
     }
 
     /// Reads the rest for a bounded time and discards it.
-    pub async fn discard(&self) {
+    pub(crate) async fn discard(&self) {
         let rest = async { while let Some(Ok(_)) = poll_fn(|context| self.poll_data(context)).await {} };
         // A rest that takes longer is left unread.
         let _ = timeout(DISCARD_TIMEOUT, rest).await;
--- a/proxy/src/discovery/message.rs
+++ b/proxy/src/discovery/message.rs
@@ -1,4 +1,5 @@
-//! The endpoint list as discovery sends it and as the configuration gives it. The wire's own names are mapped here.
+//! The endpoint list as discovery sends it and as the configuration gives it. The wire's own names
+//! are mapped here.
 
 use balancer::EndpointState;
 use serde::Deserialize;
--- a/proxy/src/discovery/parser.rs
+++ b/proxy/src/discovery/parser.rs
@@ -6,7 +6,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Maximum size of an object in a watch; a larger one is no list of any fleet that one proxy serves.
+/// Maximum size of an object in a watch; a larger one is no list of any fleet that one proxy
+/// serves.
 const MAX_OBJECT_BYTES: usize = 4 << 20;
 
 /// Why the bytes of a watch are no endpoint list.
@@ -20,7 +21,8 @@
     Json(#[from] serde_json::Error),
 }
 
-/// Splits a stream into objects. They may be split into packets anywhere, and be written in one line or, indented, in many.
+/// Splits a stream into objects. They may be split into packets anywhere, and be written in one
+/// line or, indented, in many.
 #[derive(Debug, Default)]
 pub(super) struct ListParser {
     /// The object that has begun, as far as it has been received.
--- a/proxy/src/discovery/parser/tests.rs
+++ b/proxy/src/discovery/parser/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// Parses a text that is received in pieces of this size: the version and the number of entries of each list.
+/// Parses a text that is received in pieces of this size: the version and the number of entries of
+/// each list.
 fn parse(text: &str, piece: usize) -> Result<Vec<(u64, usize)>, String> {
     let mut parser = ListParser::default();
     let mut lists = Vec::new();
--- a/proxy/src/discovery/watch.rs
+++ b/proxy/src/discovery/watch.rs
@@ -16,15 +16,17 @@
 use thiserror::Error;
 use tokio::time::{timeout, Instant};
 
-/// A heartbeat arrives every 2 s: a watch that is silent for half a second more is regarded as dead, as is a request whose
-/// response has not begun by then. A missed change counts as notified 6 s after discovery had it and could be reached:
-/// 2.5 s to notice and at most 3 s until the next request (the balancer's part) leave half a second for its response.
+/// A heartbeat arrives every 2 s: a watch that is silent for half a second more is regarded as
+/// dead, as is a request whose response has not begun by then. A missed change counts as notified 6
+/// s after discovery had it and could be reached: 2.5 s to notice and at most 3 s until the next
+/// request (the balancer's part) leave half a second for its response.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A watch that was open for less than this was brief: it may end again as soon as it is open.
 const BRIEF_WATCH: Duration = Duration::from_secs(1);
-/// An agent on this machine responds at once. One that does not gets another request, and what it has when it responds again
-/// counts as notified at once: a third of the drain grace passes before a request is abandoned and a tenth until the next,
-/// which leaves more than half for that one. Below the minimum, requests would be abandoned that only wait for the CPU.
+/// An agent on this machine responds at once. One that does not gets another request, and what it
+/// has when it responds again counts as notified at once: a third of the drain grace passes before
+/// a request is abandoned and a tenth until the next, which leaves more than half for that one.
+/// Below the minimum, requests would be abandoned that only wait for the CPU.
 const PUSH_RESPONSE_DIVISOR: u32 = 3;
 const MIN_PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -37,7 +39,8 @@
 pub struct WatchTimeouts {
     /// From the request to the head of its response.
     response: Duration,
-    /// From the opening of a watch that has ended until the next is opened; `None`: the balancer decides when.
+    /// From the opening of a watch that has ended until the next is opened; `None`: the balancer
+    /// decides when.
     pub reopen_delay: Option<Duration>,
 }
 
@@ -112,7 +115,8 @@
     Heartbeat,
 }
 
-/// Watches the list for changes after the version `since`, and passes on its events until the watch ends.
+/// Watches the list for changes after the version `since`, and passes on its events until the watch
+/// ends.
 pub async fn watch(
     discovery: SocketAddr,
     since: Option<u64>,
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -18,7 +18,7 @@
 mod socket;
 mod task;
 pub mod transient_errors;
-pub mod upstream;
+mod upstream;
 mod write_guard;
 
 use config::Config;
--- a/proxy/src/log.rs
+++ b/proxy/src/log.rs
@@ -1,5 +1,5 @@
-//! The log, on standard error. It never blocks: its reader may have stopped reading, and everything here runs on one thread.
-//! A line that can't be written at once is dropped and counted.
+//! The log, on standard error. It never blocks: its reader may have stopped reading, and everything
+//! here runs on one thread. A line that can't be written at once is dropped and counted.
 
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
 use std::io::{self, Write};
@@ -8,7 +8,8 @@
 
 /// What each line begins with.
 const PROGRAM_NAME: &str = "client-proxy";
-/// Maximum size of a line: a pipe that is ready takes that much at once (`PIPE_BUF`, see `pipe(7)`).
+/// Maximum size of a line: a pipe that is ready takes that much at once (`PIPE_BUF`, see
+/// `pipe(7)`).
 const MAX_LINE_BYTES: usize = 4_096;
 
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
@@ -57,7 +58,8 @@
     }
 }
 
-/// Logs the events of every request, one JSON object a line: what is decided, sent, ended and closed, and why.
+/// Logs the events of every request, one JSON object a line: what is decided, sent, ended and
+/// closed, and why.
 pub fn enable_request_trace() {
     let subscriber = tracing_subscriber::fmt().json().with_max_level(tracing::Level::DEBUG);
     // A test may have set one already.
--- a/proxy/src/process_handoff.rs
+++ b/proxy/src/process_handoff.rs
@@ -1,5 +1,5 @@
-//! A new version of the program beside the old one: the two share the clients' address and the limits until the old one has
-//! shut down.
+//! A new version of the program beside the old one: the two share the clients' address and the
+//! limits until the old one has shut down.
 
 use crate::transient_errors::ErrorClass;
 use nix::libc;
@@ -15,16 +15,17 @@
 use tokio::net::TcpSocket;
 use tokio::time::sleep;
 
-/// The file that a serving process has locked. The name is from an older version of the program: a running process of that
-/// version looks for this file.
+/// The file that a serving process has locked. The name is from an older version of the program: a
+/// running process of that version looks for this file.
 const LOCK_FILE_NAME: &str = "nettleworks.lock";
 /// How often a process tries to lock a file that another process has locked.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// How often a process checks that the file it has locked is still at its path, where others look for it.
+/// How often a process checks that the file it has locked is still at its path, where others look
+/// for it.
 const LOCK_FILE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A socket bound to the clients' address, which another process may share, and which is not blocked by connections that a
-/// killed process left behind. It does not listen yet.
+/// A socket bound to the clients' address, which another process may share, and which is not
+/// blocked by connections that a killed process left behind. It does not listen yet.
 pub fn bind(address: SocketAddr) -> io::Result<TcpSocket> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -33,10 +34,10 @@
     Ok(socket)
 }
 
-/// Steers all further connections to the process that began to listen at this listener's address after its own, if there is
-/// one. The kernel numbers an address's listeners in the order in which they began, and the last one gets the number of
-/// one that ends: the older of two is always 0. If no listener has the number that the filter returns, the kernel chooses
-/// as without it.
+/// Steers all further connections to the process that began to listen at this listener's address
+/// after its own, if there is one. The kernel numbers an address's listeners in the order in which
+/// they began, and the last one gets the number of one that ends: the older of two is always 0. If
+/// no listener has the number that the filter returns, the kernel chooses as without it.
 pub fn steer_to_newer_process(listener: impl AsFd) -> io::Result<()> {
     const NEWER: u32 = 1;
     let code = (libc::BPF_RET | libc::BPF_K) as u16;
@@ -45,9 +46,9 @@
     Ok(setsockopt(&listener, sockopt::AttachReusePortCbpf, &program)?)
 }
 
-/// Locks the lock file in a folder, which announces this process to others for as long as the returned file is open. While
-/// another process has it locked, this waits: `on_shared` is called with true when the wait begins and with false when it
-/// ends, and not at all if there is none.
+/// Locks the lock file in a folder, which announces this process to others for as long as the
+/// returned file is open. While another process has it locked, this waits: `on_shared` is called
+/// with true when the wait begins and with false when it ends, and not at all if there is none.
 pub async fn announce_presence(folder: &Path, mut on_shared: impl FnMut(bool)) -> io::Result<File> {
     let path = folder.join(LOCK_FILE_NAME);
     let mut is_shared = false;
@@ -70,9 +71,10 @@
     }
 }
 
-/// Announces this process for as long as this runs, also when the file is deleted or replaced, as folders for temporary
-/// files are cleaned now and then. While the folder fails temporarily, another process may be there unnoticed: `on_shared`
-/// is called with true. This returns only if the folder can't be used at all.
+/// Announces this process for as long as this runs, also when the file is deleted or replaced, as
+/// folders for temporary files are cleaned now and then. While the folder fails temporarily,
+/// another process may be there unnoticed: `on_shared` is called with true. This returns only if
+/// the folder can't be used at all.
 pub async fn maintain_presence(folder: &Path, mut on_shared: impl FnMut(bool)) -> io::Result<Infallible> {
     let mut was_shared = false;
     let mut on_change = |is_shared| {
--- a/proxy/src/task.rs
+++ b/proxy/src/task.rs
@@ -5,7 +5,7 @@
 
 /// A task on this thread that is aborted when this is dropped.
 #[derive(Debug)]
-pub struct ScopedTask(AbortHandle);
+pub(crate) struct ScopedTask(AbortHandle);
 
 impl Drop for ScopedTask {
     fn drop(&mut self) {
@@ -14,6 +14,6 @@
 }
 
 /// Runs a future on this thread until it is done or the returned task is dropped.
-pub fn spawn(future: impl Future + 'static) -> ScopedTask {
+pub(crate) fn spawn(future: impl Future + 'static) -> ScopedTask {
     ScopedTask(tokio::task::spawn_local(async move { drop(future.await) }).abort_handle())
 }
--- a/proxy/src/transient_errors.rs
+++ b/proxy/src/transient_errors.rs
@@ -1,5 +1,6 @@
-//! What a failed system call means. The same errors come from `socket`, `accept`, `connect`, reads, writes and files, and what
-//! is to be done depends on whose fault it is (errors as in `errno(3)` and the manual pages of the calls).
+//! What a failed system call means. The same errors come from `socket`, `accept`, `connect`, reads,
+//! writes and files, and what is to be done depends on whose fault it is (errors as in `errno(3)`
+//! and the manual pages of the calls).
 
 use nix::errno::Errno;
 use std::io;
@@ -14,7 +15,8 @@
 pub enum ErrorClass {
     /// Nobody's fault: the same call may succeed at once.
     Temporary,
-    /// The machine has no descriptor, buffer, port or memory left: it may have once something is closed.
+    /// The machine has no descriptor, buffer, port or memory left: it may have once something is
+    /// closed.
     ResourcesExhausted,
     /// The peer's fault, or that of the network path to it.
     Peer,
@@ -46,8 +48,8 @@
     }
 }
 
-/// Retries a call that fails with a retryable error until it succeeds, fails otherwise, or `limit` has passed since the first
-/// call; then the last error is returned.
+/// Retries a call that fails with a retryable error until it succeeds, fails otherwise, or `limit`
+/// has passed since the first call; then the last error is returned.
 pub async fn retry_transient<T>(
     limit: Duration,
     mut call: impl AsyncFnMut() -> io::Result<T>,
--- a/proxy/src/upstream/connection.rs
+++ b/proxy/src/upstream/connection.rs
@@ -18,12 +18,13 @@
 use tokio::task::yield_now;
 use tokio::time::{error::Elapsed, timeout};
 
-/// How long the end of a response that is not forwarded is waited for; after that its connection is closed instead.
+/// How long the end of a response that is not forwarded is waited for; after that its connection is
+/// closed instead.
 pub(super) const RESPONSE_END_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Why a connection did not open.
 #[derive(Debug, Error)]
-pub enum ConnectError {
+pub(crate) enum ConnectError {
     /// The endpoint did not accept it in time.
     #[error("the connection did not open in time")]
     TimedOut(#[from] Elapsed),
@@ -37,14 +38,14 @@
 
 impl ConnectError {
     /// Whether this machine lacked the resources, which proves nothing about the endpoint.
-    pub fn is_local(&self) -> bool {
+    pub(crate) fn is_local(&self) -> bool {
         matches!(self, ConnectError::Io(error) if ErrorClass::of(error) == ErrorClass::ResourcesExhausted)
     }
 }
 
 /// A connection to an endpoint. Dropping it closes it, even with a request in flight.
 #[derive(Debug)]
-pub struct Connection {
+pub(crate) struct Connection {
     sender: SendRequest<AttemptBody>,
     socket: Socket,
     /// The socket's count of reads when the last response was complete; 0 before the first.
@@ -62,7 +63,7 @@
 
 impl Connection {
     /// Opens a connection within the time `limit`; it occupies `slot` for as long as it is open.
-    pub async fn open(
+    pub(crate) async fn open(
         address: SocketAddr,
         limit: Duration,
         slot: Rc<()>,
@@ -74,9 +75,9 @@
         Ok(Connection { sender, socket, reads_when_reusable: 0, _task: spawn(connection), _slot: slot })
     }
 
-    /// The connection, if it can be reused after a response that was read completely. This is to be awaited before the
-    /// outcome is reported: else the next request would find no idle connection.
-    pub async fn into_reusable(mut self) -> Option<Connection> {
+    /// The connection, if it can be reused after a response that was read completely. This is to be
+    /// awaited before the outcome is reported: else the next request would find no idle connection.
+    pub(crate) async fn into_reusable(mut self) -> Option<Connection> {
         if !matches!(timeout(RESPONSE_END_TIMEOUT, self.sender.ready()).await, Ok(Ok(()))) {
             return None;
         }
@@ -86,9 +87,10 @@
         self.is_ready().then_some(self)
     }
 
-    /// Whether a request can be written to it now. Anything that was received since its last response, the end of the
-    /// connection or a second response, makes it useless: it would be taken for the next request's response.
-    pub fn is_ready(&self) -> bool {
+    /// Whether a request can be written to it now. Anything that was received since its last
+    /// response, the end of the connection or a second response, makes it useless: it would be
+    /// taken for the next request's response.
+    pub(crate) fn is_ready(&self) -> bool {
         self.sender.is_ready()
             && self.socket.read_count() == self.reads_when_reusable
             && self.socket.has_no_unread_input()
@@ -99,7 +101,8 @@
         self.reads_when_reusable > 0
     }
 
-    /// Whether nothing was received since the last response but, at most, the end of the connection, which is one read.
+    /// Whether nothing was received since the last response but, at most, the end of the
+    /// connection, which is one read.
     pub(super) fn has_received_no_response(&self) -> bool {
         self.socket.read_count() <= self.reads_when_reusable + 1
     }
@@ -109,7 +112,8 @@
         &self.socket
     }
 
-    /// Sends a request, whose bytes the write guard admits and counts, and reads the head of its response.
+    /// Sends a request, whose bytes the write guard admits and counts, and reads the head of its
+    /// response.
     pub(super) async fn send(
         &mut self,
         request: Request<AttemptBody>,
--- a/proxy/src/upstream/exchange.rs
+++ b/proxy/src/upstream/exchange.rs
@@ -15,44 +15,46 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// A reused connection that breaks within this time of the request was closed before the request arrived.
+/// A reused connection that breaks within this time of the request was closed before the request
+/// arrived.
 const STALE_CONNECTION_WINDOW: Duration = Duration::from_millis(20);
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct AttemptEnd {
+pub(crate) struct AttemptEnd {
     /// Its outcome.
-    pub outcome: Outcome,
+    pub(crate) outcome: Outcome,
     /// The endpoint's load report.
-    pub load: LoadReport,
+    pub(crate) load: LoadReport,
     /// The response to forward, if the attempt was served.
-    pub response: Option<Response<ResponseBody>>,
+    pub(crate) response: Option<Response<ResponseBody>>,
     /// The connection, if it can be reused.
-    pub connection: Option<Connection>,
+    pub(crate) connection: Option<Connection>,
 }
 
 impl AttemptEnd {
     /// The end of an attempt that got no response.
-    pub fn without_response(outcome: Outcome) -> AttemptEnd {
+    pub(crate) fn without_response(outcome: Outcome) -> AttemptEnd {
         AttemptEnd { outcome, load: LoadReport::default(), response: None, connection: None }
     }
 }
 
 /// What an exchange needs besides its connection and its request.
-pub struct ExchangeContext<'a> {
+pub(crate) struct ExchangeContext<'a> {
     /// The request's body.
-    pub request_body: &'a RequestBody,
+    pub(crate) request_body: &'a RequestBody,
     /// Admits and counts the attempt's bytes.
-    pub write_guard: &'a WriteGuard,
+    pub(crate) write_guard: &'a WriteGuard,
     /// The memory for buffered responses.
-    pub memory: &'a BodyMemory,
+    pub(crate) memory: &'a BodyMemory,
     /// Called with the connection once a streamed response has been read to its end.
-    pub return_connection: Box<dyn FnOnce(Connection)>,
+    pub(crate) return_connection: Box<dyn FnOnce(Connection)>,
 }
 
-/// Sends a request on a connection and reads its response: all of a small one, the beginning of a large one. `None`: the
-/// connection was found closed before the request was written completely, and all of it can be written again.
-pub async fn exchange(
+/// Sends a request on a connection and reads its response: all of a small one, the beginning of a
+/// large one. `None`: the connection was found closed before the request was written completely,
+/// and all of it can be written again.
+pub(crate) async fn exchange(
     mut connection: Connection,
     request: Request<AttemptBody>,
     context: ExchangeContext<'_>,
@@ -67,7 +69,8 @@
     }
 }
 
-/// The outcome of a request to which no response was read; `None` if all of it can be written again.
+/// The outcome of a request to which no response was read; `None` if all of it can be written
+/// again.
 fn classify_send_error(
     connection: &Connection,
     sent_at: Instant,
@@ -98,7 +101,8 @@
     }
 }
 
-/// Reads a response whose status says that it failed. Its outcome is known: a rest that breaks or stalls can't change it.
+/// Reads a response whose status says that it failed. Its outcome is known: a rest that breaks or
+/// stalls can't change it.
 async fn read_failure(connection: Connection, head: &Parts, body: Incoming) -> AttemptEnd {
     let rest = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect();
     let is_complete = matches!(timeout(RESPONSE_END_TIMEOUT, rest).await, Ok(Ok(_)));
--- a/proxy/src/upstream/load_report.rs
+++ b/proxy/src/upstream/load_report.rs
@@ -8,7 +8,8 @@
 
 /// The header that carries a load report.
 const LOAD_REPORT_HEADER: &str = "x-load-report";
-/// Maximum number of requests that an endpoint can have in flight or queued: a report of more is invalid.
+/// Maximum number of requests that an endpoint can have in flight or queued: a report of more is
+/// invalid.
 const MAX_REPORTED_REQUESTS: f64 = 10_000.0;
 
 /// The first valid load report: an invalid one may stand beside it.
@@ -18,9 +19,10 @@
     reports.next().unwrap_or_default()
 }
 
-/// Parses a load report, `name=value,name=value`. The names are those of the settings (`report.columns`), as on the
-/// simulator's wire: under other names every report would be lost without a sign. A report with a value that no endpoint
-/// can mean is invalid: a negative load would attract every request.
+/// Parses a load report, `name=value,name=value`. The names are those of the settings
+/// (`report.columns`), as on the simulator's wire: under other names every report would be lost
+/// without a sign. A report with a value that no endpoint can mean is invalid: a negative load
+/// would attract every request.
 fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.split(',') {
--- a/proxy/src/upstream/mod.rs
+++ b/proxy/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! The proxy's side towards the endpoints: connections, one request and its response on a connection, and what the
-//! response proves.
+//! The proxy's side towards the endpoints: connections, one request and its response on a
+//! connection, and what the response proves.
 
 mod connection;
 mod exchange;
@@ -7,5 +7,5 @@
 mod load_report;
 mod response;
 
-pub use connection::{ConnectError, Connection};
-pub use exchange::{exchange, AttemptEnd, ExchangeContext};
+pub(crate) use connection::Connection;
+pub(crate) use exchange::{exchange, AttemptEnd, ExchangeContext};
--- a/proxy/src/upstream/response.rs
+++ b/proxy/src/upstream/response.rs
@@ -1,4 +1,5 @@
-//! What a response proves about its attempt, and the reading of its body as far as it can be buffered.
+//! What a response proves about its attempt, and the reading of its body as far as it can be
+//! buffered.
 
 use crate::body::{BodyMemory, BufferedBody};
 use crate::message_limits::MAX_BODY_BYTES;
@@ -41,8 +42,8 @@
     }
 }
 
-/// What it proves that an exchange failed after its request was written. A response that can't be parsed is no reset: the
-/// connection did not break. But the request may have run in either case.
+/// What it proves that an exchange failed after its request was written. A response that can't be
+/// parsed is no reset: the connection did not break. But the request may have run in either case.
 pub(super) fn classify_error(error: &hyper::Error) -> Outcome {
     let mut causes = successors(Some(error as &(dyn StdError + 'static)), |error| (*error).source());
     if causes.any(is_malformed_response) {
@@ -76,13 +77,15 @@
 pub(super) enum BodyFraming {
     /// By its length or its last chunk.
     Delimited,
-    /// By the end of its connection (RFC 9112, section 6.3). An endpoint that crashes resets it, and a reset is no end.
+    /// By the end of its connection (RFC 9112, section 6.3). An endpoint that crashes resets it,
+    /// and a reset is no end.
     UntilClose,
 }
 
 impl BodyFraming {
-    /// The framing that the head of a response declares. `None`: with two lengths or two framings it can be read in two
-    /// ways, and with a transfer coding other than `chunked` it can't be read at all.
+    /// The framing that the head of a response declares. `None`: with two lengths or two framings
+    /// it can be read in two ways, and with a transfer coding other than `chunked` it can't be read
+    /// at all.
     pub(super) fn of(headers: &HeaderMap) -> Option<BodyFraming> {
         let lengths = headers.get_all(header::CONTENT_LENGTH).iter().count();
         let codings: Vec<_> = headers.get_all(header::TRANSFER_ENCODING).iter().collect();
@@ -110,9 +113,10 @@
     },
 }
 
-/// Buffers a small body. A body of unknown length is buffered only for a bounded time, so that its first bytes are not
-/// delayed. But one that ends with its connection may be cut off at any byte, and its request can be retried only while
-/// nothing of it has been forwarded: it is buffered as long as it fits.
+/// Buffers a small body. A body of unknown length is buffered only for a bounded time, so that its
+/// first bytes are not delayed. But one that ends with its connection may be cut off at any byte,
+/// and its request can be retried only while nothing of it has been forwarded: it is buffered as
+/// long as it fits.
 pub(super) async fn read_body(
     mut body: Incoming,
     framing: BodyFraming,
--- a/proxy/tests/client_disconnect_under_load.rs
+++ b/proxy/tests/client_disconnect_under_load.rs
@@ -291,7 +291,8 @@
                 .await;
                 let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
                 let crowd = connect_crowd(&proxy).await;
-                // Responses give the typical latency, and earn the credit that a hedged request is paid from.
+                // Responses give the typical latency, and earn the credit that a hedged request is
+                // paid from.
                 let mut before = proxy.client().await;
                 let responses = [one, other].map(|listener| async move {
                     let mut open = Vec::new();
--- a/proxy/tests/common/connections.rs
+++ b/proxy/tests/common/connections.rs
@@ -25,17 +25,17 @@
 }
 
 /// Whether a connection to this address is established.
-pub fn has_established_connection(address: SocketAddr) -> bool {
+pub(crate) fn has_established_connection(address: SocketAddr) -> bool {
     is_in_state(address, ESTABLISHED)
 }
 
 /// Whether a connection to this address is being opened, and nothing was received from there.
-pub fn is_connecting(address: SocketAddr) -> bool {
+pub(crate) fn is_connecting(address: SocketAddr) -> bool {
     is_in_state(address, SYN_SENT)
 }
 
 /// The connection from one address to another: its state, and how many of its bytes are unread.
-pub fn connection_state(from: SocketAddr, to: SocketAddr) -> Option<(String, u64)> {
+pub(crate) fn connection_state(from: SocketAddr, to: SocketAddr) -> Option<(String, u64)> {
     let table = connection_table();
     let ends = format!("{} {}", table_address(from), table_address(to));
     let line = table.lines().find(|line| line.contains(&ends))?;
@@ -46,6 +46,6 @@
 }
 
 /// Whether the connection from one address to another is established.
-pub fn is_established(from: SocketAddr, to: SocketAddr) -> bool {
+pub(crate) fn is_established(from: SocketAddr, to: SocketAddr) -> bool {
     connection_state(from, to).is_some_and(|(state, _)| state == ESTABLISHED)
 }
--- a/proxy/tests/common/discovery.rs
+++ b/proxy/tests/common/discovery.rs
@@ -13,28 +13,31 @@
 use tokio::task::spawn_local;
 
 /// The head of a watch's response.
-pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub(crate) const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Discovery: each watch request gets the next of its responses, and then what the test pushes.
 #[derive(Clone)]
-pub struct TestDiscovery {
-    pub address: SocketAddr,
+pub(crate) struct TestDiscovery {
+    pub(crate) address: SocketAddr,
     /// The start lines of the requests.
-    pub watch_requests: Rc<RefCell<Vec<String>>>,
+    pub(crate) watch_requests: Rc<RefCell<Vec<String>>>,
     watch: Rc<RefCell<Option<OwnedWriteHalf>>>,
 }
 
 impl TestDiscovery {
     /// Discovery that has no updates.
-    pub async fn without_updates() -> TestDiscovery {
+    pub(crate) async fn without_updates() -> TestDiscovery {
         TestDiscovery::start([WATCH_HEAD.to_owned()]).await
     }
 
-    pub async fn start(responses: impl IntoIterator<Item = String>) -> TestDiscovery {
+    pub(crate) async fn start(responses: impl IntoIterator<Item = String>) -> TestDiscovery {
         TestDiscovery::on_listener(TcpListener::bind("127.0.0.1:0").await.expect("a port"), responses)
     }
 
-    pub fn on_listener(listener: TcpListener, responses: impl IntoIterator<Item = String>) -> TestDiscovery {
+    pub(crate) fn on_listener(
+        listener: TcpListener,
+        responses: impl IntoIterator<Item = String>,
+    ) -> TestDiscovery {
         let address = listener.local_addr().expect("an address");
         let discovery = TestDiscovery { address, watch_requests: Rc::default(), watch: Rc::default() };
         let serving = discovery.clone();
@@ -54,21 +57,21 @@
     }
 
     /// Resets the last watch.
-    pub fn reset(&self) {
+    pub(crate) fn reset(&self) {
         let watch = self.watch.borrow_mut().take().expect("a watch");
         socket2::SockRef::from(watch.as_ref()).set_linger(Some(Duration::ZERO)).expect("zero linger");
         drop(watch);
     }
 
     /// Whether the other side has closed the last watch.
-    pub fn is_disconnected(&self) -> bool {
+    pub(crate) fn is_disconnected(&self) -> bool {
         let watch = self.watch.borrow();
         let stream: &TcpStream = watch.as_ref().expect("a watch").as_ref();
         stream.try_read(&mut [0]).is_ok_and(|count| count == 0)
     }
 
     /// Writes to the last watch.
-    pub async fn push(&self, text: &str) {
+    pub(crate) async fn push(&self, text: &str) {
         let mut watch = self.watch.borrow_mut().take().expect("a watch");
         watch.write_all(text.as_bytes()).await.expect("written");
         *self.watch.borrow_mut() = Some(watch);
@@ -76,12 +79,12 @@
 }
 
 /// An entry of the endpoint list.
-pub fn entry(name: &str, address: SocketAddr, health: &str) -> serde_json::Value {
+pub(crate) fn entry(name: &str, address: SocketAddr, health: &str) -> serde_json::Value {
     json!({"host": name, "dial": address.to_string(), "site": "a", "class": "m2", "block": 3,
            "health": health, "share": 1.0, "born_ms": 0})
 }
 
 /// An endpoint list of this version.
-pub fn list(version: u64, is_full: bool, entries: &[serde_json::Value]) -> String {
+pub(crate) fn list(version: u64, is_full: bool, entries: &[serde_json::Value]) -> String {
     json!({"seq": version, "whole": is_full, "hosts": entries}).to_string()
 }
--- a/proxy/tests/common/endpoint.rs
+++ b/proxy/tests/common/endpoint.rs
@@ -1,4 +1,5 @@
-//! Endpoints: one that follows a script, one that a test plays itself, and one that accepts no connection.
+//! Endpoints: one that follows a script, one that a test plays itself, and one that accepts no
+//! connection.
 
 use super::http::{ok_response, Message, MessageReader, REJECTION};
 use super::is_connecting;
@@ -16,48 +17,49 @@
 
 /// What an endpoint does with a request that it has read completely.
 #[derive(Clone, Debug)]
-pub enum ScriptedResponse {
+pub(crate) enum ScriptedResponse {
     /// Writes this, and keeps the connection open.
     Write(String),
     /// Writes this, and closes the connection.
     WriteAndClose(String),
-    /// Writes nothing until the other side closes the connection, or the test releases the request or resets its connection.
+    /// Writes nothing until the other side closes the connection, or the test releases the request
+    /// or resets its connection.
     Stall,
 }
 
 /// A response with status 200 and this body.
-pub fn ok(body: &str) -> ScriptedResponse {
+pub(crate) fn ok(body: &str) -> ScriptedResponse {
     ScriptedResponse::Write(ok_response(body))
 }
 
 /// A response that proves that the request has not run.
-pub fn reject() -> ScriptedResponse {
+pub(crate) fn reject() -> ScriptedResponse {
     ScriptedResponse::Write(REJECTION.to_owned())
 }
 
 /// An endpoint that gives one scripted response after the other, and repeats the last.
 #[derive(Clone)]
-pub struct TestEndpoint {
-    pub address: SocketAddr,
+pub(crate) struct TestEndpoint {
+    pub(crate) address: SocketAddr,
     /// The requests that it has read completely.
-    pub requests: Rc<RefCell<Vec<Message>>>,
+    pub(crate) requests: Rc<RefCell<Vec<Message>>>,
     /// Connections that it has accepted.
-    pub opened_connections: Rc<Cell<usize>>,
+    pub(crate) opened_connections: Rc<Cell<usize>>,
     /// Connections that are open now.
-    pub open_connections: Rc<Cell<usize>>,
-    pub script: Rc<RefCell<VecDeque<ScriptedResponse>>>,
+    pub(crate) open_connections: Rc<Cell<usize>>,
+    pub(crate) script: Rc<RefCell<VecDeque<ScriptedResponse>>>,
     /// Notified, one stalled request gets a response.
-    pub release: Rc<Notify>,
+    pub(crate) release: Rc<Notify>,
     /// Notified, the connections of all stalled requests are reset.
-    pub resets: Rc<Notify>,
+    pub(crate) resets: Rc<Notify>,
 }
 
 impl TestEndpoint {
-    pub async fn start(script: impl IntoIterator<Item = ScriptedResponse>) -> TestEndpoint {
+    pub(crate) async fn start(script: impl IntoIterator<Item = ScriptedResponse>) -> TestEndpoint {
         TestEndpoint::on_listener(TcpListener::bind("127.0.0.1:0").await.expect("a port"), script)
     }
 
-    pub fn on_listener(
+    pub(crate) fn on_listener(
         listener: TcpListener,
         script: impl IntoIterator<Item = ScriptedResponse>,
     ) -> TestEndpoint {
@@ -91,7 +93,8 @@
         while let Some(message) = reader.message().await {
             self.requests.borrow_mut().push(message);
             match self.next_response() {
-                // The other side may have closed the connection, if the response is of no use to it.
+                // The other side may have closed the connection, if the response is of no use to
+                // it.
                 ScriptedResponse::Write(text) if write.write_all(text.as_bytes()).await.is_err() => return,
                 ScriptedResponse::Write(_) => {}
                 ScriptedResponse::WriteAndClose(text) => {
@@ -123,30 +126,31 @@
     }
 
     /// Resets the connections of its stalled requests, as when its process ends.
-    pub fn reset(&self) {
+    pub(crate) fn reset(&self) {
         self.resets.notify_waiters();
     }
 
     /// How many requests it has read completely.
-    pub fn request_count(&self) -> usize {
+    pub(crate) fn request_count(&self) -> usize {
         self.requests.borrow().len()
     }
 
     /// The bodies of the requests that it has read completely.
-    pub fn request_bodies(&self) -> Vec<Vec<u8>> {
+    pub(crate) fn request_bodies(&self) -> Vec<Vec<u8>> {
         self.requests.borrow().iter().map(|request| request.body.clone()).collect()
     }
 }
 
 /// An endpoint whose connections the test accepts and serves itself.
-pub async fn manual_endpoint() -> (TestEndpoint, TcpListener) {
+pub(crate) async fn manual_endpoint() -> (TestEndpoint, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     (TestEndpoint { address, ..TestEndpoint::start([ScriptedResponse::Stall]).await }, listener)
 }
 
-/// An endpoint to which no connection opens, as its listener's backlog is full of the returned connections.
-pub async fn endpoint_with_full_backlog() -> (TestEndpoint, Vec<TcpStream>, TcpListener) {
+/// An endpoint to which no connection opens, as its listener's backlog is full of the returned
+/// connections.
+pub(crate) async fn endpoint_with_full_backlog() -> (TestEndpoint, Vec<TcpStream>, TcpListener) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let listener = socket.listen(0).expect("it listens");
--- a/proxy/tests/common/http.rs
+++ b/proxy/tests/common/http.rs
@@ -5,40 +5,40 @@
 
 /// A message as it was received: its start line, its headers in lower case, its body.
 #[derive(Clone, Debug)]
-pub struct Message {
-    pub start_line: String,
-    pub headers: Vec<(String, String)>,
-    pub body: Vec<u8>,
+pub(crate) struct Message {
+    pub(crate) start_line: String,
+    pub(crate) headers: Vec<(String, String)>,
+    pub(crate) body: Vec<u8>,
 }
 
 impl Message {
-    pub fn header(&self, name: &str) -> Option<&str> {
+    pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
 
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status")
     }
 }
 
 /// Reads messages off a stream.
-pub struct MessageReader<R> {
-    pub stream: R,
+pub(crate) struct MessageReader<R> {
+    pub(crate) stream: R,
     buffer: Vec<u8>,
 }
 
 impl<R: AsyncReadExt + Unpin> MessageReader<R> {
-    pub fn new(stream: R) -> Self {
+    pub(crate) fn new(stream: R) -> Self {
         MessageReader { stream, buffer: Vec::new() }
     }
 
     /// Reads more into the buffer; whether there was more.
-    pub async fn read_more(&mut self) -> bool {
+    pub(crate) async fn read_more(&mut self) -> bool {
         self.stream.read_buf(&mut self.buffer).await.is_ok_and(|count| count > 0)
     }
 
     /// The next message; `None` if the stream ends before it is complete.
-    pub async fn message(&mut self) -> Option<Message> {
+    pub(crate) async fn message(&mut self) -> Option<Message> {
         let end = loop {
             match self.buffer.windows(4).position(|w| w == b"\r\n\r\n") {
                 Some(end) => break end,
@@ -65,7 +65,7 @@
     }
 
     /// The next response, whose body may be chunked; `None` if it is not complete.
-    pub async fn response(&mut self) -> Option<Message> {
+    pub(crate) async fn response(&mut self) -> Option<Message> {
         let mut response = self.message().await?;
         if response.header("transfer-encoding") != Some("chunked") {
             return Some(response);
@@ -106,10 +106,10 @@
 }
 
 /// A request for the proxy's health.
-pub const HEALTH_REQUEST: &str = "GET /_health HTTP/1.1\r\n\r\n";
+pub(crate) const HEALTH_REQUEST: &str = "GET /_health HTTP/1.1\r\n\r\n";
 
 /// A request of a class, with further header lines and a body. Each has an id of its own.
-pub fn request(class: &str, headers: &str, body: &str) -> String {
+pub(crate) fn request(class: &str, headers: &str, body: &str) -> String {
     static NEXT_ID: AtomicU64 = AtomicU64::new(0);
     let (id, length) = (NEXT_ID.fetch_add(1, Ordering::Relaxed), body.len());
     let (method, key) = match class {
@@ -125,14 +125,15 @@
 }
 
 /// A response with status 200 and this body.
-pub fn ok_response(body: &str) -> String {
+pub(crate) fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
 /// A response that proves that the request has not run.
-pub const REJECTION: &str = "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
+pub(crate) const REJECTION: &str =
+    "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
 
 /// A chunk with this line.
-pub fn chunk(line: &str) -> String {
+pub(crate) fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
--- a/proxy/tests/common/paused_time.rs
+++ b/proxy/tests/common/paused_time.rs
@@ -5,11 +5,12 @@
 use tokio::task::{spawn_blocking, yield_now, LocalSet};
 use tokio::time::{advance, Instant};
 
-pub const MS: Duration = Duration::from_millis(1);
+pub(crate) const MS: Duration = Duration::from_millis(1);
 const STEP: Duration = Duration::from_millis(10);
 
-/// Runs a test whose clock is paused but where the test advances it: a blocking task keeps the runtime from advancing it.
-pub fn run_with_paused_time<T>(test: impl Future<Output = T>) -> T {
+/// Runs a test whose clock is paused but where the test advances it: a blocking task keeps the
+/// runtime from advancing it.
+pub(crate) fn run_with_paused_time<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     let runtime = runtime.expect("a runtime");
     let (end, ended) = std::sync::mpsc::channel::<()>();
@@ -22,7 +23,7 @@
 }
 
 /// Lets every task go on that can without time.
-pub async fn settle() {
+pub(crate) async fn settle() {
     for _ in 0..20 {
         yield_now().await;
     }
@@ -34,7 +35,7 @@
 }
 
 /// Advances the clock until the condition is met, and returns by how much.
-pub async fn advance_until(what: &str, condition: impl Fn() -> bool) -> Duration {
+pub(crate) async fn advance_until(what: &str, condition: impl Fn() -> bool) -> Duration {
     let start = Instant::now();
     settle().await;
     while !condition() {
@@ -46,7 +47,7 @@
 }
 
 /// Waits until the condition is met, without advancing the clock.
-pub async fn wait_without_time(what: &str, condition: impl Fn() -> bool) {
+pub(crate) async fn wait_without_time(what: &str, condition: impl Fn() -> bool) {
     let begun = std::time::Instant::now();
     while !condition() {
         assert!(begun.elapsed() < Duration::from_secs(15), "never: {what}");
--- a/proxy/tests/common/program.rs
+++ b/proxy/tests/common/program.rs
@@ -7,9 +7,9 @@
 use tokio::net::TcpSocket;
 use tokio::time::sleep;
 
-/// A port for the program, which does not report one that it got by itself. The port is reserved for as long as the socket
-/// is open, but not against a listener that may share it.
-pub fn reserve_port() -> TcpSocket {
+/// A port for the program, which does not report one that it got by itself. The port is reserved
+/// for as long as the socket is open, but not against a listener that may share it.
+pub(crate) fn reserve_port() -> TcpSocket {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_reuseaddr(true).expect("it can be shared");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -17,7 +17,7 @@
 }
 
 /// The program with this configuration, in a file of this name.
-pub fn program_command(config: &str, name: &str) -> (Command, PathBuf) {
+pub(crate) fn program_command(config: &str, name: &str) -> (Command, PathBuf) {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, config).expect("written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_client-proxy"));
@@ -26,7 +26,7 @@
 }
 
 /// A process that does not outlive its test.
-pub struct RunningProgram(pub Child);
+pub(crate) struct RunningProgram(pub(crate) Child);
 
 impl Drop for RunningProgram {
     fn drop(&mut self) {
@@ -38,23 +38,23 @@
 
 impl RunningProgram {
     /// Orders it to shut down.
-    pub fn stop(&self) {
+    pub(crate) fn stop(&self) {
         self.signal("TERM");
     }
 
     /// Sends it a signal of this name.
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         send_signal(self.0.id(), name);
     }
 
     /// Kills it; its sockets are closed when this returns.
-    pub fn kill(&mut self) {
+    pub(crate) fn kill(&mut self) {
         self.0.kill().expect("it still runs");
         self.0.wait().expect("it can be waited for");
     }
 
     /// Waits for its end, and returns whether that was a success.
-    pub async fn ends(&mut self) -> bool {
+    pub(crate) async fn ends(&mut self) -> bool {
         loop {
             match self.0.try_wait().expect("it can be waited for") {
                 Some(status) => return status.success(),
@@ -65,7 +65,7 @@
 }
 
 /// Sends a process a signal of this name.
-pub fn send_signal(process: u32, name: &str) {
+pub(crate) fn send_signal(process: u32, name: &str) {
     let sent = Command::new("kill").args(["-s", name, &process.to_string()]).status();
     assert!(sent.expect("kill runs").success());
 }
@@ -83,7 +83,7 @@
 }
 
 /// Starts the program with system calls that fail by this schedule.
-pub fn start_with_faults(command: &mut Command, schedule: &serde_json::Value) -> RunningProgram {
+pub(crate) fn start_with_faults(command: &mut Command, schedule: &serde_json::Value) -> RunningProgram {
     command.env("LD_PRELOAD", faults_library()).env("SYSCALL_FAULTS", schedule.to_string());
     RunningProgram(command.stderr(Stdio::null()).spawn().expect("it starts"))
 }
--- a/proxy/tests/common/proxy.rs
+++ b/proxy/tests/common/proxy.rs
@@ -12,7 +12,7 @@
 use tokio::task::{spawn_local, yield_now, JoinHandle};
 
 /// A configuration that lists these endpoints; `change` edits it before it is parsed.
-pub fn configuration(
+pub(crate) fn configuration(
     discovery: SocketAddr,
     endpoints: &[TestEndpoint],
     change: impl FnOnce(&mut serde_json::Value),
@@ -41,32 +41,32 @@
 }
 
 /// Changes a configuration so that operators have an address.
-pub fn with_admin(config: &mut serde_json::Value) {
+pub(crate) fn with_admin(config: &mut serde_json::Value) {
     config["admin"] = "127.0.0.1:0".into();
 }
 
-/// Changes a configuration so that two requests can be in flight, one of them as the trial that may raise the limit, and a
-/// third waits in the queue.
-pub fn limit_to_two_in_flight(config: &mut serde_json::Value) {
+/// Changes a configuration so that two requests can be in flight, one of them as the trial that may
+/// raise the limit, and a third waits in the queue.
+pub(crate) fn limit_to_two_in_flight(config: &mut serde_json::Value) {
     config["settings"]["balancers"] = 7.into();
 }
 
 /// A running proxy.
-pub struct Proxy {
-    pub address: SocketAddr,
-    pub admin: Option<SocketAddr>,
+pub(crate) struct Proxy {
+    pub(crate) address: SocketAddr,
+    pub(crate) admin: Option<SocketAddr>,
     /// Dropped, it orders the proxy to shut down.
-    pub stop: Option<oneshot::Sender<()>>,
-    pub task: JoinHandle<std::io::Result<()>>,
+    pub(crate) stop: Option<oneshot::Sender<()>>,
+    pub(crate) task: JoinHandle<std::io::Result<()>>,
 }
 
 impl Proxy {
-    pub async fn start(endpoints: &[TestEndpoint]) -> Proxy {
+    pub(crate) async fn start(endpoints: &[TestEndpoint]) -> Proxy {
         Proxy::start_with(&TestDiscovery::without_updates().await, endpoints, |_| ()).await
     }
 
     /// Starts one whose configuration is changed.
-    pub async fn start_with(
+    pub(crate) async fn start_with(
         discovery: &TestDiscovery,
         endpoints: &[TestEndpoint],
         change: impl FnOnce(&mut serde_json::Value),
@@ -86,14 +86,15 @@
         Proxy { address, admin, stop: Some(stop), task }
     }
 
-    /// A client of it, once it listens: it does so only once it has an endpoint list, or has waited for one.
-    pub async fn client(&self) -> Client {
+    /// A client of it, once it listens: it does so only once it has an endpoint list, or has waited
+    /// for one.
+    pub(crate) async fn client(&self) -> Client {
         connect_when_listening(self.address).await
     }
 }
 
 /// A proxy with an address for operators.
-pub async fn start_with_admin(
+pub(crate) async fn start_with_admin(
     endpoints: &[TestEndpoint],
     change: impl FnOnce(&mut serde_json::Value),
 ) -> (Proxy, SocketAddr) {
@@ -107,7 +108,7 @@
 }
 
 /// A proxy with an address for operators, which may not cancel attempts that have begun.
-pub async fn start_without_cancellation(
+pub(crate) async fn start_without_cancellation(
     endpoints: &[TestEndpoint],
     change: impl FnOnce(&mut serde_json::Value),
 ) -> (Proxy, SocketAddr) {
@@ -119,9 +120,10 @@
 }
 
 /// The response to an operator's command, up to the end of its connection.
-pub async fn admin_command(admin: SocketAddr, line: &str) -> String {
+pub(crate) async fn admin_command(admin: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(admin).await.expect("operators are admitted");
-    // Some tests send very many, and the system remembers connections that ended in order: its table would grow long.
+    // Some tests send very many, and the system remembers connections that ended in order: its
+    // table would grow long.
     stream.set_zero_linger().expect("zero linger");
     stream.write_all(line.as_bytes()).await.expect("written");
     let mut response = String::new();
@@ -130,14 +132,14 @@
 }
 
 /// The metrics that operators read.
-pub async fn metrics(admin: SocketAddr) -> serde_json::Value {
+pub(crate) async fn metrics(admin: SocketAddr) -> serde_json::Value {
     let response = admin_command(admin, "counters\n").await;
     let json = response.strip_suffix("\nEOT\n");
     serde_json::from_str(json.expect("the form of metrics")).expect("metrics")
 }
 
 /// Whether the process whose operators have this address reports that it takes clients.
-pub async fn is_ready(admin: SocketAddr) -> bool {
+pub(crate) async fn is_ready(admin: SocketAddr) -> bool {
     let mut response = String::new();
     if let Ok(mut stream) = TcpStream::connect(admin).await {
         // The process may end meanwhile.
@@ -148,14 +150,14 @@
 }
 
 /// Waits until this many requests are pending.
-pub async fn wait_for_pending(admin: SocketAddr, count: u64) {
+pub(crate) async fn wait_for_pending(admin: SocketAddr, count: u64) {
     while metrics(admin).await["pending"] != count {
         yield_now().await;
     }
 }
 
 /// How many requests have ended, over all classes: completed, rejected, failed.
-pub async fn request_ends(admin: SocketAddr) -> [u64; 3] {
+pub(crate) async fn request_ends(admin: SocketAddr) -> [u64; 3] {
     let metrics = metrics(admin).await;
     let classes = metrics["downstream_requests"].as_object().expect("classes").clone();
     ["completed", "rejected", "failed"]
--- a/proxy/tests/common/scripted_discovery.rs
+++ b/proxy/tests/common/scripted_discovery.rs
@@ -15,7 +15,7 @@
 
 /// What discovery does with one watch request.
 #[derive(Clone, Debug)]
-pub enum WatchResponse {
+pub(crate) enum WatchResponse {
     /// Writes this and keeps the connection open.
     Respond(String),
     /// Writes it after this time.
@@ -27,26 +27,27 @@
 }
 use WatchResponse::{Reset, Respond, RespondAfter, Unreachable};
 
-pub const UNAVAILABLE: &str = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
-pub const NO_UPDATES: fn() -> WatchResponse = || Respond(WATCH_HEAD.to_owned());
-pub const NO_RESPONSE: fn() -> WatchResponse = || Respond(String::new());
-pub const REJECTED: fn() -> WatchResponse = || Respond(UNAVAILABLE.to_owned());
-pub const LATE_REJECTED: fn() -> WatchResponse =
+pub(crate) const UNAVAILABLE: &str = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
+pub(crate) const NO_UPDATES: fn() -> WatchResponse = || Respond(WATCH_HEAD.to_owned());
+pub(crate) const NO_RESPONSE: fn() -> WatchResponse = || Respond(String::new());
+pub(crate) const REJECTED: fn() -> WatchResponse = || Respond(UNAVAILABLE.to_owned());
+pub(crate) const LATE_REJECTED: fn() -> WatchResponse =
     || RespondAfter(Duration::from_secs(2), UNAVAILABLE.to_owned());
-pub const PARTIAL_HEAD: fn() -> WatchResponse = || Respond("HTTP/1.1 200 OK\r\nTransfer-Enc".to_owned());
+pub(crate) const PARTIAL_HEAD: fn() -> WatchResponse =
+    || Respond("HTTP/1.1 200 OK\r\nTransfer-Enc".to_owned());
 
 /// Discovery that gives one response after the other, and then has no updates.
 #[derive(Clone)]
-pub struct ScriptedDiscovery {
-    pub address: SocketAddr,
-    pub request_count: Rc<Cell<usize>>,
+pub(crate) struct ScriptedDiscovery {
+    pub(crate) address: SocketAddr,
+    pub(crate) request_count: Rc<Cell<usize>>,
     /// When it last became reachable.
-    pub reachable_since: Rc<Cell<Option<Instant>>>,
-    pub open_connections: Rc<RefCell<Vec<TcpStream>>>,
+    pub(crate) reachable_since: Rc<Cell<Option<Instant>>>,
+    pub(crate) open_connections: Rc<RefCell<Vec<TcpStream>>>,
 }
 
 impl ScriptedDiscovery {
-    pub async fn start(script: impl IntoIterator<Item = WatchResponse>) -> ScriptedDiscovery {
+    pub(crate) async fn start(script: impl IntoIterator<Item = WatchResponse>) -> ScriptedDiscovery {
         // Reserved while nobody listens there.
         let port = reserve_port();
         let address = port.local_addr().expect("an address");
@@ -103,7 +104,7 @@
     }
 
     /// Resets the open connections.
-    pub fn reset(&self) {
+    pub(crate) fn reset(&self) {
         for stream in self.open_connections.borrow_mut().drain(..) {
             reset_connection(&stream);
         }
--- a/proxy/tests/endpoint_connections.rs
+++ b/proxy/tests/endpoint_connections.rs
@@ -183,8 +183,8 @@
         wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
         let endpoints = [entry("s-0", leaving.address, "Terminating"), entry("s-1", other.address, "Ready")];
         let list = chunk(&list(42, false, &endpoints));
-        // Both arrive in one turn of the proxy's loop, the request first: it is given to its connection's task, which
-        // runs only after the list.
+        // Both arrive in one turn of the proxy's loop, the request first: it is given to its
+        // connection's task, which runs only after the list.
         client.send(&request("unsafe", "", "")).await;
         discovery.push(&list).await;
         assert_eq!(client.message().await.expect("a response").body, b"other");
--- a/proxy/tests/program.rs
+++ b/proxy/tests/program.rs
@@ -148,7 +148,8 @@
         assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"first");
         std::fs::write(&path, "{ broken").expect("written");
         hangup();
-        // The log is in order: the line about the broken file stands before that about the good one.
+        // The log is in order: the line about the broken file stands before that about the good
+        // one.
         let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
         while !log.next().expect("a line").expect("text").contains("configuration kept") {}
         std::fs::write(&path, config(&new)).expect("written");
@@ -228,7 +229,8 @@
             command.stdout(Stdio::null()).stderr(std::fs::File::create(&log).expect("a log"));
             let process = RunningProgram(command.spawn().expect("it starts"));
             let connect = async || connect_when_listening(address).await;
-            // As many requests as there may be connections to endpoints, and then clients that send nothing.
+            // As many requests as there may be connections to endpoints, and then clients that send
+            // nothing.
             let mut stuck = Vec::new();
             for _ in 0..max_upstream {
                 stuck.push(connect().await);
--- a/proxy/tests/races.rs
+++ b/proxy/tests/races.rs
@@ -303,7 +303,8 @@
             let text = request(class, "", "").replace("8000", "500");
             let (proxy, mut client, listener, endpoint) = request_in_flight(&text).await;
             endpoint.stream.writable().await.expect("it can be written to");
-            // Not a wait: this keeps the proxy, on the same thread, from its turn until both are there.
+            // Not a wait: this keeps the proxy, on the same thread, from its turn until both are
+            // there.
             std::thread::sleep(Duration::from_millis(510));
             let late = ok_response("late");
             write_now(&endpoint, &late).await;
@@ -560,7 +561,8 @@
         is(socket.local_addr(), near) && is(socket.peer_addr(), far)
     };
     open.into_iter().find_map(|number| {
-        // SAFETY: only its addresses and options are read; a descriptor that was closed meanwhile yields an error.
+        // SAFETY: only its addresses and options are read; a descriptor that was closed meanwhile
+        // yields an error.
         let descriptor = unsafe { BorrowedFd::borrow_raw(number) };
         let socket = SockRef::from(&descriptor);
         ends(&socket).then(|| socket.tcp_nodelay().expect("an option"))
--- a/proxy/tests/readiness.rs
+++ b/proxy/tests/readiness.rs
@@ -102,7 +102,8 @@
                     (false, false) => 5_500 * MS,
                 };
                 assert!(ready <= max_ready, "{name}");
-                // Without a list clients are left to the other process as long as possible; a process that is alone rejects them early.
+                // Without a list clients are left to the other process as long as possible; a
+                // process that is alone rejects them early.
                 let waits = !has_list && number != 0;
                 assert!(!(waits && has_other_process) || listens > 7_000 * MS, "{name}");
                 assert!(!waits || has_other_process || (2_000 * MS..3_000 * MS).contains(&listens), "{name}");
--- a/proxy/tests/requests.rs
+++ b/proxy/tests/requests.rs
@@ -39,7 +39,8 @@
         let good = request("free", "", "");
         let (post, keyed) = (request("unsafe", "", "body"), request("keyed", "", "body"));
         let id = good.split("\r\n").find(|line| line.starts_with("X-Call-Id")).expect("an id").to_owned();
-        // Whatever its framing says, the second request must not be read, nor forwarded in the first's body.
+        // Whatever its framing says, the second request must not be read, nor forwarded in the
+        // first's body.
         let smuggled = format!("0\r\n\r\n{}", request("unsafe", "", ""));
         let chunked = "Transfer-Encoding: chunked\r\n";
         let length = format!("Content-Length: {}\r\n", smuggled.len());
@@ -75,7 +76,8 @@
         for (text, status) in cases {
             let mut client = proxy.client().await;
             let text = text + &request("unsafe", "", "");
-            // The proxy reads the rest only for a while: the end of a large request may find the connection closed.
+            // The proxy reads the rest only for a while: the end of a large request may find the
+            // connection closed.
             let _ = client.stream.write_all(text.as_bytes()).await;
             let response = client.message().await.expect("a response");
             assert_eq!(response.status(), status, "{}", &text[..text.len().min(300)]);
