--- /dev/null
+++ b/proxy/tests/client_connections.rs
@@ -0,0 +1,106 @@
+//! Connections of clients that are silent, slow, idle or too many.
+
+mod common;
+
+use common::*;
+use std::slice::from_ref;
+use tokio::io::AsyncWriteExt;
+
+/// A client that sends nothing, too little or too slowly occupies a connection: it is closed
+/// within the 3 s that it is owed.
+#[test]
+fn silent_and_slow_clients_are_disconnected() {
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let proxy = Proxy::start(from_ref(&endpoint)).await;
+        let head = request("unsafe", "", "the body");
+        let (mut silent, mut partial_head, mut partial_body) =
+            (proxy.client().await, proxy.client().await, proxy.client().await);
+        partial_head.send(&head[..30]).await;
+        partial_body.send(&head[..head.len() - 2]).await;
+        // A client that sends its second request a byte at a time: no byte may restart its time.
+        let mut slow = proxy.client().await;
+        assert_eq!(slow.exchange(&request("unsafe", "", "")).await.status(), 200);
+        let send_slowly = async {
+            for byte in head.as_bytes().chunks(1).cycle() {
+                if slow.stream.write_all(byte).await.is_err() {
+                    break;
+                }
+                tokio::time::sleep(std::time::Duration::from_millis(100)).await;
+            }
+        };
+        let rest = async {
+            assert!(silent.message().await.is_none());
+            assert!(partial_head.message().await.is_none());
+            assert_eq!(partial_body.message().await.map(|response| response.status()), Some(408));
+        };
+        tokio::join!(send_slowly, rest);
+        assert_eq!(endpoint.request_count(), 1);
+    });
+}
+
+/// Clients that send one request and keep their connections open must not use up the limit: while
+/// many are open, a connection is closed with the response to its first request.
+#[test]
+fn idle_connections_are_closed_while_many_are_open() {
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let proxy = Proxy::start_with(&TestDiscovery::without_updates().await, &[endpoint], |config| {
+            config["limits"]["sockets"] = 64.into();
+        })
+        .await;
+        let mut clients = Vec::new();
+        let mut closed = 0;
+        // A sixth of 64 descriptors may stay open.
+        for _ in 0..15 {
+            let mut client = proxy.client().await;
+            let response = client.exchange(&request("free", "", "")).await;
+            assert_eq!(response.status(), 200);
+            closed += usize::from(response.header("connection") == Some("close"));
+            clients.push(client);
+        }
+        assert!((1..=6).contains(&closed), "{closed}");
+        let is_closed = |client: &Client| client.stream.try_read(&mut [0]).is_ok_and(|count| count == 0);
+        wait_until("they are closed", || clients.iter().filter(|client| is_closed(client)).count() == closed)
+            .await;
+        assert_eq!(clients[0].exchange(&request("free", "", "")).await.status(), 200, "the others stay open");
+    });
+}
+
+/// At the limit connections without a request are evicted first, and one that has just had a
+/// response stays open.
+#[test]
+fn clients_that_send_requests_keep_their_connections() {
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let proxy = Proxy::start_with(&TestDiscovery::without_updates().await, &[endpoint], |config| {
+            config["limits"]["sockets"] = 64.into();
+        })
+        .await;
+        let mut active = proxy.client().await;
+        assert_eq!(active.exchange(&request("free", "", "")).await.status(), 200);
+        let mut silent = Vec::new();
+        for _ in 0..100 {
+            silent.push(proxy.client().await);
+            assert_eq!(active.exchange(&request("free", "", "")).await.status(), 200);
+        }
+    });
+}
+
+/// Clients that connect and send nothing must not block others, nor cost more descriptors than
+/// there are.
+#[test]
+fn silent_connections_do_not_block_others() {
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let proxy = Proxy::start_with(&TestDiscovery::without_updates().await, &[endpoint], |config| {
+            config["limits"]["sockets"] = 64.into();
+        })
+        .await;
+        let mut silent = Vec::new();
+        for _ in 0..40 {
+            silent.push(proxy.client().await);
+        }
+        assert_eq!(proxy.client().await.exchange(&request("free", "", "")).await.status(), 200);
+    });
+}
--- a/proxy/tests/client_disconnect_under_load.rs
+++ b/proxy/tests/client_disconnect_under_load.rs
@@ -34,11 +34,6 @@
     clients
 }
 
-/// Writes without waiting, so that the proxy, which runs on the same thread, gets no turn.
-fn write_now(client: &Client, text: &str) {
-    assert_eq!(client.stream.try_write(text.as_bytes()).expect("written"), text.len());
-}
-
 /// Every client sends a request at once.
 fn request_health_on_all(crowd: &[Client]) {
     crowd.iter().for_each(|client| write_now(client, HEALTH_REQUEST));
--- a/proxy/tests/common/client.rs
+++ b/proxy/tests/common/client.rs
@@ -1,11 +1,11 @@
 //! Clients of the proxy, and how they disconnect.
 
-use super::http::{Message, MessageReader};
+use super::http::{ok_response, Message, MessageReader};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
-use tokio::net::TcpStream;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
 /// A connection of a client, or any other whose messages a test reads and writes itself.
@@ -63,3 +63,25 @@
         socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("zero linger");
     }
 }
+
+/// The next connection to a listener.
+pub(crate) async fn accept(listener: &TcpListener) -> Client {
+    MessageReader::new(listener.accept().await.expect("the proxy connects").0)
+}
+
+/// Writes a response with status 200 and this body.
+pub(crate) async fn respond_ok(connection: &mut Client, body: &str) {
+    connection.send(&ok_response(body)).await;
+}
+
+/// Writes without waiting, so that the proxy, which runs on the same thread, gets no turn.
+pub(crate) fn write_now(connection: &Client, text: &str) {
+    let written = connection.stream.try_write(text.as_bytes()).expect("written");
+    assert_eq!(written, text.len());
+}
+
+/// Waits until something can be written, and writes in the same turn of the thread.
+pub(crate) async fn write_once_writable(connection: &Client, text: &str) {
+    connection.stream.writable().await.expect("it can be written to");
+    write_now(connection, text);
+}
--- a/proxy/tests/common/mod.rs
+++ b/proxy/tests/common/mod.rs
@@ -7,6 +7,7 @@
 mod discovery;
 mod endpoint;
 mod http;
+pub(crate) mod paused_proxy;
 pub(crate) mod paused_time;
 mod program;
 mod proxy;
--- a/proxy/tests/common/proxy.rs
+++ b/proxy/tests/common/proxy.rs
@@ -156,6 +156,12 @@
     }
 }
 
+/// Waits until the proxy has applied a list with this many endpoints.
+pub(crate) async fn wait_for_members(proxy: &Proxy, count: u64) {
+    let admin = proxy.admin.expect("an address for operators");
+    while metrics(admin).await["members"] != count {}
+}
+
 /// How many requests have ended, over all classes: completed, rejected, failed.
 pub(crate) async fn request_ends(admin: SocketAddr) -> [u64; 3] {
     let metrics = metrics(admin).await;
--- a/proxy/tests/endpoint_list_propagation.rs
+++ b/proxy/tests/endpoint_list_propagation.rs
@@ -1,108 +1,18 @@
 //! A change of the endpoint list counts as notified 6 s after discovery had it and could be
-//! reached, 4 s after a new configuration, and where lists are pushed as soon as the agent has it.
+//! reached, and where lists are pushed as soon as the agent has it.
 //! Here every wait on the way is added up, in time that only the test advances.
 
 mod common;
 
-use client_proxy::config::Config;
+use common::paused_proxy::*;
 use common::paused_time::*;
-use common::scripted_discovery::WatchResponse::{Reset, Respond, RespondAfter, Unreachable};
+use common::scripted_discovery::WatchResponse::{Reset, Respond, Unreachable};
 use common::scripted_discovery::*;
 use common::*;
-use std::net::SocketAddr;
-use std::slice::from_ref;
 use std::time::Duration;
 use tokio::net::TcpStream;
-use tokio::sync::mpsc;
-use tokio::task::spawn_local;
 use tokio::time::advance;
 
-/// What the operators' times leave for the drain grace; the steps of the test's clock are in it.
-const MARGIN: Duration = Duration::from_millis(200);
-
-/// A watch whose first list says that this endpoint is draining.
-fn notify_draining(endpoint: &TestEndpoint) -> WatchResponse {
-    Respond(draining_list(endpoint))
-}
-
-fn draining_list(endpoint: &TestEndpoint) -> String {
-    format!("{WATCH_HEAD}{}", chunk(&list(42, true, &[entry("s-0", endpoint.address, "Terminating")])))
-}
-
-/// A proxy in paused time, with a connection to its one endpoint that is idle until the proxy is
-/// notified that the endpoint is draining.
-struct PausedProxy {
-    endpoint: TestEndpoint,
-    address: SocketAddr,
-    reload: mpsc::UnboundedSender<Config>,
-    config: String,
-}
-
-impl PausedProxy {
-    async fn start(
-        mode: &str,
-        balancer_count: u32,
-        discovery: &ScriptedDiscovery,
-        endpoint: TestEndpoint,
-    ) -> PausedProxy {
-        PausedProxy::with_seed(1, mode, balancer_count, discovery, endpoint).await
-    }
-
-    async fn with_seed(
-        seed: u64,
-        mode: &str,
-        balancer_count: u32,
-        discovery: &ScriptedDiscovery,
-        endpoint: TestEndpoint,
-    ) -> PausedProxy {
-        let config = configuration(discovery.address, from_ref(&endpoint), |config| {
-            config["seed"] = format!("{seed:x}").into();
-            config["settings"]["discovery"] = mode.into();
-            config["settings"]["balancers"] = balancer_count.into();
-            config["settings"]["invariants"]["ask_every_us"] = 10_000_000.into();
-        });
-        let read = Config::parse(&config).expect("a good configuration");
-        let clients = client_proxy::process_handoff::bind(read.listen).expect("bound");
-        let address = clients.local_addr().expect("an address");
-        let (reload, mut reloads) = mpsc::unbounded_channel();
-        let listeners = client_proxy::Listeners { clients, operators: None };
-        let next = async move || reloads.recv().await.map(Ok);
-        spawn_local(client_proxy::run(read, listeners, None, next, std::future::pending()));
-        settle().await;
-        let mut client = MessageReader::new(TcpStream::connect(address).await.expect("it listens"));
-        assert_eq!(client.exchange(&request("free", "", "")).await.status(), 200);
-        wait_without_time("a connection is idle", || endpoint.open_connections.get() == 1).await;
-        // Its client stays connected.
-        spawn_local(async move {
-            std::future::pending::<()>().await;
-            drop(client)
-        });
-        PausedProxy { endpoint, address, reload, config }
-    }
-
-    fn reload_with_discovery(&self, from: &ScriptedDiscovery, to: &ScriptedDiscovery) {
-        let config = self.config.replace(&from.address.to_string(), &to.address.to_string());
-        self.reload.send(Config::parse(&config).expect("a good configuration")).expect("it runs");
-    }
-
-    /// Advances the clock until the proxy has closed its idle connection, and returns by how much.
-    async fn until_draining(&self, what: &str) -> Duration {
-        advance_until(what, || self.endpoint.open_connections.get() == 0).await
-    }
-}
-
-fn repeated(failure: fn() -> WatchResponse, count: usize) -> Vec<WatchResponse> {
-    std::iter::repeat_with(failure).take(count).collect()
-}
-
-/// The responses that requests for a watch may get before one succeeds, with discovery in reach.
-fn failure_sequences() -> Vec<Vec<WatchResponse>> {
-    let one = [REJECTED, LATE_REJECTED, NO_RESPONSE, PARTIAL_HEAD, NO_UPDATES, || Reset];
-    let mut paths: Vec<_> = one.into_iter().map(|failure| vec![failure()]).collect();
-    paths.push(Vec::new());
-    paths
-}
-
 /// The watch is silent from the beginning, or is reset soon or later.
 #[test]
 fn a_change_that_a_lost_polled_watch_missed_is_applied_in_time() {
@@ -218,111 +128,6 @@
     }
 }
 
-/// What the watch is at when a new configuration arrives.
-#[derive(Clone, Copy, Debug)]
-enum WatchPhase {
-    /// It is open.
-    Open,
-    /// It is being opened, and the old discovery has not responded.
-    Opening,
-    /// It waits for its backoff.
-    Backoff,
-}
-
-/// The time counts from the reload, whatever the watch was at, and the old discovery sends nothing
-/// more.
-#[test]
-fn a_change_that_a_new_discovery_has_is_applied_in_time() {
-    let modes =
-        [("ask", 300, 2), ("ask", 300, 3), ("ask", 300, 4), ("ask", 300, 1), ("ask", 5, 1), ("push", 5, 1)];
-    for ((mode, balancer_count, seed), at) in modes
-        .into_iter()
-        .flat_map(|m| [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff].map(|at| (m, at)))
-    {
-        for path in failure_sequences() {
-            let name = format!("{mode}, {balancer_count} balancers, seed {seed}, {at:?}, {path:?}");
-            run_with_paused_time(async {
-                let endpoint = TestEndpoint::start([ok("served")]).await;
-                let old = match at {
-                    WatchPhase::Open => vec![NO_UPDATES()],
-                    WatchPhase::Opening => vec![NO_RESPONSE()],
-                    WatchPhase::Backoff => vec![REJECTED(), Unreachable(Duration::from_secs(100))],
-                };
-                let (old, new) = (
-                    ScriptedDiscovery::start(old).await,
-                    ScriptedDiscovery::start(path.into_iter().chain([notify_draining(&endpoint)])).await,
-                );
-                let proxy = PausedProxy::with_seed(seed, mode, balancer_count, &old, endpoint).await;
-                wait_without_time("the old discovery has a request", || old.request_count.get() == 1).await;
-                advance(50 * MS).await;
-                settle().await;
-                proxy.reload_with_discovery(&old, &new);
-                let elapsed = proxy.until_draining("the drain").await;
-                assert!(elapsed <= 4_000 * MS + MARGIN, "{elapsed:?}: {name}");
-            });
-        }
-    }
-}
-
-/// A request that waits for its turn at the new discovery is not replaced by one that was planned
-/// before, and what the old one sends after the reload is ignored.
-#[test]
-fn a_request_that_queues_at_a_new_discovery_is_not_abandoned() {
-    for balancer_count in [5, 300] {
-        for at in [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff] {
-            run_with_paused_time(async {
-                let endpoint = TestEndpoint::start([ok("served")]).await;
-                let old = match at {
-                    WatchPhase::Open => vec![NO_UPDATES()],
-                    WatchPhase::Opening => vec![RespondAfter(500 * MS, draining_list(&endpoint))],
-                    WatchPhase::Backoff => vec![REJECTED(), Unreachable(Duration::from_secs(100))],
-                };
-                let turn = RespondAfter(Duration::from_secs(2), draining_list(&endpoint));
-                let (old, new) =
-                    (ScriptedDiscovery::start(old).await, ScriptedDiscovery::start([turn]).await);
-                let proxy = PausedProxy::start("ask", balancer_count, &old, endpoint).await;
-                wait_without_time("the old discovery has a request", || old.request_count.get() == 1).await;
-                advance(50 * MS).await;
-                settle().await;
-                proxy.reload_with_discovery(&old, &new);
-                let elapsed = proxy.until_draining("the drain").await;
-                assert!(
-                    elapsed >= Duration::from_secs(2),
-                    "{elapsed:?}: the old discovery was not ignored, {at:?}"
-                );
-                assert_eq!(new.request_count.get(), 1, "{balancer_count} balancers, {at:?}");
-            });
-        }
-    }
-}
-
-/// The same where lists are pushed: an agent that responds only after the reload is ignored.
-#[test]
-fn a_late_response_of_the_old_agent_is_ignored_after_a_reload() {
-    for delay in [60 * MS, 100 * MS, 110 * MS] {
-        run_with_paused_time(async {
-            let endpoint = TestEndpoint::start([ok("served")]).await;
-            let old = ScriptedDiscovery::start([RespondAfter(delay, draining_list(&endpoint))]).await;
-            let new = ScriptedDiscovery::start([NO_UPDATES()]).await;
-            let proxy = PausedProxy::start("push", 5, &old, endpoint).await;
-            wait_without_time("the old discovery has a request", || old.request_count.get() == 1).await;
-            advance(50 * MS).await;
-            settle().await;
-            proxy.reload_with_discovery(&old, &new);
-            wait_without_time("the new discovery has a request", || new.request_count.get() == 1).await;
-            advance_until("the old discovery has responded", || !old.open_connections.borrow().is_empty())
-                .await;
-            settle().await;
-            assert_eq!(proxy.endpoint.open_connections.get(), 1, "applied after {delay:?}");
-            assert_eq!(
-                (old.request_count.get(), new.request_count.get()),
-                (1, 1),
-                "neither gets another request"
-            );
-        });
-    }
-}
-
 /// A new process serves by the list in its configuration, which may be old, while its agent sends
 /// nothing, accepts no connections or rejects requests. What the agent has when it responds counts
 /// as notified at once.
--- /dev/null
+++ b/proxy/tests/reload_propagation.rs
@@ -0,0 +1,117 @@
+//! After a reload, the list of a new discovery counts as notified 4 s after the signal. Every wait
+//! on the way is added up, in time that only the test advances.
+
+mod common;
+
+use common::paused_proxy::*;
+use common::paused_time::*;
+use common::scripted_discovery::WatchResponse::{RespondAfter, Unreachable};
+use common::scripted_discovery::*;
+use common::*;
+use std::time::Duration;
+use tokio::time::advance;
+
+/// What the watch is at when a new configuration arrives.
+#[derive(Clone, Copy, Debug)]
+enum WatchPhase {
+    /// It is open.
+    Open,
+    /// It is being opened, and the old discovery has not responded.
+    Opening,
+    /// It waits for its backoff.
+    Backoff,
+}
+
+/// The time counts from the reload, whatever the watch was at, and the old discovery sends nothing
+/// more.
+#[test]
+fn a_change_that_a_new_discovery_has_is_applied_in_time() {
+    let modes =
+        [("ask", 300, 2), ("ask", 300, 3), ("ask", 300, 4), ("ask", 300, 1), ("ask", 5, 1), ("push", 5, 1)];
+    for ((mode, balancer_count, seed), at) in modes
+        .into_iter()
+        .flat_map(|m| [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff].map(|at| (m, at)))
+    {
+        for path in failure_sequences() {
+            let name = format!("{mode}, {balancer_count} balancers, seed {seed}, {at:?}, {path:?}");
+            run_with_paused_time(async {
+                let endpoint = TestEndpoint::start([ok("served")]).await;
+                let old = match at {
+                    WatchPhase::Open => vec![NO_UPDATES()],
+                    WatchPhase::Opening => vec![NO_RESPONSE()],
+                    WatchPhase::Backoff => vec![REJECTED(), Unreachable(Duration::from_secs(100))],
+                };
+                let (old, new) = (
+                    ScriptedDiscovery::start(old).await,
+                    ScriptedDiscovery::start(path.into_iter().chain([notify_draining(&endpoint)])).await,
+                );
+                let proxy = PausedProxy::with_seed(seed, mode, balancer_count, &old, endpoint).await;
+                wait_without_time("the old discovery has a request", || old.request_count.get() == 1).await;
+                advance(50 * MS).await;
+                settle().await;
+                proxy.reload_with_discovery(&old, &new);
+                let elapsed = proxy.until_draining("the drain").await;
+                assert!(elapsed <= 4_000 * MS + MARGIN, "{elapsed:?}: {name}");
+            });
+        }
+    }
+}
+
+/// A request that waits for its turn at the new discovery is not replaced by one that was planned
+/// before, and what the old one sends after the reload is ignored.
+#[test]
+fn a_request_that_queues_at_a_new_discovery_is_not_abandoned() {
+    for balancer_count in [5, 300] {
+        for at in [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff] {
+            run_with_paused_time(async {
+                let endpoint = TestEndpoint::start([ok("served")]).await;
+                let old = match at {
+                    WatchPhase::Open => vec![NO_UPDATES()],
+                    WatchPhase::Opening => vec![RespondAfter(500 * MS, draining_list(&endpoint))],
+                    WatchPhase::Backoff => vec![REJECTED(), Unreachable(Duration::from_secs(100))],
+                };
+                let turn = RespondAfter(Duration::from_secs(2), draining_list(&endpoint));
+                let (old, new) =
+                    (ScriptedDiscovery::start(old).await, ScriptedDiscovery::start([turn]).await);
+                let proxy = PausedProxy::start("ask", balancer_count, &old, endpoint).await;
+                wait_without_time("the old discovery has a request", || old.request_count.get() == 1).await;
+                advance(50 * MS).await;
+                settle().await;
+                proxy.reload_with_discovery(&old, &new);
+                let elapsed = proxy.until_draining("the drain").await;
+                assert!(
+                    elapsed >= Duration::from_secs(2),
+                    "{elapsed:?}: the old discovery was not ignored, {at:?}"
+                );
+                assert_eq!(new.request_count.get(), 1, "{balancer_count} balancers, {at:?}");
+            });
+        }
+    }
+}
+
+/// The same where lists are pushed: an agent that responds only after the reload is ignored.
+#[test]
+fn a_late_response_of_the_old_agent_is_ignored_after_a_reload() {
+    for delay in [60 * MS, 100 * MS, 110 * MS] {
+        run_with_paused_time(async {
+            let endpoint = TestEndpoint::start([ok("served")]).await;
+            let old = ScriptedDiscovery::start([RespondAfter(delay, draining_list(&endpoint))]).await;
+            let new = ScriptedDiscovery::start([NO_UPDATES()]).await;
+            let proxy = PausedProxy::start("push", 5, &old, endpoint).await;
+            wait_without_time("the old discovery has a request", || old.request_count.get() == 1).await;
+            advance(50 * MS).await;
+            settle().await;
+            proxy.reload_with_discovery(&old, &new);
+            wait_without_time("the new discovery has a request", || new.request_count.get() == 1).await;
+            advance_until("the old discovery has responded", || !old.open_connections.borrow().is_empty())
+                .await;
+            settle().await;
+            assert_eq!(proxy.endpoint.open_connections.get(), 1, "applied after {delay:?}");
+            assert_eq!(
+                (old.request_count.get(), new.request_count.get()),
+                (1, 1),
+                "neither gets another request"
+            );
+        });
+    }
+}
--- /dev/null
+++ b/proxy/tests/response_integrity.rs
@@ -0,0 +1,145 @@
+//! Responses that never end, are truncated, or end only with their connection.
+
+mod common;
+
+use common::*;
+use std::slice::from_ref;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
+use tokio::time::sleep;
+
+/// A response without a length may arrive in small pieces that never end, and its client may wait
+/// for it for ever. It is ended, and is seen as broken; one that is slow, and takes longer in all
+/// than an endpoint may be silent, is not.
+#[test]
+fn an_endless_response_in_small_pieces_is_ended() {
+    run_test(async {
+        let (endless, slow) = tokio::join!(stream_in_pieces(1), stream_in_pieces(400));
+        assert!(!endless.ends_with("0\r\n\r\n") && endless.len() < 1_000, "{} bytes", endless.len());
+        assert!(slow.ends_with("0\r\n\r\n"), "{} bytes", slow.len());
+    });
+}
+
+/// A proxy, a client that has sent a non-idempotent request, and the connection of its endpoint,
+/// which has read it.
+async fn non_idempotent_request_in_flight() -> (Proxy, Client, Client) {
+    let (endpoint, listener) = manual_endpoint().await;
+    let proxy = Proxy::start(from_ref(&endpoint)).await;
+    let mut client = proxy.client().await;
+    client.send(&request("unsafe", "", "")).await;
+    let mut endpoint = accept(&listener).await;
+    endpoint.message().await.expect("a request");
+    (proxy, client, endpoint)
+}
+
+/// What a client gets of a response that arrives in 120 pieces of this size, ten a second.
+async fn stream_in_pieces(size: usize) -> String {
+    let (_proxy, mut client, mut endpoint) = non_idempotent_request_in_flight().await;
+    let writing = async {
+        endpoint.send(WATCH_HEAD).await;
+        let piece = format!("{size:x}\r\n{}\r\n", "x".repeat(size));
+        for _ in 0..120 {
+            // The other side may have stopped reading.
+            if endpoint.stream.write_all(piece.as_bytes()).await.is_err() {
+                return;
+            }
+            sleep(Duration::from_millis(100)).await;
+        }
+        endpoint.send("0\r\n\r\n").await;
+    };
+    let mut read = Vec::new();
+    let reading = async {
+        while !read.ends_with(b"0\r\n\r\n") && client.stream.read_buf(&mut read).await.is_ok_and(|n| n > 0) {}
+    };
+    tokio::join!(writing, reading);
+    String::from_utf8(read).expect("text")
+}
+
+/// Truncated responses: the head, a part of the body, and whether the connection is reset or
+/// closed.
+const TRUNCATED_RESPONSES: [(&str, &str, bool); 7] = [
+    ("Content-Length: 10\r\n", "half", false),
+    ("Content-Length: 10\r\n", "half", true),
+    ("Content-Length: 10\r\n", "", true),
+    ("Transfer-Encoding: chunked\r\n", "4\r\nhalf\r\n", false),
+    ("Transfer-Encoding: chunked\r\n", "4\r\nhalf\r\n", true),
+    ("", "", true),
+    ("", "half", true),
+];
+
+/// A truncated response is none, whatever of it has arrived and however it breaks off: one without
+/// a length has no end but that of its connection, and a reset is no end. Nothing of it is
+/// forwarded; its request is retried if its class allows.
+#[test]
+fn a_truncated_response_is_not_forwarded() {
+    for (framing, part, is_reset) in TRUNCATED_RESPONSES {
+        for (class, status) in [("free", 200), ("keyed", 200), ("unsafe", 502)] {
+            run_test(async {
+                let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+                let address = listener.local_addr().expect("an address");
+                let (cut, good) = (
+                    TestEndpoint { address, ..TestEndpoint::start([ScriptedResponse::Stall]).await },
+                    TestEndpoint::start([ok("good")]).await,
+                );
+                let discovery = TestDiscovery::without_updates().await;
+                let proxy = Proxy::start_with(&discovery, from_ref(&cut), with_admin).await;
+                wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
+                let mut client = proxy.client().await;
+                client.send(&request(class, "", "")).await;
+                let mut endpoint = accept(&listener).await;
+                endpoint.message().await.expect("a request");
+                let endpoints = [entry("s-0", address, "Terminating"), entry("s-1", good.address, "Ready")];
+                discovery.push(&chunk(&list(42, false, &endpoints))).await;
+                wait_for_members(&proxy, 2).await;
+                write_once_writable(&endpoint, &format!("HTTP/1.1 200 OK\r\n{framing}\r\n{part}")).await;
+                match is_reset {
+                    true => disconnect(endpoint, Disconnect::Reset),
+                    false => drop(endpoint),
+                }
+                let response = client.message().await.expect("a response");
+                let case = format!("{framing:?}, {part:?}, {is_reset}, {class}");
+                assert_eq!(response.status(), status, "{case}");
+                assert!(status != 200 || response.body == b"good", "{case}: {response:?}");
+                assert_eq!(good.request_count(), usize::from(status == 200), "{case}");
+            });
+        }
+    }
+}
+
+/// A response without a length ends with its connection. A complete one is forwarded as it is,
+/// whether the class may be retried or not; the table of truncated responses has those that are
+/// reset.
+#[test]
+fn a_complete_response_without_a_length_is_forwarded() {
+    for (class, size) in [("free", 0), ("free", 4), ("unsafe", 4), ("keyed", 50_000), ("unsafe", 200_000)] {
+        run_test(async {
+            let body = "b".repeat(size);
+            let endpoint = TestEndpoint::start([ScriptedResponse::WriteAndClose(format!(
+                "HTTP/1.1 200 OK\r\n\r\n{body}"
+            ))])
+            .await;
+            let proxy = Proxy::start(from_ref(&endpoint)).await;
+            let mut client = proxy.client().await;
+            client.send(&request(class, "", "")).await;
+            let response = client.response().await.expect("a complete response");
+            assert_eq!((response.status(), response.body.len()), (200, size), "{class}");
+            assert!(response.body == body.as_bytes());
+            assert_eq!(endpoint.request_count(), 1);
+        });
+    }
+}
+
+/// The beginning of a large response is forwarded. If it is then reset, it has no end for its
+/// client either.
+#[test]
+fn a_large_response_without_a_length_that_is_reset_is_seen_as_broken() {
+    run_test(async {
+        let (_proxy, mut client, mut endpoint) = non_idempotent_request_in_flight().await;
+        endpoint.send(&format!("HTTP/1.1 200 OK\r\n\r\n{}", "b".repeat(100_000))).await;
+        let mut begun = [0; 1];
+        client.stream.peek(&mut begun).await.expect("its beginning");
+        disconnect(endpoint, Disconnect::Reset);
+        assert!(client.response().await.is_none(), "it has no end");
+    });
+}
