--- /dev/null
+++ b/proxy/src/socket/framing/tests.rs
@@ -0,0 +1,53 @@
+use super::*;
+
+const UNAMBIGUOUS: [&str; 4] = [
+    "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
+    "\r\nPOST / HTTP/1.1\r\ncontent-length: 5\r\n\r\na\n\r\n\n",
+    "POST / HTTP/1.1\r\nContent-Length:0\r\n\r\n",
+    "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5;x=1\r\n\r\nabc\r\nA \r\n0123456789\r\n0\r\nT: 1\r\n\r\n",
+];
+
+/// The number of the first ambiguous message of a text that is read in pieces of this size.
+fn first_ambiguous(text: &str, piece_size: usize) -> Option<u64> {
+    let mut framing = Framing::default();
+    for piece in text.as_bytes().chunks(piece_size) {
+        framing.read(piece);
+    }
+    framing.first_ambiguous
+}
+
+#[test]
+fn an_unambiguous_message_is_recognized_however_it_is_split() {
+    let text = UNAMBIGUOUS.concat();
+    for piece_size in 1..=text.len() {
+        assert_eq!(first_ambiguous(&text, piece_size), None, "in pieces of {piece_size}");
+    }
+    for message in UNAMBIGUOUS {
+        let mut framing = Framing::default();
+        framing.read(&message.as_bytes()[..message.len() - 1]);
+        assert!(!framing.is_between_messages(), "{message}");
+        framing.read(b"\n");
+        assert!(framing.is_between_messages(), "{message}");
+    }
+}
+
+#[test]
+fn the_first_ambiguous_head_is_found_behind_unambiguous_messages() {
+    let (length, chunked) = ("Content-Length: 5\r\n", "Transfer-Encoding: chunked\r\n");
+    let long = format!("Content-Length: {}5\r\n", " ".repeat(300));
+    for headers in [
+        format!("{length}{chunked}"),
+        format!("{chunked}{length}"),
+        format!("{length}{length}"),
+        format!("{chunked}{chunked}"),
+        "Content-Length: 5, 5\r\n".to_owned(),
+        "Transfer-Encoding: gzip, chunked\r\n".to_owned(),
+        long,
+    ] {
+        let text = format!("{}POST / HTTP/1.1\r\n{headers}\r\n", UNAMBIGUOUS.concat());
+        for piece_size in 1..=text.len() {
+            let first = first_ambiguous(&text, piece_size);
+            assert_eq!(first, Some(4), "{headers} in pieces of {piece_size}");
+        }
+    }
+}
