--- a/proxy/tests/program.rs
+++ b/proxy/tests/program.rs
@@ -4,6 +4,8 @@
 
 use common::*;
 use std::io::{BufRead, BufReader, Read as _};
+use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::process::{Command, Stdio};
 use std::slice::from_ref;
 use std::time::Duration;
@@ -117,103 +119,118 @@
     }
 }
 
+/// The descriptor limit of the program in the test of its reserves.
+const MAX_DESCRIPTORS: usize = 256;
+
 /// Open descriptors of a process.
 fn open_descriptors(process: u32) -> usize {
     std::fs::read_dir(format!("/proc/{process}/fd")).expect("it runs").count()
 }
 
+/// Starts the program with this configuration under the descriptor limit; its log is in the
+/// returned file.
+fn start_with_descriptor_limit(config: &str, name: &str) -> (RunningProgram, PathBuf) {
+    let path = program_command(config, &format!("{name}.json")).1;
+    let log = path.with_extension("log");
+    let script = format!("ulimit -n {MAX_DESCRIPTORS}; exec \"$0\"");
+    let mut command = Command::new("sh");
+    command.args(["-c", &script, env!("CARGO_BIN_EXE_client-proxy")]).env("ROUTER_CONFIG", &path);
+    command.stdout(Stdio::null()).stderr(std::fs::File::create(&log).expect("a log"));
+    (RunningProgram(command.spawn().expect("it starts")), log)
+}
+
+/// This many clients, each with a request in flight.
+async fn clients_with_requests(address: SocketAddr, count: usize) -> Vec<Client> {
+    let mut clients = Vec::new();
+    for _ in 0..count {
+        let mut client = connect_when_listening(address).await;
+        client.send(&request("free", "", "")).await;
+        clients.push(client);
+    }
+    clients
+}
+
+/// A full list of these endpoints, of which the first is draining.
+fn list_with_first_draining(endpoints: &[TestEndpoint]) -> String {
+    let mut entries = Vec::new();
+    for (number, endpoint) in endpoints.iter().enumerate() {
+        let health = if number == 0 { "Terminating" } else { "Ready" };
+        entries.push(entry(&format!("s-{number}"), endpoint.address, health));
+    }
+    list(42, true, &entries)
+}
+
 /// Clients that send nothing, requests that stall, and silent operators use up all connections
 /// that each may have while discovery is down. The process may not have one descriptor more than
 /// its limit. When discovery returns the watch is opened, its list is applied, operators get
 /// responses, and requests find connections on both sides.
 #[test]
 fn descriptors_are_reserved_for_the_watch_endpoints_and_operators() {
-    const SOCKETS: usize = 256;
-    for how in ["ask", "push"] {
-        run_test(async {
-            let mut endpoints = Vec::new();
-            for _ in 0..24 {
-                endpoints.push(TestEndpoint::start([ScriptedResponse::Stall]).await);
-            }
-            let [listen, admin, discovery] = [reserve_port(), reserve_port(), reserve_port()];
-            let [address, operators, discovery_address] =
-                [&listen, &admin, &discovery].map(|port| port.local_addr().expect("an address"));
-            let change = |config: &mut serde_json::Value| {
-                config["listen"] = address.to_string().into();
-                config["admin"] = operators.to_string().into();
-                config["limits"]["sockets"] = SOCKETS.into();
-                config["settings"]["discovery"] = how.into();
-            };
-            let config = configuration(discovery_address, &endpoints, change);
-            let parsed = client_proxy::config::Config::parse(&config).expect("a good configuration");
-            let (max_clients, max_upstream) =
-                (parsed.connections_to_clients(), parsed.connections_to_hosts());
-            let path = program_command(&config, &format!("full-{how}.json")).1;
-            let mut command = Command::new("sh");
-            let bound = format!("ulimit -n {SOCKETS}; exec \"$0\"");
-            command.args(["-c", &bound, env!("CARGO_BIN_EXE_client-proxy")]).env("ROUTER_CONFIG", &path);
-            let log = path.with_extension("log");
-            command.stdout(Stdio::null()).stderr(std::fs::File::create(&log).expect("a log"));
-            let process = RunningProgram(command.spawn().expect("it starts"));
-            let connect = async || connect_when_listening(address).await;
-            // As many requests as there may be connections to endpoints, and then clients that send
-            // nothing.
-            let mut stuck = Vec::new();
-            for _ in 0..max_upstream {
-                stuck.push(connect().await);
-                stuck.last_mut().expect("one").send(&request("free", "", "")).await;
-            }
-            wait_until("all are in flight", || {
-                endpoints.iter().map(TestEndpoint::request_count).sum::<usize>() == max_upstream
-            })
-            .await;
-            let mut silent = Vec::new();
-            for _ in 0..2 * max_clients {
-                silent.push(connect().await);
-            }
-            let mut silent_operators = Vec::new();
-            for _ in 0..client_proxy::operators::CALLERS_MOST {
-                silent_operators.push(TcpStream::connect(operators).await.expect("operators are admitted"));
-            }
-            wait_until("it has all connections that it may have", || {
-                open_descriptors(process.0.id()) >= max_upstream + max_clients + silent_operators.len()
-            })
-            .await;
-            // Discovery returns, and the first endpoint is draining.
-            let entries: Vec<_> = (0..)
-                .zip(&endpoints)
-                .map(|(number, endpoint)| {
-                    entry(
-                        &format!("s-{number}"),
-                        endpoint.address,
-                        if number == 0 { "Terminating" } else { "Ready" },
-                    )
-                })
-                .collect();
-            let discovery = TestDiscovery::on_listener(
-                discovery.listen(8).expect("it listens"),
-                [format!("{WATCH_HEAD}{}", chunk(&list(42, true, &entries)))],
-            );
-            wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
-            while metrics(operators).await["members_unavailable"] == 0 {}
-            let drained = endpoints[0].request_count();
-            for endpoint in &endpoints {
-                *endpoint.script.borrow_mut() = [ok("served")].into();
-                endpoint.release.notify_waiters();
-            }
-            for client in &mut stuck {
-                assert_eq!(client.message().await.expect("a response").status(), 200, "it is served");
-            }
-            for _ in 0..3 * endpoints.len() {
-                let response = connect().await.exchange(&request("unsafe", "", "")).await;
-                assert_eq!(response.status(), 200, "it finds a connection");
-            }
-            assert_eq!(endpoints[0].request_count(), drained, "it gets nothing more");
-            let log = std::fs::read_to_string(&log).expect("a log");
-            assert!(!log.contains("os error 24"), "{log}");
-            drop((silent, silent_operators, listen, admin));
-        });
+    for mode in ["ask", "push"] {
+        run_test(descriptors_are_reserved(mode));
+    }
+}
+
+async fn descriptors_are_reserved(mode: &str) {
+    let mut endpoints = Vec::new();
+    for _ in 0..24 {
+        endpoints.push(TestEndpoint::start([ScriptedResponse::Stall]).await);
+    }
+    let [listen, admin, discovery] = [reserve_port(), reserve_port(), reserve_port()];
+    let [address, operators, discovery_address] =
+        [&listen, &admin, &discovery].map(|port| port.local_addr().expect("an address"));
+    let config = configuration(discovery_address, &endpoints, |config| {
+        config["listen"] = address.to_string().into();
+        config["admin"] = operators.to_string().into();
+        config["limits"]["sockets"] = MAX_DESCRIPTORS.into();
+        config["settings"]["discovery"] = mode.into();
+    });
+    let parsed = client_proxy::config::Config::parse(&config).expect("a good configuration");
+    let (max_clients, max_upstream) = (parsed.connections_to_clients(), parsed.connections_to_hosts());
+    let (process, log) = start_with_descriptor_limit(&config, &format!("full-{mode}"));
+    // As many requests as there may be connections to endpoints, and then clients that send
+    // nothing.
+    let mut stalled = clients_with_requests(address, max_upstream).await;
+    wait_until("all are in flight", || {
+        endpoints.iter().map(TestEndpoint::request_count).sum::<usize>() == max_upstream
+    })
+    .await;
+    let mut silent = Vec::new();
+    for _ in 0..2 * max_clients {
+        silent.push(connect_when_listening(address).await);
+    }
+    let mut silent_operators = Vec::new();
+    for _ in 0..client_proxy::operators::CALLERS_MOST {
+        silent_operators.push(TcpStream::connect(operators).await.expect("operators are admitted"));
+    }
+    wait_until("it has all connections that it may have", || {
+        open_descriptors(process.0.id()) >= max_upstream + max_clients + silent_operators.len()
+    })
+    .await;
+    // Discovery returns, and the first endpoint is draining.
+    let discovery = TestDiscovery::on_listener(
+        discovery.listen(8).expect("it listens"),
+        [format!("{WATCH_HEAD}{}", chunk(&list_with_first_draining(&endpoints)))],
+    );
+    wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
+    while metrics(operators).await["members_unavailable"] == 0 {}
+    let drained = endpoints[0].request_count();
+    for endpoint in &endpoints {
+        *endpoint.script.borrow_mut() = [ok("served")].into();
+        endpoint.release.notify_waiters();
+    }
+    for client in &mut stalled {
+        assert_eq!(client.message().await.expect("a response").status(), 200, "it is served");
+    }
+    for _ in 0..3 * endpoints.len() {
+        let mut client = connect_when_listening(address).await;
+        let response = client.exchange(&request("unsafe", "", "")).await;
+        assert_eq!(response.status(), 200, "it finds a connection");
     }
+    assert_eq!(endpoints[0].request_count(), drained, "it gets nothing more");
+    let log = std::fs::read_to_string(&log).expect("a log");
+    assert!(!log.contains("os error 24"), "{log}");
+    drop((silent, silent_operators, listen, admin));
 }
 
 /// Nobody reads the log, and its pipe is full: requests are served all the same.
