--- /dev/null
+++ b/balancer/tests/slow_start.rs
@@ -0,0 +1,117 @@
+//! How many requests an endpoint gets while it warms up.
+
+mod common;
+use balancer::*;
+use common::*;
+
+/// Requests within six seconds to an endpoint beside two or three warm ones, when it has just
+/// started and ends attempts with `outcome`.
+fn requests_to_new_endpoint(outcome: Outcome, restart: bool) -> usize {
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 3);
+    for _ in 0..200 {
+        proxy.serve_request(10 * MS);
+    }
+    let id = if restart { 1 } else { 4 };
+    proxy.update_list(ListUpdate::Delta, vec![EndpointEntry { started_at: proxy.now, ..ready(id) }]);
+    let mut count = 0;
+    for _ in 0..600 {
+        let (request, actions) = proxy.request();
+        let mut last = forwarded(&actions).first().map(|s| s.1);
+        proxy.now += 10 * MS;
+        let mut attempt = 0;
+        while let Some(endpoint) = last {
+            let to_new = endpoint == EndpointId(id);
+            count += usize::from(to_new);
+            let end = if to_new { outcome } else { Outcome::Served };
+            let actions = proxy.end_attempt(request, attempt, end, 10 * MS);
+            last = forwarded(&actions).iter().find(|s| s.0 == request).map(|s| s.1);
+            attempt += 1;
+        }
+    }
+    count
+}
+
+#[test]
+fn a_new_endpoint_gets_its_part_also_when_it_rejects_or_fails_fast_and_after_a_restart() {
+    for outcome in [Outcome::Served, Outcome::Rejected, Outcome::Error, Outcome::ConnectFailed] {
+        for restart in [false, true] {
+            let count = requests_to_new_endpoint(outcome, restart);
+            // A warm endpoint's part of 600 requests is 150 to 200; this one has a tenth to a third
+            // of its capacity.
+            assert!((1..=60).contains(&count), "{outcome:?} {restart}: {count}");
+        }
+    }
+}
+
+/// How often a new endpoint is used for 200 requests, beside one warm endpoint and `leaving` ones
+/// that drain.
+fn requests_to_new_endpoint_beside(leaving: u32) -> usize {
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 1 + leaving);
+    let out: Vec<(RequestId, EndpointId)> =
+        (0..=leaving).flat_map(|_| forwarded(&proxy.request().1)).collect();
+    let drain = |s: u32| EndpointEntry { state: EndpointState::Draining, ..ready(s) };
+    proxy.update_list(ListUpdate::Delta, (2..=1 + leaving).map(drain).collect());
+    for (request, _) in out.iter().filter(|request| request.1 == EndpointId(1)) {
+        proxy.end_attempt(*request, 0, Outcome::Served, 10 * MS);
+    }
+    proxy.update_list(ListUpdate::Delta, vec![EndpointEntry { started_at: proxy.now, ..ready(99) }]);
+    (0..200).filter(|_| proxy.serve_request(10 * MS) == Some(EndpointId(99))).count()
+}
+
+/// Endpoints that drain serve few requests, and then none: if they counted among those in service,
+/// new ones would stay idle while the warm ones are full.
+#[test]
+fn slow_start_credit_is_relative_to_the_endpoints_in_service() {
+    let (alone, beside) = (requests_to_new_endpoint_beside(0), requests_to_new_endpoint_beside(9));
+    assert!(alone >= 5 && beside * 2 >= alone, "{alone} alone, {beside} beside nine that drain");
+}
+
+/// How many requests of a thousand balancers together a new endpoint gets per request of the warm
+/// ones.
+#[test]
+fn a_thousand_balancers_together_stay_within_a_new_endpoints_capacity() {
+    let (mut to_new, mut all) = (0, 0);
+    for balancer_index in 0..1_000 {
+        let mut proxy = Proxy::new(
+            Settings { balancer_count: 1_000, balancer_index, ..settings(Idempotency::Idempotent) },
+            20,
+        );
+        (0..3).for_each(|_| drop((proxy.advance(500 * MS), proxy.serve_request(40 * MS))));
+        let started_at = proxy.now;
+        proxy.update_list(ListUpdate::Delta, vec![EndpointEntry { started_at, ..ready(21) }]);
+        for _ in 0..4 {
+            proxy.advance(500 * MS);
+            all += 1;
+            to_new += usize::from(proxy.serve_request(40 * MS) == Some(EndpointId(21)));
+        }
+    }
+    // Two seconds after its start it has a tenth to a fifth of its capacity; each warm one serves a
+    // twentieth.
+    assert!(to_new * 20 <= all / 5, "{to_new} of {all}");
+}
+
+/// Six in ten endpoints have just been replaced: with credit by their number alone they would stay
+/// idle while the others are full.
+#[test]
+fn new_endpoints_serve_their_part_where_most_are_new() {
+    let (mut to_new, mut all) = (0, 0);
+    for balancer_index in 0..100 {
+        let mut proxy = Proxy::new(
+            Settings { balancer_count: 100, balancer_index, ..settings(Idempotency::Idempotent) },
+            60,
+        );
+        // At least a third of the way through slow start: four tenths of its capacity.
+        let started_at = proxy.now;
+        proxy.now += 6_667 * MS;
+        let replaced = (1..=60)
+            .map(|id| EndpointEntry { started_at: if id % 5 < 3 { started_at } else { 0 }, ..ready(id) });
+        proxy.update_list(ListUpdate::Full, replaced.collect());
+        for _ in 0..400 {
+            proxy.now += MS;
+            all += 1;
+            to_new += usize::from(proxy.serve_request(MS).is_some_and(|s| s.0 % 5 < 3));
+        }
+    }
+    // Of the work that all can do, 24 parts warm and 36 x 0.4 warming up, a third is theirs.
+    assert!((all / 5..all / 2).contains(&to_new), "{to_new} of {all}");
+}
--- /dev/null
+++ b/balancer/tests/uploads.rs
@@ -0,0 +1,60 @@
+//! Requests that are forwarded while they arrive.
+
+mod common;
+use balancer::*;
+use common::*;
+
+fn receive_upload(proxy: &mut Proxy, request: u64) -> Vec<Action> {
+    let (request, class) = (RequestId(1_000 + request), ClassId(0));
+    let request = Event::RequestReceived {
+        request,
+        class,
+        tenant: None,
+        time_left: 1_200 * MS,
+        client_retry: false,
+        non_replayable: true,
+    };
+    proxy.handle(request)
+}
+
+/// An endpoint has no work with a request that is still arriving: it does not count towards the
+/// limit, and its time begins when it is complete.
+#[test]
+fn a_request_that_is_still_arriving_takes_no_capacity() {
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
+    for request in 0..4 {
+        assert_eq!(forwarded(&receive_upload(&mut proxy, request)).len(), 1);
+    }
+    proxy.now += 10_000 * MS;
+    assert!(proxy.handle(Event::Timer).is_empty(), "its client does not wait yet");
+    // One complete request reaches the limit, one more exceeds it as the trial, and the next is
+    // queued.
+    proxy.handle(Event::RequestCompleted { request: RequestId(1_000), time_left: 1_200 * MS });
+    let (trial, actions) = proxy.request();
+    assert_eq!(forwarded(&actions), [(trial, EndpointId(1))]);
+    let (held, actions) = proxy.request();
+    assert!(forwarded(&actions).is_empty());
+    proxy.now += 50 * MS;
+    assert!(
+        forwarded(&proxy.end_attempt(RequestId(1_000), 0, Outcome::Served, 50 * MS)).is_empty(),
+        "the trial is in flight"
+    );
+    assert_eq!(forwarded(&proxy.end_attempt(trial, 0, Outcome::Served, 50 * MS)), [(held, EndpointId(1))]);
+}
+
+/// What cannot be replayed is retried only if nothing of it was written; truncated, it was not
+/// executed and is rejected.
+#[test]
+fn a_non_replayable_request_is_retried_only_if_nothing_was_written() {
+    for (outcome, again) in [(Outcome::ConnectFailed, true), (Outcome::Truncated, false)] {
+        let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 3);
+        receive_upload(&mut proxy, 0);
+        let actions = proxy.end_attempt(RequestId(1_000), 0, outcome, 0);
+        assert_eq!(forwarded(&actions).len(), usize::from(again), "{outcome:?}");
+        assert_eq!(rejected(&actions, RequestId(1_000)), !again, "{outcome:?}");
+    }
+    // The same outcome allows a retry of a request whose body is buffered.
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 3);
+    let (request, _) = proxy.request();
+    assert_eq!(forwarded(&proxy.end_attempt(request, 0, Outcome::Truncated, 0)).len(), 1);
+}
