--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -46,7 +46,7 @@
     drop(listener);
     // Clients that send half a request or do not read their responses are closed in time. Responses
     // still under way are lost only if the process is killed.
-    connections.discard().await;
+    connections.drain().await;
 }
 
 #[cfg(test)]
