--- a/proxy/tests/client_disconnect.rs
+++ b/proxy/tests/client_disconnect.rs
@@ -109,7 +109,7 @@
     let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |_| ()).await;
     let (mut client, text) = (proxy.client().await, request("unsafe", "", "the body"));
     client.send(&format!("{text}{pipelined}")).await;
-    wait_until("it is turned away", || endpoint.request_count() == 1).await;
+    wait_until("it is rejected", || endpoint.request_count() == 1).await;
     wait_for_pending(admin, 1).await;
     disconnect(client, how);
     wait_for_pending(admin, 0).await;
@@ -242,7 +242,7 @@
         client.send(&request("unsafe", "", "")).await;
         wait_for_pending(admin, 3).await;
         socket2::SockRef::from(&client.stream).shutdown(std::net::Shutdown::Write).expect("half closed");
-        assert!(client.message().await.is_none(), "closed without an answer");
+        assert!(client.message().await.is_none(), "closed without a response");
         wait_for_pending(admin, 2).await;
         assert_eq!(endpoint.request_count(), 2);
     });
--- a/proxy/tests/graceful_shutdown.rs
+++ b/proxy/tests/graceful_shutdown.rs
@@ -55,7 +55,7 @@
         stream.write_all(&[b'a'; HALF_BYTES]).await.expect("written");
         let text = request("unsafe", "", "body");
         late.send(&text[..text.len() - 1]).await;
-        client.stream.readable().await.expect("the answer has begun");
+        client.stream.readable().await.expect("the response has begun");
         drop(proxy.stop.take());
         sleep(Duration::from_millis(900)).await;
         late.send("y").await;
@@ -85,7 +85,7 @@
         .await;
         let mut queued = proxy.client().await;
         queued.send(&request("unsafe", "", "").replace("8000", "20000")).await;
-        // Sent later and answered: the proxy has read the request before.
+        // Sent later and served: the proxy has read the request before.
         while proxy.client().await.exchange(HEALTH_REQUEST).await.status() != 200 {}
         let stopped_at = Instant::now();
         drop(proxy.stop.take());
@@ -144,7 +144,7 @@
             clients.push(MessageReader::new(TcpStream::from_std(stream).expect("a stream")));
         }
         for client in &clients {
-            client.stream.readable().await.expect("it is answered");
+            client.stream.readable().await.expect("it has a response");
         }
         drop(proxy.stop.take());
         (&mut proxy.task).await.expect("it ends without a panic").expect("it listened");
@@ -240,7 +240,7 @@
                     assert_eq!((response.status(), response.header("retry-after").is_some()), (503, true))
                 }
             }
-            // 3 s for requests, 0.6 s on top, and 0.1 s to spare before it is killed.
+            // 3 s for requests, 0.6 s on top, and 0.1 s of margin before it is killed.
             assert!(stopped_at.elapsed() < Duration::from_millis(3_700));
             (&mut proxy.task).await.expect("it ends without a panic").expect("it listened");
             assert!(connection.stream.try_read(&mut [0]).is_err(), "the first endpoint gets nothing more");
--- a/proxy/tests/process_replacement.rs
+++ b/proxy/tests/process_replacement.rs
@@ -111,7 +111,7 @@
             wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
             let mut client = proxy.client().await;
             client.send(&request("unsafe", "", "")).await;
-            // Sent later and answered: the proxy has read the request before.
+            // Sent later and served: the proxy has read the request before.
             assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
             let endpoints = match moved {
                 true => vec![restarted_entry("s-0", &other)],
--- a/proxy/tests/requests.rs
+++ b/proxy/tests/requests.rs
@@ -11,11 +11,11 @@
 #[test]
 fn a_request_and_its_response_are_forwarded_unchanged() {
     run_test(async {
-        let endpoint = TestEndpoint::start([ok("the answer")]).await;
+        let endpoint = TestEndpoint::start([ok("the response")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
         let text = request("keyed", "Idempotency-Key: k1\r\nConnection: x-hop\r\nX-Hop: 1\r\n", "the body");
         let response = proxy.client().await.exchange(&text.replace("/api", "/api?q=1")).await;
-        assert_eq!((response.status(), response.body.as_slice()), (200, &b"the answer"[..]));
+        assert_eq!((response.status(), response.body.as_slice()), (200, &b"the response"[..]));
         let seen = endpoint.requests.borrow()[0].clone();
         assert_eq!(seen.start_line, "POST /api?q=1 HTTP/1.1");
         assert_eq!(seen.body, b"the body");
@@ -189,7 +189,7 @@
         let started = std::time::Instant::now();
         let response = proxy.client().await.exchange(&request("unsafe", "", "")).await;
         assert_eq!(response.status(), 503);
-        assert!(started.elapsed().as_millis() < 7_000, "not kept until its deadline");
+        assert!(started.elapsed().as_millis() < 7_000, "not queued until its deadline");
         let retry_after = response.header("retry-after").and_then(|v| v.parse::<f64>().ok());
         assert!(retry_after.is_some_and(|seconds| seconds > 0.0 && seconds <= 0.75), "{response:?}");
     });
--- a/proxy/tests/withdrawn_attempts.rs
+++ b/proxy/tests/withdrawn_attempts.rs
@@ -21,7 +21,7 @@
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
         wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
-        // Sent later and answered: the proxy has read the request before.
+        // Sent later and served: the proxy has read the request before.
         assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
         let endpoints = [entry("s-0", stuck.address, "Terminating"), entry("s-1", other.address, "Ready")];
         discovery.push(&chunk(&list(42, false, &endpoints))).await;
