--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -32,7 +32,7 @@
 /// Serves clients until `stop` completes, then shuts down gracefully: accepts connections for as
 /// long as new ones may arrive, closes connections between requests, and returns when none is left.
 pub async fn serve(listener: TcpListener, control: Control, stop: impl Future<Output = ()>) {
-    let longest_deadline = control.config().longest_deadline();
+    let longest_deadline = control.config().max_deadline();
     let mut connections = ClientConnections::new(control.clone());
     control.set_accepting(true);
     accept_until(&listener, &mut connections, stop).await;
--- a/proxy/tests/client_disconnect.rs
+++ b/proxy/tests/client_disconnect.rs
@@ -203,7 +203,7 @@
             .await;
             let text =
                 configuration(proxy.address, &[], |config| config["limits"]["sockets"] = sockets.into());
-            let max_clients = Config::parse(&text).expect("a configuration").connections_to_clients();
+            let max_clients = Config::parse(&text).expect("a configuration").max_client_connections();
             let mut clients = Vec::new();
             for number in 1..=max_clients {
                 let mut client = proxy.client().await;
--- a/proxy/tests/common/proxy.rs
+++ b/proxy/tests/common/proxy.rs
@@ -57,7 +57,7 @@
     pub(crate) admin: Option<SocketAddr>,
     /// Dropped, it orders the proxy to shut down.
     pub(crate) stop: Option<oneshot::Sender<()>>,
-    pub(crate) task: JoinHandle<std::io::Result<()>>,
+    pub(crate) task: JoinHandle<Result<(), client_proxy::RunError>>,
 }
 
 impl Proxy {
--- a/proxy/tests/graceful_shutdown.rs
+++ b/proxy/tests/graceful_shutdown.rs
@@ -111,7 +111,7 @@
         let mut proxy = Proxy::start_with(&discovery, from_ref(&endpoint), few).await;
         let admin = proxy.admin.expect("an address for operators");
         let text = configuration(discovery.address, &[], few);
-        let max_clients = client_proxy::config::Config::parse(&text).expect("good").connections_to_clients();
+        let max_clients = client_proxy::config::Config::parse(&text).expect("good").max_client_connections();
         let mut clients = Vec::new();
         for number in 1..=max_clients {
             clients.push(proxy.client().await);
--- a/proxy/tests/program.rs
+++ b/proxy/tests/program.rs
@@ -186,7 +186,7 @@
         config["settings"]["discovery"] = mode.into();
     });
     let parsed = client_proxy::config::Config::parse(&config).expect("a good configuration");
-    let (max_clients, max_upstream) = (parsed.connections_to_clients(), parsed.connections_to_hosts());
+    let (max_clients, max_upstream) = (parsed.max_client_connections(), parsed.max_endpoint_connections());
     let (process, log) = start_with_descriptor_limit(&config, &format!("full-{mode}"));
     // As many requests as there may be connections to endpoints, and then clients that send
     // nothing.
@@ -200,7 +200,7 @@
         silent.push(connect_when_listening(address).await);
     }
     let mut silent_operators = Vec::new();
-    for _ in 0..client_proxy::operators::CALLERS_MOST {
+    for _ in 0..client_proxy::config::MAX_OPERATOR_CONNECTIONS {
         silent_operators.push(TcpStream::connect(operators).await.expect("operators are admitted"));
     }
     wait_until("it has all connections that it may have", || {
--- a/proxy/tests/system_call_faults.rs
+++ b/proxy/tests/system_call_faults.rs
@@ -97,7 +97,7 @@
             };
             let text = configuration(discovery.address, from_ref(&endpoint), few);
             let max_clients =
-                client_proxy::config::Config::parse(&text).expect("good").connections_to_clients();
+                client_proxy::config::Config::parse(&text).expect("good").max_client_connections();
             let mut command = program_command(&text, &format!("accept-{failure}.json")).0;
             command.env("ROUTER_ADMIN", admin.to_string());
             let failures = json!({"rules": [{"call": "accept", "failure": failure, "share": 0.5}]});
