--- /dev/null
+++ b/proxy/tests/client_disconnect.rs
@@ -0,0 +1,249 @@
+//! Clients that disconnect while their request waits, by a close or a reset: nothing more of it is
+//! sent, and what it reserved is released.
+
+mod common;
+
+use client_proxy::config::Config;
+use common::*;
+use std::net::SocketAddr;
+use std::slice::from_ref;
+use std::time::{Duration, Instant};
+use tokio::net::TcpStream;
+use tokio::task::{spawn_local, yield_now};
+use tokio::time::sleep;
+
+/// Two requests in flight at an endpoint that responds when the test releases them.
+async fn two_in_flight(proxy: &Proxy, endpoint: &TestEndpoint) -> (Client, Client) {
+    let (mut first, mut second) = (proxy.client().await, proxy.client().await);
+    first.send(&request("free", "", "")).await;
+    wait_until("the first is in flight", || endpoint.request_count() == 1).await;
+    second.send(&request("free", "", "")).await;
+    wait_until("the second is in flight", || endpoint.request_count() == 2).await;
+    (first, second)
+}
+
+/// The request is queued as all endpoints are at their limit, with and without pipelined bytes
+/// behind it.
+#[test]
+fn a_queued_request_is_not_sent_after_its_client_disconnects() {
+    for how in DISCONNECTS {
+        for pipelined in ["", "GET /api HT", &request("free", "", "")] {
+            run_test(async {
+                let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
+                let (proxy, admin) =
+                    start_without_cancellation(from_ref(&endpoint), limit_to_two_in_flight).await;
+                let (mut first, mut second) = two_in_flight(&proxy, &endpoint).await;
+                let (mut client, text) = (proxy.client().await, request("keyed", "", "queued"));
+                client.send(&format!("{text}{pipelined}")).await;
+                wait_for_pending(admin, 3).await;
+                disconnect(client, how);
+                wait_for_pending(admin, 2).await;
+                endpoint.release.notify_one();
+                endpoint.release.notify_one();
+                assert_eq!(first.message().await.expect("a response").status(), 200);
+                assert_eq!(second.message().await.expect("a response").status(), 200);
+                endpoint.script.borrow_mut().push_front(ok("later"));
+                assert_eq!(proxy.client().await.exchange(&text).await.body, b"later", "its id is free again");
+                assert_eq!(endpoint.request_count(), 3, "{how:?}, {pipelined}");
+                assert_eq!(request_ends(admin).await.iter().sum::<u64>(), 4);
+            });
+        }
+    }
+}
+
+/// The request waits for a connection, which opens once the client has disconnected.
+#[test]
+fn a_request_is_not_sent_on_a_connection_that_opens_after_its_client_disconnects() {
+    run_test(async {
+        let cases =
+            DISCONNECTS.into_iter().flat_map(|how| ["", "GET /api HT"].map(|pipelined| (how, pipelined)));
+        let cases: Vec<_> = cases
+            .map(|(how, pipelined)| spawn_local(client_disconnects_before_connection_opens(how, pipelined)))
+            .collect();
+        for case in cases {
+            case.await.expect("it is not sent");
+        }
+    });
+}
+
+async fn client_disconnects_before_connection_opens(how: Disconnect, pipelined: &str) {
+    let (stuck, full, listener) = endpoint_with_full_backlog().await;
+    let (proxy, admin) = start_without_cancellation(from_ref(&stuck), |config| {
+        config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
+    })
+    .await;
+    let (mut client, text) = (proxy.client().await, request("unsafe", "", "the body"));
+    client.send(&format!("{text}{pipelined}")).await;
+    wait_for_pending(admin, 1).await;
+    disconnect(client, how);
+    wait_for_pending(admin, 0).await;
+    let mut client = proxy.client().await;
+    client.send(&text.replace("the body", "new body")).await;
+    wait_for_pending(admin, 1).await;
+    let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
+    drop(full);
+    assert_eq!(client.message().await.expect("a response").status(), 200);
+    let bodies: Vec<_> = endpoint.requests.borrow().iter().map(|seen| seen.body.clone()).collect();
+    assert_eq!(bodies, [b"new body"], "{how:?}, {pipelined}");
+    assert_eq!(request_ends(admin).await.iter().sum::<u64>(), 2);
+}
+
+/// The client disconnects between two attempts: the first was rejected, and its endpoint is in its
+/// cool-down.
+#[test]
+fn a_request_is_not_retried_after_its_client_disconnects() {
+    run_test(async {
+        let cases =
+            DISCONNECTS.into_iter().flat_map(|how| ["", "GET /api HT"].map(|pipelined| (how, pipelined)));
+        let cases: Vec<_> = cases
+            .map(|(how, pipelined)| spawn_local(client_disconnects_between_attempts(how, pipelined)))
+            .collect();
+        for case in cases {
+            case.await.expect("it is not sent");
+        }
+    });
+}
+
+async fn client_disconnects_between_attempts(how: Disconnect, pipelined: &str) {
+    let endpoint = TestEndpoint::start([reject(), ok("served")]).await;
+    let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |_| ()).await;
+    let (mut client, text) = (proxy.client().await, request("unsafe", "", "the body"));
+    client.send(&format!("{text}{pipelined}")).await;
+    wait_until("it is rejected", || endpoint.request_count() == 1).await;
+    wait_for_pending(admin, 1).await;
+    disconnect(client, how);
+    wait_for_pending(admin, 0).await;
+    let text = text.replace("the body", "new body");
+    assert_eq!(proxy.client().await.exchange(&text).await.status(), 200);
+    assert_eq!(endpoint.request_count(), 2, "{how:?}, {pipelined}");
+    assert_eq!(endpoint.requests.borrow()[1].body, b"new body");
+}
+
+fn unread_bytes(at: SocketAddr, from: SocketAddr) -> u64 {
+    connection_state(at, from).expect("the connection").1
+}
+
+/// Sends pieces of a body until nobody reads them any more.
+async fn send_until_unread(client: &mut Client, proxy: SocketAddr) {
+    let from = client.stream.local_addr().expect("an address");
+    loop {
+        client.send(&"x".repeat(32 << 10)).await;
+        let mut polls = 0..30;
+        while polls.next().is_some() && unread_bytes(proxy, from) > 0 {
+            sleep(Duration::from_millis(1)).await;
+        }
+        if polls.is_empty() {
+            return;
+        }
+    }
+}
+
+/// Its body arrives, but its endpoint reads no more of it: the client's end stands behind bytes
+/// that nobody reads.
+#[test]
+fn no_more_of_a_body_is_sent_after_its_client_disconnects() {
+    for how in DISCONNECTS {
+        run_test(async {
+            let (endpoint, listener) = manual_endpoint().await;
+            let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |_| ()).await;
+            let mut client = proxy.client().await;
+            client.send(&request("unsafe", "Content-Length: 30000000\r\n", "")).await;
+            let stream = listener.accept().await.expect("the proxy connects").0;
+            let proxy_end = stream.peer_addr().expect("the proxy's end");
+            send_until_unread(&mut client, proxy.address).await;
+            assert!(is_established(proxy_end, endpoint.address));
+            let disconnected = Instant::now();
+            disconnect(client, how);
+            wait_until("its attempt has ended", || !is_established(proxy_end, endpoint.address)).await;
+            assert!(disconnected.elapsed() < Duration::from_millis(300), "{how:?}");
+            // It did not arrive completely, so it is not counted.
+            assert_eq!(
+                (metrics(admin).await["pending"].clone(), request_ends(admin).await),
+                (0.into(), [0; 3])
+            );
+            let _host = TestEndpoint::on_listener(listener, [ok("served")]);
+            assert_eq!(proxy.client().await.exchange(&request("unsafe", "", "")).await.status(), 200);
+        });
+    }
+}
+
+/// The request arrives completely, together with its client's end.
+#[test]
+fn a_request_that_arrives_with_its_clients_end_is_not_sent() {
+    for how in DISCONNECTS {
+        for pipelined in ["", "GET /api HT"] {
+            run_test(async {
+                let endpoint = TestEndpoint::start([ok("served")]).await;
+                let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |_| ()).await;
+                assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
+                let text = request("unsafe", "", "");
+                send_and_disconnect(proxy.address, &format!("{text}{pipelined}"), how);
+                assert_eq!(proxy.client().await.exchange(&text).await.status(), 200);
+                assert_eq!(endpoint.request_count(), 1, "{how:?}, {pipelined}");
+                // Its end may be read before the request is admitted; then it is not counted.
+                let [completed, rejected, failed] = request_ends(admin).await;
+                assert!((completed, failed) == (1, 0) && rejected <= 1, "{how:?}, {pipelined}");
+                assert_eq!(metrics(admin).await["pending"], 0);
+            });
+        }
+    }
+}
+
+/// The request has not been read, as its connection waits to be accepted while all connections are
+/// in use.
+#[test]
+fn a_request_is_not_sent_if_its_client_disconnected_before_it_was_accepted() {
+    for how in DISCONNECTS {
+        run_test(async {
+            let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
+            let sockets = 70;
+            let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |config| {
+                config["limits"]["sockets"] = sockets.into();
+            })
+            .await;
+            let text =
+                configuration(proxy.address, &[], |config| config["limits"]["sockets"] = sockets.into());
+            let max_clients = Config::parse(&text).expect("a configuration").max_client_connections();
+            let mut clients = Vec::new();
+            for number in 1..=max_clients {
+                let mut client = proxy.client().await;
+                client.send(&request("free", "", "")).await;
+                wait_for_pending(admin, number as u64).await;
+                clients.push(client);
+            }
+            send_and_disconnect(proxy.address, &request("unsafe", "", "the body"), how);
+            let last = TcpStream::connect(proxy.address).await.expect("it waits too");
+            let mut last = Client::new(last);
+            last.send(&request("unsafe", "", "new body")).await;
+            clients.clear();
+            endpoint.script.borrow_mut().push_front(ok("served"));
+            while endpoint.requests.borrow().iter().all(|seen| seen.body.is_empty()) {
+                endpoint.release.notify_one();
+                yield_now().await;
+            }
+            assert_eq!(last.message().await.expect("a response").status(), 200);
+            let seen = endpoint.requests.borrow();
+            let bodies: Vec<_> =
+                seen.iter().filter(|seen| !seen.body.is_empty()).map(|s| s.body.clone()).collect();
+            assert_eq!(bodies, [b"new body"], "{how:?}");
+        });
+    }
+}
+
+/// A client that only ends its sending counts as disconnected: nobody can tell it from one that
+/// closed. Its request is not sent, and its connection is closed.
+#[test]
+fn a_client_that_half_closes_counts_as_disconnected() {
+    run_test(async {
+        let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
+        let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), limit_to_two_in_flight).await;
+        let _in_flight = two_in_flight(&proxy, &endpoint).await;
+        let mut client = proxy.client().await;
+        client.send(&request("unsafe", "", "")).await;
+        wait_for_pending(admin, 3).await;
+        socket2::SockRef::from(&client.stream).shutdown(std::net::Shutdown::Write).expect("half closed");
+        assert!(client.message().await.is_none(), "closed without a response");
+        wait_for_pending(admin, 2).await;
+        assert_eq!(endpoint.request_count(), 2);
+    });
+}
--- /dev/null
+++ b/proxy/tests/client_disconnect_under_load.rs
@@ -0,0 +1,330 @@
+//! Clients that disconnect while the proxy has much else to do: what would begin an attempt
+//! arrives in the same turn of its one thread as the client's end, so that nothing has checked for
+//! that end in between.
+
+mod common;
+
+use common::*;
+use serde_json::Value;
+use std::net::SocketAddr;
+use std::slice::from_ref;
+use std::time::{Duration, Instant};
+use tokio::net::TcpListener;
+
+/// Connections that are open beside the one under test.
+const CROWD_SIZE: usize = 500;
+
+/// Sets the limit on sockets so high that no connection of the crowd is evicted.
+fn allow_many_sockets(config: &mut Value) {
+    config["limits"]["sockets"] = 4_096.into();
+}
+
+/// Many clients, each of which has had one response. They end by resets, as the system remembers
+/// other ends for long.
+async fn connect_crowd(proxy: &Proxy) -> Vec<Client> {
+    let mut clients = Vec::new();
+    for _ in 0..CROWD_SIZE {
+        let client = proxy.client().await;
+        client.stream.set_zero_linger().expect("zero linger");
+        clients.push(client);
+    }
+    for client in &mut clients {
+        assert_eq!(client.exchange(HEALTH_REQUEST).await.status(), 200);
+    }
+    clients
+}
+
+/// Every client sends a request at once.
+fn request_health_on_all(crowd: &[Client]) {
+    crowd.iter().for_each(|client| write_now(client, HEALTH_REQUEST));
+}
+
+/// Disconnects, and keeps the thread until the system has delivered that to the proxy's end.
+fn disconnect_unnoticed(client: Client, how: Disconnect, proxy: &Proxy) {
+    let from = client.stream.local_addr().expect("an address");
+    disconnect(client, how);
+    while is_established(proxy.address, from) {}
+}
+
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+
+/// The next connection to an endpoint, and the body of the request that arrived on it.
+async fn accept_request(listener: &TcpListener) -> (Client, Vec<u8>) {
+    let mut connection = Client::new(listener.accept().await.expect("the proxy connects").0);
+    let body = connection.message().await.expect("a request").body;
+    (connection, body)
+}
+
+/// The body of the next request that reaches an endpoint, on its open connection or on a new one
+/// to either.
+async fn next_body(connection: &mut Client, listeners: [&TcpListener; 2]) -> Vec<u8> {
+    tokio::select! {
+        message = connection.message() => message.expect("a request").body,
+        (_, body) = accept_request(listeners[0]) => body,
+        (_, body) = accept_request(listeners[1]) => body,
+    }
+}
+
+/// Attempts that were fully written.
+async fn upstream_requests(admin: SocketAddr) -> u64 {
+    metrics(admin).await["upstream_requests"].as_u64().expect("a number")
+}
+
+/// What stands behind a request on its connection: nothing, a part of a next one, or all of it.
+fn pipelined_bytes() -> [String; 3] {
+    ["".to_owned(), "GET /api HT".to_owned(), request("free", "", "")]
+}
+
+/// The request is queued, also with a large body of which most is unread, while its client
+/// disconnects and capacity becomes free, both in one turn of a proxy that has much else to do.
+#[test]
+fn a_queued_request_is_not_sent_when_its_client_disconnects_as_capacity_becomes_free() {
+    let long = |part: usize| (format!("Content-Length: {}\r\n", 30 << 20), "x".repeat(part));
+    let bodies = pipelined_bytes().map(|pipelined| (String::new(), pipelined));
+    for (head, pipelined) in bodies.into_iter().chain([long(0), long(100 << 10)]) {
+        for (how, busy) in DISCONNECTS.into_iter().flat_map(|how| [(how, true), (how, false)]) {
+            run_test(async {
+                let (endpoint, listener) = manual_endpoint().await;
+                let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |config| {
+                    (limit_to_two_in_flight(config), allow_many_sockets(config)).0
+                })
+                .await;
+                let crowd = if busy { connect_crowd(&proxy).await } else { Vec::new() };
+                let (mut first, mut second) = (proxy.client().await, proxy.client().await);
+                write_now(&first, &request("free", "", ""));
+                let (mut connection, _) = accept_request(&listener).await;
+                write_now(&second, &request("free", "", ""));
+                let (mut other, _) = accept_request(&listener).await;
+                let mut client = proxy.client().await;
+                client.send(&request("unsafe", &head, "")).await;
+                client.send(&pipelined).await;
+                // It is queued: with its body unread it does not count as pending.
+                if head.is_empty() {
+                    wait_for_pending(admin, 3).await;
+                } else {
+                    assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
+                }
+                request_health_on_all(&crowd);
+                for connection in [&connection, &other] {
+                    write_now(connection, OK_RESPONSE);
+                }
+                disconnect_unnoticed(client, how, &proxy);
+                assert_eq!(first.message().await.expect("a response").status(), 200);
+                assert_eq!(second.message().await.expect("a response").status(), 200);
+                first.send(&request("unsafe", "", "the next")).await;
+                let next = tokio::select! {
+                    next = next_body(&mut connection, [&listener, &listener]) => next,
+                    message = other.message() => message.expect("a request").body,
+                };
+                assert_eq!(next, b"the next", "{how:?}, {head}{}", &pipelined[..pipelined.len().min(20)]);
+                assert_eq!(upstream_requests(admin).await, 3);
+            });
+        }
+    }
+}
+
+/// One endpoint rejects the request, with another one free: the client disconnects in the same
+/// turn.
+#[test]
+fn a_request_is_not_retried_when_its_client_disconnects_as_it_is_rejected() {
+    for pipelined in pipelined_bytes() {
+        for (how, first) in DISCONNECTS.into_iter().flat_map(|how| [(how, true), (how, false)]) {
+            for busy in [true, false] {
+                run_test(async {
+                    let endpoints = [manual_endpoint().await, manual_endpoint().await];
+                    let (proxy, admin) = start_without_cancellation(
+                        &endpoints.each_ref().map(|(endpoint, _)| endpoint.clone()),
+                        allow_many_sockets,
+                    )
+                    .await;
+                    let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
+                    let crowd = if busy { connect_crowd(&proxy).await } else { Vec::new() };
+                    let client = proxy.client().await;
+                    write_now(&client, &(request("unsafe", "", "the body") + &pipelined));
+                    let (mut connection, _) = tokio::select! {
+                        taken = accept_request(one) => taken,
+                        taken = accept_request(other) => taken,
+                    };
+                    request_health_on_all(&crowd);
+                    if first {
+                        disconnect_unnoticed(client, how, &proxy);
+                        write_now(&connection, REJECTION);
+                    } else {
+                        write_now(&connection, REJECTION);
+                        disconnect_unnoticed(client, how, &proxy);
+                    }
+                    wait_for_pending(admin, 0).await;
+                    let mut next = proxy.client().await;
+                    next.send(&request("unsafe", "", "the next")).await;
+                    assert_eq!(
+                        next_body(&mut connection, [one, other]).await,
+                        b"the next",
+                        "{how:?}, {pipelined}"
+                    );
+                    assert_eq!(upstream_requests(admin).await, 2);
+                });
+            }
+        }
+    }
+}
+
+/// The connection opens after the client has disconnected, and the proxy learns of both in one
+/// turn.
+#[test]
+fn a_request_is_not_written_when_its_client_disconnects_before_its_connection_opens() {
+    for (how, pipelined) in
+        DISCONNECTS.into_iter().flat_map(|how| ["", "GET /api HT"].map(|pipelined| (how, pipelined)))
+    {
+        run_test(async {
+            let (stuck, full, listener) = endpoint_with_full_backlog().await;
+            let (proxy, admin) = start_without_cancellation(from_ref(&stuck), |config| {
+                config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
+                allow_many_sockets(config);
+            })
+            .await;
+            let crowd = connect_crowd(&proxy).await;
+            let client = proxy.client().await;
+            write_now(&client, &(request("unsafe", "", "the body") + pipelined));
+            wait_for_pending(admin, 1).await;
+            let listener = listener.into_std().expect("a listener");
+            let waiting = full.len();
+            drop(full);
+            (0..waiting).for_each(|_| drop(listener.accept().expect("accepted")));
+            request_health_on_all(&crowd);
+            disconnect_unnoticed(client, how, &proxy);
+            while !has_established_connection(stuck.address) {}
+            let endpoint = TestEndpoint::on_listener(
+                TcpListener::from_std(listener).expect("a listener"),
+                [ok("served")],
+            );
+            wait_for_pending(admin, 0).await;
+            assert_eq!(proxy.client().await.exchange(&request("unsafe", "", "the next")).await.status(), 200);
+            let bodies: Vec<_> = endpoint.requests.borrow().iter().map(|seen| seen.body.clone()).collect();
+            assert_eq!(bodies, [b"the next"], "{how:?}, {pipelined}");
+        });
+    }
+}
+
+/// The request is pipelined behind another, whose response arrives as the client disconnects.
+#[test]
+fn a_pipelined_request_is_not_sent_when_its_client_disconnects_as_the_one_before_ends() {
+    for pipelined in pipelined_bytes() {
+        for (how, busy) in DISCONNECTS.into_iter().flat_map(|how| [(how, true), (how, false)]) {
+            run_test(async {
+                let (endpoint, listener) = manual_endpoint().await;
+                let (proxy, admin) =
+                    start_without_cancellation(from_ref(&endpoint), allow_many_sockets).await;
+                let crowd = if busy { connect_crowd(&proxy).await } else { Vec::new() };
+                let client = proxy.client().await;
+                write_now(
+                    &client,
+                    &(request("free", "", "") + &request("unsafe", "", "the body") + &pipelined),
+                );
+                let (mut connection, _) = accept_request(&listener).await;
+                request_health_on_all(&crowd);
+                write_now(&connection, OK_RESPONSE);
+                disconnect_unnoticed(client, how, &proxy);
+                wait_for_pending(admin, 0).await;
+                let mut next = proxy.client().await;
+                next.send(&request("unsafe", "", "the next")).await;
+                let next = next_body(&mut connection, [&listener, &listener]).await;
+                assert_eq!(next, b"the next", "{how:?}, {pipelined}");
+                assert_eq!(upstream_requests(admin).await, 2);
+            });
+        }
+    }
+}
+
+/// Many connections at once that nobody has accepted yet, each with its client's end.
+#[test]
+fn requests_are_not_sent_if_their_clients_disconnected_before_they_were_accepted() {
+    for pipelined in pipelined_bytes() {
+        for how in DISCONNECTS {
+            run_test(async {
+                let (endpoint, listener) = manual_endpoint().await;
+                let (proxy, admin) =
+                    start_without_cancellation(from_ref(&endpoint), allow_many_sockets).await;
+                let crowd = connect_crowd(&proxy).await;
+                request_health_on_all(&crowd);
+                for _ in 0..CROWD_SIZE / 5 {
+                    send_and_disconnect(
+                        proxy.address,
+                        &(request("unsafe", "", "the body") + &pipelined),
+                        how,
+                    );
+                }
+                let mut next = proxy.client().await;
+                next.send(&request("unsafe", "", "the next")).await;
+                let (connection, body) = accept_request(&listener).await;
+                assert_eq!(body, b"the next", "{how:?}, {pipelined}");
+                write_now(&connection, OK_RESPONSE);
+                assert_eq!(next.message().await.expect("a response").status(), 200);
+                assert_eq!((request_ends(admin).await[0], upstream_requests(admin).await), (1, 1));
+            });
+        }
+    }
+}
+
+/// The request is late, and a hedged request is due: the client disconnects before that, in the
+/// same turn.
+#[test]
+fn no_hedged_request_is_sent_after_its_client_disconnects() {
+    const OBJECTIVE: Duration = Duration::from_secs(1);
+    for pipelined in pipelined_bytes() {
+        for how in DISCONNECTS {
+            run_test(async {
+                let endpoints = [manual_endpoint().await, manual_endpoint().await];
+                let (proxy, admin) = start_without_cancellation(
+                    &endpoints.each_ref().map(|(endpoint, _)| endpoint.clone()),
+                    |config| {
+                        config["settings"]["limits"]["second_copies"] = true.into();
+                        config["settings"]["classes"][0]["objective_us"] =
+                            (OBJECTIVE.as_micros() as u64).into();
+                        allow_many_sockets(config);
+                    },
+                )
+                .await;
+                let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
+                let crowd = connect_crowd(&proxy).await;
+                // Responses give the typical latency, and earn the credit that a hedged request is
+                // paid from.
+                let mut before = proxy.client().await;
+                let responses = [one, other].map(|listener| async move {
+                    let mut open = Vec::new();
+                    loop {
+                        let (connection, _) = accept_request(listener).await;
+                        write_now(&connection, &OK_RESPONSE.replace("OK\r\n", "OK\r\nConnection: close\r\n"));
+                        open.push(connection);
+                    }
+                });
+                let [ones, others] = responses;
+                tokio::select! {
+                    () = ones => {}
+                    () = others => {}
+                    () = async { for _ in 0..60 {
+                        assert_eq!(before.exchange(&request("free", "", "")).await.status(), 200);
+                    } } => {}
+                }
+                let sent_before = upstream_requests(admin).await;
+                let client = proxy.client().await;
+                write_now(&client, &(request("free", "", "") + &pipelined));
+                let (mut connection, _) = tokio::select! {
+                    taken = accept_request(one) => taken,
+                    taken = accept_request(other) => taken,
+                };
+                request_health_on_all(&crowd);
+                disconnect_unnoticed(client, how, &proxy);
+                let disconnected = Instant::now();
+                while disconnected.elapsed() < OBJECTIVE {}
+                wait_for_pending(admin, 0).await;
+                before.send(&request("unsafe", "", "the next")).await;
+                assert_eq!(
+                    next_body(&mut connection, [one, other]).await,
+                    b"the next",
+                    "{how:?}, {pipelined}"
+                );
+                assert_eq!(upstream_requests(admin).await, sent_before + 2);
+            });
+        }
+    }
+}
--- /dev/null
+++ b/proxy/tests/readiness.rs
@@ -0,0 +1,114 @@
+//! When a process that starts begins to take clients.
+
+mod common;
+
+use client_proxy::config::Config;
+use common::paused_time::*;
+use common::scripted_discovery::WatchResponse::{Respond, Unreachable};
+use common::scripted_discovery::*;
+use common::*;
+use std::cell::Cell;
+use std::fs::File;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::slice::from_ref;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+/// Polls the health at an address until it is good, and records when somebody first listened there
+/// and when it was good.
+async fn record_readiness(address: SocketAddr, started: Instant, at: Rc<Cell<[Option<Duration>; 2]>>) {
+    loop {
+        if let Ok(stream) = TcpStream::connect(address).await {
+            let [listens, _] = at.get();
+            let now = Some(started.elapsed());
+            let status = MessageReader::new(stream).exchange(HEALTH_REQUEST).await.status();
+            at.set([listens.or(now), (status == 200).then_some(()).and(now)]);
+            if status == 200 {
+                return;
+            }
+        }
+        tokio::time::sleep(MS).await;
+    }
+}
+
+/// After how long a process listens and is ready; another process has the lock file in its folder
+/// locked, or none does.
+async fn time_to_readiness(
+    mode: &str,
+    balancer_count: u32,
+    has_list: bool,
+    has_other_process: bool,
+    script: Vec<WatchResponse>,
+) -> [Duration; 2] {
+    let endpoint = TestEndpoint::start([ok("served")]).await;
+    let listing =
+        format!("{WATCH_HEAD}{}", chunk(&list(42, true, &[entry("s-0", endpoint.address, "Ready")])));
+    let discovery = ScriptedDiscovery::start(script.into_iter().chain(vec![Respond(listing); 3])).await;
+    let endpoints = if has_list { from_ref(&endpoint) } else { &[] };
+    let config = configuration(discovery.address, endpoints, |config| {
+        config["settings"]["discovery"] = mode.into();
+        config["settings"]["balancers"] = balancer_count.into();
+        config["settings"]["invariants"]["ask_every_us"] = 10_000_000.into();
+    });
+    let folder =
+        std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("ready-{}", discovery.address.port()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let other = File::create(folder.join("nettleworks.lock")).expect("a file");
+    if has_other_process {
+        other.try_lock().expect("no other process serves");
+    }
+    let read = Config::parse(&config).expect("a good configuration");
+    let clients = client_proxy::process_handoff::bind(read.listen).expect("bound");
+    let address = clients.local_addr().expect("an address");
+    let listeners = client_proxy::Listeners { clients, operators: None };
+    let (started, at) = (Instant::now(), Rc::new(Cell::new([None; 2])));
+    spawn_local(client_proxy::run(read, listeners, Some(folder), async || None, std::future::pending()));
+    spawn_local(record_readiness(address, started, at.clone()));
+    advance_until("ready", || at.get()[1].is_some()).await;
+    at.get().map(|time| time.expect("seen"))
+}
+
+/// Nine in ten restarted processes are to be ready within 10 s, within 6 s on short days.
+#[test]
+fn a_process_is_ready_in_time_whatever_discovery_does() {
+    let discoveries: [fn() -> Vec<WatchResponse>; 5] = [
+        Vec::new,
+        || vec![REJECTED(); 1_000],
+        || vec![LATE_REJECTED(); 200],
+        || vec![NO_RESPONSE(); 200],
+        || vec![Unreachable(Duration::from_secs(60))],
+    ];
+    for (mode, balancer_count) in [("ask", 5), ("ask", 300), ("push", 5)] {
+        for (number, script) in discoveries.into_iter().enumerate() {
+            for (has_list, has_other_process) in [(true, true), (true, false), (false, true), (false, false)]
+            {
+                let [listens, ready] = run_with_paused_time(time_to_readiness(
+                    mode,
+                    balancer_count,
+                    has_list,
+                    has_other_process,
+                    script(),
+                ));
+                let name = format!(
+                    "{mode}, {balancer_count} balancers, discovery {number}, list {has_list}, other process {has_other_process}: \
+                     listens at {listens:?}, ready at {ready:?}"
+                );
+                let max_ready = match (has_list || number == 0, has_other_process) {
+                    (true, _) => 100 * MS,
+                    (false, true) => 9_000 * MS,
+                    (false, false) => 5_500 * MS,
+                };
+                assert!(ready <= max_ready, "{name}");
+                // Without a list clients are left to the other process as long as possible; a
+                // process that is alone rejects them early.
+                let waits = !has_list && number != 0;
+                assert!(!(waits && has_other_process) || listens > 7_000 * MS, "{name}");
+                assert!(!waits || has_other_process || (2_000 * MS..3_000 * MS).contains(&listens), "{name}");
+                assert!(!waits || has_other_process || ready > 4_000 * MS, "{name}");
+            }
+        }
+    }
+}
--- /dev/null
+++ b/proxy/tests/system_call_faults.rs
@@ -0,0 +1,200 @@
+//! The program while system calls fail: a preloaded library lets them fail by a schedule.
+
+mod common;
+
+use common::*;
+use serde_json::json;
+use std::net::SocketAddr;
+use std::slice::from_ref;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::sleep;
+
+/// A configuration for these endpoints with this address for clients.
+fn configuration_at(address: SocketAddr, discovery: &TestDiscovery, endpoints: &[TestEndpoint]) -> String {
+    configuration(discovery.address, endpoints, |config| config["listen"] = address.to_string().into())
+}
+
+/// The program's first client, once it listens; `None` if it ends instead.
+async fn first_client(program: &mut RunningProgram, address: SocketAddr) -> Option<Client> {
+    loop {
+        if let Ok(stream) = TcpStream::connect(address).await {
+            return Some(MessageReader::new(stream));
+        }
+        if program.0.try_wait().expect("it can be waited for").is_some() {
+            return None;
+        }
+        sleep(Duration::from_millis(5)).await;
+    }
+}
+
+/// The system may be out of buffers or descriptors temporarily as the program starts: it retries.
+#[test]
+fn a_socket_call_that_fails_temporarily_does_not_end_the_start() {
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("served")]).await;
+        let discovery = TestDiscovery::without_updates().await;
+        for failure in ["ENOBUFS", "ENFILE", "EMFILE", "ENOMEM"] {
+            let port = reserve_port();
+            let address = port.local_addr().expect("an address");
+            let mut command = program_command(
+                &configuration_at(address, &discovery, from_ref(&endpoint)),
+                &format!("socket-{failure}.json"),
+            )
+            .0;
+            let failures = json!({"rules": [{"call": "socket", "failure": failure, "most": 3}]});
+            let mut program = start_with_faults(&mut command, &failures);
+            let mut client = first_client(&mut program, address).await.expect("it starts");
+            assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"served", "{failure}");
+        }
+    });
+}
+
+/// A read may return less than there is, and the event queue reports bytes only once: the rest is
+/// read all the same, of requests, responses and the list.
+#[test]
+fn a_short_read_leaves_nothing_unread() {
+    run_test(async {
+        let (endpoint, other) =
+            (TestEndpoint::start([ok(&"a".repeat(5_000))]).await, TestEndpoint::start([ok("b")]).await);
+        let discovery = TestDiscovery::without_updates().await;
+        let (port, operators) = (reserve_port(), reserve_port());
+        let address = port.local_addr().expect("an address");
+        let admin = operators.local_addr().expect("an address");
+        let mut command =
+            program_command(&configuration_at(address, &discovery, from_ref(&endpoint)), "short.json").0;
+        command.env("ROUTER_ADMIN", admin.to_string());
+        let failures = json!({"rules": [{"call": "receive", "failure": "SHORT"}]});
+        let mut program = start_with_faults(&mut command, &failures);
+        let mut client = first_client(&mut program, address).await.expect("it starts");
+        for _ in 0..3 {
+            let response = client.exchange(&request("keyed", "", &"c".repeat(3_000))).await;
+            assert_eq!((response.status(), response.body.len()), (200, 5_000));
+        }
+        assert_eq!(endpoint.requests.borrow()[0].body.len(), 3_000);
+        // The name alone is longer than one read.
+        let long_name = entry(&"n".repeat(2_000), other.address, "Ready");
+        discovery.push(&chunk(&list(42, false, &[long_name]))).await;
+        while metrics(admin).await["members"] != 2 {}
+    });
+}
+
+/// A connection that ended before it was accepted, or a system short of buffers, does not mean
+/// that nobody waits: clients that had connected by the order to shut down get responses.
+#[test]
+fn a_failure_to_accept_during_a_shutdown_rejects_nobody() {
+    const WAITING: usize = 8;
+    for failure in ["ECONNABORTED", "ENOBUFS"] {
+        run_test(async {
+            let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
+            let discovery = TestDiscovery::without_updates().await;
+            let (port, operators) = (reserve_port(), reserve_port());
+            let address = port.local_addr().expect("an address");
+            let admin = operators.local_addr().expect("an address");
+            let few = |config: &mut serde_json::Value| {
+                config["listen"] = address.to_string().into();
+                config["limits"]["sockets"] = 70.into();
+            };
+            let text = configuration(discovery.address, from_ref(&endpoint), few);
+            let max_clients =
+                client_proxy::config::Config::parse(&text).expect("good").max_client_connections();
+            let mut command = program_command(&text, &format!("accept-{failure}.json")).0;
+            command.env("ROUTER_ADMIN", admin.to_string());
+            let failures = json!({"rules": [{"call": "accept", "failure": failure, "share": 0.5}]});
+            let mut program = start_with_faults(&mut command, &failures);
+            let mut clients = vec![first_client(&mut program, address).await.expect("it starts")];
+            while clients.len() < max_clients + WAITING {
+                clients.push(MessageReader::new(TcpStream::connect(address).await.expect("connected")));
+            }
+            for client in &mut clients {
+                client.send(&request("free", "", "")).await;
+            }
+            wait_for_pending(admin, max_clients as u64).await;
+            program.stop();
+            for client in &mut clients {
+                assert!(client.message().await.is_some(), "{failure}: it gets its response");
+            }
+            assert!(program.ends().await);
+        });
+    }
+}
+
+/// The configuration's file may be unreadable just as the signal arrives, which is not sent again.
+#[test]
+fn a_reload_that_cannot_read_its_file_is_retried() {
+    for failure in ["ENFILE", "EIO", "ENOENT"] {
+        run_test(async {
+            let endpoint = TestEndpoint::start([ok("served")]).await;
+            let (old, new) = (TestDiscovery::without_updates().await, TestDiscovery::without_updates().await);
+            let port = reserve_port();
+            let address = port.local_addr().expect("an address");
+            let name = format!("reload-{failure}.json");
+            let (mut command, path) =
+                program_command(&configuration_at(address, &old, from_ref(&endpoint)), &name);
+            let failures =
+                json!({"rules": [{"call": "open", "path": name, "failure": failure, "after": 1, "most": 3}]});
+            let mut program = start_with_faults(&mut command, &failures);
+            first_client(&mut program, address).await.expect("it starts");
+            std::fs::write(path, configuration_at(address, &new, from_ref(&endpoint))).expect("written");
+            program.signal("HUP");
+            wait_until("the new discovery is watched", || new.watch_requests.borrow().len() == 1).await;
+        });
+    }
+}
+
+/// That there is no local port or no route temporarily is not the endpoint's fault: the connection
+/// is retried, and the endpoint is not ejected.
+#[test]
+fn a_connection_that_fails_temporarily_is_retried() {
+    run_test(async {
+        for failure in ["EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS"] {
+            let endpoint = TestEndpoint::start([ok("served")]).await;
+            let discovery = TestDiscovery::without_updates().await;
+            let port = reserve_port();
+            let address = port.local_addr().expect("an address");
+            let name = format!("connect-{failure}.json");
+            let mut command =
+                program_command(&configuration_at(address, &discovery, from_ref(&endpoint)), &name).0;
+            // The first connection is the watch's.
+            let rule = json!({"call": "connect", "failure": failure, "after": 1, "most": 2});
+            let mut program = start_with_faults(&mut command, &json!({"rules": [rule]}));
+            let mut client = first_client(&mut program, address).await.expect("it starts");
+            wait_until("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
+            assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"served", "{failure}");
+        }
+    });
+}
+
+/// The folder in which processes of the program announce themselves may fail for a while: they
+/// find each other as soon as it works.
+#[test]
+fn a_folder_that_fails_temporarily_is_used_later() {
+    run_test(async {
+        for (call, failure) in [("open", "EIO"), ("open", "ENOSPC"), ("lock", "EIO")] {
+            let endpoint = TestEndpoint::start([ok("served")]).await;
+            let discovery = TestDiscovery::without_updates().await;
+            let port = reserve_port();
+            let address = port.local_addr().expect("an address");
+            let name = format!("folder-{call}-{failure}");
+            let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(&name);
+            std::fs::create_dir_all(&folder).expect("a folder");
+            let mut command = program_command(
+                &configuration_at(address, &discovery, from_ref(&endpoint)),
+                &format!("{name}.json"),
+            )
+            .0;
+            command.env("TMPDIR", &folder);
+            let path = if call == "open" { "nettleworks.lock" } else { "" };
+            let rule = json!({"call": call, "path": path, "failure": failure, "most": 3});
+            let mut program = start_with_faults(&mut command, &json!({"rules": [rule]}));
+            first_client(&mut program, address).await.expect("it starts");
+            let file = std::fs::File::create(folder.join("nettleworks.lock")).expect("a file");
+            wait_until("it has locked the file", || {
+                let is_locked = file.try_lock().is_err();
+                file.unlock().expect("unlocked");
+                is_locked
+            })
+            .await;
+        }
+    });
+}
