--- a/proxy/src/control/connection_pool.rs
+++ b/proxy/src/control/connection_pool.rs
@@ -83,7 +83,7 @@
             return false;
         };
         drop(connections.remove(0));
-        self.metrics.count().closed_to_hosts(EndpointCloseReason::MemoryReservation, 1);
+        self.metrics.count().endpoint_connections_closed(EndpointCloseReason::MemoryReservation, 1);
         true
     }
 
@@ -124,7 +124,7 @@
         let Some(connections) = self.idle.get_mut(&endpoint) else { return };
         let before = connections.len();
         connections.retain(retain);
-        self.metrics.count().closed_to_hosts(reason, before - connections.len());
+        self.metrics.count().endpoint_connections_closed(reason, before - connections.len());
     }
 
     /// How long a connection may have been idle and still be used. `endpoint_timeout`: after which
--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -154,7 +154,7 @@
         let mut actions = Vec::new();
         while let Some(event) = state.events.pop_front() {
             if let Event::AttemptEnded { outcome, .. } = event {
-                state.metrics.count().outcome(outcome);
+                state.metrics.count().attempt_ended(outcome);
             }
             let now = state.clock.now();
             state.balancer.handle(now, event, &mut actions);
@@ -181,7 +181,7 @@
 
     /// Counts a request that was answered with this status without the balancer.
     pub fn count_unusable(&self, status: StatusCode) {
-        self.metrics().count().unusable(status);
+        self.metrics().count().request_invalid(status);
     }
 
     /// Notes whether the listener accepts connections.
--- a/proxy/src/control/requests.rs
+++ b/proxy/src/control/requests.rs
@@ -39,7 +39,7 @@
     /// The request is complete: its client waits for `time_left` from now.
     pub fn uploaded(&mut self, time_left: Duration) {
         if let Some(tracker) = &mut self.tracker {
-            tracker.set_whole();
+            tracker.set_complete();
         }
         self.control.complete_request(self.request, time_left);
     }
@@ -62,7 +62,7 @@
         let non_replayable = forwarded.payload.upload().is_some();
         let mut state = self.state_mut();
         let request = state.requests.reserve_id(&descriptor.id)?;
-        let tracker = state.metrics.take(class, !non_replayable);
+        let tracker = state.metrics.track(class, !non_replayable);
         let (sender, reply) = oneshot::channel();
         let deadline = state.shutdown.limit(descriptor.deadline);
         let time_left = micros_until(deadline);
@@ -95,7 +95,7 @@
 
     /// Rejects a request that the balancer never saw, or that it knows to be cancelled.
     pub fn refuse(&self, class: ClassId) -> Reply {
-        self.metrics().take(class, true).end(RequestEnd::Rejected);
+        self.metrics().track(class, true).end(RequestEnd::Rejected);
         Reply::Rejected(Duration::ZERO)
     }
 
@@ -125,7 +125,7 @@
     pub(super) fn reply_unserved(&mut self, id: RequestId, reason: FailureReason, reply: Reply) {
         if let Some(request) = self.requests.get_mut(id) {
             if let Some(sender) = request.reply.take() {
-                self.metrics.count().given_up(reason);
+                self.metrics.count().request_abandoned(reason);
                 request.record.abandoned(reason);
                 request.record.replied(match reply {
                     Reply::Failed => ReplyKind::Failed,
--- a/proxy/src/control/snapshot.rs
+++ b/proxy/src/control/snapshot.rs
@@ -10,7 +10,7 @@
         // Draining endpoints are unavailable by the list's word, whatever the balancer thinks of them.
         let draining = state.endpoints.count() - state.endpoints.ready_count();
         let unavailable = state.balancer.avoided(state.clock.now()) + draining;
-        let metrics = state.metrics.get();
+        let metrics = state.metrics.snapshot();
         metrics.to_json(&state.config.classes, state.endpoints.count(), unavailable)
     }
 
@@ -21,7 +21,7 @@
         let open = state.pool.open_count();
         let idle = state.pool.idle_count();
         let max_idle = state.pool.max_idle(state.config.connection_idle_timeout);
-        let metrics = state.metrics.get();
+        let metrics = state.metrics.snapshot();
         log::line(&format!(
             "{open} connections ({idle} idle, for at most {max_idle:?}), {snapshot}, {metrics}"
         ));
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -233,7 +233,7 @@
 
     /// Closes it at once; its descriptor is free when this returns.
     fn close(&self, why: ClientCloseReason) {
-        self.metrics.count().closed(why);
+        self.metrics.count().client_closed(why);
         tracing::debug!(socket = ?self.socket, phase = ?self.phase.get(), reason = ?why, "closed");
         let unanswered = matches!(self.phase.get(), Phase::Open) && why != ClientCloseReason::Stuck;
         if unanswered && !self.socket.has_left() {
@@ -467,10 +467,10 @@
                 // One that breaks ends its request's waiting, which tells the module.
                 _ = connection => {}
                 () = left => {
-                    metrics.count().closed(ClientCloseReason::Left);
+                    metrics.count().client_closed(ClientCloseReason::Left);
                     closing.close();
                 }
-                () = due => metrics.count().closed(last.get().close_when_due(&closing)),
+                () = due => metrics.count().client_closed(last.get().close_when_due(&closing)),
             }
             last.set(Phase::Closing(Instant::now()));
             closing.linger(LINGER).await;
--- a/proxy/src/invariants/tests.rs
+++ b/proxy/src/invariants/tests.rs
@@ -19,7 +19,7 @@
 }
 
 fn violations(metrics: &Metrics) -> String {
-    let snapshot = metrics.get().to_string();
+    let snapshot = metrics.snapshot().to_string();
     snapshot.split("invariant_violations: ").nth(1).expect("the last of the metrics").to_owned()
 }
 
--- /dev/null
+++ b/proxy/src/metrics/snapshot.rs
@@ -0,0 +1,142 @@
+//! The counters, and how operators and the log read them.
+
+use crate::log;
+use crate::metrics::{ClientCloseReason, EndpointCloseReason, RequestEnd, Violation, WriteDenial};
+use balancer::{ClassId, FailureReason, Outcome};
+use hyper::StatusCode;
+use serde_json::{json, Map, Value};
+use std::collections::BTreeMap;
+use std::fmt;
+
+/// Requests of one class by how they ended.
+#[derive(Clone, Copy, Debug, Default)]
+struct ClassCounts {
+    completed: u64,
+    rejected: u64,
+    failed: u64,
+}
+
+impl ClassCounts {
+    fn to_json(self) -> Value {
+        let ClassCounts { completed, rejected, failed } = self;
+        json!({"completed": completed, "rejected": rejected, "failed": failed})
+    }
+}
+
+/// The counters since the start.
+#[derive(Debug, Default)]
+pub struct MetricsSnapshot {
+    classes: Vec<ClassCounts>,
+    /// Complete requests without an end.
+    pub(super) pending: u64,
+    /// Attempts whose last byte was written.
+    upstream_requests: u64,
+    /// Attempts that the balancer has ordered.
+    pub attempts: u64,
+    /// Connections to endpoints that were established.
+    pub opened: u64,
+    /// Connections to endpoints that could not be established.
+    pub open_failed: u64,
+    /// Reused connections that proved to be broken.
+    pub broken_reuse: u64,
+    outcomes: BTreeMap<Outcome, u64>,
+    /// Requests that were invalid, by the status of their response.
+    invalid_requests: BTreeMap<u16, u64>,
+    write_denials: BTreeMap<WriteDenial, u64>,
+    /// Requests without an endpoint's response.
+    abandoned_requests: BTreeMap<FailureReason, u64>,
+    /// Connections of clients that this side closed.
+    client_closes: BTreeMap<ClientCloseReason, u64>,
+    /// Idle connections to endpoints that this side closed.
+    endpoint_closes: BTreeMap<EndpointCloseReason, u64>,
+    violations: BTreeMap<Violation, u64>,
+}
+
+impl MetricsSnapshot {
+    pub(super) fn new(class_count: usize) -> MetricsSnapshot {
+        let classes = vec![ClassCounts::default(); class_count];
+        MetricsSnapshot { classes, ..MetricsSnapshot::default() }
+    }
+
+    /// An attempt has ended.
+    pub fn attempt_ended(&mut self, outcome: Outcome) {
+        *self.outcomes.entry(outcome).or_default() += 1;
+    }
+
+    /// An invalid request got this status; the balancer never saw it.
+    pub fn request_invalid(&mut self, status: StatusCode) {
+        *self.invalid_requests.entry(status.as_u16()).or_default() += 1;
+    }
+
+    /// An attempt may not be written.
+    pub fn write_denied(&mut self, denial: WriteDenial) {
+        *self.write_denials.entry(denial).or_default() += 1;
+    }
+
+    /// The balancer serves a request no longer.
+    pub fn request_abandoned(&mut self, reason: FailureReason) {
+        *self.abandoned_requests.entry(reason).or_default() += 1;
+    }
+
+    /// A client's connection was closed.
+    pub fn client_closed(&mut self, reason: ClientCloseReason) {
+        *self.client_closes.entry(reason).or_default() += 1;
+    }
+
+    /// Idle connections to endpoints were closed.
+    pub fn endpoint_connections_closed(&mut self, reason: EndpointCloseReason, count: usize) {
+        if count > 0 {
+            *self.endpoint_closes.entry(reason).or_default() += count as u64;
+            tracing::debug!(reason = ?reason, count, "idle connections to an endpoint closed");
+        }
+    }
+
+    /// An invariant was violated.
+    pub fn violation(&mut self, violation: Violation) {
+        *self.violations.entry(violation).or_default() += 1;
+    }
+
+    /// An attempt's last byte was written.
+    pub fn attempt_written(&mut self) {
+        self.upstream_requests += 1;
+    }
+
+    /// A request has ended.
+    pub(super) fn request_ended(&mut self, class: ClassId, end: RequestEnd) {
+        let Some(counts) = self.classes.get_mut(class.0) else { return };
+        match end {
+            RequestEnd::Completed => counts.completed += 1,
+            RequestEnd::Rejected => counts.rejected += 1,
+            RequestEnd::Failed => counts.failed += 1,
+        }
+    }
+
+    /// The counters under the names that operators read. `class_names` are in the order of the
+    /// settings; `endpoints` is the list's length, `unavailable` how many of these are not used.
+    pub fn to_json(&self, class_names: &[String], endpoints: usize, unavailable: usize) -> Value {
+        let classes = class_names.iter().cloned().zip(self.classes.iter().map(|class| class.to_json()));
+        json!({
+            "downstream_requests": classes.collect::<Map<_, _>>(),
+            "upstream_requests": self.upstream_requests,
+            "pending": self.pending,
+            "members": endpoints,
+            "members_unavailable": unavailable,
+        })
+    }
+}
+
+/// The counters that only the log shows.
+impl fmt::Display for MetricsSnapshot {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "attempts: {}, opened: {}, ", self.attempts, self.opened)?;
+        write!(formatter, "open_failed: {}, broken_reuse: {}, ", self.open_failed, self.broken_reuse)?;
+        write!(formatter, "outcomes: {:?}, ", self.outcomes)?;
+        write!(formatter, "invalid_requests: {:?}, ", self.invalid_requests)?;
+        write!(formatter, "write_denials: {:?}, ", self.write_denials)?;
+        write!(formatter, "abandoned_requests: {:?}, ", self.abandoned_requests)?;
+        write!(formatter, "client_closes: {:?}, ", self.client_closes)?;
+        write!(formatter, "endpoint_closes: {:?}, ", self.endpoint_closes)?;
+        write!(formatter, "log_dropped: {}, ", log::dropped())?;
+        write!(formatter, "invariant_violations: {:?}", self.violations)
+    }
+}
--- a/proxy/src/write_guard.rs
+++ b/proxy/src/write_guard.rs
@@ -58,7 +58,7 @@
             () if is_quiet == Some(false) => WriteDenial::ConnectionUsed,
             () => return Ok(()),
         };
-        self.0.metrics.count().denied(denial);
+        self.0.metrics.count().write_denied(denial);
         self.0.record.iter().for_each(|record| record.write_denied(denial));
         Err(denial)
     }
@@ -129,7 +129,7 @@
     /// Nothing of what was handed over is left to be written.
     pub fn flushed(&self) {
         if self.0.ended.get() && self.0.bytes.get() > 0 && !self.0.whole.replace(true) {
-            self.0.metrics.count().sent_whole();
+            self.0.metrics.count().attempt_written();
         }
     }
 }
