--- a/proxy/src/control/background.rs
+++ b/proxy/src/control/background.rs
@@ -31,7 +31,7 @@
             sleep(SWEEP_INTERVAL).await;
             self.state_mut().sweep();
             if sweep % SWEEPS_PER_LOG_LINE == 0 {
-                self.log_counts();
+                self.log_metrics();
             }
         }
     }
--- a/proxy/src/control/connection_pool.rs
+++ b/proxy/src/control/connection_pool.rs
@@ -83,7 +83,7 @@
             return false;
         };
         drop(connections.remove(0));
-        self.metrics.count().endpoint_connections_closed(EndpointCloseReason::MemoryReservation, 1);
+        self.metrics.count().endpoint_connections_closed(EndpointCloseReason::Evicted, 1);
         true
     }
 
@@ -98,7 +98,7 @@
     /// request must not cross its endpoint's close.
     pub(super) fn take(&mut self, endpoint: EndpointId, max_idle: Duration) -> Option<IdleConnection> {
         self.close_expired(endpoint, max_idle);
-        self.close(endpoint, EndpointCloseReason::Used, |idle| idle.connection.is_ready());
+        self.close(endpoint, EndpointCloseReason::UnexpectedBytes, |idle| idle.connection.is_ready());
         let connections = self.idle.get_mut(&endpoint)?;
         let settled = connections.iter().rposition(|idle| idle.since.elapsed() >= SETTLE_DELAY);
         (!connections.is_empty()).then(|| connections.remove(settled.unwrap_or(0)))
@@ -106,7 +106,7 @@
 
     /// Closes all idle connections to an endpoint that takes no new requests, or has restarted.
     pub(super) fn close_all(&mut self, endpoint: EndpointId) {
-        self.close(endpoint, EndpointCloseReason::Leaving, |_| false);
+        self.close(endpoint, EndpointCloseReason::EndpointUnavailable, |_| false);
         self.idle.remove(&endpoint);
     }
 
--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -180,7 +180,7 @@
     }
 
     /// Counts a request that was answered with this status without the balancer.
-    pub fn count_unusable(&self, status: StatusCode) {
+    pub fn count_invalid_request(&self, status: StatusCode) {
         self.metrics().count().request_invalid(status);
     }
 
@@ -192,22 +192,22 @@
     /// Whether there is an endpoint list, or it is no longer waited for.
     pub fn is_ready(&self) -> bool {
         let state = self.state();
-        state.watch.has_list || state.watch.wait_is_over
+        state.watch.has_list || state.watch.list_wait_ended
     }
 
     /// Whether this process serves clients: it accepts connections and has an endpoint list.
-    pub fn takes_clients(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         let state = self.state();
         state.is_accepting && state.watch.has_list
     }
 
     /// Waits no longer for an endpoint list.
-    pub fn wait_no_longer(&self) {
-        self.state_mut().watch.wait_is_over = true;
+    pub fn end_list_wait(&self) {
+        self.state_mut().watch.list_wait_ended = true;
     }
 
     /// Returns once there is an endpoint list.
-    pub async fn listed(&self) {
+    pub async fn list_received(&self) {
         let list_received = self.state().watch.list_received.clone();
         while !self.state().watch.has_list {
             list_received.notified().await;
@@ -215,7 +215,7 @@
     }
 
     /// Begins the graceful shutdown.
-    pub fn stop(&self, schedule: ShutdownSchedule) {
+    pub fn begin_shutdown(&self, schedule: ShutdownSchedule) {
         let mut state = self.state_mut();
         state.requests.limit_deadlines(schedule.end);
         state.shutdown.begin(schedule);
@@ -225,8 +225,8 @@
     }
 
     /// Returns once shutdown has gone so far that requests that become complete are rejected.
-    pub async fn closed(&self) {
+    pub async fn request_cutoff(&self) {
         let shutdown = self.state().shutdown.clone();
-        shutdown.rejects_requests().await;
+        shutdown.request_cutoff().await;
     }
 }
--- a/proxy/src/control/reload.rs
+++ b/proxy/src/control/reload.rs
@@ -31,7 +31,7 @@
 
     /// Shares the descriptors with so many processes of the program, this one included. Idle
     /// connections beyond this one's part are closed.
-    pub fn share(&self, process_count: usize) {
+    pub fn set_process_count(&self, process_count: usize) {
         let mut state = self.state_mut();
         state.config = Rc::new(Config { process_count, ..Config::clone(&state.config) });
         let max_open = state.config.max_endpoint_connections();
--- a/proxy/src/control/requests.rs
+++ b/proxy/src/control/requests.rs
@@ -37,7 +37,7 @@
     }
 
     /// The request is complete: its client waits for `time_left` from now.
-    pub fn uploaded(&mut self, time_left: Duration) {
+    pub fn completed(&mut self, time_left: Duration) {
         if let Some(tracker) = &mut self.tracker {
             tracker.set_complete();
         }
@@ -94,7 +94,7 @@
     }
 
     /// Rejects a request that the balancer never saw, or that it knows to be cancelled.
-    pub fn refuse(&self, class: ClassId) -> Reply {
+    pub fn reject(&self, class: ClassId) -> Reply {
         self.metrics().track(class, true).end(RequestEnd::Rejected);
         Reply::Rejected(Duration::ZERO)
     }
--- a/proxy/src/control/shutdown.rs
+++ b/proxy/src/control/shutdown.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownSchedule {
     /// From here on requests that become complete are rejected.
-    pub refuse_from: Instant,
+    pub reject_from: Instant,
     /// By this time every request has its response, or the beginning of it.
     pub end: Instant,
 }
@@ -46,8 +46,8 @@
 
     /// Returns once requests that become complete are rejected: long responses to them might be
     /// truncated.
-    pub(super) async fn rejects_requests(&self) {
-        sleep_until(self.begun().await.refuse_from).await;
+    pub(super) async fn request_cutoff(&self) {
+        sleep_until(self.begun().await.reject_from).await;
     }
 
     /// Returns when every request must have its response.
--- a/proxy/src/control/snapshot.rs
+++ b/proxy/src/control/snapshot.rs
@@ -5,7 +5,7 @@
 
 impl Control {
     /// The metrics so far, as operators read them.
-    pub fn figures(&self) -> serde_json::Value {
+    pub fn metrics_json(&self) -> serde_json::Value {
         let state = self.state();
         // Draining endpoints are unavailable by the list's word, whatever the balancer thinks of them.
         let draining = state.endpoints.count() - state.endpoints.ready_count();
@@ -15,8 +15,8 @@
     }
 
     /// Writes the metrics so far to the log.
-    pub fn log_counts(&self) {
-        let snapshot = self.figures();
+    pub fn log_metrics(&self) {
+        let snapshot = self.metrics_json();
         let state = self.state();
         let open = state.pool.open_count();
         let idle = state.pool.idle_count();
--- a/proxy/src/control/watch.rs
+++ b/proxy/src/control/watch.rs
@@ -15,7 +15,7 @@
     /// A list has been received, or the configuration held one that names endpoints.
     pub(super) has_list: bool,
     /// The first list is no longer waited for: clients are served without one.
-    pub(super) wait_is_over: bool,
+    pub(super) list_wait_ended: bool,
     /// Notified of each list and update.
     pub(super) list_received: Rc<Notify>,
     /// Number of the current watch; events of earlier ones are ignored.
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -73,7 +73,7 @@
     let now = Instant::now();
     clients.stop(
         &listener,
-        ShutdownSchedule { refuse_from: now + REFUSE_AFTER, end: now + longest + STOP_MARGIN },
+        ShutdownSchedule { reject_from: now + REFUSE_AFTER, end: now + longest + STOP_MARGIN },
     );
     clients.accept(&listener, sleep(STOP_DELAY)).await;
     // What the machine has accepted by now has been taken: closing the listener would reset it.
@@ -115,7 +115,7 @@
     /// Why a connection that is due is closed.
     fn close_when_due(self, socket: &Socket) -> ClientCloseReason {
         match self {
-            Phase::New(_) | Phase::Begun(_) if socket.reads() > 0 => ClientCloseReason::Slow,
+            Phase::New(_) | Phase::Begun(_) if socket.reads() > 0 => ClientCloseReason::RequestTimeout,
             _ => ClientCloseReason::Idle,
         }
     }
@@ -235,7 +235,7 @@
     fn close(&self, why: ClientCloseReason) {
         self.metrics.count().client_closed(why);
         tracing::debug!(socket = ?self.socket, phase = ?self.phase.get(), reason = ?why, "closed");
-        let unanswered = matches!(self.phase.get(), Phase::Open) && why != ClientCloseReason::Stuck;
+        let unanswered = matches!(self.phase.get(), Phase::Open) && why != ClientCloseReason::ResponseStalled;
         if unanswered && !self.socket.has_left() {
             self.metrics.count().violation(Violation::ClosedWithoutReply);
             log::line(&format!("invariant violated: a connection with an open request was closed: {why:?}"));
@@ -251,12 +251,12 @@
         }
         if self.is_stuck(now) == Some(true) {
             log::line("a client took nothing of its answer for too long: closed");
-            self.close(ClientCloseReason::Stuck);
+            self.close(ClientCloseReason::ResponseStalled);
             return false;
         }
         match self.phase.get() {
             // Its task has been told; this is for a system that tells of ends only when it is asked.
-            Phase::Open if self.socket.is_left() => self.close(ClientCloseReason::Left),
+            Phase::Open if self.socket.is_left() => self.close(ClientCloseReason::ClientDisconnected),
             Phase::Idle(since) if self.socket.read_at() > since => {
                 self.phase.set(Phase::Begun(self.socket.read_at()));
             }
@@ -357,8 +357,8 @@
     fn stop(&self, listener: &TcpListener, stop: ShutdownSchedule) {
         self.stopping.set(true);
         self.driver.set_accepting(false);
-        self.driver.stop(stop);
-        self.driver.share(2);
+        self.driver.begin_shutdown(stop);
+        self.driver.set_process_count(2);
         if let Err(error) = lead_away(listener) {
             log::line(&format!("connections go on coming here: {error}"));
         }
@@ -467,7 +467,7 @@
                 // One that breaks ends its request's waiting, which tells the module.
                 _ = connection => {}
                 () = left => {
-                    metrics.count().client_closed(ClientCloseReason::Left);
+                    metrics.count().client_closed(ClientCloseReason::ClientDisconnected);
                     closing.close();
                 }
                 () = due => metrics.count().client_closed(last.get().close_when_due(&closing)),
@@ -642,23 +642,23 @@
                     "GET /api HTTP/1.1\r\nX-Call-Id: {begun}{reset}\r\nX-Call-Class: free\r\nX-Budget-Ms: 8000\r\n\r\nGET /"
                 );
                 assert_eq!(far.try_write(text.as_bytes()).expect("written"), text.len());
-                while driver.figures()["pending"] != 1 {
+                while driver.metrics_json()["pending"] != 1 {
                     yield_now().await;
                 }
                 // Of one that is out nothing is looked at any more. The server, which has done nothing wrong, is used again.
                 sent += u64::from(begun);
-                while driver.figures()["upstream_requests"] != sent {
+                while driver.metrics_json()["upstream_requests"] != sent {
                     yield_now().await;
                 }
                 if reset {
                     far.set_zero_linger().expect("lingers not");
                 }
                 drop(far);
-                while driver.figures()["pending"] != 0 {
+                while driver.metrics_json()["pending"] != 0 {
                     yield_now().await;
                 }
                 assert!(clients.open.pop().is_some_and(|client| client.socket.is_left()), "closed");
-                assert_eq!(driver.figures()["upstream_requests"], sent);
+                assert_eq!(driver.metrics_json()["upstream_requests"], sent);
             }
         };
         let tasks = tokio::task::LocalSet::new();
--- a/proxy/src/downstream/request.rs
+++ b/proxy/src/downstream/request.rs
@@ -71,12 +71,12 @@
     let memory = driver.memory();
     let gathered = tokio::select! {
         biased;
-        () = driver.closed() => return Ok(driver.refuse(descriptor.class)),
+        () = driver.request_cutoff() => return Ok(driver.reject(descriptor.class)),
         gathered = upload.gather(&memory) => gathered.map_err(UploadError::status)?,
     };
     // It may have waited to be accepted or read for longer than its client has.
     if socket.has_left() {
-        return Ok(driver.refuse(descriptor.class));
+        return Ok(driver.reject(descriptor.class));
     }
     let budget = budget - WAY_BACK.min(budget / WAY_BACK_PART);
     let deadline = match upload.end() {
@@ -95,12 +95,12 @@
         tokio::select! {
             biased;
             ended = upload.ended() => match ended {
-                Ok(whole) => waiting.uploaded((whole + budget).saturating_duration_since(Instant::now())),
+                Ok(whole) => waiting.completed((whole + budget).saturating_duration_since(Instant::now())),
                 Err(fault) => return Err(fault.status()),
             },
             reply = waiting.reply() => return Ok(reply),
             // Not whole, it has not run.
-            () = driver.closed() => return Ok(driver.refuse(class)),
+            () = driver.request_cutoff() => return Ok(driver.reject(class)),
         }
     }
     Ok(waiting.reply().await)
@@ -177,7 +177,7 @@
 
 /// A request of the application that could not be used: it shows in the log's figures.
 fn turned_away(driver: &Control, status: StatusCode) -> Answer {
-    driver.count_unusable(status);
+    driver.count_invalid_request(status);
     unusable(status)
 }
 
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -96,7 +96,7 @@
     }
     let listener = socket.listen(downstream::BACKLOG).map_err(RunError::Listen)?;
     downstream::serve(listener, control.clone(), shutdown).await;
-    control.log_counts();
+    control.log_metrics();
     Ok(())
 }
 
@@ -128,7 +128,7 @@
     };
     while start.elapsed() < list_timeout() {
         let left = list_timeout().saturating_sub(start.elapsed()).min(LIST_TIMEOUT);
-        if timeout(left, control.listed()).await.is_ok() {
+        if timeout(left, control.list_received()).await.is_ok() {
             return;
         }
     }
@@ -141,7 +141,7 @@
     if control.config().process_count > 1 {
         sleep_until(start + READY_DELAY_BESIDE_OTHER).await;
     }
-    control.wait_no_longer();
+    control.end_list_wait();
 }
 
 /// Shares the limits with another process of the program for as long as there is one.
@@ -149,10 +149,10 @@
     let on_change = |is_shared| {
         if is_shared {
             log::line("another process serves too");
-            control.share(2);
+            control.set_process_count(2);
         } else {
             log::line("no other process serves any more");
-            control.share(1);
+            control.set_process_count(1);
         }
     };
     let Err(error) = process_handoff::keep_presence(&folder, on_change).await;
--- a/proxy/src/metrics/reasons.rs
+++ b/proxy/src/metrics/reasons.rs
@@ -20,13 +20,13 @@
     /// It has been idle, or silent from its start, for as long as it may.
     Idle,
     /// Its request did not become complete in time.
-    Slow,
+    RequestTimeout,
     /// It read nothing of its response for too long.
-    Stuck,
+    ResponseStalled,
     /// Another connection needed its descriptor.
     Evicted,
     /// Its client has disconnected while a request was in flight.
-    Left,
+    ClientDisconnected,
 }
 
 /// Why this side closed an idle connection to an endpoint.
@@ -35,11 +35,11 @@
     /// It has been idle for nearly as long as endpoints allow.
     Idle,
     /// Its endpoint takes no new requests, or has restarted.
-    Leaving,
+    EndpointUnavailable,
     /// Another connection needed its descriptor.
-    MemoryReservation,
+    Evicted,
     /// Bytes or its end have arrived, which would be taken for the next response.
-    Used,
+    UnexpectedBytes,
 }
 
 /// Why an attempt may not be written.
--- a/proxy/src/metrics/tests.rs
+++ b/proxy/src/metrics/tests.rs
@@ -29,7 +29,7 @@
 fn closed_connections_to_endpoints_are_counted_by_their_reason() {
     let metrics = Metrics::new(1);
     metrics.count().endpoint_connections_closed(EndpointCloseReason::Idle, 2);
-    metrics.count().endpoint_connections_closed(EndpointCloseReason::Leaving, 0);
+    metrics.count().endpoint_connections_closed(EndpointCloseReason::EndpointUnavailable, 0);
     metrics.count().endpoint_connections_closed(EndpointCloseReason::Idle, 1);
     assert!(metrics.snapshot().to_string().contains("endpoint_closes: {Idle: 3}, "));
 }
--- a/proxy/src/operators.rs
+++ b/proxy/src/operators.rs
@@ -152,10 +152,10 @@
 
 fn respond(command: &str, control: &Control) -> Result<String, CommandError> {
     match command.trim() {
-        "health" if control.takes_clients() => Ok("SUCCESS yes\n".to_owned()),
+        "health" if control.is_serving() => Ok("SUCCESS yes\n".to_owned()),
         "health" => Err(CommandError::Unhealthy),
         // Without a status word: operators read all before the last line as the metrics.
-        "counters" => Ok(format!("{}\nEOT\n", control.figures())),
+        "counters" => Ok(format!("{}\nEOT\n", control.metrics_json())),
         _ => Err(CommandError::Unknown),
     }
 }
