--- a/proxy/src/downstream/service.rs
+++ b/proxy/src/downstream/service.rs
@@ -60,6 +60,6 @@
 
 /// The response to a request that cannot be used, which is counted.
 fn invalid(control: &Control, error: RequestError) -> Response<ResponseBody> {
-    control.count_unusable(error.status());
+    control.count_invalid_request(error.status());
     error_and_close(error.status())
 }
--- a/proxy/src/downstream/shutdown.rs
+++ b/proxy/src/downstream/shutdown.rs
@@ -21,7 +21,7 @@
 pub(super) fn schedule(longest_deadline: Duration) -> ShutdownSchedule {
     let now = Instant::now();
     let end = now + longest_deadline.min(MAX_DEADLINE) + DEADLINE_MARGIN;
-    ShutdownSchedule { refuse_from: now + REJECT_DELAY, end }
+    ShutdownSchedule { reject_from: now + REJECT_DELAY, end }
 }
 
 impl IdleTimeouts {
--- a/proxy/src/downstream/timeouts.rs
+++ b/proxy/src/downstream/timeouts.rs
@@ -83,13 +83,15 @@
         }
         if self.write_progress(now) == WriteProgress::Stalled {
             log::line("closed a client's connection: it took nothing of its response for too long");
-            self.close(ClientCloseReason::Stuck);
+            self.close(ClientCloseReason::ResponseStalled);
             return false;
         }
         match self.phase.get() {
             // Its task waits for this too; this is for a system that reports a disconnect only when
             // polled.
-            Phase::Open if self.socket.is_known_disconnected() => self.close(ClientCloseReason::Left),
+            Phase::Open if self.socket.is_known_disconnected() => {
+                self.close(ClientCloseReason::ClientDisconnected)
+            }
             Phase::Idle(since) if self.socket.last_read_at() > since => {
                 self.phase.set(Phase::Receiving(self.socket.last_read_at()));
             }
--- a/proxy/src/write_guard.rs
+++ b/proxy/src/write_guard.rs
@@ -74,7 +74,7 @@
         } else {
             return Ok(());
         };
-        self.0.metrics.count().denied(denial);
+        self.0.metrics.count().write_denied(denial);
         if let Some(record) = &self.0.record {
             record.write_denied(denial);
         }
@@ -157,7 +157,7 @@
     pub fn record_flush(&self) {
         let is_complete = self.0.has_request_ended.get() && self.bytes_written() > 0;
         if is_complete && !self.0.is_fully_written.replace(true) {
-            self.0.metrics.count().sent_whole();
+            self.0.metrics.count().attempt_written();
         }
     }
 }
