--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,20 +1,21 @@
-//! A small driver of the balancer for tests: it plays the proxy and records what it is told to do.
+//! A proxy for tests: it passes events to a balancer and records the actions.
 #![allow(dead_code)]
 
 use balancer::*;
 
-pub const MS: Micros = 1_000;
+pub(crate) const MS: Micros = 1_000;
 
-/// A proxy that carries out nothing and remembers everything.
-pub struct Proxy {
-    pub balancer: Balancer,
-    pub now: Micros,
-    pub actions: Vec<Action>,
+/// A proxy that carries out nothing and records everything.
+pub(crate) struct Proxy {
+    pub(crate) balancer: Balancer,
+    pub(crate) now: Micros,
+    pub(crate) actions: Vec<Action>,
     next: u64,
 }
 
-/// Settings with one class of the given kind: wanted in 500 ms, given up after 1.2 s.
-pub fn settings(idempotency: Idempotency) -> Settings {
+/// Settings with one class of the given idempotency: an objective of 500 ms and a deadline of 1.2
+/// s.
+pub(crate) fn settings(idempotency: Idempotency) -> Settings {
     let class = Class {
         latency_objective: 500 * MS,
         deadline: 1_200 * MS,
@@ -30,37 +31,37 @@
     }
 }
 
-/// A list that is polled.
-pub fn polled() -> Discovery {
+/// Discovery that is polled.
+pub(crate) fn polled_discovery() -> Discovery {
     Discovery { mode: DiscoveryMode::Poll, ..Settings::default().discovery }
 }
 
-pub fn ready(endpoint: u32) -> EndpointEntry {
+pub(crate) fn ready(endpoint: u32) -> EndpointEntry {
     EndpointEntry { endpoint: EndpointId(endpoint), state: EndpointState::Ready, ..EndpointEntry::default() }
 }
 
 impl Proxy {
-    /// A started proxy that knows of `endpoints` ready, warm servers, numbered from 1.
-    pub fn new(settings: Settings, endpoints: u32) -> Proxy {
+    /// A started proxy with `endpoints` ready, warm endpoints, numbered from 1.
+    pub(crate) fn new(settings: Settings, endpoints: u32) -> Proxy {
         let mut proxy =
             Proxy { balancer: Balancer::new(7, settings), now: 1_000_000, actions: Vec::new(), next: 0 };
-        proxy.event(Event::Start);
-        proxy.list(ListUpdate::Full, (1..=endpoints).map(ready).collect());
+        proxy.handle(Event::Start);
+        proxy.update_list(ListUpdate::Full, (1..=endpoints).map(ready).collect());
         proxy
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         self.actions.extend(actions.iter().cloned());
         actions
     }
 
-    pub fn list(&mut self, kind: ListUpdate, entries: Vec<EndpointEntry>) -> Vec<Action> {
-        self.event(Event::EndpointList { kind, entries })
+    pub(crate) fn update_list(&mut self, kind: ListUpdate, entries: Vec<EndpointEntry>) -> Vec<Action> {
+        self.handle(Event::EndpointList { kind, entries })
     }
 
-    pub fn call_of(&mut self, class: usize) -> (RequestId, Vec<Action>) {
+    pub(crate) fn request_of_class(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let request = RequestId(self.next);
         let class = ClassId(class);
@@ -72,14 +73,14 @@
             client_retry: false,
             non_replayable: false,
         };
-        (request, self.event(event))
+        (request, self.handle(event))
     }
 
-    pub fn request(&mut self) -> (RequestId, Vec<Action>) {
-        self.call_of(0)
+    pub(crate) fn request(&mut self) -> (RequestId, Vec<Action>) {
+        self.request_of_class(0)
     }
 
-    pub fn end(
+    pub(crate) fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -87,7 +88,7 @@
         elapsed: Micros,
     ) -> Vec<Action> {
         let request_finished = outcome == Outcome::Served;
-        self.event(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             request,
             attempt,
             outcome,
@@ -97,22 +98,22 @@
         })
     }
 
-    /// A call that is sent and served after `elapsed`; tells where it went.
-    pub fn serve(&mut self, elapsed: Micros) -> Option<EndpointId> {
+    /// Has a request served after `elapsed`; returns where it was forwarded to.
+    pub(crate) fn serve_request(&mut self, elapsed: Micros) -> Option<EndpointId> {
         let (request, actions) = self.request();
-        let endpoint = sent(&actions).first().map(|s| s.1);
+        let endpoint = forwarded(&actions).first().map(|s| s.1);
         self.now += elapsed;
-        self.end(request, 0, Outcome::Served, elapsed);
+        self.end_attempt(request, 0, Outcome::Served, elapsed);
         endpoint
     }
 
-    pub fn wait(&mut self, span: Micros) -> Vec<Action> {
+    pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
         self.now += span;
-        self.event(Event::Timer)
+        self.handle(Event::Timer)
     }
 }
 
-pub fn sent(actions: &[Action]) -> Vec<(RequestId, EndpointId)> {
+pub(crate) fn forwarded(actions: &[Action]) -> Vec<(RequestId, EndpointId)> {
     actions
         .iter()
         .filter_map(|a| match a {
@@ -122,10 +123,48 @@
         .collect()
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
+pub(crate) fn rejected(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
+pub(crate) fn failed(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { request, .. } if *request == id))
 }
+
+/// One of a hundred balancers, with sixty endpoints.
+pub(crate) fn one_of_many() -> Proxy {
+    Proxy::new(Settings { balancer_count: 100, ..settings(Idempotency::Idempotent) }, 60)
+}
+
+/// Sends `requests` requests at once and returns those that were forwarded.
+pub(crate) fn request_burst(proxy: &mut Proxy, requests: usize) -> Vec<RequestId> {
+    let requests: Vec<(RequestId, Vec<Action>)> = (0..requests).map(|_| proxy.request()).collect();
+    requests
+        .into_iter()
+        .filter(|(_, actions)| !forwarded(actions).is_empty())
+        .map(|(request, _)| request)
+        .collect()
+}
+
+/// Serves requests after `elapsed`, and in their turn the queued ones that are forwarded then.
+pub(crate) fn serve_forwarded(proxy: &mut Proxy, requests: Vec<RequestId>, elapsed: Micros) {
+    let mut out = requests;
+    while !out.is_empty() {
+        proxy.now += elapsed;
+        let ended = std::mem::take(&mut out);
+        for request in ended {
+            out.extend(
+                forwarded(&proxy.end_attempt(request, 0, Outcome::Served, elapsed)).into_iter().map(|s| s.0),
+            );
+        }
+    }
+}
+
+/// Bursts that are served soon, until the balancer's limit has grown to what they need.
+pub(crate) fn raise_shared_limit(proxy: &mut Proxy) {
+    for _ in 0..20 {
+        let out = request_burst(proxy, 40);
+        serve_forwarded(proxy, out, 40 * MS);
+        proxy.advance(300 * MS);
+    }
+}
--- /dev/null
+++ b/balancer/tests/outlier_detection.rs
@@ -0,0 +1,403 @@
+//! Which endpoints are ejected and when they are readmitted.
+
+mod common;
+use balancer::*;
+use common::*;
+
+#[test]
+fn connection_failures_eject_an_endpoint_until_one_request_tries_it_after_its_backoff() {
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
+    let (request, actions) = proxy.request();
+    let broken = forwarded(&actions)[0].1;
+    proxy.now += MS;
+    let other = forwarded(&proxy.end_attempt(request, 0, Outcome::ConnectFailed, MS))[0].1;
+    assert_ne!(broken, other);
+    proxy.now += MS;
+    proxy.end_attempt(request, 1, Outcome::Served, MS);
+    for _ in 0..5 {
+        assert_eq!(proxy.serve_request(MS), Some(other), "skipped in backoff");
+    }
+    proxy.now += 200 * MS;
+    let (trial, actions) = proxy.request();
+    assert_eq!(forwarded(&actions), [(trial, broken)]);
+    let (second, actions) = proxy.request();
+    assert_eq!(forwarded(&actions)[0].1, other, "one request only");
+    proxy.end_attempt(second, 0, Outcome::Served, MS);
+    proxy.now += MS;
+    proxy.end_attempt(trial, 0, Outcome::Served, MS);
+    let mut used: Vec<EndpointId> = (0..12).filter_map(|_| proxy.serve_request(MS)).collect();
+    used.sort();
+    used.dedup();
+    assert_eq!(used.len(), 2, "readmitted");
+}
+
+#[test]
+fn with_every_endpoint_ejected_requests_are_rejected_with_retry_after() {
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
+    // A reset takes a step each; at most half of two may be ejected, so the list is cut to the
+    // broken one.
+    let (request, actions) = proxy.request();
+    let broken = forwarded(&actions)[0].1;
+    proxy.now += MS;
+    proxy.end_attempt(request, 0, Outcome::Reset, MS);
+    proxy.update_list(ListUpdate::Full, vec![ready(broken.0)]);
+    let (request, actions) = proxy.request();
+    let retry_after = actions.iter().find_map(|a| match a {
+        Action::Reject { request: id, retry_after, .. } if *id == request => Some(*retry_after),
+        _ => None,
+    });
+    assert!(retry_after.is_some_and(|a| a > 0), "{actions:?}");
+}
+
+/// Operators see the number of endpoints that get nothing now: one that is ejected, until its
+/// backoff is over.
+#[test]
+fn an_ejected_endpoint_is_avoided_until_it_may_be_tried() {
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
+    assert_eq!(proxy.balancer.avoided(proxy.now), 0);
+    for _ in 0..60 {
+        let (request, actions) = proxy.request();
+        for (attempt, (_, endpoint)) in (0..).zip(forwarded(&actions)) {
+            let outcome = if endpoint == EndpointId(1) { Outcome::Error } else { Outcome::Served };
+            proxy.now += 10 * MS;
+            proxy.end_attempt(request, attempt, outcome, 10 * MS);
+        }
+        if proxy.balancer.avoided(proxy.now) == 1 {
+            proxy.now += 1_000 * MS;
+            assert_eq!(proxy.balancer.avoided(proxy.now), 0);
+            return;
+        }
+    }
+    panic!("the failing endpoint is never ejected");
+}
+
+#[test]
+fn fast_errors_eject_an_endpoint_though_it_looks_idle() {
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
+    let mut errors = 0;
+    for _ in 0..200 {
+        let (request, actions) = proxy.request();
+        let bad = forwarded(&actions)[0].1 == EndpointId(1);
+        errors += usize::from(bad);
+        proxy.now += 2 * MS;
+        proxy.end_attempt(request, 0, if bad { Outcome::Error } else { Outcome::Served }, 2 * MS);
+    }
+    assert!(errors <= 4, "{errors}");
+}
+
+/// Requests that any endpoint finds invalid say nothing of the endpoints: a bad client must not
+/// have good ones ejected.
+#[test]
+fn invalid_requests_eject_no_endpoint_and_are_not_retried() {
+    for idempotency in [Idempotency::NonIdempotent, Idempotency::Idempotent] {
+        let mut proxy = Proxy::new(settings(idempotency), 4);
+        for _ in 0..100 {
+            let (request, actions) = proxy.request();
+            assert_eq!(forwarded(&actions).len(), 1);
+            proxy.now += 2 * MS;
+            let actions = proxy.end_attempt(request, 0, Outcome::Invalid, 2 * MS);
+            assert!(failed(&actions, request) && forwarded(&actions).is_empty(), "{actions:?}");
+        }
+        let is_ejection = |action: &Action| matches!(action, Action::Log(LogEvent::EndpointEjected(_)));
+        assert!(!proxy.actions.iter().any(is_ejection));
+    }
+}
+
+/// Connections break now and then at any endpoint. One that breaks must not eject an endpoint that
+/// serves others, and an idle connection that was closed earlier says nothing of its endpoint at
+/// all.
+#[test]
+fn connections_that_break_now_and_then_eject_no_endpoint() {
+    for (outcome, every) in [(Outcome::Reset, 12), (Outcome::Stale, 3)] {
+        let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
+        let mut counts = [0; 5];
+        for _ in 0..400 {
+            let (request, actions) = proxy.request();
+            let count = &mut counts[forwarded(&actions)[0].1 .0 as usize];
+            *count += 1;
+            let end = if *count % every == 0 { outcome } else { Outcome::Served };
+            proxy.now += 2 * MS;
+            let actions = proxy.end_attempt(request, 0, end, 2 * MS);
+            assert_eq!(
+                failed(&actions, request),
+                end == outcome,
+                "it may have been executed: it is not retried"
+            );
+        }
+        let is_ejection = |action: &Action| matches!(action, Action::Log(LogEvent::EndpointEjected(_)));
+        assert!(!proxy.actions.iter().any(is_ejection), "{outcome:?}");
+    }
+}
+
+/// Malformed responses occur at any endpoint now and then: two in a row are no reason to eject it,
+/// but an endpoint whose responses mostly are must not attract requests by being fast.
+#[test]
+fn an_endpoint_is_ejected_for_many_malformed_responses_not_for_two() {
+    for (every, least, most) in [(10, 8, 400), (1, 1, 8)] {
+        let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
+        let (mut malformed, mut at) = (0, 0);
+        for _ in 0..400 {
+            let (request, actions) = proxy.request();
+            let mut end = Outcome::Served;
+            if forwarded(&actions)[0].1 == EndpointId(1) {
+                at += 1;
+                // Two in a row, and then good ones.
+                if at % (2 * every) < 2 {
+                    (malformed, end) = (malformed + 1, Outcome::Unknown);
+                }
+            }
+            proxy.now += 2 * MS;
+            proxy.end_attempt(request, 0, end, 2 * MS);
+        }
+        assert!((least..=most).contains(&malformed), "every {every}: {malformed} of {at}");
+    }
+}
+
+#[test]
+fn one_success_does_not_readmit_an_endpoint_that_fails_most() {
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
+    let mut to_failing = 0;
+    for round in 0..400 {
+        let (request, actions) = proxy.request();
+        let mut at = forwarded(&actions).first().map(|s| s.1);
+        proxy.now += 5 * MS;
+        let mut attempt = 0;
+        while let Some(endpoint) = at {
+            let bad = endpoint == EndpointId(1);
+            to_failing += usize::from(bad);
+            let end = if bad && to_failing % 3 != 0 { Outcome::Error } else { Outcome::Served };
+            at = forwarded(&proxy.end_attempt(request, attempt, end, 5 * MS))
+                .iter()
+                .find(|s| s.0 == request)
+                .map(|s| s.1);
+            attempt += 1;
+        }
+        assert!(round < 400);
+    }
+    assert!(to_failing <= 40, "a healthy one would get 100 or more: {to_failing}");
+}
+
+#[test]
+fn most_of_the_fleet_is_never_ejected() {
+    let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 6);
+    for _ in 0..100 {
+        let (request, actions) = proxy.request();
+        assert_eq!(forwarded(&actions).len(), 1, "half of the fleet still takes requests");
+        proxy.now += 2 * MS;
+        proxy.end_attempt(request, 0, Outcome::Error, 2 * MS);
+    }
+}
+
+#[test]
+fn an_endpoint_that_rejects_is_left_alone_for_a_typical_latency() {
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
+    for _ in 0..30 {
+        proxy.serve_request(40 * MS);
+    }
+    let mut to_full = 0;
+    for _ in 0..20 {
+        // Two ms a round: 40 ms in all, one typical latency.
+        let (request, actions) = proxy.request();
+        let mut at = forwarded(&actions).first().map(|s| s.1);
+        proxy.now += 2 * MS;
+        let mut attempt = 0;
+        while let Some(endpoint) = at {
+            let full = endpoint == EndpointId(1);
+            to_full += usize::from(full);
+            let end = if full { Outcome::Rejected } else { Outcome::Served };
+            at = forwarded(&proxy.end_attempt(request, attempt, end, 2 * MS))
+                .iter()
+                .find(|s| s.0 == request)
+                .map(|s| s.1);
+            attempt += 1;
+        }
+    }
+    assert!(to_full <= 2, "{to_full}");
+}
+
+#[test]
+fn timeouts_do_not_eject_an_endpoint_that_serves_others() {
+    let mut proxy = Proxy::new(Settings { balancer_count: 1, ..settings(Idempotency::NonIdempotent) }, 3);
+    let mut log = Vec::new();
+    for _ in 0..30 {
+        // Of the requests at each endpoint the first is served and the others time out.
+        let requests: Vec<(RequestId, Vec<Action>)> = (0..9).map(|_| proxy.request()).collect();
+        let at = |i: usize| forwarded(&requests[i].1).first().map(|s| s.1);
+        let first = |i: usize| (0..i).all(|j| at(j) != at(i));
+        proxy.now += 100 * MS;
+        for i in (0..9).filter(|&i| at(i).is_some() && first(i)) {
+            proxy.end_attempt(requests[i].0, 0, Outcome::Served, 100 * MS);
+        }
+        proxy.now += 400 * MS;
+        for i in (0..9).filter(|&i| at(i).is_some() && !first(i)) {
+            log.extend(proxy.end_attempt(requests[i].0, 0, Outcome::TimedOut, 500 * MS));
+        }
+        proxy.advance(600 * MS);
+    }
+    let failures = log.iter().filter(|a| matches!(a, Action::Fail { .. })).count();
+    assert!(failures > 20, "too few timed out to tell: {failures}");
+    let is_ejection = log.iter().filter(|a| matches!(a, Action::Log(LogEvent::EndpointEjected(_)))).count();
+    assert_eq!(is_ejection, 0, "slow, not gone");
+}
+
+#[test]
+fn a_restarted_endpoint_is_not_judged_by_its_last_process() {
+    let mut proxy = Proxy::new(Settings { balancer_count: 1, ..settings(Idempotency::Idempotent) }, 1);
+    let requests: Vec<RequestId> = (0..6).map(|_| proxy.request().0).collect();
+    let started_at = proxy.now;
+    proxy.update_list(ListUpdate::Delta, vec![EndpointEntry { started_at, ..ready(1) }]);
+    for request in requests {
+        proxy.end_attempt(request, 0, Outcome::Reset, 5 * MS);
+    }
+    let is_ejection = |a: &Action| matches!(a, Action::Log(LogEvent::EndpointEjected(_)));
+    assert!(!proxy.actions.iter().any(is_ejection), "the new process has failed nothing");
+}
+
+#[test]
+fn a_failing_endpoint_is_tried_by_a_part_of_its_requests_however_slowly_they_arrive() {
+    // A request per second, so that most arrive after a backoff by time: a thousand such balancers
+    // would never leave it alone.
+    let limits = Limits { max_attempts: 1, ..Settings::default().limits };
+    let mut proxy =
+        Proxy::new(Settings { balancer_count: 1_000, limits, ..settings(Idempotency::Idempotent) }, 8);
+    let mut tried = 0;
+    for _ in 0..200 {
+        proxy.now += 1_000 * MS;
+        let (request, actions) = proxy.request();
+        let Some(&(_, endpoint)) = forwarded(&actions).first() else { continue };
+        let bad = endpoint == EndpointId(1);
+        tried += u32::from(bad);
+        proxy.now += 20 * MS;
+        proxy.end_attempt(request, 0, if bad { Outcome::Rejected } else { Outcome::Served }, 20 * MS);
+    }
+    assert!(tried < 25, "an eighth of 200 is its normal part: {tried}");
+}
+
+/// Clients may wait for less than responses take. They time out whatever the endpoints do.
+#[test]
+fn timeouts_of_clients_with_short_deadlines_eject_no_endpoint() {
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
+    for _ in 0..40 {
+        proxy.serve_request(100 * MS);
+    }
+    for id in 1_000..1_200 {
+        let (request, time_left) = (RequestId(id), 30 * MS);
+        let event = Event::RequestReceived {
+            request,
+            class: ClassId(0),
+            tenant: None,
+            time_left,
+            client_retry: false,
+            non_replayable: false,
+        };
+        let out = !forwarded(&proxy.handle(event)).is_empty();
+        proxy.now += time_left;
+        if out {
+            proxy.end_attempt(request, 0, Outcome::TimedOut, time_left);
+        }
+    }
+    let is_ejection = |a: &&Action| matches!(a, Action::Log(LogEvent::EndpointEjected(_)));
+    assert_eq!(proxy.actions.iter().find(is_ejection), None);
+}
+
+/// An endpoint may reject one class and serve the others. It is not full then, and must not be
+/// ejected for all.
+#[test]
+fn an_endpoint_that_rejects_one_class_keeps_serving_the_others() {
+    let mut config = settings(Idempotency::Idempotent);
+    config.classes = vec![config.classes[0]; 2];
+    let mut proxy = Proxy::new(config, 4);
+    let mut count = [0, 0];
+    for turn in 0..400 {
+        let class = turn % 2;
+        let (request, actions) = proxy.request_of_class(class);
+        let mut last = forwarded(&actions).first().map(|s| s.1);
+        let mut attempt = 0;
+        while let Some(endpoint) = last {
+            let odd = endpoint == EndpointId(1);
+            count[class] += usize::from(odd);
+            proxy.now += 10 * MS;
+            let outcome = if odd && class == 1 { Outcome::Rejected } else { Outcome::Served };
+            let actions = proxy.end_attempt(request, attempt, outcome, 10 * MS);
+            last = forwarded(&actions).iter().find(|s| s.0 == request).map(|s| s.1);
+            attempt += 1;
+        }
+    }
+    let is_ejection = |a: &&Action| matches!(a, Action::Log(LogEvent::EndpointEjected(_)));
+    assert_eq!(proxy.actions.iter().find(is_ejection), None);
+    assert!(count[0] >= 25 && count[1] <= 10, "of 200 requests each: {count:?}");
+}
+
+/// A hundred balancers that each wait for a second timeout would keep an overloaded endpoint
+/// overloaded with requests that arrive too late.
+#[test]
+fn one_timeout_ejects_an_endpoint_under_a_shared_limit() {
+    // Its client waits for less than some responses take, or for long.
+    for late in [200 * MS, 600 * MS] {
+        let settings = Settings { balancer_count: 100, ..settings(Idempotency::Idempotent) };
+        let mut proxy = Proxy::new(settings, 24);
+        for _ in 0..20 {
+            let out = request_burst(&mut proxy, 40);
+            serve_forwarded(&mut proxy, out, 40 * MS);
+            proxy.advance(300 * MS);
+        }
+        let out: Vec<(RequestId, EndpointId)> = (0..40).flat_map(|_| forwarded(&proxy.request().1)).collect();
+        let (lost, overloaded) = out[0];
+        let mut next = Vec::new();
+        proxy.now += 40 * MS;
+        for (request, _) in &out[1..] {
+            next.extend(forwarded(&proxy.end_attempt(*request, 0, Outcome::Served, 40 * MS)));
+        }
+        serve_forwarded(&mut proxy, next.into_iter().map(|(request, _)| request).collect(), 40 * MS);
+        proxy.now += late;
+        let (outcome, load) = (Outcome::TimedOut, LoadReport::default());
+        proxy.handle(Event::AttemptEnded {
+            request: lost,
+            attempt: 0,
+            outcome,
+            elapsed: late,
+            request_finished: true,
+            load,
+        });
+        let to: Vec<(RequestId, EndpointId)> = (0..40).flat_map(|_| forwarded(&proxy.request().1)).collect();
+        assert!(to.len() >= 20, "all others have capacity: {}", to.len());
+        assert!(to.iter().all(|(_, endpoint)| *endpoint != overloaded), "after {late} us it is used again");
+    }
+}
+
+/// A quarter of the endpoints are silent. All balancers together must try them with only a small
+/// part of their requests.
+#[test]
+fn silent_endpoints_are_tried_with_few_requests_by_all_balancers_together() {
+    let (mut lost, mut all) = (0, 0);
+    for balancer_index in 0..100 {
+        let mut proxy = Proxy::new(
+            Settings { balancer_count: 100, balancer_index, ..settings(Idempotency::Idempotent) },
+            60,
+        );
+        for step in 0..300 {
+            let (request, actions) = proxy.request();
+            let Some(&(_, endpoint)) = forwarded(&actions).first() else {
+                proxy.handle(Event::RequestCancelled { request });
+                continue;
+            };
+            let hangs = endpoint.0 % 4 == 0;
+            let (outcome, elapsed) =
+                if hangs { (Outcome::TimedOut, 200 * MS) } else { (Outcome::Served, 20 * MS) };
+            proxy.now += elapsed;
+            let load = LoadReport::default();
+            proxy.handle(Event::AttemptEnded {
+                request,
+                attempt: 0,
+                outcome,
+                elapsed,
+                request_finished: true,
+                load,
+            });
+            if step >= 100 {
+                (lost, all) = (lost + usize::from(hangs), all + 1);
+            }
+        }
+    }
+    assert!(lost * 20 < all, "{lost} of {all} requests went to endpoints that are silent");
+}
--- a/balancer/tests/source_files.rs
+++ b/balancer/tests/source_files.rs
@@ -1,11 +1,12 @@
-//! Bounds on the source of the decisions: no file and no line grows without end, and the deploy file names them all.
+//! Bounds on the source of the decisions: no file and no line grows without end, and the deploy
+//! file names them all.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
 /// Most lines of a file that are not blank.
-const MAX_LINES: usize = 850;
+const MAX_LINES: usize = 330;
 /// Most characters of a line.
 const MAX_COLUMNS: usize = 110;
 
--- a/proxy/src/downstream/client_connections.rs
+++ b/proxy/src/downstream/client_connections.rs
@@ -34,8 +34,8 @@
     /// Whether one more connection may be open. At the limit one is evicted for it.
     pub(super) fn make_room(&mut self) -> bool {
         let config = self.shared.control.config();
-        let limit = config.connections_to_clients();
-        self.shared.is_crowded.set(self.open.len() > config.crowded_from());
+        let limit = config.max_client_connections();
+        self.shared.is_crowded.set(self.open.len() > config.busy_client_connections());
         if self.open.len() >= limit {
             self.open.retain(|connection| !connection.task.is_finished());
         }
--- a/proxy/src/downstream/tests.rs
+++ b/proxy/src/downstream/tests.rs
@@ -5,7 +5,7 @@
 use super::timeouts::{IdleTimeouts, CROWDED_IDLE_TIMEOUT, IDLE_TIMEOUT, MAX_WRITE_STALL};
 use crate::body::RequestBody;
 use crate::config::Config;
-use crate::control::in_flight::{ForwardedRequest, Reply, RequestDescriptor};
+use crate::control::request::{ForwardedRequest, Reply, RequestDescriptor};
 use crate::control::Control;
 use crate::metrics::Metrics;
 use crate::socket::Socket;
--- a/proxy/src/write_guard.rs
+++ b/proxy/src/write_guard.rs
@@ -2,44 +2,15 @@
 //! written, and how much of it was.
 
 use crate::invariants::AttemptRecord;
-use crate::metrics::Metrics;
+use crate::metrics::{Metrics, WriteDenial};
 use balancer::Outcome;
 use std::cell::Cell;
 use std::fmt;
 use std::future::pending;
-use std::io;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// Why nothing of an attempt is written now.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum WriteDenial {
-    /// It was withdrawn or cancelled.
-    Withdrawn,
-    /// Its start window, its class's window for retries, is over.
-    StartWindowClosed,
-    /// Its client has disconnected.
-    ClientDisconnected,
-    /// Something has arrived on its reused connection, an end or what would be taken for its
-    /// response.
-    ConnectionUsed,
-}
-
-impl fmt::Display for WriteDenial {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        fmt::Debug::fmt(self, formatter)
-    }
-}
-
-impl std::error::Error for WriteDenial {}
-
-impl From<WriteDenial> for io::Error {
-    fn from(denial: WriteDenial) -> io::Error {
-        io::Error::new(io::ErrorKind::ConnectionAborted, denial)
-    }
-}
-
 /// The connection of the client whose request is written, as far as a write has to know it.
 pub trait ClientPresence: fmt::Debug {
     /// Whether the client has closed or broken its connection. Asks the operating system, whose
@@ -105,7 +76,7 @@
         };
         self.0.metrics.count().denied(denial);
         if let Some(record) = &self.0.record {
-            record.denied(denial);
+            record.write_denied(denial);
         }
         Err(denial)
     }
@@ -140,7 +111,7 @@
     /// Records the timeout that the request advertises to its endpoint.
     pub fn advertise_timeout(&self, timeout: Duration) {
         if let Some(record) = &self.0.record {
-            record.tell(timeout);
+            record.advertise_time(timeout);
         }
     }
 
@@ -165,7 +136,7 @@
         let before = self.bytes_written();
         self.0.bytes_written.set(before + bytes);
         if let (0, 1.., Some(record)) = (before, bytes, &self.0.record) {
-            record.begun();
+            record.started();
         }
     }
 
