--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -78,8 +78,10 @@
         self.recent_busy_us * (-age / memory).exp() / self.weight
     }
 
-    pub(crate) fn record_busy_time(&mut self, time: f64, forwarded_count: u64, endpoints: f64) {
-        self.recent_busy_us = self.recent_load(forwarded_count as f64, endpoints) * self.weight + time;
+    /// Adds the time that an attempt took, in microseconds.
+    pub(crate) fn record_busy_time(&mut self, time: f64, forwarded_count: u64, endpoint_count: f64) {
+        let recent = self.recent_load(forwarded_count as f64, endpoint_count) * self.weight;
+        self.recent_busy_us = recent + time;
         self.recent_busy_updated = forwarded_count;
     }
 
--- a/balancer/src/selection.rs
+++ b/balancer/src/selection.rs
@@ -31,13 +31,13 @@
         let trial = if needs_shared_trial { Trial::Shared } else { Trial::None };
         let candidates = self.candidates(now, id);
         let with_capacity =
-            self.filter(&candidates, |endpoint| !endpoint.is_full(now, &self.settings.slow_start));
+            self.filter_endpoints(&candidates, |endpoint| !endpoint.is_full(now, &self.settings.slow_start));
         let choice = self.pick_of_two(&candidates);
         if let Some(endpoint) = choice.filter(|endpoint| with_capacity.contains(endpoint)) {
             return Route::Forward { endpoint, trial };
         }
-        let for_trial =
-            self.filter(&candidates, |endpoint| self.may_exceed_limit(now, endpoint, typical_latency));
+        let for_trial = self
+            .filter_endpoints(&candidates, |endpoint| self.may_exceed_limit(now, endpoint, typical_latency));
         // Both draw random numbers, also where one would do: a run stays repeatable.
         let within_limit = self.pick_of_two(&with_capacity);
         let beyond_limit = self.pick_of_two(&for_trial);
@@ -76,7 +76,7 @@
         preferred().filter(|index| !spills_over || has_capacity(index)).take(self.subset_size()).collect()
     }
 
-    fn filter(&self, indices: &[usize], predicate: impl Fn(&Endpoint) -> bool) -> Vec<usize> {
+    fn filter_endpoints(&self, indices: &[usize], predicate: impl Fn(&Endpoint) -> bool) -> Vec<usize> {
         indices.iter().copied().filter(|&index| predicate(&self.endpoints[index])).collect()
     }
 
