--- a/balancer/tests/models/discovery.rs
+++ b/balancer/tests/models/discovery.rs
@@ -1,10 +1,9 @@
 //! A model of discovery, which answers polls in turn, and of the proxies that poll it.
 
-use crate::common::{polled_discovery, ready, settings, MS};
+use crate::common::{polled_discovery, ready, settings, MS, SECOND};
 use balancer::*;
 use std::collections::VecDeque;
 
-pub(crate) const SECOND: Micros = 1_000 * MS;
 /// How long the proxy waits for anything of a watch, or for the head of its response, until it
 /// times out.
 pub(crate) const SILENCE: Micros = 2_500 * MS;
@@ -37,7 +36,7 @@
     /// Responds in turn.
     Up,
     /// Refuses connections.
-    Refuses,
+    RefusesConnections,
     /// Sends nothing.
     Silent,
 }
@@ -163,7 +162,7 @@
             for who in 0..self.proxies.len() {
                 let PollingProxy { timer_at, request, loss_noticed_at, .. } = self.proxies[who];
                 let over = match self.availability {
-                    Availability::Refuses => 0,
+                    Availability::RefusesConnections => 0,
                     Availability::Up | Availability::Silent => SILENCE,
                 };
                 if loss_noticed_at <= self.now {
--- a/proxy/src/downstream/client_connections.rs
+++ b/proxy/src/downstream/client_connections.rs
@@ -69,8 +69,8 @@
     pub(super) fn begin_shutdown(&self, schedule: ShutdownSchedule) {
         self.shared.is_shutting_down.set(true);
         self.shared.control.set_accepting(false);
-        self.shared.control.stop(schedule);
-        self.shared.control.share(2);
+        self.shared.control.begin_shutdown(schedule);
+        self.shared.control.set_process_count(2);
     }
 
     /// Closes connections between requests, and returns when none is left.
--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -6,8 +6,7 @@
 use crate::control::Control;
 use crate::log;
 use crate::message_limits::MAX_HEAD_BYTES;
-use crate::metrics::Violation;
-use crate::metrics::{ClientCloseReason, Metrics};
+use crate::metrics::{ClientCloseReason, Metrics, Violation};
 use crate::socket::Socket;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
@@ -77,9 +76,10 @@
 
     /// Closes it at once; its descriptor is free when this returns.
     pub(super) fn close(&self, reason: ClientCloseReason) {
-        self.metrics.count().closed(reason);
+        self.metrics.count().client_closed(reason);
         tracing::debug!(socket = ?self.socket, phase = ?self.phase.get(), reason = ?reason, "closed");
-        let is_unanswered = matches!(self.phase.get(), Phase::Open) && reason != ClientCloseReason::Stuck;
+        let is_unanswered =
+            matches!(self.phase.get(), Phase::Open) && reason != ClientCloseReason::ResponseStalled;
         if is_unanswered && !self.socket.has_disconnected() {
             self.metrics.count().violation(Violation::ClosedWithoutReply);
             log::line(&format!(
@@ -152,12 +152,12 @@
             // A failure drops the open request, which cancels it.
             _ = connection => {}
             () = self.disconnected_while_open() => {
-                self.metrics.count().closed(ClientCloseReason::Left);
+                self.metrics.count().client_closed(ClientCloseReason::ClientDisconnected);
                 self.socket.close();
             }
             () = self.timed_out() => {
                 let reason = self.phase.get().timeout_reason(&self.socket);
-                self.metrics.count().closed(reason);
+                self.metrics.count().client_closed(reason);
             }
         }
         self.phase.set(Phase::Closing(Instant::now()));
--- a/proxy/src/downstream/forward.rs
+++ b/proxy/src/downstream/forward.rs
@@ -28,10 +28,10 @@
 ) -> Result<Reply, RequestError> {
     let valid = validate(&control.config(), &head, upload.length())?;
     let class = valid.class;
-    let Some(payload) = receive_body(control, upload).await? else { return Ok(control.refuse(class)) };
+    let Some(payload) = receive_body(control, upload).await? else { return Ok(control.reject(class)) };
     // The client may have waited for longer than its timeout until it was accepted or read.
     if client.has_disconnected() {
-        return Ok(control.refuse(class));
+        return Ok(control.reject(class));
     }
     let budget = valid.timeout - MAX_RETURN_TIME.min(valid.timeout / MAX_RETURN_TIME_DIVISOR);
     let is_streamed = payload.upload().is_some();
@@ -58,7 +58,7 @@
     let memory = control.memory();
     let buffered = tokio::select! {
         biased;
-        () = control.closed() => return Ok(None),
+        () = control.request_cutoff() => return Ok(None),
         buffered = upload.buffer(&memory) => buffered?,
     };
     Ok(Some(match buffered {
@@ -92,11 +92,11 @@
         biased;
         ended = upload.finished() => {
             let deadline = ended? + budget;
-            pending.uploaded(deadline.saturating_duration_since(Instant::now()));
+            pending.completed(deadline.saturating_duration_since(Instant::now()));
         }
         reply = pending.reply() => return Ok(reply),
         // Incomplete, it has not run.
-        () = control.closed() => return Ok(control.refuse(class)),
+        () = control.request_cutoff() => return Ok(control.reject(class)),
     }
     Ok(pending.reply().await)
 }
--- a/proxy/src/downstream/open_request.rs
+++ b/proxy/src/downstream/open_request.rs
@@ -4,7 +4,6 @@
 use super::phase::Phase;
 use crate::body::{ResponseBody, ResponseBodyError};
 use crate::socket::Socket;
-
 use hyper::body::{Body, Bytes, Frame, SizeHint};
 use std::cell::Cell;
 use std::pin::Pin;
--- a/proxy/src/downstream/phase.rs
+++ b/proxy/src/downstream/phase.rs
@@ -42,7 +42,7 @@
     pub(super) fn timeout_reason(self, socket: &Socket) -> ClientCloseReason {
         match self {
             Phase::AwaitingFirst(_) | Phase::Receiving(_) if socket.read_count() > 0 => {
-                ClientCloseReason::Slow
+                ClientCloseReason::RequestTimeout
             }
             _ => ClientCloseReason::Idle,
         }
--- a/proxy/src/downstream/tests.rs
+++ b/proxy/src/downstream/tests.rs
@@ -206,7 +206,7 @@
 
 /// Waits until a figure of the operators' has this value.
 async fn wait_for_figure(control: &Control, name: &str, value: u64) {
-    while control.figures()[name] != value {
+    while control.metrics_json()[name] != value {
         yield_now().await;
     }
 }
@@ -239,7 +239,7 @@
             wait_for_figure(&control, "pending", 0).await;
             let connection = connections.open.pop();
             assert!(connection.is_some_and(|connection| connection.socket.is_known_disconnected()), "closed");
-            assert_eq!(control.figures()["upstream_requests"], sent);
+            assert_eq!(control.metrics_json()["upstream_requests"], sent);
         }
     })
     .await;
