--- a/proxy/tests/common/program.rs
+++ b/proxy/tests/common/program.rs
@@ -87,3 +87,11 @@
     command.env("LD_PRELOAD", faults_library()).env("SYSCALL_FAULTS", schedule.to_string());
     RunningProgram(command.stderr(Stdio::null()).spawn().expect("it starts"))
 }
+
+/// An empty folder for one test.
+pub(crate) fn empty_folder(name: &str) -> PathBuf {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir_all(&folder).expect("a folder");
+    folder
+}
