--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -17,11 +17,11 @@
 pub const MAX_OPERATOR_CONNECTIONS: usize = 12;
 
 /// File descriptors for all but connections of clients and endpoints. 13 are open at rest: standard
-/// streams 3, the event queue 3, signals 3, the runtime 1, listeners 2, the lock file 1. Up to 4 come
-/// and go: the watch and the one before it, the configuration while it is read, and an operator's
-/// connection for which another one is closed. Connections of clients and endpoints never exceed their
-/// own: one is closed before another is accepted or opened. While two processes run, each has half of
-/// all descriptors, and reserves as many of them.
+/// streams 3, the event queue 3, signals 3, the runtime 1, listeners 2, the lock file 1. Up to 4
+/// come and go: the watch and the one before it, the configuration while it is read, and an
+/// operator's connection for which another one is closed. Connections of clients and endpoints
+/// never exceed their own: one is closed before another is accepted or opened. While two processes
+/// run, each has half of all descriptors, and reserves as many of them.
 const RESERVED_DESCRIPTORS: usize = 20 + MAX_OPERATOR_CONNECTIONS;
 /// Connections that a process may have however few descriptors are left.
 const MIN_CONNECTIONS: usize = 10;
@@ -156,8 +156,8 @@
         self.max_connections() - self.max_endpoint_connections()
     }
 
-    /// Number of connections to clients beyond which idle ones are closed early: half of what clients
-    /// have at most for requests.
+    /// Number of connections to clients beyond which idle ones are closed early: half of what
+    /// clients have at most for requests.
     pub fn busy_client_connections(&self) -> usize {
         self.process_descriptors() / 6
     }
--- a/proxy/src/control/attempt.rs
+++ b/proxy/src/control/attempt.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Returns when the client no longer waits. While its request is being read that is not known; one
-    /// whose upload fails is cancelled elsewhere.
+    /// Returns when the client no longer waits. While its request is being read that is not known;
+    /// one whose upload fails is cancelled elsewhere.
     async fn deadline_passed(&self) {
         let deadline = match self.forwarded.payload.upload() {
             None => self.deadline,
@@ -89,8 +89,8 @@
             }
             self.write_guard.restart();
         }
-        // What a reused connection has taken is lost with it. What is written now is the beginning, and
-        // the endpoint may have been listed as draining since.
+        // What a reused connection has taken is lost with it. What is written now is the beginning,
+        // and the endpoint may have been listed as draining since.
         if self.write_guard.is_late() || !self.control.state().endpoints.accepts(self.process) {
             return AttemptEnd::without_answer(Outcome::NeverSent);
         }
@@ -149,8 +149,8 @@
         upstream::exchange(connection, message, context).await
     }
 
-    /// The end of an attempt that was not written completely because its client has disconnected; that
-    /// says nothing about the endpoint.
+    /// The end of an attempt that was not written completely because its client has disconnected;
+    /// that says nothing about the endpoint.
     fn end_if_disconnected(&self) -> Option<AttemptEnd> {
         if !self.forwarded.client.has_left() {
             return None;
--- a/proxy/src/control/attempts.rs
+++ b/proxy/src/control/attempts.rs
@@ -1,12 +1,13 @@
 //! Attempts as the balancer orders them: their start, their cancellation and their outcome.
 
 use crate::control::attempt::Attempt;
+use crate::control::connection_pool::IdleConnection;
 use crate::control::endpoints::{EndpointProcess, ReadyEndpoint};
 use crate::control::in_flight::{ended_by_proxy, InFlightAttempt};
 use crate::control::request::Reply;
 use crate::control::{Control, ControlState};
 use crate::invariants::ReplyKind;
-use crate::upstream::{self, AttemptEnd, Connection};
+use crate::upstream::{self, AttemptEnd, Connection, ScopedTask};
 use crate::write_guard::WriteGuard;
 use balancer::{EndpointId, Event, Outcome, RequestId};
 use std::time::Duration;
@@ -31,8 +32,8 @@
         };
         let ReadyEndpoint { process, target } = endpoint;
         let start_before = start_within.map(|start_within| now + start_within);
-        let client = &request.forwarded.client;
         let record = request.record.attempt(target);
+        let client = &request.forwarded.client;
         let write_guard = WriteGuard::new(&self.metrics, client, start_before, record);
         let attempt = Attempt {
             control: control.clone(),
@@ -44,18 +45,14 @@
         let max_idle = self.pool.max_idle(self.config.connection_idle_timeout);
         let idle_connection = self.pool.take(endpoint_id, max_idle);
         let number = request.attempts.len() as u32;
-        let control = control.clone();
-        let task = upstream::spawn(async move {
-            let end = attempt.run(idle_connection).await;
-            control.end_attempt(id, number, end);
-        });
+        let task = attempt.spawn(id, number, idle_connection);
         self.metrics.count().attempts += 1;
         let in_flight = InFlightAttempt { process, started_at: now, write_guard, _task: task };
         request.attempts.push(Some(in_flight));
     }
 
-    /// Cancels a request whose client is known to have disconnected, though the task of its connection
-    /// has not been run since.
+    /// Cancels a request whose client is known to have disconnected, though the task of its
+    /// connection has not been run since.
     fn cancel_if_disconnected(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if request.forwarded.client.is_left() && request.cancel(id, &mut self.events) {
@@ -94,6 +91,16 @@
     }
 }
 
+impl Attempt {
+    /// Runs the attempt in a task of its own, which reports how it ended.
+    fn spawn(self, id: RequestId, number: u32, idle_connection: Option<IdleConnection>) -> ScopedTask {
+        upstream::spawn(async move {
+            let end = self.run(idle_connection).await;
+            self.control.end_attempt(id, number, end);
+        })
+    }
+}
+
 impl Control {
     /// Passes an attempt's response on and reports its outcome to the balancer.
     fn end_attempt(&self, id: RequestId, number: u32, mut end: AttemptEnd) {
--- a/proxy/src/control/connection_pool.rs
+++ b/proxy/src/control/connection_pool.rs
@@ -1,4 +1,5 @@
-//! Connections to endpoints: the idle ones, how long they may stay idle, and the limit on open ones.
+//! Connections to endpoints: the idle ones, how long they may stay idle, and the limit on open
+//! ones.
 
 use crate::metrics::{EndpointCloseReason, Metrics};
 use crate::upstream::idle_timeout::IdleTimeoutEstimate;
@@ -62,8 +63,8 @@
         self.idle.values().map(Vec::len).sum()
     }
 
-    /// Reserves one of at most `max_open` connections, until the permit is dropped. The one that has
-    /// been idle for the longest is closed if that is needed. `None`: all are in use.
+    /// Reserves one of at most `max_open` connections, until the permit is dropped. The one that
+    /// has been idle for the longest is closed if that is needed. `None`: all are in use.
     pub(super) fn reserve(&mut self, max_open: usize) -> Option<Rc<()>> {
         if self.open_count() >= max_open && !self.close_oldest() {
             return None;
@@ -94,8 +95,8 @@
     }
 
     /// Takes out the most recently used connection of those that have settled, or the one that will
-    /// settle first. Connections that the endpoint has closed, or may be closing, are closed first: a
-    /// request must not cross its endpoint's close.
+    /// settle first. Connections that the endpoint has closed, or may be closing, are closed first:
+    /// a request must not cross its endpoint's close.
     pub(super) fn take(&mut self, endpoint: EndpointId, max_idle: Duration) -> Option<IdleConnection> {
         self.close_expired(endpoint, max_idle);
         self.close(endpoint, EndpointCloseReason::UnexpectedBytes, |idle| idle.connection.is_ready());
--- a/proxy/src/control/endpoint_ids.rs
+++ b/proxy/src/control/endpoint_ids.rs
@@ -1,12 +1,13 @@
-//! Numbers of servers. The decision module places servers on a ring in the order of their numbers, and each proxy sends to
-//! a stretch of it. So a number is a hash of the server's name: all proxies agree on it whatever they have heard of and in
-//! which order, and servers that start together, and are cold together, do not stand side by side.
+//! Ids of endpoints. The balancer orders endpoints in a ring by their ids, and each proxy sends to
+//! a part of it. So an id is a hash of the endpoint's name: all proxies agree on it, whatever they
+//! have received of the list and in which order, and endpoints that join together, which are all in
+//! slow start, are not neighbours.
 
 use balancer::EndpointId;
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Names of the listed servers and their numbers.
+/// Names of the listed endpoints and their ids.
 #[derive(Debug, Default)]
 pub struct EndpointIds {
     by_name: HashMap<String, EndpointId>,
@@ -14,11 +15,12 @@
 }
 
 impl EndpointIds {
-    /// The number of a server. It stays the same until the name is forgotten. `new` is called with it when the name was not
-    /// known. Of two names with the same hash the later one gets the next free number.
-    pub fn get(&mut self, name: &str, new: impl FnOnce(EndpointId)) -> EndpointId {
-        if let Some(&known) = self.by_name.get(name) {
-            return known;
+    /// The id of an endpoint. It stays the same until the name is forgotten. `on_new` is called
+    /// with it if the name was not known. Of two names with the same hash the later one gets the
+    /// next free id.
+    pub fn get(&mut self, name: &str, on_new: impl FnOnce(EndpointId)) -> EndpointId {
+        if let Some(&id) = self.by_name.get(name) {
+            return id;
         }
         let mut number = xxh3_64(name.as_bytes()) as u32;
         while self.names.contains_key(&EndpointId(number)) {
@@ -27,13 +29,13 @@
         let id = EndpointId(number);
         self.by_name.insert(name.to_owned(), id);
         self.names.insert(id, name.to_owned());
-        new(id);
+        on_new(id);
         id
     }
 
-    /// Forgets the names of all servers but those for which `keep` holds.
-    pub fn retain(&mut self, keep: impl Fn(EndpointId) -> bool) {
-        self.by_name.retain(|_, id| keep(*id));
-        self.names.retain(|id, _| keep(*id));
+    /// Forgets the names of all endpoints that are not to be retained.
+    pub fn retain(&mut self, retain: impl Fn(EndpointId) -> bool) {
+        self.by_name.retain(|_, id| retain(*id));
+        self.names.retain(|id, _| retain(*id));
     }
 }
--- a/proxy/src/control/endpoint_list.rs
+++ b/proxy/src/control/endpoint_list.rs
@@ -28,8 +28,8 @@
         self.watch.set_task(upstream::spawn(control.clone().follow_watch(request)));
     }
 
-    /// Ends what is not yet written to endpoints that are not ready, and closes their idle connections:
-    /// what counts is when an attempt is written, not when it was decided.
+    /// Ends what is not yet written to endpoints that are not ready, and closes their idle
+    /// connections: what counts is when an attempt is written, not when it was decided.
     fn withdraw_from_unready(&mut self) {
         for endpoint_id in self.endpoints.unready() {
             self.pool.close_all(endpoint_id);
--- a/proxy/src/control/in_flight.rs
+++ b/proxy/src/control/in_flight.rs
@@ -19,7 +19,8 @@
 #[derive(Default)]
 pub(super) struct InFlightRequests {
     by_id: BTreeMap<RequestId, InFlightRequest>,
-    /// The clients' ids of these requests. Endpoints would take two requests with one id for the same.
+    /// The clients' ids of these requests. Endpoints would take two requests with one id for the
+    /// same.
     client_ids: HashSet<HeaderValue>,
     last_id: u64,
 }
@@ -89,7 +90,7 @@
 
 /// A request in flight.
 pub(super) struct InFlightRequest {
-    pub(super) client_id: HeaderValue,
+    client_id: HeaderValue,
     pub(super) forwarded: Rc<ForwardedRequest>,
     pub(super) deadline: Instant,
     pub(super) record: RequestRecord,
@@ -100,6 +101,25 @@
 }
 
 impl InFlightRequest {
+    /// A request without attempts, and where its reply arrives.
+    pub(super) fn new(
+        client_id: HeaderValue,
+        forwarded: ForwardedRequest,
+        deadline: Instant,
+        record: RequestRecord,
+    ) -> (InFlightRequest, oneshot::Receiver<Reply>) {
+        let (sender, receiver) = oneshot::channel();
+        let request = InFlightRequest {
+            client_id,
+            forwarded: Rc::new(forwarded),
+            deadline,
+            record,
+            reply: Some(sender),
+            attempts: Vec::new(),
+        };
+        (request, receiver)
+    }
+
     /// Whether it needs no further reply.
     pub(super) fn has_reply(&self) -> bool {
         self.reply.is_none()
@@ -138,8 +158,8 @@
         }
     }
 
-    /// Ends the unwanted attempts of which nothing is written yet. Unlike cancelled ones, these were
-    /// certainly not executed.
+    /// Ends the unwanted attempts of which nothing is written yet. Unlike cancelled ones, these
+    /// were certainly not executed.
     fn end_unwritten_attempts(
         &mut self,
         id: RequestId,
--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -1,11 +1,11 @@
-//! The control plane: turns what happens on the sockets into the balancer's events, in one order and
-//! on one clock, and carries out its actions. It decides nothing itself.
+//! The control plane: turns what happens on the sockets into the balancer's events, in one order
+//! and on one clock, and carries out its actions. It decides nothing itself.
 //!
 //! This file has the state, the event loop and the dispatch of actions. Each part of the state is
 //! owned by a type in a module of its own, which needs nothing of this file: `clock`,
-//! `connection_pool`, `endpoints`, `in_flight`, `shutdown`, `timers`, `watch`. What is done with them is
-//! in `attempt`, `attempts`, `background`, `endpoint_list`, `reload`, `requests` and `snapshot`, which
-//! extend [`Control`] and the state.
+//! `connection_pool`, `endpoints`, `in_flight`, `shutdown`, `timers`, `watch`. What is done with
+//! them is in `attempt`, `attempts`, `background`, `endpoint_list`, `reload`, `requests` and
+//! `snapshot`, which extend [`Control`] and the state.
 
 mod attempt;
 mod attempts;
@@ -63,8 +63,8 @@
     is_accepting: bool,
 }
 
-/// A handle to the control plane, shared by the tasks of one thread. No method holds the state across
-/// an `await`, and none is called while another holds it.
+/// A handle to the control plane, shared by the tasks of one thread. No method holds the state
+/// across an `await`, and none is called while another holds it.
 #[derive(Clone)]
 pub struct Control(Rc<RefCell<ControlState>>);
 
@@ -146,8 +146,8 @@
         self.0.borrow_mut()
     }
 
-    /// The event loop: lets the balancer handle these events, after those that are queued, and those
-    /// that follow from its actions.
+    /// The event loop: lets the balancer handle these events, after those that are queued, and
+    /// those that follow from its actions.
     fn dispatch(&self, events: impl IntoIterator<Item = Event>) {
         let mut state = self.state_mut();
         state.events.extend(events);
--- a/proxy/src/control/reload.rs
+++ b/proxy/src/control/reload.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 
 impl Control {
-    /// Continues under a new configuration. Its discovery is watched at once, from the version of the
-    /// list that the proxy has.
+    /// Continues under a new configuration. Its discovery is watched at once, from the version of
+    /// the list that the proxy has.
     pub fn reload(&self, config: Config) {
         let mut state = self.state_mut();
         let Reloaded { config, needs_restart } = state.config.reloaded(config);
@@ -24,8 +24,8 @@
             return state.subscribe(self);
         }
         drop(state);
-        // The balancer polls again as after any watch that is lost: what it had planned before would
-        // interrupt a watch that is opened here.
+        // The balancer polls again as after any watch that is lost: what it had planned before
+        // would interrupt a watch that is opened here.
         self.dispatch([Event::EndpointList { kind: ListUpdate::WatchLost, entries: Vec::new() }]);
     }
 
--- a/proxy/src/control/requests.rs
+++ b/proxy/src/control/requests.rs
@@ -7,7 +7,6 @@
 use crate::invariants::{ReplyKind, RequestPolicy, RequestRecord};
 use crate::metrics::{RequestEnd, RequestTracker};
 use balancer::{ClassId, Event, FailureReason, Idempotency, RequestId};
-use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -58,36 +57,26 @@
         descriptor: RequestDescriptor,
         forwarded: ForwardedRequest,
     ) -> Option<PendingReply> {
-        let class = descriptor.class;
+        let RequestDescriptor { id: client_id, class, tenant, deadline, client_retry } = descriptor;
         let non_replayable = forwarded.payload.upload().is_some();
         let mut state = self.state_mut();
-        let request = state.requests.reserve_id(&descriptor.id)?;
+        let request = state.requests.reserve_id(&client_id)?;
         let tracker = state.metrics.track(class, !non_replayable);
-        let (sender, reply) = oneshot::channel();
-        let deadline = state.shutdown.limit(descriptor.deadline);
+        let deadline = state.shutdown.limit(deadline);
         let time_left = micros_until(deadline);
-        let record = RequestRecord::new(
-            state.metrics.clone(),
-            descriptor.id.clone(),
-            state.request_policy(class),
-            (!non_replayable).then_some(deadline),
-        );
-        let in_flight = InFlightRequest {
-            client_id: descriptor.id,
-            forwarded: Rc::new(forwarded),
-            deadline,
-            record,
-            reply: Some(sender),
-            attempts: Vec::new(),
-        };
+        let policy = state.request_policy(class);
+        let record_deadline = (!non_replayable).then_some(deadline);
+        let metrics = state.metrics.clone();
+        let record = RequestRecord::new(metrics, client_id.clone(), policy, record_deadline);
+        let (in_flight, reply) = InFlightRequest::new(client_id, forwarded, deadline, record);
         state.requests.insert(request, in_flight);
         drop(state);
         self.dispatch([Event::RequestReceived {
             request,
             class,
-            tenant: descriptor.tenant,
+            tenant,
             time_left,
-            client_retry: descriptor.client_retry,
+            client_retry,
             non_replayable,
         }]);
         Some(PendingReply { control: self.clone(), request, reply, tracker: Some(tracker) })
--- a/proxy/src/control/snapshot.rs
+++ b/proxy/src/control/snapshot.rs
@@ -7,7 +7,8 @@
     /// The metrics so far, as operators read them.
     pub fn metrics_json(&self) -> serde_json::Value {
         let state = self.state();
-        // Draining endpoints are unavailable by the list's word, whatever the balancer thinks of them.
+        // Draining endpoints are unavailable by the list's word, whatever the balancer thinks of
+        // them.
         let draining = state.endpoints.count() - state.endpoints.ready_count();
         let unavailable = state.balancer.avoided(state.clock.now()) + draining;
         let metrics = state.metrics.snapshot();
--- a/proxy/src/control/watch.rs
+++ b/proxy/src/control/watch.rs
@@ -51,8 +51,8 @@
     }
 
     /// Notes that the watch has ended and logs why; of attempts that fail one after the other, the
-    /// first is logged. Returns what the balancer is notified of: it opens the next watch soon after
-    /// one that was lost, with a backoff if watches keep ending as soon as they are open.
+    /// first is logged. Returns what the balancer is notified of: it opens the next watch soon
+    /// after one that was lost, with a backoff if watches keep ending as soon as they are open.
     pub(super) fn ended(&mut self, end: &WatchEnd) -> ListUpdate {
         let was_open = end.lasted.is_some();
         if was_open || !self.open_failed {
--- a/proxy/src/invariants/history.rs
+++ b/proxy/src/invariants/history.rs
@@ -119,7 +119,8 @@
         advertised > deadline.saturating_duration_since(now) + ADVERTISED_TIME_SLACK
     }
 
-    /// The rule that a retry violates if it starts now, after an attempt that may have been executed.
+    /// The rule that a retry violates if it starts now, after an attempt that may have been
+    /// executed.
     fn retry_violation(&self, index: usize, now: Instant) -> Option<Violation> {
         let first = self.other_started(index).find(|other| other.may_have_run())?;
         let retry = &self.attempts[index];
--- a/proxy/src/invariants/mod.rs
+++ b/proxy/src/invariants/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' rules, checked where their effects happen: when an attempt's first byte is written,
-//! when an attempt ends, when a request gets its reply, when a client's connection is closed. Nothing
-//! here decides anything. A violation is a fault of this program; it is counted, in release builds too,
-//! and logged with its request.
+//! The operators' rules, checked where their effects happen: when an attempt's first byte is
+//! written, when an attempt ends, when a request gets its reply, when a client's connection is
+//! closed. Nothing here decides anything. A violation is a fault of this program; it is counted, in
+//! release builds too, and logged with its request.
 
 mod history;
 #[cfg(test)]
@@ -19,14 +19,14 @@
 
 /// Whether an endpoint's process takes new attempts: shared by the list and the attempts for it.
 #[derive(Debug, Default)]
-pub struct DrainStatus {
+pub(crate) struct DrainStatus {
     /// Since when the list has said that it takes none.
     unready_since: Cell<Option<Instant>>,
 }
 
 impl DrainStatus {
     /// Notes what the list says.
-    pub fn set_ready(&self, is_ready: bool) {
+    pub(crate) fn set_ready(&self, is_ready: bool) {
         let since = self.unready_since.get().unwrap_or_else(Instant::now);
         self.unready_since.set((!is_ready).then_some(since));
     }
@@ -38,31 +38,31 @@
 
 /// Where an attempt goes.
 #[derive(Clone, Debug, Default)]
-pub struct AttemptTarget {
+pub(crate) struct AttemptTarget {
     /// State of the endpoint's process.
-    pub drain_status: Rc<DrainStatus>,
+    pub(crate) drain_status: Rc<DrainStatus>,
     /// Its zone, within which requests may be deduplicated.
-    pub zone: ZoneId,
+    pub(crate) zone: ZoneId,
     /// Its cell, within which requests may be deduplicated.
-    pub cell: CellId,
+    pub(crate) cell: CellId,
 }
 
 /// What is allowed for a request.
 #[derive(Clone, Debug)]
-pub struct RequestPolicy {
+pub(crate) struct RequestPolicy {
     /// Whether it may be executed again.
-    pub idempotency: Idempotency,
+    pub(crate) idempotency: Idempotency,
     /// Most attempts.
-    pub max_attempts: usize,
+    pub(crate) max_attempts: usize,
     /// Whether two attempts may be in flight at once.
-    pub hedging: bool,
+    pub(crate) hedging: bool,
     /// How long an attempt may still start at an endpoint that is draining or removed.
-    pub drain_grace: Duration,
+    pub(crate) drain_grace: Duration,
 }
 
 /// How a request was replied to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReplyKind {
+pub(crate) enum ReplyKind {
     /// With an endpoint's response.
     Served,
     /// As rejected: it may be retried.
@@ -73,15 +73,15 @@
 
 /// Records the course of one request; clones are the same record.
 #[derive(Clone, Debug)]
-pub struct RequestRecord {
+pub(crate) struct RequestRecord {
     history: Rc<RefCell<RequestHistory>>,
     metrics: Metrics,
 }
 
 impl RequestRecord {
-    /// The record of a request that was taken just now. `deadline`: by when it must have its reply, if
-    /// it is complete.
-    pub fn new(
+    /// The record of a request that was taken just now. `deadline`: by when it must have its reply,
+    /// if it is complete.
+    pub(crate) fn new(
         metrics: Metrics,
         id: HeaderValue,
         policy: RequestPolicy,
@@ -93,33 +93,33 @@
     }
 
     /// The request has become complete.
-    pub fn completed(&self, deadline: Instant) {
+    pub(crate) fn completed(&self, deadline: Instant) {
         self.history.borrow_mut().deadline = Some(deadline);
     }
 
     /// The record of a further attempt, which has not started.
-    pub fn attempt(&self, target: AttemptTarget) -> AttemptRecord {
+    pub(crate) fn attempt(&self, target: AttemptTarget) -> AttemptRecord {
         let mut history = self.history.borrow_mut();
         history.attempts.push(AttemptHistory::new(target));
         AttemptRecord { request: self.clone(), index: history.attempts.len() - 1 }
     }
 
     /// The client is known to have disconnected.
-    pub fn client_disconnected(&self) {
+    pub(crate) fn client_disconnected(&self) {
         let mut history = self.history.borrow_mut();
         tracing::debug!(request = ?history.id, "client disconnected");
         history.disconnected_at.get_or_insert_with(Instant::now);
     }
 
     /// The balancer serves it no longer.
-    pub fn abandoned(&self, reason: FailureReason) {
+    pub(crate) fn abandoned(&self, reason: FailureReason) {
         let history = self.history.borrow();
         let attempts = history.attempts.len();
         tracing::debug!(request = ?history.id, attempts, reason = ?reason, "abandoned");
     }
 
     /// The request gets its final reply.
-    pub fn replied(&self, kind: ReplyKind) {
+    pub(crate) fn replied(&self, kind: ReplyKind) {
         let mut history = self.history.borrow_mut();
         history.has_reply = true;
         tracing::debug!(request = ?history.id, reply = ?kind, "replied");
@@ -148,18 +148,18 @@
 
 impl AttemptRecord {
     /// The attempt advertises that this time is left to its client.
-    pub fn advertise_time(&self, time_left: Duration) {
+    pub(crate) fn advertise_time(&self, time_left: Duration) {
         self.request.history.borrow_mut().attempts[self.index].advertised_time = Some(time_left);
     }
 
     /// It may not be written.
-    pub fn write_denied(&self, denial: WriteDenial) {
+    pub(crate) fn write_denied(&self, denial: WriteDenial) {
         let history = self.request.history.borrow();
         tracing::debug!(request = ?history.id, attempt = self.index, reason = ?denial, "write denied");
     }
 
     /// Its first byte has been written.
-    pub fn started(&self) {
+    pub(crate) fn started(&self) {
         let now = Instant::now();
         let mut history = self.request.history.borrow_mut();
         tracing::debug!(request = ?history.id, attempt = self.index, "started");
@@ -171,7 +171,7 @@
     }
 
     /// It has ended. `is_written`: its last byte had been written.
-    pub fn ended(&self, outcome: Outcome, is_written: bool) {
+    pub(crate) fn ended(&self, outcome: Outcome, is_written: bool) {
         let mut history = self.request.history.borrow_mut();
         tracing::debug!(request = ?history.id, attempt = self.index, outcome = ?outcome, "ended");
         history.attempts[self.index].never_ran = Some(outcome.never_ran());
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -41,7 +41,8 @@
 /// Where the program listens.
 #[derive(Debug)]
 pub struct Listeners {
-    /// For clients. It begins to listen once there is an endpoint list, or after a while without one.
+    /// For clients. It begins to listen once there is an endpoint list, or after a while without
+    /// one.
     pub clients: TcpSocket,
     /// For operators, if they have an address.
     pub operators: Option<TcpListener>,
@@ -55,9 +56,9 @@
     Listen(io::Error),
 }
 
-/// Serves until `shutdown` is done and every request that was taken has its response. `reload` gives
-/// each new configuration, and `None` when no more follow. `presence_folder` is where another process
-/// of the program is found, if there may be one. Runs inside a [`tokio::task::LocalSet`].
+/// Serves until `shutdown` is done and every request that was taken has its response. `reload`
+/// gives each new configuration, and `None` when no more follow. `presence_folder` is where another
+/// process of the program is found, if there may be one. Runs inside a [`tokio::task::LocalSet`].
 ///
 /// # Errors
 /// The clients' address cannot be listened to.
@@ -118,8 +119,8 @@
     pending().await
 }
 
-/// Returns when clients may connect. Before there is a list they could only be rejected; while another
-/// process is to be replaced, that one serves them.
+/// Returns when clients may connect. Before there is a list they could only be rejected; while
+/// another process is to be replaced, that one serves them.
 async fn listening_allowed(control: &Control) {
     let start = Instant::now();
     let list_timeout = || match control.config().process_count {
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -16,12 +16,12 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// For how long calls that fail transiently are retried at the start: a process must be ready within
-/// 30 s.
+/// For how long calls that fail transiently are retried at the start: a process must be ready
+/// within 30 s.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// For how long a new configuration is read again if that fails: its file may be replaced just then, or
-/// the system be short of descriptors. A change of discovery counts as notified 4 s after the signal;
-/// the old discovery stays for 1.5 s.
+/// For how long a new configuration is read again if that fails: its file may be replaced just
+/// then, or the system be short of descriptors. A change of discovery counts as notified 4 s after
+/// the signal; the old discovery stays for 1.5 s.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(30);
 /// Pause before it is read again.
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -96,8 +96,8 @@
     listener.map(Some).with_context(|| format!("admin: {address}"))
 }
 
-/// Where operators connect: the environment is this process's own, while another process may have the
-/// same file.
+/// Where operators connect: the environment is this process's own, while another process may have
+/// the same file.
 fn operators_address(config: &Config) -> anyhow::Result<Option<SocketAddr>> {
     match env::var("ROUTER_ADMIN") {
         Ok(value) => {
@@ -123,8 +123,8 @@
     }
 }
 
-/// New configurations, as SIGHUP announces them. The signal is not sent again, so a file that cannot be
-/// used is read again for a while.
+/// New configurations, as SIGHUP announces them. The signal is not sent again, so a file that
+/// cannot be used is read again for a while.
 struct Reloads<'a> {
     hangup: Signal,
     path: &'a Path,
@@ -133,8 +133,8 @@
 }
 
 impl Reloads<'_> {
-    /// The next configuration, or why the file cannot be used, once for each signal. `None`: no more
-    /// will follow.
+    /// The next configuration, or why the file cannot be used, once for each signal. `None`: no
+    /// more will follow.
     async fn next(&mut self) -> Option<Result<Config, LoadError>> {
         loop {
             let announced = tokio::select! {
--- a/proxy/src/metrics/mod.rs
+++ b/proxy/src/metrics/mod.rs
@@ -1,5 +1,5 @@
-//! Metrics since the start. Events are counted here alone, where they happen, and read by operators'
-//! commands and the log.
+//! Metrics since the start. Events are counted here alone, where they happen, and read by
+//! operators' commands and the log.
 
 mod reasons;
 mod snapshot;
@@ -44,8 +44,8 @@
     }
 }
 
-/// Counts a request when it becomes complete and when it ends. Dropped without an end, it has failed:
-/// its client has disconnected.
+/// Counts a request when it becomes complete and when it ends. Dropped without an end, it has
+/// failed: its client has disconnected.
 #[derive(Debug)]
 pub struct RequestTracker {
     metrics: Metrics,
--- a/proxy/src/metrics/reasons.rs
+++ b/proxy/src/metrics/reasons.rs
@@ -51,7 +51,8 @@
     StartWindowClosed,
     /// Its client has disconnected.
     ClientDisconnected,
-    /// Bytes or the end of its reused connection have arrived, which would be taken for its response.
+    /// Bytes or the end of its reused connection have arrived, which would be taken for its
+    /// response.
     ConnectionUsed,
 }
 
@@ -72,8 +73,8 @@
 /// What must never happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// An attempt started at an endpoint longer than the drain grace after the list said that it was
-    /// draining or removed.
+    /// An attempt started at an endpoint longer than the drain grace after the list said that it
+    /// was draining or removed.
     SentToDrainingEndpoint,
     /// An attempt started after its client had disconnected.
     SentForDisconnectedClient,
