--- a/proxy/src/control/attempt.rs
+++ b/proxy/src/control/attempt.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Returns when the client no longer waits. While its request is being read that is not known; one
-    /// whose upload fails is cancelled elsewhere.
+    /// Returns when the client no longer waits. While its request is being read that is not known;
+    /// one whose upload fails is cancelled elsewhere.
     async fn deadline_passed(&self) {
         let deadline = match self.forwarded.payload.upload() {
             None => self.deadline,
@@ -150,8 +150,8 @@
         upstream::exchange(connection, message, context).await
     }
 
-    /// The end of an attempt that was not written completely because its client has disconnected; that
-    /// says nothing about the endpoint.
+    /// The end of an attempt that was not written completely because its client has disconnected;
+    /// that says nothing about the endpoint.
     fn end_if_disconnected(&self) -> Option<AttemptEnd> {
         if !self.forwarded.client.has_disconnected() {
             return None;
