--- a/proxy/src/invariants/history.rs
+++ b/proxy/src/invariants/history.rs
@@ -1,6 +1,6 @@
 //! What has happened to a request, and which rules the start of an attempt violates.
 
-use crate::invariants::{AttemptTarget, RequestPolicy};
+use crate::invariants::policy::{AttemptTarget, RequestPolicy};
 use crate::metrics::Violation;
 use balancer::{DeduplicationScope, Idempotency};
 use hyper::header::HeaderValue;
--- a/proxy/src/invariants/tests.rs
+++ b/proxy/src/invariants/tests.rs
@@ -1,7 +1,7 @@
 //! Each violation is counted when it happens, and what is allowed is none.
 
 use super::*;
-use balancer::DeduplicationScope;
+use balancer::{CellId, DeduplicationScope, Idempotency};
 
 const SECOND: Duration = Duration::from_secs(1);
 
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,7 +1,6 @@
 //! A client-side proxy: it takes an application's requests and forwards each to an endpoint of a
 //! fleet, as the [`balancer`] decides.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod body;
 pub mod config;
