--- a/adapter/src/adapter.rs
+++ b/adapter/src/adapter.rs
@@ -20,7 +20,9 @@
     /// Handles a batch of messages; the reply as a line.
     pub(crate) fn reply(&mut self, line: &str) -> Result<String, InputError> {
         let batch: Batch = serde_json::from_str(line).map_err(InputError::NotABatch)?;
-        let mut reply = Reply { commands: Vec::with_capacity(batch.messages.len()) };
+        let mut reply = Reply {
+            commands: Vec::with_capacity(batch.messages.len()),
+        };
         for message in batch.messages {
             if !self.is_outdated(&message) {
                 self.handle(batch.now, message.typed()?, &mut reply.commands)?;
@@ -32,18 +34,29 @@
     /// Whether a message concerns a request that is forgotten. It is ignored, whatever else it
     /// says.
     fn is_outdated(&self, message: &Message) -> bool {
-        message.earlier_request().is_some_and(|(balancer, request)| {
-            self.instances.get(&balancer).is_some_and(|instance| !instance.knows(request))
-        })
+        message
+            .earlier_request()
+            .is_some_and(|(balancer, request)| {
+                self.instances
+                    .get(&balancer)
+                    .is_some_and(|instance| !instance.knows(request))
+            })
     }
 
-    fn handle(&mut self, now: Micros, input: Input, commands: &mut Vec<Command>) -> Result<(), InputError> {
+    fn handle(
+        &mut self,
+        now: Micros,
+        input: Input,
+        commands: &mut Vec<Command>,
+    ) -> Result<(), InputError> {
         match input {
             Input::List { list, endpoints } => {
                 self.lists.insert(list, endpoints);
                 Ok(())
             }
-            Input::Balancer { balancer, input } => self.handle_balancer(now, balancer, input, commands),
+            Input::Balancer { balancer, input } => {
+                self.handle_balancer(now, balancer, input, commands)
+            }
         }
     }
 
@@ -55,21 +68,32 @@
         commands: &mut Vec<Command>,
     ) -> Result<(), InputError> {
         if let BalancerInput::Create { seed, settings } = &input {
-            self.instances.insert(balancer, Instance::new(balancer, *seed, settings)?);
+            self.instances
+                .insert(balancer, Instance::new(balancer, *seed, settings)?);
         } else if matches!(input, BalancerInput::Remove) {
             self.instances.remove(&balancer);
             return Ok(());
         }
-        let instance = self.instances.get_mut(&balancer).ok_or(InputError::UnknownBalancer(balancer))?;
+        let instance = self
+            .instances
+            .get_mut(&balancer)
+            .ok_or(InputError::UnknownBalancer(balancer))?;
         let event = match input {
             BalancerInput::Create { .. } => Event::Start,
-            BalancerInput::ListUpdate { kind, list } => {
-                Event::EndpointList { kind, entries: entries(&self.lists, list)? }
-            }
+            BalancerInput::ListUpdate { kind, list } => Event::EndpointList {
+                kind,
+                entries: entries(&self.lists, list)?,
+            },
             BalancerInput::TimerExpired => Event::Timer,
-            BalancerInput::HealthChecked { endpoint, outcome, load } => {
-                Event::HealthChecked { endpoint, outcome, load }
-            }
+            BalancerInput::HealthChecked {
+                endpoint,
+                outcome,
+                load,
+            } => Event::HealthChecked {
+                endpoint,
+                outcome,
+                load,
+            },
             BalancerInput::Gossip | BalancerInput::Remove => return Ok(()),
             BalancerInput::Request { request, input } => {
                 instance.handle_request(now, &request, input, commands);
@@ -86,7 +110,9 @@
     lists: &HashMap<i64, Vec<EndpointMessage>>,
     list: Option<i64>,
 ) -> Result<Vec<EndpointEntry>, InputError> {
-    let Some(list) = list else { return Ok(Vec::new()) };
+    let Some(list) = list else {
+        return Ok(Vec::new());
+    };
     let endpoints = lists.get(&list).ok_or(InputError::UnknownList(list))?;
     endpoints.iter().map(EndpointMessage::entry).collect()
 }
--- a/adapter/src/command.rs
+++ b/adapter/src/command.rs
@@ -91,21 +91,51 @@
 /// The command for an action of a balancer; `None`: the action's request has been forgotten.
 pub(crate) fn command(balancer: i64, requests: &mut Requests, action: Action) -> Option<Command> {
     Some(match action {
-        Action::Forward { request, endpoint, .. } => {
+        Action::Forward {
+            request, endpoint, ..
+        } => {
             let request = requests.forwarded(request)?;
-            Command::Forward { balancer, request, endpoint: endpoint.0 }
+            Command::Forward {
+                balancer,
+                request,
+                endpoint: endpoint.0,
+            }
         }
-        Action::Reject { request, retry_after, .. } => {
-            Command::Reject { balancer, request: finish(requests, request)?, retry_after }
-        }
-        Action::Fail { request, .. } => Command::Fail { balancer, request: finish(requests, request)? },
-        Action::CancelAttempt { request, attempt } => {
-            Command::CancelAttempt { balancer, request: requests.wire_id(request)?, attempt }
-        }
-        Action::CheckHealth { endpoint } => Command::CheckHealth { balancer, endpoint: endpoint.0 },
-        Action::SetTimer { after } => Command::SetTimer { balancer, after, tag: 0 },
-        Action::Subscribe => Command::Subscribe { balancer, enable: true },
-        Action::Log(event) => Command::Log { balancer, text: event.to_string() },
+        Action::Reject {
+            request,
+            retry_after,
+            ..
+        } => Command::Reject {
+            balancer,
+            request: finish(requests, request)?,
+            retry_after,
+        },
+        Action::Fail { request, .. } => Command::Fail {
+            balancer,
+            request: finish(requests, request)?,
+        },
+        Action::CancelAttempt { request, attempt } => Command::CancelAttempt {
+            balancer,
+            request: requests.wire_id(request)?,
+            attempt,
+        },
+        Action::CheckHealth { endpoint } => Command::CheckHealth {
+            balancer,
+            endpoint: endpoint.0,
+        },
+        Action::SetTimer { after } => Command::SetTimer {
+            balancer,
+            after,
+            tag: 0,
+        },
+        Action::Subscribe => Command::Subscribe {
+            balancer,
+            enable: true,
+        },
+        Action::Log(event) => Command::Log {
+            balancer,
+            text: event.to_string(),
+        },
     })
 }
 
--- a/adapter/src/endpoint_message.rs
+++ b/adapter/src/endpoint_message.rs
@@ -28,7 +28,12 @@
             0 => EndpointState::Draining,
             1 => EndpointState::Ready,
             2 => EndpointState::Removed,
-            state => return Err(InputError::UnknownState { endpoint: self.endpoint, state }),
+            state => {
+                return Err(InputError::UnknownState {
+                    endpoint: self.endpoint,
+                    state,
+                })
+            }
         };
         Ok(EndpointEntry {
             endpoint: EndpointId(self.endpoint),
--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -20,9 +20,16 @@
 
 impl Instance {
     /// A balancer that has not started.
-    pub(crate) fn new(id: i64, seed: u64, settings: &serde_json::Value) -> Result<Instance, InputError> {
-        let SiteSettings { settings, class_names, tenant_names } =
-            balancer_settings::read(settings).map_err(InputError::Settings)?;
+    pub(crate) fn new(
+        id: i64,
+        seed: u64,
+        settings: &serde_json::Value,
+    ) -> Result<Instance, InputError> {
+        let SiteSettings {
+            settings,
+            class_names,
+            tenant_names,
+        } = balancer_settings::read(settings).map_err(InputError::Settings)?;
         Ok(Instance {
             id,
             balancer: Balancer::new(seed, settings),
@@ -62,7 +69,12 @@
 
     fn request_event(&mut self, request: RequestId, input: RequestInput) -> Event {
         match input {
-            RequestInput::Received { class, tenant, time_left, client_retry } => {
+            RequestInput::Received {
+                class,
+                tenant,
+                time_left,
+                client_retry,
+            } => {
                 let tenant = tenant.and_then(|name| index(&self.tenant_names, &name));
                 Event::RequestReceived {
                     request,
@@ -74,14 +86,29 @@
                     non_replayable: false,
                 }
             }
-            RequestInput::AttemptEnded { attempt, outcome, elapsed, finished, load } => {
+            RequestInput::AttemptEnded {
+                attempt,
+                outcome,
+                elapsed,
+                finished,
+                load,
+            } => {
                 self.requests.attempt_ended(request);
                 if finished {
                     self.requests.finished(request);
                 }
-                Event::AttemptEnded { request, attempt, outcome, elapsed, request_finished: finished, load }
+                Event::AttemptEnded {
+                    request,
+                    attempt,
+                    outcome,
+                    elapsed,
+                    request_finished: finished,
+                    load,
+                }
+            }
+            RequestInput::ResponseStarted { attempt } => {
+                Event::ResponseStarted { request, attempt }
             }
-            RequestInput::ResponseStarted { attempt } => Event::ResponseStarted { request, attempt },
             RequestInput::Cancelled => {
                 self.requests.finished(request);
                 Event::RequestCancelled { request }
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -33,7 +33,10 @@
         let position = || format!("line {}", index + 1);
         let line = line.context("unreadable").with_context(position)?;
         let reply = adapter.reply(&line).with_context(position)?;
-        if writeln!(output, "{reply}").and_then(|()| output.flush()).is_err() {
+        if writeln!(output, "{reply}")
+            .and_then(|()| output.flush())
+            .is_err()
+        {
             // The simulator has closed its end: there is nobody to report to.
             return Ok(ExitCode::FAILURE);
         }
--- a/adapter/src/message.rs
+++ b/adapter/src/message.rs
@@ -93,7 +93,10 @@
 
 impl Required<'_> {
     fn field<T>(&self, value: Option<T>, field: &'static str) -> Result<T, InputError> {
-        value.ok_or_else(|| InputError::MissingField { verb: self.0.to_owned(), field })
+        value.ok_or_else(|| InputError::MissingField {
+            verb: self.0.to_owned(),
+            field,
+        })
     }
 }
 
@@ -102,7 +105,9 @@
     /// earlier.
     pub(crate) fn earlier_request(&self) -> Option<(i64, &str)> {
         match self.verb.as_ref() {
-            "DONE" | "UNDER_WAY" | "CANCELLED_BY_CLIENT" => Some((self.balancer?, &self.request.as_ref()?.0)),
+            "DONE" | "UNDER_WAY" | "CANCELLED_BY_CLIENT" => {
+                Some((self.balancer?, &self.request.as_ref()?.0))
+            }
             _ => None,
         }
     }
@@ -113,7 +118,10 @@
         let required = Required(&verb);
         if verb == "POOL" {
             let list = required.field(self.list, "roster_id")?;
-            return Ok(Input::List { list, endpoints: self.endpoints.unwrap_or_default() });
+            return Ok(Input::List {
+                list,
+                endpoints: self.endpoints.unwrap_or_default(),
+            });
         }
         let balancer = required.field(self.balancer, "proxy")?;
         let input = match verb.as_ref() {
@@ -141,13 +149,21 @@
 
     fn list_update(self, required: &Required) -> Result<BalancerInput<'a>, InputError> {
         let kind = match required.field(self.update, "scope")? {
-            0 => return Ok(BalancerInput::ListUpdate { kind: ListUpdate::PollFailed, list: None }),
+            0 => {
+                return Ok(BalancerInput::ListUpdate {
+                    kind: ListUpdate::PollFailed,
+                    list: None,
+                })
+            }
             1 => ListUpdate::Cached,
             2 => ListUpdate::Delta,
             3 => ListUpdate::Full,
             scope => return Err(InputError::UnknownScope(scope)),
         };
-        Ok(BalancerInput::ListUpdate { kind, list: Some(required.field(self.list, "roster_id")?) })
+        Ok(BalancerInput::ListUpdate {
+            kind,
+            list: Some(required.field(self.list, "roster_id")?),
+        })
     }
 
     fn request_input(self, required: &Required) -> Result<RequestInput<'a>, InputError> {
@@ -165,7 +181,9 @@
                 finished: self.request_finished,
                 load: self.load.unwrap_or_default().into(),
             },
-            "UNDER_WAY" => RequestInput::ResponseStarted { attempt: required.field(self.attempt, "seq_no")? },
+            "UNDER_WAY" => RequestInput::ResponseStarted {
+                attempt: required.field(self.attempt, "seq_no")?,
+            },
             _ => RequestInput::Cancelled,
         })
     }
--- a/adapter/src/requests.rs
+++ b/adapter/src/requests.rs
@@ -32,7 +32,11 @@
         let id = RequestId(self.next);
         self.next += 1;
         self.ids.insert(wire_id.to_owned(), id);
-        let request = TrackedRequest { wire_id: wire_id.to_owned(), attempts_in_flight: 0, finished: false };
+        let request = TrackedRequest {
+            wire_id: wire_id.to_owned(),
+            attempts_in_flight: 0,
+            finished: false,
+        };
         self.tracked.insert(id, request);
         id
     }
--- a/balancer/src/action.rs
+++ b/balancer/src/action.rs
@@ -70,8 +70,12 @@
 impl fmt::Display for LogEvent {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LogEvent::EndpointEjected(endpoint) => write!(formatter, "endpoint {} ejected", endpoint.0),
-            LogEvent::EndpointReadmitted(endpoint) => write!(formatter, "endpoint {} readmitted", endpoint.0),
+            LogEvent::EndpointEjected(endpoint) => {
+                write!(formatter, "endpoint {} ejected", endpoint.0)
+            }
+            LogEvent::EndpointReadmitted(endpoint) => {
+                write!(formatter, "endpoint {} readmitted", endpoint.0)
+            }
         }
     }
 }
--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -23,9 +23,18 @@
         is_non_replayable: bool,
     ) {
         let class_id = class.0;
-        let unknown = Class { latency_objective: time_left, deadline: time_left, ..Class::default() };
+        let unknown = Class {
+            latency_objective: time_left,
+            deadline: time_left,
+            ..Class::default()
+        };
         let request = Request {
-            class: self.settings.classes.get(class_id).copied().unwrap_or(unknown),
+            class: self
+                .settings
+                .classes
+                .get(class_id)
+                .copied()
+                .unwrap_or(unknown),
             class_id,
             arrived_at: now,
             deadline: now.saturating_add(time_left),
@@ -50,8 +59,9 @@
     ) {
         let is_over_quota =
             tenant.is_some_and(|tenant| self.tenant_usage.record(tenant, &self.settings.tenants));
-        let waited =
-            self.queue.front().map_or(0, |first| now.saturating_sub(self.requests[&first].arrived_at));
+        let waited = self.queue.front().map_or(0, |first| {
+            now.saturating_sub(self.requests[&first].arrived_at)
+        });
         if waited > self.max_queue_wait(id, is_over_quota) {
             self.abandon(id, waited, FailureReason::QueueFull, actions);
         } else {
@@ -85,14 +95,19 @@
             total_weight += estimate.request_count * class.priority_weight;
             total_work += estimate.request_count * estimate.base;
         }
-        let base = self.latencies.get(request.class_id).map_or(f64::MAX, |estimate| estimate.base);
-        let density = request.class.priority_weight / base * total_work / total_weight.max(f64::MIN_POSITIVE);
+        let base = self
+            .latencies
+            .get(request.class_id)
+            .map_or(f64::MAX, |estimate| estimate.base);
+        let density =
+            request.class.priority_weight / base * total_work / total_weight.max(f64::MIN_POSITIVE);
         let score_weights = &self.settings.score_weights;
         score_weights.overall * density > score_weights.overall + score_weights.worst_class
     }
 
     /// Mean latency of a request's class, in microseconds.
     pub(crate) fn typical_latency(&self, request: &Request) -> f64 {
-        self.latencies.typical(request.class_id, request.class.latency_objective)
+        self.latencies
+            .typical(request.class_id, request.class.latency_objective)
     }
 }
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -72,7 +72,8 @@
     /// Handles one event at time `now` and appends the actions to carry out.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         // A request that arrives behind queued ones changes nothing for them.
-        let queue_unaffected = matches!(event, Event::RequestReceived { .. }) && !self.queue.is_empty();
+        let queue_unaffected =
+            matches!(event, Event::RequestReceived { .. }) && !self.queue.is_empty();
         self.dispatch(now, event, actions);
         self.fire_request_timers(now, actions);
         if !queue_unaffected {
@@ -93,7 +94,14 @@
                 self.update_endpoint_list(now, kind, &entries);
             }
             Event::Heartbeat => self.endpoint_starts.confirm_current(now),
-            Event::RequestReceived { request, class, tenant, time_left, non_replayable, .. } => {
+            Event::RequestReceived {
+                request,
+                class,
+                tenant,
+                time_left,
+                non_replayable,
+                ..
+            } => {
                 if !self.requests.contains_key(&request) {
                     self.add_request(now, request, class, time_left, non_replayable);
                     self.admit(now, request, tenant, actions);
@@ -105,7 +113,14 @@
             Event::ShutdownStarted { time_left } => {
                 self.shorten_deadlines(now, now.saturating_add(time_left));
             }
-            Event::AttemptEnded { request, attempt, outcome, elapsed, request_finished, load } => {
+            Event::AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                elapsed,
+                request_finished,
+                load,
+            } => {
                 self.record_load_report(request, attempt, load);
                 if let Some(ended) = self.end_attempt(request, attempt, outcome) {
                     self.learn_from_attempt(now, ended, outcome, elapsed, actions);
@@ -158,7 +173,9 @@
         }
         if next < self.proxy_timer_at {
             self.proxy_timer_at = next;
-            actions.push(Action::SetTimer { after: next.saturating_sub(now).max(1) });
+            actions.push(Action::SetTimer {
+                after: next.saturating_sub(now).max(1),
+            });
         }
     }
 
--- a/balancer/src/class_rejections.rs
+++ b/balancer/src/class_rejections.rs
@@ -24,12 +24,16 @@
 
 impl ClassRejections {
     pub(crate) fn new(class_count: usize) -> Self {
-        ClassRejections { by_class: vec![ClassRejection::default(); class_count] }
+        ClassRejections {
+            by_class: vec![ClassRejection::default(); class_count],
+        }
     }
 
     /// Whether requests of a class may be sent to the endpoint.
     pub(crate) fn accepts(&self, class_id: usize, now: Micros) -> bool {
-        self.by_class.get(class_id).is_none_or(|class| now >= class.avoided_until)
+        self.by_class
+            .get(class_id)
+            .is_none_or(|class| now >= class.avoided_until)
     }
 
     /// Records the outcome of an attempt and returns whether the endpoint rejects that class alone:
@@ -42,11 +46,23 @@
         now: Micros,
         initial_backoff: Micros,
     ) -> bool {
-        let others = self.by_class.iter().enumerate().filter(|(class, _)| *class != class_id);
-        let others_served = others.map(|(_, class)| class.served_sent_at).max().unwrap_or(0);
-        let Some(class) = self.by_class.get_mut(class_id) else { return false };
+        let others = self
+            .by_class
+            .iter()
+            .enumerate()
+            .filter(|(class, _)| *class != class_id);
+        let others_served = others
+            .map(|(_, class)| class.served_sent_at)
+            .max()
+            .unwrap_or(0);
+        let Some(class) = self.by_class.get_mut(class_id) else {
+            return false;
+        };
         if outcome == Outcome::Served {
-            *class = ClassRejection { served_sent_at: sent_at, ..ClassRejection::default() };
+            *class = ClassRejection {
+                served_sent_at: sent_at,
+                ..ClassRejection::default()
+            };
         } else if outcome == Outcome::Rejected {
             class.consecutive = class.consecutive.saturating_add(1);
             if class.consecutive == 1 {
--- a/balancer/src/concurrency_limit.rs
+++ b/balancer/src/concurrency_limit.rs
@@ -74,7 +74,11 @@
 
     /// Multiplies the limit by `factor`, down to the floor or, if `is_deep`, to a fraction of it.
     pub(crate) fn cut(&mut self, factor: f64, is_deep: bool) {
-        let floor = if is_deep { self.floor * DEEP_CUT_FLOOR_FRACTION } else { self.floor };
+        let floor = if is_deep {
+            self.floor * DEEP_CUT_FLOOR_FRACTION
+        } else {
+            self.floor
+        };
         let min_concurrency = floor / f64::from(self.steps.max(1));
         self.concurrency = (self.concurrency * factor.max(MIN_CUT_FACTOR)).max(min_concurrency);
     }
--- a/balancer/src/ended_attempt.rs
+++ b/balancer/src/ended_attempt.rs
@@ -46,6 +46,9 @@
 
     /// Whether its connection could not be established or broke.
     pub(crate) fn is_connection_lost(&self) -> bool {
-        matches!(self.outcome, Outcome::ConnectFailed | Outcome::Truncated | Outcome::Reset)
+        matches!(
+            self.outcome,
+            Outcome::ConnectFailed | Outcome::Truncated | Outcome::Reset
+        )
     }
 }
--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -79,7 +79,12 @@
     }
 
     /// Adds the time that an attempt took, in microseconds.
-    pub(crate) fn record_busy_time(&mut self, time: f64, forwarded_count: u64, endpoint_count: f64) {
+    pub(crate) fn record_busy_time(
+        &mut self,
+        time: f64,
+        forwarded_count: u64,
+        endpoint_count: f64,
+    ) {
         let recent = self.recent_load(forwarded_count as f64, endpoint_count) * self.weight;
         self.recent_busy_us = recent + time;
         self.recent_busy_updated = forwarded_count;
@@ -112,8 +117,9 @@
     /// Whether it is listed and no pause, cool-down or slow start excludes it now. `served_count`
     /// is the number of requests that this balancer has had served.
     fn accepts_requests(&self, now: Micros, served_count: u64, slow_start: &SlowStart) -> bool {
-        let is_due =
-            self.slow_start_credit >= 1.0 || now >= self.slow_start_due_at || self.is_warm(now, slow_start);
+        let is_due = self.slow_start_credit >= 1.0
+            || now >= self.slow_start_due_at
+            || self.is_warm(now, slow_start);
         let has_cooled_down = served_count >= self.cool_down_until_served
             || now.saturating_sub(self.last_ended_at) as f64 >= MAX_COOL_DOWN_US;
         self.is_listed && now >= self.paused_until && is_due && has_cooled_down
@@ -125,7 +131,12 @@
     }
 
     /// Whether it is ejected and a request may be sent to it to find out whether it has recovered.
-    pub(crate) fn is_awaiting_trial(&self, now: Micros, served_count: u64, slow_start: &SlowStart) -> bool {
+    pub(crate) fn is_awaiting_trial(
+        &self,
+        now: Micros,
+        served_count: u64,
+        slow_start: &SlowStart,
+    ) -> bool {
         self.is_ejected()
             && self.limit.is_trial_ready(now)
             && self.accepts_requests(now, served_count, slow_start)
--- a/balancer/src/endpoint_list.rs
+++ b/balancer/src/endpoint_list.rs
@@ -16,7 +16,12 @@
     }
 
     /// Applies an update of the list, or schedules the next poll if there was none.
-    pub(crate) fn update_endpoint_list(&mut self, now: Micros, kind: ListUpdate, entries: &[EndpointEntry]) {
+    pub(crate) fn update_endpoint_list(
+        &mut self,
+        now: Micros,
+        kind: ListUpdate,
+        entries: &[EndpointEntry],
+    ) {
         match kind {
             ListUpdate::WatchLost | ListUpdate::WatchFlapping | ListUpdate::PollFailed => {
                 self.schedule_poll(now, kind);
@@ -32,7 +37,8 @@
         }
         self.endpoints.remove_unused();
         let endpoints = &self.endpoints;
-        self.endpoint_starts.forget_unlisted(now, |id| endpoints.index_of(id).is_some());
+        self.endpoint_starts
+            .forget_unlisted(now, |id| endpoints.index_of(id).is_some());
         self.refresh_endpoint_counts();
     }
 
@@ -44,7 +50,9 @@
             let endpoint = self.new_endpoint(now, entry);
             self.endpoints.insert(endpoint);
         }
-        let Some(index) = self.endpoints.index_of(entry.endpoint) else { return };
+        let Some(index) = self.endpoints.index_of(entry.endpoint) else {
+            return;
+        };
         let endpoint = &mut self.endpoints[index];
         endpoint.is_listed = entry.state == EndpointState::Ready;
         endpoint.zone = entry.zone;
@@ -71,7 +79,9 @@
         if self.settings.discovery.mode == DiscoveryMode::Poll {
             let has_many_peers = self.shared_limit.is_some();
             let discovery = &self.settings.discovery;
-            let delay = self.polling.next_delay(now, discovery, has_many_peers, kind);
+            let delay = self
+                .polling
+                .next_delay(now, discovery, has_many_peers, kind);
             self.polling.due_at = now + delay.min + self.random_below(delay.max - delay.min);
         }
     }
--- a/balancer/src/endpoint_starts.rs
+++ b/balancer/src/endpoint_starts.rs
@@ -42,8 +42,15 @@
     }
 
     /// Records the entries of an update.
-    pub(crate) fn record_update(&mut self, now: Micros, kind: ListUpdate, entries: &[EndpointEntry]) {
-        let leads = entries.iter().map(|entry| entry.started_at.saturating_sub(now));
+    pub(crate) fn record_update(
+        &mut self,
+        now: Micros,
+        kind: ListUpdate,
+        entries: &[EndpointEntry],
+    ) {
+        let leads = entries
+            .iter()
+            .map(|entry| entry.started_at.saturating_sub(now));
         let max_lead = leads.max().unwrap_or(0);
         for entry in entries {
             let known = self
@@ -55,7 +62,14 @@
             } else {
                 let stamp = entry.started_at;
                 let local_start = self.bounded_start(now, stamp, max_lead);
-                self.starts.insert(entry.endpoint, Start { stamp, local_start, listed_at: now });
+                self.starts.insert(
+                    entry.endpoint,
+                    Start {
+                        stamp,
+                        local_start,
+                        listed_at: now,
+                    },
+                );
             }
         }
         if kind != ListUpdate::Cached {
@@ -72,7 +86,9 @@
 
     /// When the present process of an endpoint started; 0 if the endpoint is not known.
     pub(crate) fn local_start(&self, endpoint: EndpointId) -> Micros {
-        self.starts.get(&endpoint).map_or(0, |start| start.local_start)
+        self.starts
+            .get(&endpoint)
+            .map_or(0, |start| start.local_start)
     }
 
     /// Forgets endpoints that have not been listed for long.
--- a/balancer/src/endpoints.rs
+++ b/balancer/src/endpoints.rs
@@ -24,12 +24,17 @@
 
     /// Index of an endpoint, if it is known.
     pub(crate) fn index_of(&self, id: EndpointId) -> Option<usize> {
-        self.sorted.binary_search_by_key(&id, |endpoint| endpoint.id).ok()
+        self.sorted
+            .binary_search_by_key(&id, |endpoint| endpoint.id)
+            .ok()
     }
 
     /// Adds an endpoint, or puts it in the place of the one with its id.
     pub(crate) fn insert(&mut self, endpoint: Endpoint) {
-        match self.sorted.binary_search_by_key(&endpoint.id, |known| known.id) {
+        match self
+            .sorted
+            .binary_search_by_key(&endpoint.id, |known| known.id)
+        {
             Ok(index) => self.sorted[index] = endpoint,
             Err(index) => self.sorted.insert(index, endpoint),
         }
@@ -44,7 +49,8 @@
 
     /// Removes those that are not listed and have no requests in flight.
     pub(crate) fn remove_unused(&mut self) {
-        self.sorted.retain(|endpoint| endpoint.is_listed || endpoint.in_flight > 0);
+        self.sorted
+            .retain(|endpoint| endpoint.is_listed || endpoint.in_flight > 0);
     }
 
     /// Counts the listed and the ejected endpoints anew and returns the number of those available:
--- a/balancer/src/event.rs
+++ b/balancer/src/event.rs
@@ -1,6 +1,8 @@
 //! Events that the proxy reports to the balancer.
 
-use crate::{CellId, ClassId, EndpointId, LoadReport, Micros, Outcome, RequestId, TenantId, ZoneId};
+use crate::{
+    CellId, ClassId, EndpointId, LoadReport, Micros, Outcome, RequestId, TenantId, ZoneId,
+};
 
 /// State of an endpoint in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/balancer/src/feedback.rs
+++ b/balancer/src/feedback.rs
@@ -18,20 +18,31 @@
     /// busy, count like a latency pressure of 1.
     pub(crate) fn record_load_report(&mut self, id: RequestId, attempt: u32, load: LoadReport) {
         let request = self.requests.get(&id);
-        let Some(attempt) = request.and_then(|request| request.attempts.get(attempt as usize)) else {
+        let Some(attempt) = request.and_then(|request| request.attempts.get(attempt as usize))
+        else {
+            return;
+        };
+        let Some(index) = self.endpoints.index_of(attempt.endpoint) else {
             return;
         };
-        let Some(index) = self.endpoints.index_of(attempt.endpoint) else { return };
         let pressure = match load {
-            LoadReport { in_flight: Some(in_flight), queued: Some(queued), .. } => {
-                queued / (in_flight - queued).max(1.0)
-            }
-            LoadReport { cpu_utilization: Some(busy), .. } => busy / FULL_CPU_UTILIZATION,
+            LoadReport {
+                in_flight: Some(in_flight),
+                queued: Some(queued),
+                ..
+            } => queued / (in_flight - queued).max(1.0),
+            LoadReport {
+                cpu_utilization: Some(busy),
+                ..
+            } => busy / FULL_CPU_UTILIZATION,
             _ => return,
         };
         let is_valid = pressure.is_finite();
-        self.endpoints[index].reported_load =
-            if is_valid { pressure.clamp(0.0, MAX_LATENCY_PRESSURE) } else { 0.0 };
+        self.endpoints[index].reported_load = if is_valid {
+            pressure.clamp(0.0, MAX_LATENCY_PRESSURE)
+        } else {
+            0.0
+        };
     }
 
     /// Updates everything that an ended attempt tells of. `took` is its duration as measured by the
@@ -50,7 +61,9 @@
         let ended = self.ended_attempt(now, attempt, outcome, took);
         self.update_shared_limit(&ended);
         self.update_zone_health(&ended);
-        let Some(index) = self.endpoints.index_of(attempt.endpoint) else { return };
+        let Some(index) = self.endpoints.index_of(attempt.endpoint) else {
+            return;
+        };
         if self.endpoints[index].started_at != attempt.started_at {
             return; // The endpoint has restarted: its last process says nothing of the new one.
         }
@@ -76,9 +89,19 @@
         self.refresh_endpoint_counts();
     }
 
-    fn ended_attempt(&self, now: Micros, attempt: Attempt, outcome: Outcome, took: Micros) -> EndedAttempt {
+    fn ended_attempt(
+        &self,
+        now: Micros,
+        attempt: Attempt,
+        outcome: Outcome,
+        took: Micros,
+    ) -> EndedAttempt {
         let since_sent = now.saturating_sub(attempt.sent_at);
-        let elapsed = if attempt.is_uploading { 0.0 } else { took.max(since_sent) as f64 };
+        let elapsed = if attempt.is_uploading {
+            0.0
+        } else {
+            took.max(since_sent) as f64
+        };
         let estimate = self.latencies.get(attempt.class_id);
         let limit = estimate.map_or(f64::MAX, |estimate| estimate.limit());
         EndedAttempt {
@@ -102,8 +125,16 @@
     }
 
     fn update_shared_limit(&mut self, ended: &EndedAttempt) {
-        let Some(shared_limit) = &mut self.shared_limit else { return };
-        let EndedAttempt { now, attempt, outcome, elapsed, .. } = ended;
+        let Some(shared_limit) = &mut self.shared_limit else {
+            return;
+        };
+        let EndedAttempt {
+            now,
+            attempt,
+            outcome,
+            elapsed,
+            ..
+        } = ended;
         shared_limit.end_attempt(*now, *elapsed, ended.typical_latency);
         // A rejection says something of one endpoint alone, mostly of one that drains.
         if !outcome.is_neutral() && !outcome.never_ran() {
@@ -116,7 +147,8 @@
     fn update_zone_health(&mut self, ended: &EndedAttempt) {
         let zone = ended.attempt.zone;
         if ended.is_connection_lost() && self.shared_limit.is_some() {
-            self.zone_outages.record_failure(zone, ended.now, ended.initial_backoff);
+            self.zone_outages
+                .record_failure(zone, ended.now, ended.initial_backoff);
         } else if !ended.outcome.is_neutral() && ended.outcome != Outcome::TimedOut {
             self.zone_outages.record_success(zone);
         }
@@ -126,14 +158,27 @@
         let endpoint = &mut self.endpoints[index];
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         // Fast errors and rejections must not make an endpoint look idle.
-        let is_response = matches!(ended.outcome, Outcome::Served | Outcome::Stale | Outcome::Invalid);
-        let min_time = if is_response { 0.0 } else { ended.longest_latency_objective };
+        let is_response = matches!(
+            ended.outcome,
+            Outcome::Served | Outcome::Stale | Outcome::Invalid
+        );
+        let min_time = if is_response {
+            0.0
+        } else {
+            ended.longest_latency_objective
+        };
         let busy_time = min_time.max(ended.elapsed);
         endpoint.record_busy_time(busy_time, self.forwarded_count, ended.subset_size as f64);
     }
 
     fn classify(&mut self, ended: &EndedAttempt, index: usize) -> Verdict {
-        let EndedAttempt { now, ref attempt, outcome, has_short_deadline, .. } = *ended;
+        let EndedAttempt {
+            now,
+            ref attempt,
+            outcome,
+            has_short_deadline,
+            ..
+        } = *ended;
         let endpoint = &mut self.endpoints[index];
         let rejects_only_class = endpoint.class_rejections.record(
             attempt.class_id,
--- a/balancer/src/forwarding.rs
+++ b/balancer/src/forwarding.rs
@@ -35,17 +35,26 @@
         self.account_for_slow_start(now, index);
         let initial_backoff = self.initial_backoff();
         self.mark_trial(index, trial);
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let endpoint = &self.endpoints[index];
-        self.zone_outages.begin_trial(endpoint.zone, now, initial_backoff);
+        self.zone_outages
+            .begin_trial(endpoint.zone, now, initial_backoff);
         let clock_resolution = self.settings.clock_resolution;
-        let start_within = request.attempt_deadline().map(|end| end.saturating_sub(now + clock_resolution));
+        let start_within = request
+            .attempt_deadline()
+            .map(|end| end.saturating_sub(now + clock_resolution));
         let attempt = new_attempt(now, request, endpoint, trial);
         request.attempts.push(attempt);
         if !attempt.is_uploading {
             self.begin_work(now, &attempt);
         }
-        actions.push(Action::Forward { request: id, endpoint: attempt.endpoint, start_within });
+        actions.push(Action::Forward {
+            request: id,
+            endpoint: attempt.endpoint,
+            start_within,
+        });
         let hedge_at = self.hedge_at(now, &self.requests[&id]);
         self.set_request_timer(id, hedge_at);
     }
--- a/balancer/src/hedging.rs
+++ b/balancer/src/hedging.rs
@@ -20,11 +20,14 @@
         if !is_allowed {
             return None;
         }
-        let tail = self.latencies.get(request.class_id).map_or(f64::MAX, |estimate| estimate.tail);
+        let tail = self
+            .latencies
+            .get(request.class_id)
+            .map_or(f64::MAX, |estimate| estimate.tail);
         let typical_latency = self.typical_latency(request);
         let objective_at = request.objective_at() as f64;
-        let hedge_at =
-            (objective_at - SLACK_TYPICAL_LATENCIES * typical_latency).max(request.arrived_at as f64 + tail);
+        let hedge_at = (objective_at - SLACK_TYPICAL_LATENCIES * typical_latency)
+            .max(request.arrived_at as f64 + tail);
         (hedge_at + typical_latency <= objective_at).then(|| (hedge_at as Micros).max(now + 1))
     }
 
@@ -45,7 +48,11 @@
         if !is_allowed {
             return;
         }
-        if let Route::Forward { endpoint, trial: Trial::None } = self.route(now, id) {
+        if let Route::Forward {
+            endpoint,
+            trial: Trial::None,
+        } = self.route(now, id)
+        {
             self.retry_budget.spend();
             self.forward(now, id, endpoint, Trial::None, actions);
         }
--- a/balancer/src/latency.rs
+++ b/balancer/src/latency.rs
@@ -72,7 +72,9 @@
     /// How long a response may take without showing pressure at its endpoint.
     pub(crate) fn limit(&self) -> f64 {
         let of_objective = self.latency_objective as f64 * LIMIT_OBJECTIVE_FRACTION;
-        (self.base * LIMIT_BASE_MULTIPLE).min(of_objective).max(self.base)
+        (self.base * LIMIT_BASE_MULTIPLE)
+            .min(of_objective)
+            .max(self.base)
     }
 
     /// A response's time relative to its limit under the shared concurrency limit.
@@ -93,14 +95,26 @@
         }
         self.sample_count = self.sample_count.saturating_add(1);
         let is_biased = self.sample_count <= BIASED_SAMPLES || now < self.unbiased_from;
-        let sample = if is_biased { elapsed } else { elapsed.min(MAX_SAMPLE_BASE_MULTIPLE * self.base) };
-        let tail_step = if elapsed > self.tail { TAIL_QUANTILE } else { TAIL_QUANTILE - 1.0 };
+        let sample = if is_biased {
+            elapsed
+        } else {
+            elapsed.min(MAX_SAMPLE_BASE_MULTIPLE * self.base)
+        };
+        let tail_step = if elapsed > self.tail {
+            TAIL_QUANTILE
+        } else {
+            TAIL_QUANTILE - 1.0
+        };
         self.tail *= 1.0 + tail_step * LATENCY_SMOOTHING;
         let weight = (1.0 / f64::from(self.sample_count)).max(LATENCY_SMOOTHING / 2.0);
         self.mean += (sample - self.mean) * weight;
         let drift = (now.saturating_sub(self.updated_at) as f64 / BASE_DRIFT_US).min(1.0);
         self.updated_at = now;
-        let drifted = if is_biased { self.mean } else { self.base + (self.mean - self.base) * drift };
+        let drifted = if is_biased {
+            self.mean
+        } else {
+            self.base + (self.mean - self.base) * drift
+        };
         self.base = self.mean.min(drifted).max(1.0);
     }
 }
@@ -113,7 +127,9 @@
 
 impl Latencies {
     pub(crate) fn new(classes: &[Class]) -> Self {
-        Latencies { by_class: classes.iter().map(LatencyEstimate::new).collect() }
+        Latencies {
+            by_class: classes.iter().map(LatencyEstimate::new).collect(),
+        }
     }
 
     pub(crate) fn get(&self, class_id: usize) -> Option<&LatencyEstimate> {
@@ -130,11 +146,14 @@
 
     /// Mean latency of a class; a fraction of its objective if the settings don't name the class.
     pub(crate) fn typical(&self, class_id: usize, latency_objective: Micros) -> f64 {
-        self.get(class_id).map_or(default_latency(latency_objective), |estimate| estimate.mean)
+        self.get(class_id)
+            .map_or(default_latency(latency_objective), |estimate| estimate.mean)
     }
 
     /// The largest mean latency of all classes.
     pub(crate) fn longest_typical(&self) -> f64 {
-        self.iter().map(|estimate| estimate.mean).fold(1.0, f64::max)
+        self.iter()
+            .map(|estimate| estimate.mean)
+            .fold(1.0, f64::max)
     }
 }
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -77,8 +77,8 @@
 pub use ids::{CellId, ClassId, EndpointId, Micros, RequestId, TenantId, ZoneId};
 pub use outcome::{FailureReason, LoadReport, Outcome};
 pub use settings::{
-    Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights, Settings,
-    SlowStart, Tenant,
+    Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights,
+    Settings, SlowStart, Tenant,
 };
 
 /// The README's example is compiled as a test too.
--- a/balancer/src/list_polling.rs
+++ b/balancer/src/list_polling.rs
@@ -25,17 +25,26 @@
 impl DelayRange {
     /// Half more or less than `mean`.
     fn around(mean: Micros) -> Self {
-        DelayRange { min: mean / 2, max: mean * 3 / 2 }
+        DelayRange {
+            min: mean / 2,
+            max: mean * 3 / 2,
+        }
     }
 
     fn at_most(self, min: Micros, max: Micros) -> Self {
-        DelayRange { min: self.min.min(min), max: self.max.min(max) }
+        DelayRange {
+            min: self.min.min(min),
+            max: self.max.min(max),
+        }
     }
 }
 
 /// Time within which the next poll begins at the latest.
 fn poll_window(discovery: &Discovery) -> Micros {
-    discovery.notification_deadline.min(discovery.max_poll_interval) / POLL_WINDOW_DIVISOR
+    discovery
+        .notification_deadline
+        .min(discovery.max_poll_interval)
+        / POLL_WINDOW_DIVISOR
 }
 
 /// The next poll, and how the last ones ended.
@@ -51,7 +60,11 @@
 
 impl Default for ListPolling {
     fn default() -> Self {
-        ListPolling { due_at: Micros::MAX, last_poll_by: 0, failures: 0 }
+        ListPolling {
+            due_at: Micros::MAX,
+            last_poll_by: 0,
+            failures: 0,
+        }
     }
 }
 
@@ -76,15 +89,24 @@
         let window = poll_window(discovery);
         self.set_last_poll(now, discovery, kind);
         let left = self.last_poll_by.saturating_sub(now);
-        let max = if left * MIN_SPREAD_DIVISOR < window { window } else { left.min(window) };
+        let max = if left * MIN_SPREAD_DIVISOR < window {
+            window
+        } else {
+            left.min(window)
+        };
         let range = match (kind, has_many_peers) {
             (ListUpdate::WatchLost, _) => {
                 let mean = discovery.max_poll_interval / WATCH_RESUME_DIVISOR;
                 DelayRange::around(mean).at_most(max / 16, max / 8)
             }
             // Half of the window leaves time for a poll without a response, and for another.
-            (ListUpdate::WatchFlapping, true) => DelayRange { min: window / 4, max: window / 2 },
-            (ListUpdate::WatchFlapping, false) => self.backoff(discovery).at_most(window / 4, window / 2),
+            (ListUpdate::WatchFlapping, true) => DelayRange {
+                min: window / 4,
+                max: window / 2,
+            },
+            (ListUpdate::WatchFlapping, false) => {
+                self.backoff(discovery).at_most(window / 4, window / 2)
+            }
             // Very many balancers that poll again soon keep discovery busy with polls that fail, so
             // they spread over all the time there is.
             (_, true) if self.failures == 0 => DelayRange { min: 0, max },
@@ -111,6 +133,8 @@
 
     fn backoff(&self, discovery: &Discovery) -> DelayRange {
         let doublings = self.failures.min(MAX_POLL_BACKOFF_DOUBLINGS);
-        DelayRange::around((discovery.max_poll_interval / INITIAL_POLL_BACKOFF_DIVISOR) << doublings)
+        DelayRange::around(
+            (discovery.max_poll_interval / INITIAL_POLL_BACKOFF_DIVISOR) << doublings,
+        )
     }
 }
--- a/balancer/src/outcome.rs
+++ b/balancer/src/outcome.rs
@@ -34,13 +34,19 @@
 impl Outcome {
     /// Whether this proves that the attempt was not executed.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::Truncated | Outcome::NeverSent)
+        matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::Truncated | Outcome::NeverSent
+        )
     }
 
     /// Whether this says nothing about the endpoint's health: the cause was the proxy, the request
     /// or one connection.
     pub(crate) fn is_neutral(self) -> bool {
-        matches!(self, Outcome::Cancelled | Outcome::NeverSent | Outcome::Stale | Outcome::Invalid)
+        matches!(
+            self,
+            Outcome::Cancelled | Outcome::NeverSent | Outcome::Stale | Outcome::Invalid
+        )
     }
 }
 
--- a/balancer/src/outlier_detection.rs
+++ b/balancer/src/outlier_detection.rs
@@ -31,13 +31,19 @@
             let is_tried = endpoint.limit.trial_in_flight
                 || endpoint.is_awaiting_trial(now, self.served_count, &self.settings.slow_start);
             endpoint.is_listed
-                && (endpoint.is_ejected() && !is_tried || !self.zone_outages.is_reachable(endpoint.zone, now))
+                && (endpoint.is_ejected() && !is_tried
+                    || !self.zone_outages.is_reachable(endpoint.zone, now))
         };
         self.endpoints.iter().filter(is_avoided).count()
     }
 
     /// Updates an endpoint's failure rate.
-    pub(crate) fn update_failure_rate(&mut self, ended: &EndedAttempt, index: usize, verdict: Verdict) {
+    pub(crate) fn update_failure_rate(
+        &mut self,
+        ended: &EndedAttempt,
+        index: usize,
+        verdict: Verdict,
+    ) {
         // A timeout says less than an error, as an overloaded endpoint may take that long; so does
         // one broken connection or response, which happens at any endpoint.
         let weight = match ended.outcome {
@@ -57,8 +63,10 @@
         let endpoint = &mut self.endpoints[index];
         let since_served = ended.now.saturating_sub(endpoint.last_served_at);
         let served_recently = endpoint.last_served_at > 0 && since_served <= ended.initial_backoff;
-        let fails_often = endpoint.failure_rate > EJECTION_FAILURE_RATE / 2.0 && endpoint.limit.steps > 1;
-        if ended.is_connection_lost() && !endpoint.is_ejected() && (fails_often || !served_recently) {
+        let fails_often =
+            endpoint.failure_rate > EJECTION_FAILURE_RATE / 2.0 && endpoint.limit.steps > 1;
+        if ended.is_connection_lost() && !endpoint.is_ejected() && (fails_often || !served_recently)
+        {
             endpoint.limit.steps -= 1;
         }
     }
@@ -115,10 +123,12 @@
     /// Whether a warm endpoint is much slower than all. Only under a shared limit is it ejected for
     /// that: it is overloaded by all balancers, and recovers when all leave it alone.
     fn is_slow_outlier(&self, ended: &EndedAttempt, index: usize, previous_pressure: f64) -> bool {
-        let Some(shared_limit) = &self.shared_limit else { return false };
+        let Some(shared_limit) = &self.shared_limit else {
+            return false;
+        };
         let endpoint = &self.endpoints[index];
-        let max_pressure =
-            EJECTION_LATENCY_PRESSURE.max(shared_limit.latency_pressure * EJECTION_SHARED_PRESSURE_MULTIPLE);
+        let max_pressure = EJECTION_LATENCY_PRESSURE
+            .max(shared_limit.latency_pressure * EJECTION_SHARED_PRESSURE_MULTIPLE);
         endpoint.is_warm(ended.now, &self.settings.slow_start)
             && previous_pressure > EJECTION_PRIOR_LATENCY_PRESSURE
             && endpoint.latency_pressure > max_pressure
--- a/balancer/src/queue_dispatch.rs
+++ b/balancer/src/queue_dispatch.rs
@@ -35,10 +35,18 @@
     /// end of its deduplication window.
     pub(crate) fn set_queue_deadline(&mut self, now: Micros, id: RequestId) {
         let request = &self.requests[&id];
-        let before_deadline = request.deadline.saturating_sub(self.settings.clock_resolution);
-        let in_time = request.objective_at().saturating_sub(self.typical_latency(request) as Micros);
+        let before_deadline = request
+            .deadline
+            .saturating_sub(self.settings.clock_resolution);
+        let in_time = request
+            .objective_at()
+            .saturating_sub(self.typical_latency(request) as Micros);
         let window_end = request.attempt_deadline().unwrap_or(Micros::MAX);
-        let at = in_time.max(now + 1).min(before_deadline.max(now)).min(window_end).max(1);
+        let at = in_time
+            .max(now + 1)
+            .min(before_deadline.max(now))
+            .min(window_end)
+            .max(1);
         self.set_request_timer(id, Some(at));
     }
 
@@ -65,7 +73,10 @@
                 && !request.is_non_replayable
                 && endpoint.class_rejections.accepts(request.class_id, now)
         };
-        self.queue.iter().take(MAX_QUEUE_SCAN).position(|id| is_suitable(&self.requests[&id]))
+        self.queue
+            .iter()
+            .take(MAX_QUEUE_SCAN)
+            .position(|id| is_suitable(&self.requests[&id]))
     }
 
     /// Forwards queued requests in order, until one has to wait that could go to any endpoint.
@@ -97,7 +108,9 @@
         trial: Trial,
         actions: &mut Vec<Action>,
     ) {
-        let Some(id) = self.queue.get(position) else { return };
+        let Some(id) = self.queue.get(position) else {
+            return;
+        };
         self.queue.remove_at(position);
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_queued = false;
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -25,16 +25,23 @@
 
 impl Request {
     pub(crate) fn in_flight_count(&self) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.is_in_flight()).count()
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.is_in_flight())
+            .count()
     }
 
     /// The first attempt that may have been executed, which restricts all further ones.
     pub(crate) fn first_possibly_executed(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran))
+        self.attempts
+            .iter()
+            .find(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran))
     }
 
     pub(crate) fn is_untried(&self, endpoint: EndpointId) -> bool {
-        self.attempts.iter().all(|attempt| attempt.endpoint != endpoint)
+        self.attempts
+            .iter()
+            .all(|attempt| attempt.endpoint != endpoint)
     }
 
     /// Until when a response counts with its class's weight, or a fraction of it.
@@ -44,20 +51,28 @@
         } else {
             self.class.latency_objective
         };
-        self.deadline.min(self.arrived_at.saturating_add(latency_objective))
+        self.deadline
+            .min(self.arrived_at.saturating_add(latency_objective))
     }
 
     /// Until when a further attempt may begin: the class's deduplication window, from the first
     /// attempt that may have been executed.
     pub(crate) fn attempt_deadline(&self) -> Option<Micros> {
         match (self.first_possibly_executed(), self.class.idempotency) {
-            (Some(first), Idempotency::Keyed { window, .. }) => Some(first.sent_at.saturating_add(window)),
+            (Some(first), Idempotency::Keyed { window, .. }) => {
+                Some(first.sent_at.saturating_add(window))
+            }
             _ => None,
         }
     }
 
     /// Whether the request may be attempted at an endpoint. That depends on all of its attempts.
-    pub(crate) fn may_attempt(&self, now: Micros, endpoint: &Endpoint, clock_resolution: Micros) -> bool {
+    pub(crate) fn may_attempt(
+        &self,
+        now: Micros,
+        endpoint: &Endpoint,
+        clock_resolution: Micros,
+    ) -> bool {
         match (self.first_possibly_executed(), self.class.idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => true,
             (Some(_), Idempotency::NonIdempotent) => false,
@@ -77,7 +92,11 @@
     pub(crate) fn may_be_rejected(&self) -> bool {
         let is_repeatable = matches!(
             self.class.idempotency,
-            Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. }
+            Idempotency::Idempotent
+                | Idempotency::Keyed {
+                    scope: DeduplicationScope::All,
+                    ..
+                }
         );
         is_repeatable || self.first_possibly_executed().is_none()
     }
--- a/balancer/src/request_lifecycle.rs
+++ b/balancer/src/request_lifecycle.rs
@@ -8,11 +8,16 @@
     /// Handles the last byte of a request that cannot be replayed: its client's time begins, and
     /// the work of the endpoint that it has been sent to.
     pub(crate) fn complete_upload(&mut self, now: Micros, id: RequestId, time_left: Micros) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.is_uploading = false;
         request.arrived_at = now;
         request.deadline = now.saturating_add(time_left);
-        let in_flight = request.attempts.iter_mut().find(|attempt| attempt.is_in_flight());
+        let in_flight = request
+            .attempts
+            .iter_mut()
+            .find(|attempt| attempt.is_in_flight());
         let Some(attempt) = in_flight else { return };
         attempt.is_uploading = false;
         attempt.sent_at = now;
@@ -37,9 +42,17 @@
     }
 
     /// Records the end of an attempt; `None` if it is not in flight.
-    pub(crate) fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Option<Attempt> {
+    pub(crate) fn end_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+    ) -> Option<Attempt> {
         let request = self.requests.get_mut(&id)?;
-        let ended = request.attempts.get_mut(attempt as usize).filter(|a| a.is_in_flight())?;
+        let ended = request
+            .attempts
+            .get_mut(attempt as usize)
+            .filter(|a| a.is_in_flight())?;
         ended.outcome = Some(outcome);
         Some(*ended)
     }
@@ -54,14 +67,19 @@
         is_finished: bool,
         actions: &mut Vec<Action>,
     ) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         let is_open = !request.is_finished && !request.is_queued && request.in_flight_count() == 0;
         if is_finished || outcome == Outcome::Served {
             self.finish_request(id);
             self.cancel_attempts(id, None, actions);
         } else if is_open && outcome == Outcome::Invalid {
             // Any endpoint would find it invalid, and the client must not retry it.
-            actions.push(Action::Fail { request: id, reason: FailureReason::Invalid });
+            actions.push(Action::Fail {
+                request: id,
+                reason: FailureReason::Invalid,
+            });
             self.finish_request(id);
         } else if is_open {
             self.retry_or_abandon(now, id, outcome, actions);
@@ -80,9 +98,16 @@
     ) {
         let retry_after = retry_after.min(self.settings.limits.max_retry_after);
         actions.push(if self.requests[&id].may_be_rejected() {
-            Action::Reject { request: id, retry_after, reason }
+            Action::Reject {
+                request: id,
+                retry_after,
+                reason,
+            }
         } else {
-            Action::Fail { request: id, reason }
+            Action::Fail {
+                request: id,
+                reason,
+            }
         });
         self.finish_request(id);
         self.cancel_attempts(id, None, actions);
@@ -92,7 +117,9 @@
     /// Marks a request that needs no further attempt.
     pub(crate) fn finish_request(&mut self, id: RequestId) {
         self.set_request_timer(id, None);
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.is_finished = true;
         if request.is_queued {
             request.is_queued = false;
@@ -101,14 +128,24 @@
     }
 
     /// Cancels the attempts in flight but `except`, where the deployment allows that.
-    pub(crate) fn cancel_attempts(&self, id: RequestId, except: Option<u32>, actions: &mut Vec<Action>) {
+    pub(crate) fn cancel_attempts(
+        &self,
+        id: RequestId,
+        except: Option<u32>,
+        actions: &mut Vec<Action>,
+    ) {
         if !self.settings.limits.cancellation {
             return;
         }
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         for (number, attempt) in (0..).zip(&request.attempts) {
             if attempt.is_in_flight() && Some(number) != except {
-                actions.push(Action::CancelAttempt { request: id, attempt: number });
+                actions.push(Action::CancelAttempt {
+                    request: id,
+                    attempt: number,
+                });
             }
         }
     }
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -19,20 +19,26 @@
             self.retry_budget.spend();
             self.enqueue_retry(now, id);
         } else {
-            self.abandon(id, self.initial_backoff(), FailureReason::AttemptsExhausted, actions);
+            self.abandon(
+                id,
+                self.initial_backoff(),
+                FailureReason::AttemptsExhausted,
+                actions,
+            );
         }
     }
 
     /// Whether a retry could be in time, is allowed, and has an endpoint to go to.
     fn may_retry(&self, now: Micros, request: &Request, outcome: Outcome) -> bool {
         let is_in_time = now as f64 + self.typical_latency(request) < request.objective_at() as f64;
-        let is_body_lost =
-            request.is_non_replayable && !matches!(outcome, Outcome::ConnectFailed | Outcome::NeverSent);
+        let is_body_lost = request.is_non_replayable
+            && !matches!(outcome, Outcome::ConnectFailed | Outcome::NeverSent);
         is_in_time
             && !is_body_lost
             && self.has_attempts_left(request)
             && self.endpoints.iter().any(|endpoint| {
-                endpoint.is_listed && request.may_attempt(now, endpoint, self.settings.clock_resolution)
+                endpoint.is_listed
+                    && request.may_attempt(now, endpoint, self.settings.clock_resolution)
             })
     }
 
--- a/balancer/src/retry_budget.rs
+++ b/balancer/src/retry_budget.rs
@@ -15,7 +15,9 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { retries: MAX_RETRY_BUDGET }
+        RetryBudget {
+            retries: MAX_RETRY_BUDGET,
+        }
     }
 }
 
--- a/balancer/src/selection.rs
+++ b/balancer/src/selection.rs
@@ -20,31 +20,42 @@
     /// to exceed its limit as a trial.
     pub(crate) fn route(&mut self, now: Micros, id: RequestId) -> Route {
         let typical_latency = self.latencies.longest_typical();
-        let reached_limit =
-            self.shared_limit.as_ref().filter(|shared_limit| shared_limit.is_reached(now, typical_latency));
+        let reached_limit = self
+            .shared_limit
+            .as_ref()
+            .filter(|shared_limit| shared_limit.is_reached(now, typical_latency));
         let needs_shared_trial = reached_limit.is_some();
         if reached_limit.is_some_and(|shared_limit| {
             shared_limit.latency_pressure > 1.0 || !shared_limit.limit.is_trial_ready(now)
         }) {
             return Route::Queue;
         }
-        let trial = if needs_shared_trial { Trial::Shared } else { Trial::None };
+        let trial = if needs_shared_trial {
+            Trial::Shared
+        } else {
+            Trial::None
+        };
         let candidates = self.candidates(now, id);
-        let with_capacity =
-            self.filter_endpoints(&candidates, |endpoint| !endpoint.is_full(now, &self.settings.slow_start));
+        let with_capacity = self.filter_endpoints(&candidates, |endpoint| {
+            !endpoint.is_full(now, &self.settings.slow_start)
+        });
         let choice = self.pick_of_two(&candidates);
         if let Some(endpoint) = choice.filter(|endpoint| with_capacity.contains(endpoint)) {
             return Route::Forward { endpoint, trial };
         }
-        let for_trial = self
-            .filter_endpoints(&candidates, |endpoint| self.may_exceed_limit(now, endpoint, typical_latency));
+        let for_trial = self.filter_endpoints(&candidates, |endpoint| {
+            self.may_exceed_limit(now, endpoint, typical_latency)
+        });
         // Both draw random numbers, also where one would do: a run stays repeatable.
         let within_limit = self.pick_of_two(&with_capacity);
         let beyond_limit = self.pick_of_two(&for_trial);
         match (within_limit, beyond_limit) {
             (Some(endpoint), _) => Route::Forward { endpoint, trial },
             (None, Some(_)) if needs_shared_trial => Route::Queue,
-            (None, Some(endpoint)) => Route::Forward { endpoint, trial: Trial::Endpoint },
+            (None, Some(endpoint)) => Route::Forward {
+                endpoint,
+                trial: Trial::Endpoint,
+            },
             (None, None) => self.queue_or_reject(now),
         }
     }
@@ -62,8 +73,11 @@
                 && self.zone_outages.is_reachable(endpoint.zone, now)
                 && request.may_attempt(now, endpoint, clock_resolution)
         };
-        let accepts_class =
-            |index: &usize| self.endpoints[*index].class_rejections.accepts(request.class_id, now);
+        let accepts_class = |index: &usize| {
+            self.endpoints[*index]
+                .class_rejections
+                .accepts(request.class_id, now)
+        };
         let is_untried = |index: &usize| request.is_untried(self.endpoints[*index].id);
         let has_capacity = |index: &usize| !self.endpoints[*index].is_full(now, slow_start);
 
@@ -72,12 +86,24 @@
         let accepting = || allowed().filter(|index| !any_accepts || accepts_class(index));
         let any_untried = accepting().any(|index| is_untried(&index));
         let preferred = || accepting().filter(|index| !any_untried || is_untried(index));
-        let spills_over = self.shared_limit.is_some() && preferred().any(|index| has_capacity(&index));
-        preferred().filter(|index| !spills_over || has_capacity(index)).take(self.subset_size()).collect()
+        let spills_over =
+            self.shared_limit.is_some() && preferred().any(|index| has_capacity(&index));
+        preferred()
+            .filter(|index| !spills_over || has_capacity(index))
+            .take(self.subset_size())
+            .collect()
     }
 
-    fn filter_endpoints(&self, indices: &[usize], predicate: impl Fn(&Endpoint) -> bool) -> Vec<usize> {
-        indices.iter().copied().filter(|&index| predicate(&self.endpoints[index])).collect()
+    fn filter_endpoints(
+        &self,
+        indices: &[usize],
+        predicate: impl Fn(&Endpoint) -> bool,
+    ) -> Vec<usize> {
+        indices
+            .iter()
+            .copied()
+            .filter(|&index| predicate(&self.endpoints[index]))
+            .collect()
     }
 
     /// Whether a request may be sent to an endpoint beyond its limit, as the trial that may raise
@@ -98,9 +124,9 @@
         }
         match listed.map(|endpoint| endpoint.limit.backoff_end).min() {
             None => Route::Queue,
-            Some(first_trial) => {
-                Route::Reject { retry_after: first_trial.saturating_sub(now).max(self.initial_backoff()) }
-            }
+            Some(first_trial) => Route::Reject {
+                retry_after: first_trial.saturating_sub(now).max(self.initial_backoff()),
+            },
         }
     }
 
@@ -127,6 +153,10 @@
             };
             (endpoint.in_flight, is_second_choice, tie_breaker)
         };
-        Some(if load(second) < load(first) { second } else { first })
+        Some(if load(second) < load(first) {
+            second
+        } else {
+            first
+        })
     }
 }
--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -149,7 +149,12 @@
 impl Settings {
     /// The longest latency objective of all classes, in microseconds and at least 1.
     pub(crate) fn longest_latency_objective(&self) -> f64 {
-        self.classes.iter().map(|class| class.latency_objective).max().unwrap_or(0).max(1) as f64
+        self.classes
+            .iter()
+            .map(|class| class.latency_objective)
+            .max()
+            .unwrap_or(0)
+            .max(1) as f64
     }
 }
 
@@ -176,13 +181,20 @@
                 max_attempts: 3,
                 max_retry_after: 1_000_000,
             },
-            slow_start: SlowStart { initial_capacity: 0.1, duration: 20_000_000, overload_multiple: 4.0 },
+            slow_start: SlowStart {
+                initial_capacity: 0.1,
+                duration: 20_000_000,
+                overload_multiple: 4.0,
+            },
             discovery: Discovery {
                 mode: DiscoveryMode::Push,
                 max_poll_interval: 10_000_000,
                 notification_deadline: 6_000_000,
             },
-            score_weights: ScoreWeights { overall: 1.0, worst_class: 0.0 },
+            score_weights: ScoreWeights {
+                overall: 1.0,
+                worst_class: 0.0,
+            },
         }
     }
 }
--- a/balancer/src/shared_limit.rs
+++ b/balancer/src/shared_limit.rs
@@ -54,7 +54,10 @@
             SHARED_CONCURRENCY_FLOOR,
             balancer_count,
         );
-        Some(SharedLimit { limit, ..SharedLimit::default() })
+        Some(SharedLimit {
+            limit,
+            ..SharedLimit::default()
+        })
     }
 
     /// The limit at all endpoints together, in requests.
@@ -126,8 +129,8 @@
     ) {
         let gap = now.saturating_sub(self.last_sample_at) as f64;
         self.last_sample_at = now;
-        self.mean_in_flight =
-            self.mean_in_flight * (-gap / UTILIZATION_MEMORY_US).exp() + elapsed / UTILIZATION_MEMORY_US;
+        self.mean_in_flight = self.mean_in_flight * (-gap / UTILIZATION_MEMORY_US).exp()
+            + elapsed / UTILIZATION_MEMORY_US;
         if sent_at < self.cut_at {
             return;
         }
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -28,7 +28,11 @@
     /// once later.
     pub(crate) fn grant_slow_start_credit(&mut self, now: Micros) {
         let slow_start = &self.settings.slow_start;
-        if self.endpoints.iter().all(|e| !e.is_listed || e.is_warm(now, slow_start)) {
+        if self
+            .endpoints
+            .iter()
+            .all(|e| !e.is_listed || e.is_warm(now, slow_start))
+        {
             return;
         }
         let reach = self.reach(now);
@@ -36,9 +40,15 @@
         // size.
         let (fraction, max_weight) = if self.shared_limit.is_some() {
             let multiple = slow_start.overload_multiple * SLOW_START_OVERLOAD_FRACTION;
-            (multiple / reach.weighted_capacity, reach.weighted_capacity / reach.capacity)
+            (
+                multiple / reach.weighted_capacity,
+                reach.weighted_capacity / reach.capacity,
+            )
         } else {
-            (1.0 / reach.weighted_capacity, reach.weighted_capacity / reach.in_service)
+            (
+                1.0 / reach.weighted_capacity,
+                reach.weighted_capacity / reach.in_service,
+            )
         };
         for index in reach.indices {
             let endpoint = &mut self.endpoints[index];
@@ -46,7 +56,11 @@
             let share = (fraction * weight).min(1.0) * endpoint.warm_up(now, slow_start);
             // A few balancers count in whole requests: where all endpoints warm up, shares that add
             // up to less than a request would let none through.
-            let credit = if self.shared_limit.is_some() { share } else { (1.0 / share).floor().recip() };
+            let credit = if self.shared_limit.is_some() {
+                share
+            } else {
+                (1.0 / share).floor().recip()
+            };
             endpoint.slow_start_credit = (endpoint.slow_start_credit + credit).min(1.0 + credit);
         }
     }
--- a/balancer/src/subset.rs
+++ b/balancer/src/subset.rs
@@ -11,11 +11,12 @@
 impl Balancer {
     /// Number of endpoints that requests are spread over.
     pub(crate) fn subset_size(&self) -> usize {
-        let needed = self
-            .shared_limit
-            .as_ref()
-            .map_or(f64::MAX, |shared_limit| shared_limit.mean_in_flight / SUBSET_REQUESTS_PER_ENDPOINT);
-        (needed as usize).max(MIN_SUBSET_SIZE).min(self.endpoints.len())
+        let needed = self.shared_limit.as_ref().map_or(f64::MAX, |shared_limit| {
+            shared_limit.mean_in_flight / SUBSET_REQUESTS_PER_ENDPOINT
+        });
+        (needed as usize)
+            .max(MIN_SUBSET_SIZE)
+            .min(self.endpoints.len())
     }
 
     /// Indices of all endpoints, as a ring from this balancer's place on. The balancers' places are
--- a/balancer/src/tenant_usage.rs
+++ b/balancer/src/tenant_usage.rs
@@ -16,13 +16,17 @@
 
 impl TenantUsage {
     pub(crate) fn new(tenant_count: usize) -> Self {
-        TenantUsage { fractions: vec![0.0; tenant_count] }
+        TenantUsage {
+            fractions: vec![0.0; tenant_count],
+        }
     }
 
     /// Counts a request and returns whether its tenant is over its quota. A tenant that the
     /// settings do not name always is.
     pub(crate) fn record(&mut self, tenant: TenantId, tenants: &[Tenant]) -> bool {
-        let Some(quota) = tenants.get(tenant.0).map(|tenant| tenant.quota) else { return true };
+        let Some(quota) = tenants.get(tenant.0).map(|tenant| tenant.quota) else {
+            return true;
+        };
         for (index, fraction) in self.fractions.iter_mut().enumerate() {
             let sample = if index == tenant.0 { 1.0 } else { 0.0 };
             *fraction += (sample - *fraction) * LATENCY_SMOOTHING / USAGE_MEMORY_MULTIPLE;
--- a/balancer/src/timers.rs
+++ b/balancer/src/timers.rs
@@ -29,6 +29,9 @@
 
     /// A request whose timer is due.
     pub(crate) fn first_due(&self, now: Micros) -> Option<RequestId> {
-        self.due.first().filter(|timer| timer.0 <= now).map(|timer| timer.1)
+        self.due
+            .first()
+            .filter(|timer| timer.0 <= now)
+            .map(|timer| timer.1)
     }
 }
--- a/balancer/src/zone_outages.rs
+++ b/balancer/src/zone_outages.rs
@@ -26,7 +26,9 @@
 impl ZoneOutages {
     pub(crate) fn record_failure(&mut self, zone: ZoneId, now: Micros, initial_backoff: Micros) {
         let outage = self.by_zone.entry(zone).or_default();
-        let doublings = outage.failures.min(MAX_BACKOFF_DOUBLINGS + ZONE_BACKOFF_DOUBLINGS);
+        let doublings = outage
+            .failures
+            .min(MAX_BACKOFF_DOUBLINGS + ZONE_BACKOFF_DOUBLINGS);
         outage.failures = outage.failures.saturating_add(1);
         outage.avoided_until = now + ((initial_backoff << doublings) >> ZONE_BACKOFF_DOUBLINGS);
     }
@@ -37,12 +39,16 @@
 
     /// Whether so many connections have failed in a row that all of the zone counts as cut off.
     pub(crate) fn is_out(&self, zone: ZoneId) -> bool {
-        self.by_zone.get(&zone).is_some_and(|outage| outage.failures > ZONE_BACKOFF_DOUBLINGS)
+        self.by_zone
+            .get(&zone)
+            .is_some_and(|outage| outage.failures > ZONE_BACKOFF_DOUBLINGS)
     }
 
     /// Whether requests may be sent to the zone.
     pub(crate) fn is_reachable(&self, zone: ZoneId, now: Micros) -> bool {
-        self.by_zone.get(&zone).is_none_or(|outage| now >= outage.avoided_until)
+        self.by_zone
+            .get(&zone)
+            .is_none_or(|outage| now >= outage.avoided_until)
     }
 
     /// Avoids a zone that is out for `backoff` after a request was sent to it: those sent until its
