--- a/deploy/sites/generate/src/generator.rs
+++ b/deploy/sites/generate/src/generator.rs
@@ -19,7 +19,9 @@
 const WORK_MS: (f64, f64) = (12.0, 250.0);
 
 fn table<'a>(site: &'a mut Table, name: &'static str) -> Result<&'a mut Table, DrawError> {
-    site.get_mut(name).and_then(Value::as_table_mut).ok_or(DrawError::MissingTable(name))
+    site.get_mut(name)
+        .and_then(Value::as_table_mut)
+        .ok_or(DrawError::MissingTable(name))
 }
 
 /// The tables of an array; `path` is its name for errors.
@@ -83,7 +85,9 @@
 
     fn network(&mut self, site: &mut Table) -> Result<(), DrawError> {
         let zones = self.random.gen_range(1..=4);
-        let names = (1..=zones).map(|zone| Value::from(format!("zone-{zone}"))).collect();
+        let names = (1..=zones)
+            .map(|zone| Value::from(format!("zone-{zone}")))
+            .collect();
         table(site, "net")?.insert("zones".into(), Value::Array(names));
         Ok(())
     }
@@ -92,27 +96,43 @@
         let max_impatient = rounded(self.between((0.0, 0.3)), 2);
         let min_timeout_fraction = rounded(self.between((0.3, 0.9)), 2);
         let retries = self.random.gen_range(0..=3);
-        let backoffs = [&["none"][..], &["none", "fixed"], &["none", "fixed", "exp"], &["exp"]];
+        let backoffs = [
+            &["none"][..],
+            &["none", "fixed"],
+            &["none", "fixed", "exp"],
+            &["exp"],
+        ];
         let backoff = backoffs[self.random.gen_range(0..backoffs.len())];
         let marks_retry = self.random.gen();
         let clients = table(site, "clients")?;
         clients.insert("impatient".into(), range(0.0, max_impatient));
         clients.insert("try_share".into(), range(min_timeout_fraction, 1.0));
-        clients.insert("retries".into(), range(retries.into(), f64::from(retries) + 0.99));
-        clients.insert("backoff".into(), Value::Array(backoff.iter().map(|&name| name.into()).collect()));
+        clients.insert(
+            "retries".into(),
+            range(retries.into(), f64::from(retries) + 0.99),
+        );
+        clients.insert(
+            "backoff".into(),
+            Value::Array(backoff.iter().map(|&name| name.into()).collect()),
+        );
         clients.insert("marks_retry".into(), Value::Boolean(marks_retry));
         Ok(())
     }
 
     fn discovery(&mut self, site: &mut Table) -> Result<(), DrawError> {
-        let mode = if self.random.gen_bool(0.7) { "push" } else { "ask" };
+        let mode = if self.random.gen_bool(0.7) {
+            "push"
+        } else {
+            "ask"
+        };
         table(site, "discovery")?.insert("mode".into(), mode.into());
         Ok(())
     }
 
     fn limits(&mut self, site: &mut Table) -> Result<(), DrawError> {
         let attempts = self.random.gen_range(1..=4);
-        let flags = ["cancel", "second_copies", "retry_after"].map(|name| (name, self.random.gen::<bool>()));
+        let flags = ["cancel", "second_copies", "retry_after"]
+            .map(|name| (name, self.random.gen::<bool>()));
         let limits = table(site, "allow")?;
         limits.insert("max_attempts".into(), Value::Integer(attempts));
         limits.extend(flags.map(|(name, flag)| (name.to_owned(), Value::Boolean(flag))));
@@ -134,7 +154,10 @@
         for tier in tables(site, "tier", "tier")? {
             let connections = table(tier, "conn")?;
             let handshake_us = self.log_between_whole((1_000.0, 9_000.0)) as f64;
-            connections.insert("handshake_us".into(), range(handshake_us, 1.6 * handshake_us));
+            connections.insert(
+                "handshake_us".into(),
+                range(handshake_us, 1.6 * handshake_us),
+            );
             connections.insert("idle_s".into(), self.log_between_whole((3.0, 120.0)).into());
             let connect_timeout_ms = self.log_between_whole((100.0, 1_000.0));
             connections.insert("connect_timeout_ms".into(), connect_timeout_ms.into());
@@ -152,13 +175,20 @@
     fn slow_start(&mut self, kind: &mut Table) {
         let initial_capacity = rounded(self.between((0.1, 0.2)), 2);
         let duration_s = rounded(self.between((12.0, 24.0)), 0);
-        kind.insert("cold_from".into(), range(initial_capacity, 2.0 * initial_capacity));
+        kind.insert(
+            "cold_from".into(),
+            range(initial_capacity, 2.0 * initial_capacity),
+        );
         kind.insert("cold_s".into(), range(duration_s / 2.0, duration_s));
     }
 
     fn classes(&mut self) -> Value {
         let count = self.random.gen_range(CLASSES);
-        Value::Array((1..=count).map(|number| Value::Table(self.class(number))).collect())
+        Value::Array(
+            (1..=count)
+                .map(|number| Value::Table(self.class(number)))
+                .collect(),
+        )
     }
 
     fn class(&mut self, number: usize) -> Table {
@@ -170,7 +200,10 @@
         let mut set = |name: &str, value: Value| class.insert(name.into(), value);
         set("name", format!("class-{number}").into());
         set("share", range(share, rounded(1.3 * share, 2)));
-        set("work_ms", range(rounded(0.8 * work_ms, 0), rounded(1.2 * work_ms, 0)));
+        set(
+            "work_ms",
+            range(rounded(0.8 * work_ms, 0), rounded(1.2 * work_ms, 0)),
+        );
         set("dist", "lognormal".into());
         set("cv", range(0.3, 0.7));
         set("attempt_noise", range(0.1, 0.5));
@@ -193,8 +226,14 @@
             2 => {
                 let scopes = ["all", "zone", "cell"];
                 set("effect", "keyed".into());
-                set("group", scopes[self.random.gen_range(0..scopes.len())].into());
-                set("window_ms", self.log_between_whole((300.0, 20_000.0)).into());
+                set(
+                    "group",
+                    scopes[self.random.gen_range(0..scopes.len())].into(),
+                );
+                set(
+                    "window_ms",
+                    self.log_between_whole((300.0, 20_000.0)).into(),
+                );
             }
             _ => {
                 set("effect", "unsafe".into());
--- a/deploy/sites/generate/src/main.rs
+++ b/deploy/sites/generate/src/main.rs
@@ -36,13 +36,20 @@
 }
 
 fn run(arguments: &Arguments) -> anyhow::Result<()> {
-    let read = |path: &PathBuf| fs::read_to_string(path).with_context(|| path.display().to_string());
-    let bases = arguments.bases.iter().map(read).collect::<Result<Vec<_>, _>>()?;
+    let read =
+        |path: &PathBuf| fs::read_to_string(path).with_context(|| path.display().to_string());
+    let bases = arguments
+        .bases
+        .iter()
+        .map(read)
+        .collect::<Result<Vec<_>, _>>()?;
     let site = site_generator::draw(&bases, arguments.seed)?;
     fs::create_dir_all(&arguments.out).with_context(|| arguments.out.display().to_string())?;
     let path = arguments.out.join("site.toml");
     fs::write(&path, site.text).with_context(|| path.display().to_string())?;
-    let base_folder = arguments.bases[site.base].parent().unwrap_or(Path::new("."));
+    let base_folder = arguments.bases[site.base]
+        .parent()
+        .unwrap_or(Path::new("."));
     for name in COMPANION_FILES {
         let from = base_folder.join(name);
         let to = arguments.out.join(name);
--- a/faults/src/active.rs
+++ b/faults/src/active.rs
@@ -29,15 +29,23 @@
         }),
         Err(_) => Schedule::default(),
     };
-    let active = ActiveSchedule { schedule, started_ms: monotonic_ms() };
+    let active = ActiveSchedule {
+        schedule,
+        started_ms: monotonic_ms(),
+    };
     // The loader calls this once: nothing has been set before.
     let _ = ACTIVE.set(active);
 }
 
 fn monotonic_ms() -> u64 {
-    let mut time = timespec { tv_sec: 0, tv_nsec: 0 };
-    let clock_gettime =
-        next_symbol!("clock_gettime", unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int);
+    let mut time = timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
+    let clock_gettime = next_symbol!(
+        "clock_gettime",
+        unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int
+    );
     // SAFETY: it writes one time.
     unsafe { clock_gettime(libc::CLOCK_MONOTONIC, &mut time) };
     time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000
@@ -51,7 +59,9 @@
 
 /// By how much the wall clock is ahead, in milliseconds.
 pub(crate) fn wall_clock_offset_ms() -> i64 {
-    ACTIVE.get().map_or(0, |active| active.schedule.wall_clock_offset_ms())
+    ACTIVE
+        .get()
+        .map_or(0, |active| active.schedule.wall_clock_offset_ms())
 }
 
 /// Whether a call fails now; if so, `errno` is set.
@@ -87,8 +97,15 @@
     let mut length = size_of::<c_int>() as socklen_t;
     let value: *mut c_int = &mut domain;
     // SAFETY: it writes one number of this length.
-    let result =
-        unsafe { libc::getsockopt(socket, libc::SOL_SOCKET, libc::SO_DOMAIN, value.cast(), &mut length) };
+    let result = unsafe {
+        libc::getsockopt(
+            socket,
+            libc::SOL_SOCKET,
+            libc::SO_DOMAIN,
+            value.cast(),
+            &mut length,
+        )
+    };
     result == 0 && matches!(domain, libc::AF_INET | libc::AF_INET6)
 }
 
--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -8,7 +8,9 @@
 mod active;
 mod schedule;
 
-use libc::{c_char, c_int, c_void, clockid_t, iovec, mode_t, sockaddr, socklen_t, ssize_t, timespec};
+use libc::{
+    c_char, c_int, c_void, clockid_t, iovec, mode_t, sockaddr, socklen_t, ssize_t, timespec,
+};
 use schedule::Call;
 use std::ffi::CStr;
 
@@ -21,7 +23,9 @@
     if matches!(domain, libc::AF_INET | libc::AF_INET6) && active::fails(Call::Socket) {
         return -1;
     }
-    next_symbol!("socket", unsafe extern "C" fn(c_int, c_int, c_int) -> c_int)(domain, kind, protocol)
+    next_symbol!("socket", unsafe extern "C" fn(c_int, c_int, c_int) -> c_int)(
+        domain, kind, protocol,
+    )
 }
 
 /// Replaces `accept4(2)`.
@@ -38,8 +42,10 @@
     if active::fails(Call::Accept) {
         return -1;
     }
-    let real =
-        next_symbol!("accept4", unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int);
+    let real = next_symbol!(
+        "accept4",
+        unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int
+    );
     real(socket, address, length, flags)
 }
 
@@ -48,13 +54,18 @@
 /// # Safety
 /// The same conditions as for `connect(2)`.
 #[no_mangle]
-pub unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
+pub unsafe extern "C" fn connect(
+    socket: c_int,
+    address: *const sockaddr,
+    length: socklen_t,
+) -> c_int {
     if active::is_internet_socket(socket) && active::fails(Call::Connect) {
         return -1;
     }
-    next_symbol!("connect", unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int)(
-        socket, address, length,
-    )
+    next_symbol!(
+        "connect",
+        unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int
+    )(socket, address, length)
 }
 
 /// Replaces `recv(2)`.
@@ -62,11 +73,19 @@
 /// # Safety
 /// The same conditions as for `recv(2)`.
 #[no_mangle]
-pub unsafe extern "C" fn recv(socket: c_int, bytes: *mut c_void, length: usize, flags: c_int) -> ssize_t {
-    let Some(length) = active::transfer_length(Call::Receive, socket, length) else { return -1 };
-    next_symbol!("recv", unsafe extern "C" fn(c_int, *mut c_void, usize, c_int) -> ssize_t)(
-        socket, bytes, length, flags,
-    )
+pub unsafe extern "C" fn recv(
+    socket: c_int,
+    bytes: *mut c_void,
+    length: usize,
+    flags: c_int,
+) -> ssize_t {
+    let Some(length) = active::transfer_length(Call::Receive, socket, length) else {
+        return -1;
+    };
+    next_symbol!(
+        "recv",
+        unsafe extern "C" fn(c_int, *mut c_void, usize, c_int) -> ssize_t
+    )(socket, bytes, length, flags)
 }
 
 /// Replaces `send(2)`.
@@ -74,11 +93,19 @@
 /// # Safety
 /// The same conditions as for `send(2)`.
 #[no_mangle]
-pub unsafe extern "C" fn send(socket: c_int, bytes: *const c_void, length: usize, flags: c_int) -> ssize_t {
-    let Some(length) = active::transfer_length(Call::Send, socket, length) else { return -1 };
-    next_symbol!("send", unsafe extern "C" fn(c_int, *const c_void, usize, c_int) -> ssize_t)(
-        socket, bytes, length, flags,
-    )
+pub unsafe extern "C" fn send(
+    socket: c_int,
+    bytes: *const c_void,
+    length: usize,
+    flags: c_int,
+) -> ssize_t {
+    let Some(length) = active::transfer_length(Call::Send, socket, length) else {
+        return -1;
+    };
+    next_symbol!(
+        "send",
+        unsafe extern "C" fn(c_int, *const c_void, usize, c_int) -> ssize_t
+    )(socket, bytes, length, flags)
 }
 
 /// Replaces `writev(2)`.
@@ -87,7 +114,10 @@
 /// The same conditions as for `writev(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn writev(file: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    let real = next_symbol!("writev", unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t);
+    let real = next_symbol!(
+        "writev",
+        unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t
+    );
     if count < 1 {
         return real(file, parts, count);
     }
@@ -95,7 +125,14 @@
     match active::transfer_length(Call::Send, file, first.iov_len) {
         None => -1,
         Some(length) if length == first.iov_len => real(file, parts, count),
-        Some(length) => real(file, &iovec { iov_base: first.iov_base, iov_len: length }, 1),
+        Some(length) => real(
+            file,
+            &iovec {
+                iov_base: first.iov_base,
+                iov_len: length,
+            },
+            1,
+        ),
     }
 }
 
@@ -130,7 +167,10 @@
         return -1;
     }
     // The C library's function is variadic; its third argument is passed in the same way.
-    next_symbol!("open64", unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int)(path, flags, mode)
+    next_symbol!(
+        "open64",
+        unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int
+    )(path, flags, mode)
 }
 
 /// Replaces `flock(2)`.
@@ -151,7 +191,10 @@
 /// The same conditions as for `clock_gettime(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    let real = next_symbol!("clock_gettime", unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int);
+    let real = next_symbol!(
+        "clock_gettime",
+        unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int
+    );
     let result = real(clock, time);
     if result == 0 && clock == libc::CLOCK_REALTIME {
         let offset_ms = active::wall_clock_offset_ms();
--- a/faults/src/schedule.rs
+++ b/faults/src/schedule.rs
@@ -149,7 +149,8 @@
         self.wall_clock_offset_ms
     }
 
-    /// How a call fails now, `elapsed_ms` milliseconds after the process's start; `None`: it passes.
+    /// How a call fails now, `elapsed_ms` milliseconds after the process's start; `None`: it
+    /// passes.
     pub(crate) fn failure(&self, call: Call, elapsed_ms: u64, path: &[u8]) -> Option<Failure> {
         let rule = self.rules.iter().find(|rule| {
             rule.matches(call, elapsed_ms, path)
@@ -164,7 +165,9 @@
     /// A number from 0 to 1 (SplitMix64 of a counter: any thread and any signal handler may draw).
     fn draw(&self) -> f64 {
         let step = self.draws.fetch_add(1, Ordering::Relaxed).wrapping_add(1);
-        let mut mixed = self.seed.wrapping_add(step.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let mut mixed = self
+            .seed
+            .wrapping_add(step.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         ((mixed ^ (mixed >> 31)) >> 11) as f64 / (1_u64 << 53) as f64
--- a/proxy/src/body/attempt_body.rs
+++ b/proxy/src/body/attempt_body.rs
@@ -43,7 +43,11 @@
             RequestBody::Buffered(bytes) => (Full::new(bytes.clone()), None),
             RequestBody::Upload(upload) => (Full::default(), Some(upload.clone())),
         };
-        let body = AttemptBody { buffered, upload, write_guard: write_guard.clone() };
+        let body = AttemptBody {
+            buffered,
+            upload,
+            write_guard: write_guard.clone(),
+        };
         body.notify_if_ended();
         body
     }
@@ -68,7 +72,9 @@
                 let data = ready!(upload.poll_consume(context));
                 data.map(|data| data.map(Frame::data))
             }
-            None => ready!(Pin::new(&mut self.buffered).poll_frame(context)).map(|Ok(frame)| Ok(frame)),
+            None => {
+                ready!(Pin::new(&mut self.buffered).poll_frame(context)).map(|Ok(frame)| Ok(frame))
+            }
         };
         self.notify_if_ended();
         Poll::Ready(frame)
@@ -83,7 +89,9 @@
 
     fn size_hint(&self) -> SizeHint {
         match &self.upload {
-            Some(upload) => upload.length().map_or_else(SizeHint::new, SizeHint::with_exact),
+            Some(upload) => upload
+                .length()
+                .map_or_else(SizeHint::new, SizeHint::with_exact),
             None => self.buffered.size_hint(),
         }
     }
--- a/proxy/src/body/memory.rs
+++ b/proxy/src/body/memory.rs
@@ -21,7 +21,10 @@
     pub(crate) fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let available = self.0.load(Ordering::Relaxed).checked_sub(bytes)?;
         self.0.store(available, Ordering::Relaxed);
-        Some(MemoryReservation { memory: self.clone(), bytes })
+        Some(MemoryReservation {
+            memory: self.clone(),
+            bytes,
+        })
     }
 }
 
@@ -35,7 +38,9 @@
 impl MemoryReservation {
     /// Releases what exceeds this many bytes.
     fn shrink(&mut self, bytes: usize) {
-        self.memory.0.fetch_add(self.bytes.saturating_sub(bytes), Ordering::Relaxed);
+        self.memory
+            .0
+            .fetch_add(self.bytes.saturating_sub(bytes), Ordering::Relaxed);
         self.bytes = self.bytes.min(bytes);
     }
 }
@@ -72,7 +77,10 @@
             return None;
         }
         let reservation = memory.reserve(max_length)?;
-        Some(BufferedBody { bytes: Vec::new(), reservation })
+        Some(BufferedBody {
+            bytes: Vec::new(),
+            reservation,
+        })
     }
 
     /// Appends data, and returns whether the body still fits into its reservation. The data is
--- a/proxy/src/body/response_body.rs
+++ b/proxy/src/body/response_body.rs
@@ -52,7 +52,11 @@
 
 impl fmt::Debug for StreamedResponse {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "StreamedResponse after {} bytes", self.read_bytes)
+        write!(
+            formatter,
+            "StreamedResponse after {} bytes",
+            self.read_bytes
+        )
     }
 }
 
@@ -70,7 +74,11 @@
             prefix: Some(prefix),
             rest,
             socket,
-            timer: TransferTimer::new(MAX_RESPONSE_WAIT, MAX_RESPONSE_WAIT, MIN_RESPONSE_BYTES_PER_SECOND),
+            timer: TransferTimer::new(
+                MAX_RESPONSE_WAIT,
+                MAX_RESPONSE_WAIT,
+                MIN_RESPONSE_BYTES_PER_SECOND,
+            ),
             on_completed: Some(on_completed),
             tracker: None,
         }
@@ -85,16 +93,23 @@
         }
     }
 
-    fn poll_data(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, ResponseBodyError>>> {
+    fn poll_data(
+        &mut self,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, ResponseBodyError>>> {
         if let Some(prefix) = self.prefix.take().filter(|prefix| !prefix.is_empty()) {
             return Poll::Ready(Some(Ok(prefix)));
         }
         while let Poll::Ready(frame) = Pin::new(&mut self.rest).poll_frame(context) {
             // The data may have been there for long, while the client took nothing.
             self.timer.stop_waiting(|| self.socket.last_read_at());
-            let Some(frame) = frame else { return Poll::Ready(None) };
+            let Some(frame) = frame else {
+                return Poll::Ready(None);
+            };
             // Trailers are not forwarded.
-            let Ok(data) = frame?.into_data() else { continue };
+            let Ok(data) = frame?.into_data() else {
+                continue;
+            };
             self.read_bytes += data.len() as u64;
             if self.read_bytes > MAX_BODY_BYTES {
                 return Poll::Ready(Some(Err(ResponseBodyError::TooLong)));
@@ -113,7 +128,10 @@
         let data = ready!(self.poll_data(context));
         match &data {
             Some(Err(error)) => {
-                log::line(&format!("a response broke off after {} bytes: {error}", self.read_bytes));
+                log::line(&format!(
+                    "a response broke off after {} bytes: {error}",
+                    self.read_bytes
+                ));
                 self.finish(RequestEnd::Failed);
             }
             Some(Ok(_)) if !self.rest.is_end_stream() => {}
@@ -174,7 +192,9 @@
     fn is_end_stream(&self) -> bool {
         match self {
             ResponseBody::Buffered(bytes) => bytes.is_end_stream(),
-            ResponseBody::Streamed(stream) => stream.prefix.is_none() && stream.rest.is_end_stream(),
+            ResponseBody::Streamed(stream) => {
+                stream.prefix.is_none() && stream.rest.is_end_stream()
+            }
         }
     }
 
--- a/proxy/src/body/transfer_timer.rs
+++ b/proxy/src/body/transfer_timer.rs
@@ -30,7 +30,12 @@
         max_allowance: Duration,
         min_bytes_per_second: f64,
     ) -> TransferTimer {
-        TransferTimer { allowance, max_allowance, min_bytes_per_second, wait: None }
+        TransferTimer {
+            allowance,
+            max_allowance,
+            min_bytes_per_second,
+            wait: None,
+        }
     }
 
     /// Ends a wait, if there is one, at the instant `until`, and takes its time off the allowance.
@@ -50,9 +55,10 @@
     /// Begins to wait, or goes on waiting, and is ready once the allowance is used up.
     pub(super) fn poll_expired(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let allowance = self.allowance;
-        let wait = self
-            .wait
-            .get_or_insert_with(|| Wait { since: Instant::now(), timeout: Box::pin(sleep(allowance)) });
+        let wait = self.wait.get_or_insert_with(|| Wait {
+            since: Instant::now(),
+            timeout: Box::pin(sleep(allowance)),
+        });
         wait.timeout.as_mut().poll(context)
     }
 }
--- a/proxy/src/body/upload.rs
+++ b/proxy/src/body/upload.rs
@@ -78,7 +78,12 @@
         let length = body.size_hint().exact();
         let allowance = first_data_by.saturating_duration_since(Instant::now());
         let timer = TransferTimer::new(allowance, MAX_UPLOAD_WAIT, MIN_UPLOAD_BYTES_PER_SECOND);
-        let source = UploadSource { body, unread_prefix: None, read_bytes: 0, timer };
+        let source = UploadSource {
+            body,
+            unread_prefix: None,
+            read_bytes: 0,
+            timer,
+        };
         Upload {
             source: RefCell::new(source),
             socket,
@@ -132,13 +137,17 @@
 
     /// Reads the rest for a bounded time and discards it.
     pub(crate) async fn discard(&self) {
-        let rest = async { while let Some(Ok(_)) = poll_fn(|context| self.poll_data(context)).await {} };
+        let rest =
+            async { while let Some(Ok(_)) = poll_fn(|context| self.poll_data(context)).await {} };
         // A rest that takes longer is left unread.
         let _ = timeout(DISCARD_TIMEOUT, rest).await;
     }
 
     /// The next data for an attempt: from now on the upload is consumed.
-    pub(super) fn poll_consume(&self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, UploadError>>> {
+    pub(super) fn poll_consume(
+        &self,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, UploadError>>> {
         let data = ready!(self.poll_data(context));
         self.is_consumed.set(true);
         Poll::Ready(data)
--- a/proxy/src/config/message.rs
+++ b/proxy/src/config/message.rs
@@ -38,7 +38,10 @@
 
 impl Default for ProcessLimitsMessage {
     fn default() -> Self {
-        ProcessLimitsMessage { max_descriptors: 1_024, memory_mb: 64 }
+        ProcessLimitsMessage {
+            max_descriptors: 1_024,
+            memory_mb: 64,
+        }
     }
 }
 
@@ -61,7 +64,10 @@
 
 impl Default for TimeoutsMessage {
     fn default() -> Self {
-        TimeoutsMessage { connect_timeout_us: 250_000, connection_idle_timeout_us: 15_000_000 }
+        TimeoutsMessage {
+            connect_timeout_us: 250_000,
+            connection_idle_timeout_us: 15_000_000,
+        }
     }
 }
 
@@ -73,7 +79,9 @@
 
 impl Default for InvariantsMessage {
     fn default() -> Self {
-        InvariantsMessage { drain_grace_us: 400_000 }
+        InvariantsMessage {
+            drain_grace_us: 400_000,
+        }
     }
 }
 
@@ -83,18 +91,25 @@
     }
 
     pub(super) fn seed(&self) -> Result<u64, ConfigError> {
-        u64::from_str_radix(&self.seed, 16)
-            .map_err(|error| ConfigError::Seed { value: self.seed.clone(), error })
+        u64::from_str_radix(&self.seed, 16).map_err(|error| ConfigError::Seed {
+            value: self.seed.clone(),
+            error,
+        })
     }
 
     pub(super) fn connection_settings(&self) -> Result<ConnectionSettingsMessage, ConfigError> {
-        ConnectionSettingsMessage::deserialize(&self.settings).map_err(ConfigError::ConnectionSettings)
+        ConnectionSettingsMessage::deserialize(&self.settings)
+            .map_err(ConfigError::ConnectionSettings)
     }
 }
 
 /// The address at a key.
 pub(super) fn address(key: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
-    value.parse().map_err(|error| ConfigError::Address { key, value: value.to_owned(), error })
+    value.parse().map_err(|error| ConfigError::Address {
+        key,
+        value: value.to_owned(),
+        error,
+    })
 }
 
 impl ProcessLimitsMessage {
@@ -119,12 +134,20 @@
 
 impl TimeoutsMessage {
     pub(super) fn connect_timeout(&self) -> Result<Duration, ConfigError> {
-        timeout("settings.limits.connect_timeout_us", self.connect_timeout_us, 1)
+        timeout(
+            "settings.limits.connect_timeout_us",
+            self.connect_timeout_us,
+            1,
+        )
     }
 
     /// It may be 0: connections are never reused then.
     pub(super) fn connection_idle_timeout(&self) -> Result<Duration, ConfigError> {
-        timeout("settings.limits.conn_idle_us", self.connection_idle_timeout_us, 0)
+        timeout(
+            "settings.limits.conn_idle_us",
+            self.connection_idle_timeout_us,
+            0,
+        )
     }
 }
 
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -78,10 +78,14 @@
     /// The file cannot be read, or its content is not a valid configuration.
     pub fn load(path: &Path) -> Result<Config, LoadError> {
         match std::fs::read_to_string(path) {
-            Ok(text) => {
-                Config::parse(&text).map_err(|error| LoadError::Invalid { path: path.to_owned(), error })
-            }
-            Err(error) => Err(LoadError::Unreadable { path: path.to_owned(), error }),
+            Ok(text) => Config::parse(&text).map_err(|error| LoadError::Invalid {
+                path: path.to_owned(),
+                error,
+            }),
+            Err(error) => Err(LoadError::Unreadable {
+                path: path.to_owned(),
+                error,
+            }),
         }
     }
 
@@ -93,7 +97,11 @@
         let message = ConfigMessage::parse(text)?;
         let listen = address("listen", &message.listen)?;
         let discovery = address("discovery", &message.discovery)?;
-        let admin = message.admin.as_deref().map(|admin| address("admin", admin)).transpose()?;
+        let admin = message
+            .admin
+            .as_deref()
+            .map(|admin| address("admin", admin))
+            .transpose()?;
         let seed = message.seed()?;
         let site = balancer_settings::read(&message.settings)?;
         balancer_settings::validate(&site.settings)?;
@@ -131,7 +139,10 @@
             connection_idle_timeout: new.connection_idle_timeout,
             ..self.clone()
         };
-        Reloaded { config, needs_restart }
+        Reloaded {
+            config,
+            needs_restart,
+        }
     }
 
     /// File descriptors of this process.
@@ -141,7 +152,9 @@
 
     /// Most connections of this process to clients and endpoints.
     fn max_connections(&self) -> usize {
-        self.process_descriptors().saturating_sub(RESERVED_DESCRIPTORS).max(MIN_CONNECTIONS)
+        self.process_descriptors()
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(MIN_CONNECTIONS)
     }
 
     /// Most connections to endpoints: clients have a third of the descriptors at most for requests,
--- a/proxy/src/control/attempt.rs
+++ b/proxy/src/control/attempt.rs
@@ -40,7 +40,12 @@
             () = self.expired() => AttemptEnd::without_response(self.timeout_outcome()),
         };
         // What the client did says nothing about the endpoint.
-        match self.forwarded.payload.upload().and_then(|upload| upload.result()) {
+        match self
+            .forwarded
+            .payload
+            .upload()
+            .and_then(|upload| upload.result())
+        {
             Some(Err(_)) => AttemptEnd::without_response(Outcome::Cancelled),
             _ => end,
         }
@@ -89,9 +94,10 @@
             }
             self.write_guard.reset_written();
         }
-        // What a reused connection has taken is lost with it. What is written now is the beginning, and
-        // the endpoint may have been listed as draining since.
-        if self.write_guard.is_start_window_closed() || !self.control.state().endpoints.accepts(self.process)
+        // What a reused connection has taken is lost with it. What is written now is the beginning,
+        // and the endpoint may have been listed as draining since.
+        if self.write_guard.is_start_window_closed()
+            || !self.control.state().endpoints.accepts(self.process)
         {
             return AttemptEnd::without_response(Outcome::NeverSent);
         }
@@ -113,7 +119,10 @@
         if is_broken {
             self.control.metrics().count().broken_reuse += 1;
         }
-        self.control.state_mut().pool.note_reuse(idle_time, is_broken);
+        self.control
+            .state_mut()
+            .pool
+            .note_reuse(idle_time, is_broken);
         end
     }
 
@@ -127,11 +136,15 @@
         let end = match opened {
             Ok(connection) => {
                 metrics.count().opened += 1;
-                self.exchange_on(connection).await.or_else(|| self.end_if_disconnected())
+                self.exchange_on(connection)
+                    .await
+                    .or_else(|| self.end_if_disconnected())
             }
             Err(error) => {
                 metrics.count().open_failed += 1;
-                error.is_local().then(|| AttemptEnd::without_response(Outcome::NeverSent))
+                error
+                    .is_local()
+                    .then(|| AttemptEnd::without_response(Outcome::NeverSent))
             }
         };
         end.unwrap_or_else(|| AttemptEnd::without_response(Outcome::ConnectFailed))
@@ -144,7 +157,9 @@
             request_body: &self.forwarded.payload,
             write_guard: &self.write_guard,
             memory: &memory,
-            return_connection: Box::new(move |connection| return_when_settled(control, process, connection)),
+            return_connection: Box::new(move |connection| {
+                return_when_settled(control, process, connection)
+            }),
         };
         let message = self.forwarded.message(self.deadline, &self.write_guard);
         upstream::exchange(connection, message, context).await
@@ -157,7 +172,11 @@
             return None;
         }
         let is_unwritten = self.write_guard.bytes_written() == 0;
-        let outcome = if is_unwritten { Outcome::NeverSent } else { Outcome::Cancelled };
+        let outcome = if is_unwritten {
+            Outcome::NeverSent
+        } else {
+            Outcome::Cancelled
+        };
         Some(AttemptEnd::without_response(outcome))
     }
 }
--- a/proxy/src/control/attempts.rs
+++ b/proxy/src/control/attempts.rs
@@ -26,7 +26,9 @@
     ) {
         let now = Instant::now();
         self.cancel_if_disconnected(id);
-        let Some(request) = self.requests.get_mut(id) else { return };
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
         let endpoint = self.endpoints.ready(endpoint_id);
         let Some(endpoint) = endpoint.filter(|_| request.may_start_attempt(now)) else {
             return self.skip_attempt(id);
@@ -48,22 +50,32 @@
         let number = request.attempts.len() as u32;
         let task = attempt.spawn(id, number, idle_connection);
         self.metrics.count().attempts += 1;
-        let in_flight = InFlightAttempt { process, started_at: now, write_guard, _task: task };
+        let in_flight = InFlightAttempt {
+            process,
+            started_at: now,
+            write_guard,
+            _task: task,
+        };
         request.attempts.push(Some(in_flight));
     }
 
     /// Cancels a request whose client is known to have disconnected, though the task of its
     /// connection has not been run since.
     fn cancel_if_disconnected(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(id) else { return };
-        if request.forwarded.client.is_known_disconnected() && request.cancel(id, &mut self.events) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if request.forwarded.client.is_known_disconnected() && request.cancel(id, &mut self.events)
+        {
             request.forwarded.client.close();
         }
     }
 
     /// Reports the request's next attempt as never sent.
     fn skip_attempt(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(id) else { return };
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
         let attempt = request.attempts.len() as u32;
         request.attempts.push(None);
         let request_finished = request.has_reply();
@@ -75,7 +87,9 @@
 
     /// Cancels an attempt: its connection is closed.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, number: u32) {
-        let Some((request, attempt)) = self.requests.take_attempt(id, number) else { return };
+        let Some((request, attempt)) = self.requests.take_attempt(id, number) else {
+            return;
+        };
         let outcome = Outcome::Cancelled;
         attempt.bar(outcome);
         let elapsed = attempt.started_at.elapsed();
@@ -94,7 +108,12 @@
 
 impl Attempt {
     /// Runs the attempt in a task of its own, which reports how it ended.
-    fn spawn(self, id: RequestId, number: u32, idle_connection: Option<IdleConnection>) -> ScopedTask {
+    fn spawn(
+        self,
+        id: RequestId,
+        number: u32,
+        idle_connection: Option<IdleConnection>,
+    ) -> ScopedTask {
         task::spawn(async move {
             let end = self.run(idle_connection).await;
             self.control.end_attempt(id, number, end);
@@ -106,8 +125,12 @@
     /// Passes an attempt's response on and reports its outcome to the balancer.
     fn end_attempt(&self, id: RequestId, number: u32, mut end: AttemptEnd) {
         let mut state = self.state_mut();
-        let ControlState { requests, events, .. } = &mut *state;
-        let Some((request, attempt)) = requests.take_attempt(id, number) else { return };
+        let ControlState {
+            requests, events, ..
+        } = &mut *state;
+        let Some((request, attempt)) = requests.take_attempt(id, number) else {
+            return;
+        };
         attempt.write_guard.finish(end.outcome);
         if let Some(response) = end.response.take() {
             if let Some(sender) = request.reply.take() {
--- a/proxy/src/control/clock.rs
+++ b/proxy/src/control/clock.rs
@@ -14,8 +14,13 @@
 
 impl Clock {
     pub(super) fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), origin: to_micros(unix) }
+        let unix = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            origin: to_micros(unix),
+        }
     }
 
     /// The present time.
--- a/proxy/src/control/connection_pool.rs
+++ b/proxy/src/control/connection_pool.rs
@@ -79,40 +79,60 @@
 
     /// Closes the connection that has been idle for the longest; `false`: there is none.
     fn close_oldest(&mut self) -> bool {
-        let in_use = self.idle.values_mut().filter(|connections| !connections.is_empty());
+        let in_use = self
+            .idle
+            .values_mut()
+            .filter(|connections| !connections.is_empty());
         let Some(connections) = in_use.min_by_key(|connections| connections[0].since) else {
             return false;
         };
         drop(connections.remove(0));
-        self.metrics.count().endpoint_connections_closed(EndpointCloseReason::Evicted, 1);
+        self.metrics
+            .count()
+            .endpoint_connections_closed(EndpointCloseReason::Evicted, 1);
         true
     }
 
     /// Adds a connection to an endpoint.
     pub(super) fn put(&mut self, endpoint: EndpointId, connection: Connection) {
-        let idle = IdleConnection { since: Instant::now(), connection };
+        let idle = IdleConnection {
+            since: Instant::now(),
+            connection,
+        };
         self.idle.entry(endpoint).or_default().push(idle);
     }
 
     /// Takes out the most recently used connection of those that have settled, or the one that will
     /// settle first. Connections that the endpoint has closed, or may be closing, are closed first:
     /// a request must not cross its endpoint's close.
-    pub(super) fn take(&mut self, endpoint: EndpointId, max_idle: Duration) -> Option<IdleConnection> {
+    pub(super) fn take(
+        &mut self,
+        endpoint: EndpointId,
+        max_idle: Duration,
+    ) -> Option<IdleConnection> {
         self.close_expired(endpoint, max_idle);
-        self.close(endpoint, EndpointCloseReason::UnexpectedBytes, |idle| idle.connection.is_ready());
+        self.close(endpoint, EndpointCloseReason::UnexpectedBytes, |idle| {
+            idle.connection.is_ready()
+        });
         let connections = self.idle.get_mut(&endpoint)?;
-        let settled = connections.iter().rposition(|idle| idle.since.elapsed() >= SETTLE_DELAY);
+        let settled = connections
+            .iter()
+            .rposition(|idle| idle.since.elapsed() >= SETTLE_DELAY);
         (!connections.is_empty()).then(|| connections.remove(settled.unwrap_or(0)))
     }
 
     /// Closes all idle connections to an endpoint that takes no new requests, or has restarted.
     pub(super) fn close_all(&mut self, endpoint: EndpointId) {
-        self.close(endpoint, EndpointCloseReason::EndpointUnavailable, |_| false);
+        self.close(endpoint, EndpointCloseReason::EndpointUnavailable, |_| {
+            false
+        });
         self.idle.remove(&endpoint);
     }
 
     fn close_expired(&mut self, endpoint: EndpointId, max_idle: Duration) {
-        self.close(endpoint, EndpointCloseReason::Idle, |idle| idle.since.elapsed() < max_idle);
+        self.close(endpoint, EndpointCloseReason::Idle, |idle| {
+            idle.since.elapsed() < max_idle
+        });
     }
 
     /// Closes the idle connections to an endpoint that are not to be retained, and counts them.
@@ -122,17 +142,23 @@
         reason: EndpointCloseReason,
         retain: impl Fn(&IdleConnection) -> bool,
     ) {
-        let Some(connections) = self.idle.get_mut(&endpoint) else { return };
+        let Some(connections) = self.idle.get_mut(&endpoint) else {
+            return;
+        };
         let before = connections.len();
         connections.retain(retain);
-        self.metrics.count().endpoint_connections_closed(reason, before - connections.len());
+        self.metrics
+            .count()
+            .endpoint_connections_closed(reason, before - connections.len());
     }
 
     /// How long a connection may have been idle and still be used. `endpoint_timeout`: after which
     /// endpoints close idle connections, by the configuration.
     pub(super) fn max_idle(&self, endpoint_timeout: Duration) -> Duration {
         let configured = endpoint_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
-        self.idle_timeout.limit().map_or(configured, |estimate| estimate.min(configured))
+        self.idle_timeout
+            .limit()
+            .map_or(configured, |estimate| estimate.min(configured))
     }
 
     /// Notes that a connection was reused after this idle time, and whether it proved to be broken.
--- a/proxy/src/control/endpoint_list.rs
+++ b/proxy/src/control/endpoint_list.rs
@@ -25,7 +25,8 @@
             since: self.watch.version,
             timeouts: self.config.watch_timeouts(),
         };
-        self.watch.set_task(task::spawn(control.clone().follow_watch(request)));
+        self.watch
+            .set_task(task::spawn(control.clone().follow_watch(request)));
     }
 
     /// Ends what is not yet written to endpoints that are not ready, and closes their idle
@@ -35,14 +36,17 @@
             self.pool.close_all(endpoint_id);
         }
         let endpoints = &self.endpoints;
-        self.requests.withdraw_attempts(&mut self.events, |process| endpoints.accepts(process));
+        self.requests
+            .withdraw_attempts(&mut self.events, |process| endpoints.accepts(process));
     }
 
     fn apply_list(&mut self, list: &EndpointList, kind: ListUpdate) {
         self.watch.has_list |= kind != ListUpdate::Cached || !list.endpoints.is_empty();
         self.watch.version = Some(list.version);
         self.watch.list_received.notify_one();
-        let entries = self.endpoints.update(list, kind != ListUpdate::Delta, &mut self.pool);
+        let entries = self
+            .endpoints
+            .update(list, kind != ListUpdate::Delta, &mut self.pool);
         // The balancer is notified of the list before the ends of the attempts that it withdraws.
         self.events.push_back(Event::EndpointList { kind, entries });
         self.withdraw_from_unready();
@@ -62,7 +66,11 @@
         if !self.state().watch.is_current(generation) {
             return;
         }
-        let kind = if list.is_full { ListUpdate::Full } else { ListUpdate::Delta };
+        let kind = if list.is_full {
+            ListUpdate::Full
+        } else {
+            ListUpdate::Delta
+        };
         self.state_mut().apply_list(list, kind);
         self.dispatch([]);
     }
@@ -75,7 +83,12 @@
 
     /// Runs a watch until it ends, and opens the next one where the balancer does not poll.
     async fn follow_watch(self, request: WatchRequest) {
-        let WatchRequest { generation, discovery, since, timeouts } = request;
+        let WatchRequest {
+            generation,
+            discovery,
+            since,
+            timeouts,
+        } = request;
         let on_event = |event| match event {
             WatchEvent::List(list) => self.apply_watched_list(&list, generation),
             WatchEvent::Heartbeat => self.heartbeat(generation),
@@ -85,7 +98,10 @@
             return;
         }
         let kind = self.state_mut().watch.ended(&end);
-        self.dispatch([Event::EndpointList { kind, entries: Vec::new() }]);
+        self.dispatch([Event::EndpointList {
+            kind,
+            entries: Vec::new(),
+        }]);
         if let Some(pause) = timeouts.reopen_delay {
             sleep(pause.saturating_sub(end.open_for.unwrap_or_default())).await;
             self.state_mut().subscribe(&self);
--- a/proxy/src/control/endpoints.rs
+++ b/proxy/src/control/endpoints.rs
@@ -41,7 +41,9 @@
 
     /// Whether a new attempt may be written to this process of it.
     fn accepts(&self, process: EndpointProcess) -> bool {
-        self.is_ready() && self.address == process.address && self.started_at_ms == process.started_at_ms
+        self.is_ready()
+            && self.address == process.address
+            && self.started_at_ms == process.started_at_ms
     }
 }
 
@@ -66,22 +68,38 @@
 
     /// Number of endpoints that the list says are ready.
     pub(super) fn ready_count(&self) -> usize {
-        self.by_id.values().filter(|endpoint| endpoint.is_ready()).count()
+        self.by_id
+            .values()
+            .filter(|endpoint| endpoint.is_ready())
+            .count()
     }
 
     /// The endpoint, if the list says that it is ready.
     pub(super) fn ready(&self, endpoint_id: EndpointId) -> Option<ReadyEndpoint> {
-        let endpoint = self.by_id.get(&endpoint_id).filter(|endpoint| endpoint.is_ready())?;
-        let &Endpoint { address, started_at_ms, .. } = endpoint;
+        let endpoint = self
+            .by_id
+            .get(&endpoint_id)
+            .filter(|endpoint| endpoint.is_ready())?;
+        let &Endpoint {
+            address,
+            started_at_ms,
+            ..
+        } = endpoint;
         Some(ReadyEndpoint {
-            process: EndpointProcess { endpoint_id, address, started_at_ms },
+            process: EndpointProcess {
+                endpoint_id,
+                address,
+                started_at_ms,
+            },
             target: endpoint.target.clone(),
         })
     }
 
     /// Whether a new attempt may be written to this process.
     pub(super) fn accepts(&self, process: EndpointProcess) -> bool {
-        self.by_id.get(&process.endpoint_id).is_some_and(|endpoint| endpoint.accepts(process))
+        self.by_id
+            .get(&process.endpoint_id)
+            .is_some_and(|endpoint| endpoint.accepts(process))
     }
 
     /// Updates the endpoints from a list and returns its entries for the balancer. Endpoints that a
@@ -97,19 +115,33 @@
                 endpoint.state = ListedState::Removed;
             }
         }
-        let entries = list.endpoints.iter().map(|entry| self.update_endpoint(entry, pool)).collect();
+        let entries = list
+            .endpoints
+            .iter()
+            .map(|entry| self.update_endpoint(entry, pool))
+            .collect();
         for endpoint in self.by_id.values() {
             endpoint.target.drain_status.set_ready(endpoint.is_ready());
         }
         entries
     }
 
-    fn update_endpoint(&mut self, entry: &ListedEndpoint, pool: &mut ConnectionPool) -> EndpointEntry {
+    fn update_endpoint(
+        &mut self,
+        entry: &ListedEndpoint,
+        pool: &mut ConnectionPool,
+    ) -> EndpointEntry {
         let endpoint_id = self.ids.get(&entry.name, |id| {
             // The balancer's log lines have the id alone.
-            crate::log::line(&format!("endpoint {} is {} at {}", id.0, entry.name, entry.address));
+            crate::log::line(&format!(
+                "endpoint {} is {} at {}",
+                id.0, entry.name, entry.address
+            ));
         });
-        let endpoint = self.by_id.entry(endpoint_id).or_insert_with(|| Endpoint::new(entry));
+        let endpoint = self
+            .by_id
+            .entry(endpoint_id)
+            .or_insert_with(|| Endpoint::new(entry));
         if endpoint.address != entry.address || endpoint.started_at_ms != entry.started_at_ms {
             endpoint.address = entry.address;
             endpoint.started_at_ms = entry.started_at_ms;
@@ -132,13 +164,18 @@
 
     /// Ids of the endpoints that take no new attempts.
     pub(super) fn unready(&self) -> impl Iterator<Item = EndpointId> + '_ {
-        self.by_id.iter().filter(|(_, endpoint)| !endpoint.is_ready()).map(|(&id, _)| id)
+        self.by_id
+            .iter()
+            .filter(|(_, endpoint)| !endpoint.is_ready())
+            .map(|(&id, _)| id)
     }
 
     /// Forgets the endpoints that are no longer listed.
     pub(super) fn forget_removed(&mut self) {
-        self.by_id.retain(|_, endpoint| endpoint.state != ListedState::Removed);
+        self.by_id
+            .retain(|_, endpoint| endpoint.state != ListedState::Removed);
         let by_id = &self.by_id;
-        self.ids.retain(|endpoint_id| by_id.contains_key(&endpoint_id));
+        self.ids
+            .retain(|endpoint_id| by_id.contains_key(&endpoint_id));
     }
 }
--- a/proxy/src/control/in_flight.rs
+++ b/proxy/src/control/in_flight.rs
@@ -76,7 +76,11 @@
     /// Once a request has its reply, nothing more is written for it, and it is removed when none of
     /// its attempts is in flight.
     pub(super) fn clean_up(&mut self, id: RequestId, events: &mut VecDeque<Event>) {
-        let Some(request) = self.by_id.get_mut(&id).filter(|request| request.has_reply()) else {
+        let Some(request) = self
+            .by_id
+            .get_mut(&id)
+            .filter(|request| request.has_reply())
+        else {
             return;
         };
         request.end_incomplete_attempts(id, events);
@@ -174,7 +178,9 @@
     /// Ends the attempts that are not completely written. No endpoint executes those.
     fn end_incomplete_attempts(&mut self, id: RequestId, events: &mut VecDeque<Event>) {
         self.end_unwritten_attempts(id, events, |_| true);
-        self.end_attempts(id, events, Outcome::Cancelled, |attempt| !attempt.write_guard.is_fully_written());
+        self.end_attempts(id, events, Outcome::Cancelled, |attempt| {
+            !attempt.write_guard.is_fully_written()
+        });
     }
 
     fn end_attempts(
@@ -189,7 +195,13 @@
             if let Some(attempt) = attempt.take_if(|attempt| is_unwanted(attempt)) {
                 attempt.bar(outcome);
                 let elapsed = attempt.started_at.elapsed();
-                events.push_back(ended_by_proxy(id, number, outcome, elapsed, request_finished));
+                events.push_back(ended_by_proxy(
+                    id,
+                    number,
+                    outcome,
+                    elapsed,
+                    request_finished,
+                ));
             }
         }
     }
@@ -223,5 +235,12 @@
 ) -> Event {
     let elapsed = to_micros(elapsed);
     let load = LoadReport::default();
-    Event::AttemptEnded { request, attempt, outcome, elapsed, request_finished, load }
+    Event::AttemptEnded {
+        request,
+        attempt,
+        outcome,
+        elapsed,
+        request_finished,
+        load,
+    }
 }
--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -92,11 +92,19 @@
     /// Carries out an action. Events that follow from it at once are queued.
     fn apply(&mut self, control: &Control, action: Action) {
         match action {
-            Action::Forward { request, endpoint, start_within } => {
+            Action::Forward {
+                request,
+                endpoint,
+                start_within,
+            } => {
                 let start_within = start_within.map(Duration::from_micros);
                 self.start_attempt(control, request, endpoint, start_within);
             }
-            Action::Reject { request, retry_after, reason } => {
+            Action::Reject {
+                request,
+                retry_after,
+                reason,
+            } => {
                 let reply = Reply::Rejected(Duration::from_micros(retry_after));
                 self.reply_unserved(request, reason, reply);
             }
--- a/proxy/src/control/request.rs
+++ b/proxy/src/control/request.rs
@@ -28,24 +28,35 @@
 
 impl ForwardedRequest {
     /// The message for an attempt that times out at `deadline`. It advertises the time left.
-    pub(super) fn message(&self, deadline: Instant, write_guard: &WriteGuard) -> Request<AttemptBody> {
+    pub(super) fn message(
+        &self,
+        deadline: Instant,
+        write_guard: &WriteGuard,
+    ) -> Request<AttemptBody> {
         let mut message = Request::new(AttemptBody::new(&self.payload, write_guard));
         *message.method_mut() = self.method.clone();
         *message.uri_mut() = self.target.clone();
         *message.headers_mut() = self.headers.clone();
         // The last byte of one that is still being read may have arrived by now.
-        let deadline =
-            if self.is_complete() { deadline } else { self.client.earliest_arrival() + self.budget };
+        let deadline = if self.is_complete() {
+            deadline
+        } else {
+            self.client.earliest_arrival() + self.budget
+        };
         let time_left = deadline.saturating_duration_since(Instant::now());
         let time_left_ms = time_left.as_millis() as u64;
         write_guard.advertise_timeout(Duration::from_millis(time_left_ms));
-        message.headers_mut().insert("x-budget-ms", HeaderValue::from(time_left_ms.max(1)));
+        message
+            .headers_mut()
+            .insert("x-budget-ms", HeaderValue::from(time_left_ms.max(1)));
         message
     }
 
     /// Whether its last byte has arrived: the client's time has begun.
     pub(super) fn is_complete(&self) -> bool {
-        self.payload.upload().is_none_or(|upload| upload.result().is_some())
+        self.payload
+            .upload()
+            .is_none_or(|upload| upload.result().is_some())
     }
 }
 
--- a/proxy/src/control/requests.rs
+++ b/proxy/src/control/requests.rs
@@ -57,7 +57,13 @@
         descriptor: RequestDescriptor,
         forwarded: ForwardedRequest,
     ) -> Option<PendingReply> {
-        let RequestDescriptor { id: client_id, class, tenant, deadline, client_retry } = descriptor;
+        let RequestDescriptor {
+            id: client_id,
+            class,
+            tenant,
+            deadline,
+            client_retry,
+        } = descriptor;
         let non_replayable = forwarded.payload.upload().is_some();
         let mut state = self.state_mut();
         let request = state.requests.reserve_id(&client_id)?;
@@ -79,7 +85,12 @@
             client_retry,
             non_replayable,
         }]);
-        Some(PendingReply { control: self.clone(), request, reply, tracker: Some(tracker) })
+        Some(PendingReply {
+            control: self.clone(),
+            request,
+            reply,
+            tracker: Some(tracker),
+        })
     }
 
     /// Rejects a request that the balancer never saw, or that it knows to be cancelled.
@@ -91,17 +102,27 @@
     fn complete_request(&self, id: RequestId, time_left: Duration) {
         let mut state = self.state_mut();
         let deadline = state.shutdown.limit(Instant::now() + time_left);
-        let Some(request) = state.requests.get_mut(id) else { return };
+        let Some(request) = state.requests.get_mut(id) else {
+            return;
+        };
         request.complete(deadline);
         let time_left = micros_until(deadline);
         drop(state);
-        self.dispatch([Event::RequestCompleted { request: id, time_left }]);
+        self.dispatch([Event::RequestCompleted {
+            request: id,
+            time_left,
+        }]);
     }
 
     fn cancel_request(&self, id: RequestId) {
         let mut state = self.state_mut();
-        let ControlState { requests, events, .. } = &mut *state;
-        if requests.get_mut(id).is_some_and(|request| request.cancel(id, events)) {
+        let ControlState {
+            requests, events, ..
+        } = &mut *state;
+        if requests
+            .get_mut(id)
+            .is_some_and(|request| request.cancel(id, events))
+        {
             requests.clean_up(id, events);
             drop(state);
             self.dispatch([]);
--- a/proxy/src/control/shutdown.rs
+++ b/proxy/src/control/shutdown.rs
@@ -30,7 +30,9 @@
 
     /// A deadline, or the shutdown's end if that comes first.
     pub(super) fn limit(&self, deadline: Instant) -> Instant {
-        self.schedule.get().map_or(deadline, |schedule| deadline.min(schedule.end))
+        self.schedule
+            .get()
+            .map_or(deadline, |schedule| deadline.min(schedule.end))
     }
 
     /// Returns once shutdown has begun.
--- a/proxy/src/discovery/watch.rs
+++ b/proxy/src/discovery/watch.rs
@@ -47,7 +47,10 @@
 impl WatchTimeouts {
     /// Where the list is polled from a shared discovery service: requests may have to queue there.
     pub fn for_polling() -> WatchTimeouts {
-        WatchTimeouts { response: SILENCE_TIMEOUT, reopen_delay: None }
+        WatchTimeouts {
+            response: SILENCE_TIMEOUT,
+            reopen_delay: None,
+        }
     }
 
     /// Where the list is pushed to an agent on this machine.
@@ -128,17 +131,28 @@
         Ok((body, _connection)) => {
             let opened_at = Instant::now();
             let reason = follow(body, &mut on_event).await;
-            WatchEnd { reason, open_for: Some(opened_at.elapsed()) }
+            WatchEnd {
+                reason,
+                open_for: Some(opened_at.elapsed()),
+            }
         }
-        Err(reason) => WatchEnd { reason, open_for: None },
+        Err(reason) => WatchEnd {
+            reason,
+            open_for: None,
+        },
     }
 }
 
-async fn open(discovery: SocketAddr, since: Option<u64>) -> Result<(Incoming, ScopedTask), WatchError> {
+async fn open(
+    discovery: SocketAddr,
+    since: Option<u64>,
+) -> Result<(Incoming, ScopedTask), WatchError> {
     let stream = retry_transient(SILENCE_TIMEOUT, async || connect(discovery).await).await?;
     let (mut sender, connection) = http1::handshake(Socket::new(stream)).await?;
     let connection = spawn(connection);
-    let since = since.map(|version| format!("&since={version}")).unwrap_or_default();
+    let since = since
+        .map(|version| format!("&since={version}"))
+        .unwrap_or_default();
     let request = Request::get(format!("/catalog/members?follow=1{since}"))
         .header(header::HOST, discovery.to_string())
         .body(Empty::<Bytes>::new())?;
--- a/proxy/src/downstream/client_connections.rs
+++ b/proxy/src/downstream/client_connections.rs
@@ -23,21 +23,28 @@
             is_crowded: Rc::new(Cell::new(false)),
             is_shutting_down: Rc::new(Cell::new(false)),
         };
-        ClientConnections { shared, open: Vec::new() }
+        ClientConnections {
+            shared,
+            open: Vec::new(),
+        }
     }
 
     /// Serves one more client.
     pub(super) fn add(&mut self, stream: TcpStream) {
-        self.open.push(ClientConnection::start(stream, &self.shared));
+        self.open
+            .push(ClientConnection::start(stream, &self.shared));
     }
 
     /// Whether one more connection may be open. At the limit one is evicted for it.
     pub(super) fn make_room(&mut self) -> bool {
         let config = self.shared.control.config();
         let limit = config.max_client_connections();
-        self.shared.is_crowded.set(self.open.len() > config.busy_client_connections());
+        self.shared
+            .is_crowded
+            .set(self.open.len() > config.busy_client_connections());
         if self.open.len() >= limit {
-            self.open.retain(|connection| !connection.task.is_finished());
+            self.open
+                .retain(|connection| !connection.task.is_finished());
         }
         self.open.len() < limit || self.evict()
     }
@@ -46,9 +53,14 @@
     pub(super) fn evict(&mut self) -> bool {
         let now = Instant::now();
         let ranked = self.open.iter().enumerate();
-        let ranked = ranked.filter_map(|(index, connection)| Some((connection.eviction_rank(now)?, index)));
-        let Some((_, index)) = ranked.min() else { return false };
-        self.open.swap_remove(index).close(ClientCloseReason::Evicted);
+        let ranked =
+            ranked.filter_map(|(index, connection)| Some((connection.eviction_rank(now)?, index)));
+        let Some((_, index)) = ranked.min() else {
+            return false;
+        };
+        self.open
+            .swap_remove(index)
+            .close(ClientCloseReason::Evicted);
         true
     }
 
@@ -60,7 +72,8 @@
         } else {
             IdleTimeouts::serving(self.shared.is_crowded.get())
         };
-        self.open.retain(|connection| connection.check(now, timeouts));
+        self.open
+            .retain(|connection| connection.check(now, timeouts));
         self.open.shrink_to(2 * self.open.len());
     }
 
--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -71,7 +71,13 @@
             metrics: metrics.clone(),
         };
         let task = spawn_local(task.run(service.serve()));
-        ClientConnection { task, socket, phase, close_request, metrics }
+        ClientConnection {
+            task,
+            socket,
+            phase,
+            close_request,
+            metrics,
+        }
     }
 
     /// Closes it at once; its descriptor is free when this returns.
@@ -81,7 +87,9 @@
         let is_unanswered =
             matches!(self.phase.get(), Phase::Open) && reason != ClientCloseReason::ResponseStalled;
         if is_unanswered && !self.socket.has_disconnected() {
-            self.metrics.count().violation(Violation::ClosedWithoutReply);
+            self.metrics
+                .count()
+                .violation(Violation::ClosedWithoutReply);
             log::line(&format!(
                 "invariant violated: a connection with an open request was closed: {reason:?}"
             ));
@@ -130,7 +138,9 @@
             // Idle connections after a single request leave none for clients that reuse theirs. A
             // close that a response announces does not cross a further request.
             if shared.is_shutting_down.get() || is_first && shared.is_crowded.get() {
-                response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+                response
+                    .headers_mut()
+                    .insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
             Ok(response.map(|body| TrackedBody::new(body, open)))
         }
--- a/proxy/src/downstream/eviction.rs
+++ b/proxy/src/downstream/eviction.rs
@@ -42,11 +42,22 @@
         }
         let has_read = self.socket.read_count() > 0;
         let (cost, since) = match self.phase.get() {
-            Phase::Closing(since) => return Some(EvictionRank { cost: EvictionCost::Unused, since }),
+            Phase::Closing(since) => {
+                return Some(EvictionRank {
+                    cost: EvictionCost::Unused,
+                    since,
+                })
+            }
             Phase::AwaitingFirst(since) if !has_read => (EvictionCost::Unused, since),
-            Phase::Idle(since) if now >= since + CROWDED_IDLE_TIMEOUT => (EvictionCost::LongIdle, since),
-            Phase::Idle(since) if self.socket.read_count() <= 1 => (EvictionCost::IdleAfterOneRead, since),
-            Phase::AwaitingFirst(since) | Phase::Receiving(since) => (EvictionCost::Receiving, since),
+            Phase::Idle(since) if now >= since + CROWDED_IDLE_TIMEOUT => {
+                (EvictionCost::LongIdle, since)
+            }
+            Phase::Idle(since) if self.socket.read_count() <= 1 => {
+                (EvictionCost::IdleAfterOneRead, since)
+            }
+            Phase::AwaitingFirst(since) | Phase::Receiving(since) => {
+                (EvictionCost::Receiving, since)
+            }
             Phase::Idle(since) => (EvictionCost::Idle, since),
             Phase::Open => return None,
         };
--- a/proxy/src/downstream/forward.rs
+++ b/proxy/src/downstream/forward.rs
@@ -28,7 +28,9 @@
 ) -> Result<Reply, RequestError> {
     let valid = validate(&control.config(), &head, upload.length())?;
     let class = valid.class;
-    let Some(payload) = receive_body(control, upload).await? else { return Ok(control.reject(class)) };
+    let Some(payload) = receive_body(control, upload).await? else {
+        return Ok(control.reject(class));
+    };
     // The client may have waited for longer than its timeout until it was accepted or read.
     if client.has_disconnected() {
         return Ok(control.reject(class));
@@ -37,14 +39,21 @@
     let is_streamed = payload.upload().is_some();
     let forwarded = ForwardedRequest {
         method: head.method,
-        target: head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default(),
+        target: head
+            .uri
+            .path_and_query()
+            .cloned()
+            .map(Uri::from)
+            .unwrap_or_default(),
         headers: end_to_end(head.headers),
         payload,
         budget,
         client: client.clone(),
     };
     let descriptor = describe(valid, deadline(upload, budget));
-    let mut pending = control.request(descriptor, forwarded).ok_or(RequestError::DuplicateId)?;
+    let mut pending = control
+        .request(descriptor, forwarded)
+        .ok_or(RequestError::DuplicateId)?;
     if is_streamed {
         finish_streamed(control, &mut pending, upload, budget, class).await
     } else {
@@ -54,7 +63,10 @@
 
 /// The request's body: all of it where it is small, else as it arrives. `None`: the process has
 /// begun to reject requests.
-async fn receive_body(control: &Control, upload: &Rc<Upload>) -> Result<Option<RequestBody>, RequestError> {
+async fn receive_body(
+    control: &Control,
+    upload: &Rc<Upload>,
+) -> Result<Option<RequestBody>, RequestError> {
     let memory = control.memory();
     let buffered = tokio::select! {
         biased;
@@ -76,8 +88,20 @@
 }
 
 fn describe(valid: ValidRequest, deadline: Instant) -> RequestDescriptor {
-    let ValidRequest { id, class, tenant, is_client_retry, .. } = valid;
-    RequestDescriptor { id, class, tenant, deadline, client_retry: is_client_retry }
+    let ValidRequest {
+        id,
+        class,
+        tenant,
+        is_client_retry,
+        ..
+    } = valid;
+    RequestDescriptor {
+        id,
+        class,
+        tenant,
+        deadline,
+        client_retry: is_client_retry,
+    }
 }
 
 /// The result of a request whose body is still arriving.
--- a/proxy/src/downstream/headers.rs
+++ b/proxy/src/downstream/headers.rs
@@ -41,8 +41,13 @@
 
 /// The headers that are forwarded: all but those of this connection and its framing.
 pub(super) fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
-    let connection = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
-    let named = connection.flat_map(|value| value.split(',')).map(|name| name.trim().to_owned());
+    let connection = headers
+        .get_all(header::CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok());
+    let named = connection
+        .flat_map(|value| value.split(','))
+        .map(|name| name.trim().to_owned());
     let named: Vec<String> = named.collect();
     for name in named.iter().map(String::as_str).chain(HOP_BY_HOP) {
         headers.remove(name);
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -38,9 +38,16 @@
     accept_until(&listener, &mut connections, stop).await;
     connections.begin_shutdown(shutdown::schedule(longest_deadline));
     if let Err(error) = steer_to_newer_process(&listener) {
-        log::line(&format!("cannot lead new connections to the next process: {error}"));
+        log::line(&format!(
+            "cannot lead new connections to the next process: {error}"
+        ));
     }
-    accept_until(&listener, &mut connections, sleep(shutdown::ACCEPT_DURATION)).await;
+    accept_until(
+        &listener,
+        &mut connections,
+        sleep(shutdown::ACCEPT_DURATION),
+    )
+    .await;
     // What the kernel has accepted by now is taken: closing the listener would reset it.
     accept_remaining(&listener, &mut connections).await;
     drop(listener);
--- a/proxy/src/downstream/open_request.rs
+++ b/proxy/src/downstream/open_request.rs
@@ -20,7 +20,10 @@
 impl OpenRequest {
     pub(super) fn begin(phase: &Rc<Cell<Phase>>, socket: &Socket) -> OpenRequest {
         phase.set(Phase::Open);
-        OpenRequest { phase: phase.clone(), socket: socket.clone() }
+        OpenRequest {
+            phase: phase.clone(),
+            socket: socket.clone(),
+        }
     }
 }
 
@@ -28,7 +31,11 @@
     fn drop(&mut self) {
         let now = Instant::now();
         // A part of the next request may have arrived meanwhile.
-        let next = if self.socket.is_between_messages() { Phase::Idle(now) } else { Phase::Receiving(now) };
+        let next = if self.socket.is_between_messages() {
+            Phase::Idle(now)
+        } else {
+            Phase::Receiving(now)
+        };
         self.phase.set(next);
     }
 }
--- a/proxy/src/downstream/phase.rs
+++ b/proxy/src/downstream/phase.rs
@@ -52,7 +52,9 @@
     pub(super) fn read_deadline(self, socket: &Socket) -> Instant {
         match self {
             Phase::AwaitingFirst(since) | Phase::Receiving(since) => since + REQUEST_READ_TIMEOUT,
-            Phase::Idle(_) | Phase::Open | Phase::Closing(_) => socket.last_read_at() + REQUEST_READ_TIMEOUT,
+            Phase::Idle(_) | Phase::Open | Phase::Closing(_) => {
+                socket.last_read_at() + REQUEST_READ_TIMEOUT
+            }
         }
     }
 }
--- a/proxy/src/downstream/request.rs
+++ b/proxy/src/downstream/request.rs
@@ -38,9 +38,9 @@
     /// The status of the response.
     pub(super) fn status(self) -> StatusCode {
         match self {
-            RequestError::AmbiguousFraming | RequestError::InvalidHeader(_) | RequestError::ClassMismatch => {
-                StatusCode::BAD_REQUEST
-            }
+            RequestError::AmbiguousFraming
+            | RequestError::InvalidHeader(_)
+            | RequestError::ClassMismatch => StatusCode::BAD_REQUEST,
             RequestError::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
             RequestError::DuplicateId => StatusCode::CONFLICT,
             RequestError::Upload(error) => error.status(),
@@ -75,18 +75,27 @@
     check_form(head, body_length == Some(0), class_config.idempotency)?;
     let timeout = timeout(&head.headers)?.min(Duration::from_micros(class_config.deadline));
     let tenant = single_value(&head.headers, headers::TENANT);
-    let tenant = tenant.and_then(|name| index_of(&config.tenants, name)).map(TenantId);
+    let tenant = tenant
+        .and_then(|name| index_of(&config.tenants, name))
+        .map(TenantId);
     let is_client_retry = single_value(&head.headers, headers::CLIENT_RETRY) == Some("1");
     if body_length.is_some_and(|length| length > MAX_BODY_BYTES) {
         return Err(RequestError::BodyTooLong);
     }
-    Ok(ValidRequest { id, class: ClassId(class), tenant, is_client_retry, timeout })
+    Ok(ValidRequest {
+        id,
+        class: ClassId(class),
+        tenant,
+        is_client_retry,
+        timeout,
+    })
 }
 
 fn request_id(headers: &HeaderMap) -> Result<HeaderValue, RequestError> {
     let value = single_value(headers, headers::REQUEST_ID).filter(|id| !id.is_empty());
     let id = value.and_then(|_| headers.get(headers::REQUEST_ID));
-    id.cloned().ok_or(RequestError::InvalidHeader(headers::REQUEST_ID))
+    id.cloned()
+        .ok_or(RequestError::InvalidHeader(headers::REQUEST_ID))
 }
 
 /// Checks method, body and key against the class. Endpoints go by the form: a keyed request without
@@ -115,7 +124,9 @@
 fn timeout(headers: &HeaderMap) -> Result<Duration, RequestError> {
     let text = single_value(headers, headers::TIMEOUT_MS);
     let digits = text.filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
-    let milliseconds = digits.and_then(|digits| digits.parse::<u32>().ok()).filter(|ms| *ms > 0);
+    let milliseconds = digits
+        .and_then(|digits| digits.parse::<u32>().ok())
+        .filter(|ms| *ms > 0);
     let milliseconds = milliseconds.ok_or(RequestError::InvalidHeader(headers::TIMEOUT_MS))?;
     Ok(Duration::from_millis(milliseconds.into()))
 }
--- a/proxy/src/downstream/response.rs
+++ b/proxy/src/downstream/response.rs
@@ -27,7 +27,9 @@
 /// An error that closes the connection: what else arrived on it might be read as a request.
 pub(super) fn error_and_close(status: StatusCode) -> Response<ResponseBody> {
     let mut response = empty(status);
-    response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+    response
+        .headers_mut()
+        .insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
--- a/proxy/src/downstream/service.rs
+++ b/proxy/src/downstream/service.rs
@@ -37,7 +37,11 @@
     request: Request<Incoming>,
     incoming: IncomingRequest,
 ) -> Response<ResponseBody> {
-    let IncomingRequest { socket, read_deadline, is_framing_ambiguous } = incoming;
+    let IncomingRequest {
+        socket,
+        read_deadline,
+        is_framing_ambiguous,
+    } = incoming;
     let (head, body) = request.into_parts();
     let upload = Rc::new(Upload::new(body, socket.clone(), read_deadline));
     let response = match head.uri.path() {
--- a/proxy/src/downstream/shutdown.rs
+++ b/proxy/src/downstream/shutdown.rs
@@ -21,7 +21,10 @@
 pub(super) fn schedule(longest_deadline: Duration) -> ShutdownSchedule {
     let now = Instant::now();
     let end = now + longest_deadline.min(MAX_DEADLINE) + DEADLINE_MARGIN;
-    ShutdownSchedule { reject_from: now + REJECT_DELAY, end }
+    ShutdownSchedule {
+        reject_from: now + REJECT_DELAY,
+        end,
+    }
 }
 
 impl IdleTimeouts {
@@ -29,6 +32,9 @@
     /// time for a long response, and what would arrive on a silent connection would be rejected by
     /// then.
     pub(super) fn shutting_down() -> IdleTimeouts {
-        IdleTimeouts { after_request: Duration::ZERO, before_first_byte: REJECT_DELAY }
+        IdleTimeouts {
+            after_request: Duration::ZERO,
+            before_first_byte: REJECT_DELAY,
+        }
     }
 }
--- a/proxy/src/downstream/timeouts.rs
+++ b/proxy/src/downstream/timeouts.rs
@@ -32,7 +32,11 @@
     /// While the proxy serves.
     pub(super) fn serving(is_crowded: bool) -> IdleTimeouts {
         IdleTimeouts {
-            after_request: if is_crowded { CROWDED_IDLE_TIMEOUT } else { IDLE_TIMEOUT },
+            after_request: if is_crowded {
+                CROWDED_IDLE_TIMEOUT
+            } else {
+                IDLE_TIMEOUT
+            },
             before_first_byte: REQUEST_READ_TIMEOUT,
         }
     }
@@ -68,9 +72,13 @@
                 now >= since + timeouts.before_first_byte && self.socket.has_no_unread_input()
                     || now >= since + REQUEST_READ_TIMEOUT
             }
-            Phase::AwaitingFirst(since) | Phase::Receiving(since) => now >= since + REQUEST_READ_TIMEOUT,
+            Phase::AwaitingFirst(since) | Phase::Receiving(since) => {
+                now >= since + REQUEST_READ_TIMEOUT
+            }
             // What is unread may be a complete request.
-            Phase::Idle(since) => now >= since + timeouts.after_request && self.socket.has_no_unread_input(),
+            Phase::Idle(since) => {
+                now >= since + timeouts.after_request && self.socket.has_no_unread_input()
+            }
             Phase::Open | Phase::Closing(_) => false,
         }
     }
--- a/proxy/src/invariants/mod.rs
+++ b/proxy/src/invariants/mod.rs
@@ -49,7 +49,10 @@
     ) -> RequestRecord {
         tracing::debug!(request = ?id, idempotency = ?policy.idempotency, "received");
         let history = RequestHistory::new(id, policy, deadline);
-        RequestRecord { history: Rc::new(RefCell::new(history)), metrics }
+        RequestRecord {
+            history: Rc::new(RefCell::new(history)),
+            metrics,
+        }
     }
 
     /// The request has become complete.
@@ -61,7 +64,10 @@
     pub(crate) fn attempt(&self, target: AttemptTarget) -> AttemptRecord {
         let mut history = self.history.borrow_mut();
         history.attempts.push(AttemptHistory::new(target));
-        AttemptRecord { request: self.clone(), index: history.attempts.len() - 1 }
+        AttemptRecord {
+            request: self.clone(),
+            index: history.attempts.len() - 1,
+        }
     }
 
     /// The client is known to have disconnected.
@@ -95,7 +101,9 @@
     fn report(&self, history: &RequestHistory, violation: Violation) {
         self.metrics.count().violation(violation);
         let id = &history.id;
-        log::line(&format!("invariant violated: {violation:?}, request {id:?}: {history:?}"));
+        log::line(&format!(
+            "invariant violated: {violation:?}, request {id:?}: {history:?}"
+        ));
     }
 }
 
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -72,10 +72,12 @@
     shutdown: impl Future<Output = ()>,
 ) -> Result<(), RunError> {
     let control = Control::start(Rc::new(config));
-    let operators =
-        listeners.operators.map(|listener| task::spawn(operators::serve(listener, control.clone())));
+    let operators = listeners
+        .operators
+        .map(|listener| task::spawn(operators::serve(listener, control.clone())));
     let _list_wait = task::spawn(end_list_wait(control.clone()));
-    let _presence = presence_folder.map(|folder| task::spawn(share_with_other(folder, control.clone())));
+    let _presence =
+        presence_folder.map(|folder| task::spawn(share_with_other(folder, control.clone())));
     let ended = tokio::select! {
         ended = serve_clients(listeners.clients, &control, shutdown) => ended,
         () = apply_reloads(&control, reload) => Ok(()),
@@ -97,7 +99,9 @@
         () = &mut shutdown => return Ok(()),
         () = listening_allowed(control) => {}
     }
-    let listener = socket.listen(downstream::LISTEN_BACKLOG).map_err(RunError::Listen)?;
+    let listener = socket
+        .listen(downstream::LISTEN_BACKLOG)
+        .map_err(RunError::Listen)?;
     downstream::serve(listener, control.clone(), shutdown).await;
     control.log_metrics();
     Ok(())
@@ -130,7 +134,9 @@
         _ => READY_DELAY_BESIDE_OTHER,
     };
     while start.elapsed() < list_timeout() {
-        let left = list_timeout().saturating_sub(start.elapsed()).min(LIST_TIMEOUT);
+        let left = list_timeout()
+            .saturating_sub(start.elapsed())
+            .min(LIST_TIMEOUT);
         if timeout(left, control.list_received()).await.is_ok() {
             return;
         }
--- a/proxy/src/log.rs
+++ b/proxy/src/log.rs
@@ -22,7 +22,10 @@
 /// Writes a line, cut off at its maximum size.
 pub fn line(text: &str) {
     let mut line = format!("{PROGRAM_NAME}: {text}");
-    let end = (0..=MAX_LINE_BYTES - 1).rev().find(|&end| line.is_char_boundary(end)).unwrap_or(0);
+    let end = (0..=MAX_LINE_BYTES - 1)
+        .rev()
+        .find(|&end| line.is_char_boundary(end))
+        .unwrap_or(0);
     line.truncate(end);
     line.push('\n');
     write(line.as_bytes());
@@ -61,7 +64,9 @@
 /// Logs the events of every request, one JSON object a line: what is decided, sent, ended and
 /// closed, and why.
 pub fn enable_request_trace() {
-    let subscriber = tracing_subscriber::fmt().json().with_max_level(tracing::Level::DEBUG);
+    let subscriber = tracing_subscriber::fmt()
+        .json()
+        .with_max_level(tracing::Level::DEBUG);
     // A test may have set one already.
     let _ = subscriber.with_writer(|| TraceWriter).try_init();
 }
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -60,7 +60,11 @@
     let shutdown = async move {
         terminate.recv().await;
     };
-    let mut reloads = Reloads { hangup, path, retry_until: None };
+    let mut reloads = Reloads {
+        hangup,
+        path,
+        retry_until: None,
+    };
     let reload = async || reloads.next().await;
     let presence_folder = env::var_os("TMPDIR").map(PathBuf::from);
     client_proxy::run(config, listeners, presence_folder, reload, shutdown).await?;
@@ -91,9 +95,13 @@
 }
 
 async fn listen_for_operators(config: &Config) -> anyhow::Result<Option<tokio::net::TcpListener>> {
-    let Some(address) = operators_address(config)? else { return Ok(None) };
+    let Some(address) = operators_address(config)? else {
+        return Ok(None);
+    };
     let listener = retry_transient(START_TIMEOUT, async || operators::listen(address)).await;
-    listener.map(Some).with_context(|| format!("admin: {address}"))
+    listener
+        .map(Some)
+        .with_context(|| format!("admin: {address}"))
 }
 
 /// Where operators connect: the environment is this process's own, while another process may have
@@ -101,7 +109,9 @@
 fn operators_address(config: &Config) -> anyhow::Result<Option<SocketAddr>> {
     match env::var("ROUTER_ADMIN") {
         Ok(value) => {
-            let address = value.parse().with_context(|| format!("ROUTER_ADMIN: {value:?}"))?;
+            let address = value
+                .parse()
+                .with_context(|| format!("ROUTER_ADMIN: {value:?}"))?;
             Ok(Some(address))
         }
         Err(_) => Ok(config.admin),
--- a/proxy/src/metrics/mod.rs
+++ b/proxy/src/metrics/mod.rs
@@ -36,7 +36,12 @@
     /// Tracks a request that was taken. One that is not complete counts from its last byte on.
     pub fn track(&self, class: ClassId, is_complete: bool) -> RequestTracker {
         let metrics = self.clone();
-        let mut tracker = RequestTracker { metrics, class, is_complete: false, end: RequestEnd::Failed };
+        let mut tracker = RequestTracker {
+            metrics,
+            class,
+            is_complete: false,
+            end: RequestEnd::Failed,
+        };
         if is_complete {
             tracker.set_complete();
         }
--- a/proxy/src/metrics/snapshot.rs
+++ b/proxy/src/metrics/snapshot.rs
@@ -18,7 +18,11 @@
 
 impl ClassCounts {
     fn to_json(self) -> Value {
-        let ClassCounts { completed, rejected, failed } = self;
+        let ClassCounts {
+            completed,
+            rejected,
+            failed,
+        } = self;
         json!({"completed": completed, "rejected": rejected, "failed": failed})
     }
 }
@@ -55,7 +59,10 @@
 impl MetricsSnapshot {
     pub(super) fn new(class_count: usize) -> MetricsSnapshot {
         let classes = vec![ClassCounts::default(); class_count];
-        MetricsSnapshot { classes, ..MetricsSnapshot::default() }
+        MetricsSnapshot {
+            classes,
+            ..MetricsSnapshot::default()
+        }
     }
 
     /// An attempt has ended.
@@ -103,7 +110,9 @@
 
     /// A request has ended.
     pub(super) fn request_ended(&mut self, class: ClassId, end: RequestEnd) {
-        let Some(counts) = self.classes.get_mut(class.0) else { return };
+        let Some(counts) = self.classes.get_mut(class.0) else {
+            return;
+        };
         match end {
             RequestEnd::Completed => counts.completed += 1,
             RequestEnd::Rejected => counts.rejected += 1,
@@ -114,7 +123,10 @@
     /// The counters under the names that operators read. `class_names` are in the order of the
     /// settings; `endpoints` is the list's length, `unavailable` how many of these are not used.
     pub fn to_json(&self, class_names: &[String], endpoints: usize, unavailable: usize) -> Value {
-        let classes = class_names.iter().cloned().zip(self.classes.iter().map(|class| class.to_json()));
+        let classes = class_names
+            .iter()
+            .cloned()
+            .zip(self.classes.iter().map(|class| class.to_json()));
         json!({
             "downstream_requests": classes.collect::<Map<_, _>>(),
             "upstream_requests": self.upstream_requests,
@@ -128,12 +140,24 @@
 /// The counters that only the log shows.
 impl fmt::Display for MetricsSnapshot {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "attempts: {}, opened: {}, ", self.attempts, self.opened)?;
-        write!(formatter, "open_failed: {}, broken_reuse: {}, ", self.open_failed, self.broken_reuse)?;
+        write!(
+            formatter,
+            "attempts: {}, opened: {}, ",
+            self.attempts, self.opened
+        )?;
+        write!(
+            formatter,
+            "open_failed: {}, broken_reuse: {}, ",
+            self.open_failed, self.broken_reuse
+        )?;
         write!(formatter, "outcomes: {:?}, ", self.outcomes)?;
         write!(formatter, "invalid_requests: {:?}, ", self.invalid_requests)?;
         write!(formatter, "write_denials: {:?}, ", self.write_denials)?;
-        write!(formatter, "abandoned_requests: {:?}, ", self.abandoned_requests)?;
+        write!(
+            formatter,
+            "abandoned_requests: {:?}, ",
+            self.abandoned_requests
+        )?;
         write!(formatter, "client_closes: {:?}, ", self.client_closes)?;
         write!(formatter, "endpoint_closes: {:?}, ", self.endpoint_closes)?;
         write!(formatter, "log_dropped: {}, ", log::dropped())?;
--- a/proxy/src/operators.rs
+++ b/proxy/src/operators.rs
@@ -50,7 +50,11 @@
 /// # Errors
 /// The address cannot be bound.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
@@ -75,7 +79,11 @@
         };
         evict(&mut connections).await;
         let has_command = Rc::new(Cell::new(false));
-        let task = spawn_local(serve_connection(stream, control.clone(), has_command.clone()));
+        let task = spawn_local(serve_connection(
+            stream,
+            control.clone(),
+            has_command.clone(),
+        ));
         connections.push_back(Connection { task, has_command });
     }
 }
@@ -87,7 +95,9 @@
     if connections.len() < MAX_OPERATOR_CONNECTIONS {
         return;
     }
-    let oldest = connections.iter().position(|connection| !connection.has_command.get());
+    let oldest = connections
+        .iter()
+        .position(|connection| !connection.has_command.get());
     if let Some(connection) = connections.remove(oldest.unwrap_or(0)) {
         connection.task.abort();
         // Its descriptor is closed once the task has ended.
@@ -128,7 +138,11 @@
         // A read that returns less than there is leaves the stream readable.
         stream.readable().await?;
         match stream.try_read_buf(bytes) {
-            Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+                ) => {}
             read => return read,
         }
     }
--- a/proxy/src/process_handoff.rs
+++ b/proxy/src/process_handoff.rs
@@ -27,7 +27,11 @@
 /// A socket bound to the clients' address, which another process may share, and which is not
 /// blocked by connections that a killed process left behind. It does not listen yet.
 pub fn bind(address: SocketAddr) -> io::Result<TcpSocket> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(true)?;
     socket.bind(address)?;
@@ -41,9 +45,21 @@
 pub fn steer_to_newer_process(listener: impl AsFd) -> io::Result<()> {
     const NEWER: u32 = 1;
     let code = (libc::BPF_RET | libc::BPF_K) as u16;
-    let mut filter = [libc::sock_filter { code, jt: 0, jf: 0, k: NEWER }];
-    let program = libc::sock_fprog { len: filter.len() as u16, filter: filter.as_mut_ptr() };
-    Ok(setsockopt(&listener, sockopt::AttachReusePortCbpf, &program)?)
+    let mut filter = [libc::sock_filter {
+        code,
+        jt: 0,
+        jf: 0,
+        k: NEWER,
+    }];
+    let program = libc::sock_fprog {
+        len: filter.len() as u16,
+        filter: filter.as_mut_ptr(),
+    };
+    Ok(setsockopt(
+        &listener,
+        sockopt::AttachReusePortCbpf,
+        &program,
+    )?)
 }
 
 /// Locks the lock file in a folder, which announces this process to others for as long as the
@@ -75,7 +91,10 @@
 /// folders for temporary files are cleaned now and then. While the folder fails temporarily,
 /// another process may be there unnoticed: `on_shared` is called with true. This returns only if
 /// the folder can't be used at all.
-pub async fn maintain_presence(folder: &Path, mut on_shared: impl FnMut(bool)) -> io::Result<Infallible> {
+pub async fn maintain_presence(
+    folder: &Path,
+    mut on_shared: impl FnMut(bool),
+) -> io::Result<Infallible> {
     let mut was_shared = false;
     let mut on_change = |is_shared| {
         if is_shared != was_shared {
--- a/proxy/src/socket/disconnect.rs
+++ b/proxy/src/socket/disconnect.rs
@@ -10,7 +10,10 @@
 
 impl SharedStream {
     fn is_known_disconnected(&self) -> bool {
-        self.stream.borrow().as_ref().is_none_or(|stream| is_known_read_closed(stream))
+        self.stream
+            .borrow()
+            .as_ref()
+            .is_none_or(|stream| is_known_read_closed(stream))
     }
 
     /// `None`: it is closed.
@@ -42,7 +45,9 @@
     /// operating system.
     pub fn has_no_unread_input(&self) -> bool {
         let peeked = self.0.peek();
-        peeked.is_some_and(|peeked| peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock))
+        peeked.is_some_and(|peeked| {
+            peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
+        })
     }
 
     /// Whether the peer is known, by readiness events, to have ended its sending or to have broken
--- a/proxy/src/socket/framing.rs
+++ b/proxy/src/socket/framing.rs
@@ -83,7 +83,9 @@
                     };
                     count
                 }
-                State::Head | State::ChunkSize | State::ChunkEnd | State::Trailer => self.read_line(bytes),
+                State::Head | State::ChunkSize | State::ChunkEnd | State::Trailer => {
+                    self.read_line(bytes)
+                }
             };
             bytes = &bytes[consumed..];
         }
@@ -139,11 +141,18 @@
             self.has_begun = true;
             return;
         }
-        let colon = line.iter().position(|&byte| byte == b':').unwrap_or(line.len());
+        let colon = line
+            .iter()
+            .position(|&byte| byte == b':')
+            .unwrap_or(line.len());
         let (name, value) = line.split_at(colon);
         let value = value.strip_prefix(b":").unwrap_or(value).trim_ascii();
         if name.eq_ignore_ascii_case(b"content-length") {
-            self.lengths.push(std::str::from_utf8(value).ok().and_then(|digits| digits.parse().ok()));
+            self.lengths.push(
+                std::str::from_utf8(value)
+                    .ok()
+                    .and_then(|digits| digits.parse().ok()),
+            );
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
             self.codings.push(value.eq_ignore_ascii_case(b"chunked"));
         }
@@ -152,13 +161,17 @@
 
 /// The size of a chunk, without its extensions; `None`: unreadable.
 fn parse_chunk_size(line: &[u8]) -> Option<u64> {
-    let digits = line.split(|byte| matches!(byte, b';' | b' ' | b'\t')).next()?;
+    let digits = line
+        .split(|byte| matches!(byte, b';' | b' ' | b'\t'))
+        .next()?;
     u64::from_str_radix(std::str::from_utf8(digits).ok()?, 16).ok()
 }
 
 /// How many of these bytes belong to a part of which so many are missing.
 fn clamp_to(bytes: &[u8], remaining: u64) -> usize {
-    usize::try_from(remaining).unwrap_or(usize::MAX).min(bytes.len())
+    usize::try_from(remaining)
+        .unwrap_or(usize::MAX)
+        .min(bytes.len())
 }
 
 #[cfg(test)]
--- a/proxy/src/socket/lingering_close.rs
+++ b/proxy/src/socket/lingering_close.rs
@@ -23,7 +23,10 @@
         if self.shutdown_write().is_err() {
             return;
         }
-        while poll_fn(|context| self.poll_discard(context)).await.is_ok_and(|count| count > 0) {}
+        while poll_fn(|context| self.poll_discard(context))
+            .await
+            .is_ok_and(|count| count > 0)
+        {}
     }
 
     /// Ends this side's sending.
@@ -36,7 +39,9 @@
 
     fn poll_discard(&self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let stream = self.0.stream.borrow();
-        let Some(stream) = stream.as_ref() else { return Poll::Ready(Ok(0)) };
+        let Some(stream) = stream.as_ref() else {
+            return Poll::Ready(Ok(0));
+        };
         let mut bytes = [MaybeUninit::uninit(); MAX_READ_BYTES];
         let mut chunk = ReadBuf::uninit(&mut bytes);
         ready!(poll_receive(stream, context, &mut chunk))?;
--- a/proxy/src/socket/mod.rs
+++ b/proxy/src/socket/mod.rs
@@ -94,7 +94,11 @@
     pub fn for_client(stream: TcpStream) -> Socket {
         let stream = Rc::new(stream);
         let disconnected = stream::read_closed(stream.clone());
-        Socket::wrap(stream, Some(RefCell::default()), Some(Box::pin(disconnected)))
+        Socket::wrap(
+            stream,
+            Some(RefCell::default()),
+            Some(Box::pin(disconnected)),
+        )
     }
 
     fn wrap(
@@ -122,12 +126,18 @@
 
     /// Whether the end of the request with this number, from 0, is ambiguous.
     pub fn is_framing_ambiguous(&self, request_number: u64) -> bool {
-        self.0.framing.as_ref().is_some_and(|framing| framing.borrow().is_ambiguous(request_number))
+        self.0
+            .framing
+            .as_ref()
+            .is_some_and(|framing| framing.borrow().is_ambiguous(request_number))
     }
 
     /// Whether no part of an incomplete message has arrived.
     pub fn is_between_messages(&self) -> bool {
-        self.0.framing.as_ref().is_none_or(|framing| framing.borrow().is_between_messages())
+        self.0
+            .framing
+            .as_ref()
+            .is_none_or(|framing| framing.borrow().is_between_messages())
     }
 }
 
--- a/proxy/src/socket/read.rs
+++ b/proxy/src/socket/read.rs
@@ -64,7 +64,9 @@
         buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let stream = self.0.stream.borrow();
-        let Some(stream) = stream.as_ref() else { return Poll::Ready(self.read_when_closed()) };
+        let Some(stream) = stream.as_ref() else {
+            return Poll::Ready(self.read_when_closed());
+        };
         let read = poll_read_chunk(stream, context, buffer, self.0.framing.as_ref());
         self.record_read(read.is_ready());
         read
--- a/proxy/src/socket/stream.rs
+++ b/proxy/src/socket/stream.rs
@@ -46,7 +46,10 @@
 
 /// Whether an operation had no effect and is repeated, at once or when the stream is ready.
 fn is_retryable(error: &io::Error) -> bool {
-    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
+    matches!(
+        error.kind(),
+        io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+    )
 }
 
 /// Peeks at the next unread byte. This asks the operating system: what has arrived since the
@@ -78,7 +81,11 @@
 /// readiness lasts as long as anything is unread, and would hide an end behind it; priority
 /// readiness comes with the end alone, as the stream is not registered for priority data.
 pub(super) async fn read_closed(stream: Rc<TcpStream>) {
-    while stream.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {
+    while stream
+        .ready(Interest::PRIORITY)
+        .await
+        .is_ok_and(|ready| !ready.is_read_closed())
+    {
         yield_now().await;
     }
 }
--- a/proxy/src/socket/write.rs
+++ b/proxy/src/socket/write.rs
@@ -55,13 +55,23 @@
         if let Poll::Ready(Ok(count)) = written {
             self.0.write_guard.borrow().record_written(*count);
         }
-        let since = self.0.write_blocked_since.get().unwrap_or_else(Instant::now);
-        self.0.write_blocked_since.set(written.is_pending().then_some(since));
+        let since = self
+            .0
+            .write_blocked_since
+            .get()
+            .unwrap_or_else(Instant::now);
+        self.0
+            .write_blocked_since
+            .set(written.is_pending().then_some(since));
     }
 }
 
 impl Write for Socket {
-    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_guarded_write(context, |stream| stream.try_write(bytes))
     }
 
--- a/proxy/src/transient_errors.rs
+++ b/proxy/src/transient_errors.rs
@@ -31,11 +31,15 @@
             return ErrorClass::Permanent;
         };
         match Errno::from_raw(errno) {
-            Errno::EINTR | Errno::EAGAIN | Errno::ECONNABORTED | Errno::EPROTO => ErrorClass::Temporary,
+            Errno::EINTR | Errno::EAGAIN | Errno::ECONNABORTED | Errno::EPROTO => {
+                ErrorClass::Temporary
+            }
             Errno::ENETUNREACH | Errno::ENETDOWN => ErrorClass::Temporary,
             Errno::EIO | Errno::ENOSPC | Errno::EDQUOT | Errno::ESTALE => ErrorClass::Temporary,
             Errno::EADDRNOTAVAIL => ErrorClass::ResourcesExhausted,
-            Errno::EMFILE | Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM => ErrorClass::ResourcesExhausted,
+            Errno::EMFILE | Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM => {
+                ErrorClass::ResourcesExhausted
+            }
             Errno::ECONNREFUSED | Errno::ECONNRESET | Errno::EPIPE => ErrorClass::Peer,
             Errno::ETIMEDOUT | Errno::EHOSTUNREACH | Errno::EHOSTDOWN => ErrorClass::Peer,
             _ => ErrorClass::Permanent,
@@ -57,7 +61,9 @@
     let end = Instant::now() + limit;
     loop {
         match call().await {
-            Err(error) if ErrorClass::of(&error).is_retryable() && Instant::now() + RETRY_DELAY < end => {
+            Err(error)
+                if ErrorClass::of(&error).is_retryable() && Instant::now() + RETRY_DELAY < end =>
+            {
                 sleep(RETRY_DELAY).await;
             }
             result => return result,
--- a/proxy/src/upstream/connection.rs
+++ b/proxy/src/upstream/connection.rs
@@ -68,17 +68,32 @@
         limit: Duration,
         slot: Rc<()>,
     ) -> Result<Connection, ConnectError> {
-        let stream = timeout(limit, retry_transient(limit, async || connect(address).await)).await??;
+        let stream = timeout(
+            limit,
+            retry_transient(limit, async || connect(address).await),
+        )
+        .await??;
         let socket = Socket::new(stream);
-        let builder = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(socket.clone());
+        let builder = http1::Builder::new()
+            .max_buf_size(MAX_HEAD_BYTES)
+            .handshake(socket.clone());
         let (sender, connection) = builder.await?;
-        Ok(Connection { sender, socket, reads_when_reusable: 0, _task: spawn(connection), _slot: slot })
+        Ok(Connection {
+            sender,
+            socket,
+            reads_when_reusable: 0,
+            _task: spawn(connection),
+            _slot: slot,
+        })
     }
 
     /// The connection, if it can be reused after a response that was read completely. This is to be
     /// awaited before the outcome is reported: else the next request would find no idle connection.
     pub(crate) async fn into_reusable(mut self) -> Option<Connection> {
-        if !matches!(timeout(RESPONSE_END_TIMEOUT, self.sender.ready()).await, Ok(Ok(()))) {
+        if !matches!(
+            timeout(RESPONSE_END_TIMEOUT, self.sender.ready()).await,
+            Ok(Ok(()))
+        ) {
             return None;
         }
         self.reads_when_reusable = self.socket.read_count();
--- a/proxy/src/upstream/exchange.rs
+++ b/proxy/src/upstream/exchange.rs
@@ -2,7 +2,9 @@
 
 use super::connection::{Connection, RESPONSE_END_TIMEOUT};
 use super::load_report::load_report;
-use super::response::{classify_error, classify_status, read_body, BodyFraming, ReadBody, ResponseError};
+use super::response::{
+    classify_error, classify_status, read_body, BodyFraming, ReadBody, ResponseError,
+};
 use crate::body::{
     AttemptBody, BodyMemory, RequestBody, ResponseBody, StreamedResponse, MAX_BUFFERED_BODY_BYTES,
 };
@@ -35,7 +37,12 @@
 impl AttemptEnd {
     /// The end of an attempt that got no response.
     pub(crate) fn without_response(outcome: Outcome) -> AttemptEnd {
-        AttemptEnd { outcome, load: LoadReport::default(), response: None, connection: None }
+        AttemptEnd {
+            outcome,
+            load: LoadReport::default(),
+            response: None,
+            connection: None,
+        }
     }
 }
 
@@ -78,7 +85,10 @@
     context: &ExchangeContext<'_>,
 ) -> Option<Outcome> {
     if !context.write_guard.is_fully_written() {
-        let is_repeatable = context.request_body.upload().is_none_or(|upload| !upload.is_consumed());
+        let is_repeatable = context
+            .request_body
+            .upload()
+            .is_none_or(|upload| !upload.is_consumed());
         return (!is_repeatable).then_some(Outcome::Truncated);
     }
     let has_no_response = connection.is_reused() && connection.has_received_no_response();
@@ -106,7 +116,11 @@
 async fn read_failure(connection: Connection, head: &Parts, body: Incoming) -> AttemptEnd {
     let rest = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect();
     let is_complete = matches!(timeout(RESPONSE_END_TIMEOUT, rest).await, Ok(Ok(_)));
-    let connection = if is_complete { connection.into_reusable().await } else { None };
+    let connection = if is_complete {
+        connection.into_reusable().await
+    } else {
+        None
+    };
     AttemptEnd {
         outcome: classify_status(head.status, &head.headers),
         load: load_report(&head.headers),
@@ -128,7 +142,10 @@
         None => Err(ResponseError::InvalidFraming),
     };
     let (body, connection) = match read {
-        Ok(ReadBody::Complete(bytes)) => (ResponseBody::buffered(bytes), connection.into_reusable().await),
+        Ok(ReadBody::Complete(bytes)) => (
+            ResponseBody::buffered(bytes),
+            connection.into_reusable().await,
+        ),
         Ok(ReadBody::Partial { prefix, rest }) => {
             let socket = connection.socket().clone();
             let return_connection = context.return_connection;
@@ -137,7 +154,12 @@
             (ResponseBody::Streamed(Box::new(stream)), None)
         }
         // The request has run, and its result is lost.
-        Err(error) => return AttemptEnd { load, ..AttemptEnd::without_response(error.outcome()) },
+        Err(error) => {
+            return AttemptEnd {
+                load,
+                ..AttemptEnd::without_response(error.outcome())
+            }
+        }
     };
     AttemptEnd {
         outcome: Outcome::Served,
--- a/proxy/src/upstream/idle_timeout.rs
+++ b/proxy/src/upstream/idle_timeout.rs
@@ -31,7 +31,9 @@
 pub(crate) struct IdleTimeoutEstimate([ReuseCounts; GROUP_COUNT]);
 
 fn group_of(idle: Duration) -> usize {
-    let doublings = (idle.as_millis() as u64).checked_ilog2().map_or(0, |log| log as usize + 1);
+    let doublings = (idle.as_millis() as u64)
+        .checked_ilog2()
+        .map_or(0, |log| log as usize + 1);
     doublings.min(GROUP_COUNT - 1)
 }
 
@@ -60,6 +62,10 @@
             counts.broken >= MIN_BROKEN_COUNT && counts.broken > counts.all * MAX_BROKEN_FRACTION
         };
         let first_bad = self.0.iter().position(is_bad)?;
-        Some(first_bad.checked_sub(1).map_or(Duration::ZERO, |log| Duration::from_millis(1 << log)))
+        Some(
+            first_bad
+                .checked_sub(1)
+                .map_or(Duration::ZERO, |log| Duration::from_millis(1 << log)),
+        )
     }
 }
--- a/proxy/src/upstream/response.rs
+++ b/proxy/src/upstream/response.rs
@@ -45,7 +45,9 @@
 /// What it proves that an exchange failed after its request was written. A response that can't be
 /// parsed is no reset: the connection did not break. But the request may have run in either case.
 pub(super) fn classify_error(error: &hyper::Error) -> Outcome {
-    let mut causes = successors(Some(error as &(dyn StdError + 'static)), |error| (*error).source());
+    let mut causes = successors(Some(error as &(dyn StdError + 'static)), |error| {
+        (*error).source()
+    });
     if causes.any(is_malformed_response) {
         Outcome::Unknown
     } else {
@@ -54,9 +56,15 @@
 }
 
 fn is_malformed_response(cause: &(dyn StdError + 'static)) -> bool {
-    let is_invalid =
-        |error: &io::Error| matches!(error.kind(), io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData);
-    cause.downcast_ref::<hyper::Error>().is_some_and(hyper::Error::is_parse)
+    let is_invalid = |error: &io::Error| {
+        matches!(
+            error.kind(),
+            io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData
+        )
+    };
+    cause
+        .downcast_ref::<hyper::Error>()
+        .is_some_and(hyper::Error::is_parse)
         || cause.downcast_ref::<io::Error>().is_some_and(is_invalid)
 }
 
@@ -64,7 +72,9 @@
 pub(super) fn classify_status(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let is_rejected = headers.get("x-rejected").is_some_and(|value| value == "1");
     match status {
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejected => Outcome::Rejected,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejected => {
+            Outcome::Rejected
+        }
         StatusCode::INTERNAL_SERVER_ERROR => Outcome::Error,
         // The request is at fault: bad clients must not make healthy endpoints look faulty.
         status if status.is_client_error() => Outcome::Invalid,
@@ -150,7 +160,10 @@
             break;
         }
     }
-    Ok(ReadBody::Partial { prefix: buffer.into_bytes(), rest: body })
+    Ok(ReadBody::Partial {
+        prefix: buffer.into_bytes(),
+        rest: body,
+    })
 }
 
 /// The next data of a body; trailers are not forwarded.
