--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -33,7 +33,8 @@
 }
 
 fn prefix(key: &Option<String>) -> String {
-    key.as_ref().map_or_else(String::new, |key| format!("{key}: "))
+    key.as_ref()
+        .map_or_else(String::new, |key| format!("{key}: "))
 }
 
 /// Values that a setting may have.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -34,7 +34,15 @@
     let message = SettingsMessage::read(message)?;
     Ok(SiteSettings {
         settings: message.settings(),
-        class_names: message.classes.into_iter().map(|class| class.name).collect(),
-        tenant_names: message.tenants.into_iter().map(|tenant| tenant.name).collect(),
+        class_names: message
+            .classes
+            .into_iter()
+            .map(|class| class.name)
+            .collect(),
+        tenant_names: message
+            .tenants
+            .into_iter()
+            .map(|tenant| tenant.name)
+            .collect(),
     })
 }
--- a/settings/src/message.rs
+++ b/settings/src/message.rs
@@ -4,8 +4,8 @@
 use crate::error::SettingsError;
 use crate::zone::zone;
 use balancer::{
-    Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights, Settings,
-    SlowStart, Tenant,
+    Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights,
+    Settings, SlowStart, Tenant,
 };
 use serde::Deserialize;
 use serde_json::Value;
@@ -118,7 +118,10 @@
 
 impl Default for ScoreWeightsMessage {
     fn default() -> Self {
-        ScoreWeightsMessage { overall: 1.0, worst_class: 0.0 }
+        ScoreWeightsMessage {
+            overall: 1.0,
+            worst_class: 0.0,
+        }
     }
 }
 
@@ -143,7 +146,10 @@
         };
         match (self.idempotency.as_str(), scope) {
             ("free", _) => Idempotency::Idempotent,
-            ("guarded", Some(scope)) => Idempotency::Keyed { scope, window: self.deduplication_window_us },
+            ("guarded", Some(scope)) => Idempotency::Keyed {
+                scope,
+                window: self.deduplication_window_us,
+            },
             _ => Idempotency::NonIdempotent,
         }
     }
@@ -152,20 +158,32 @@
 impl SettingsMessage {
     /// Reads the settings as they are written.
     pub(crate) fn read(message: &Value) -> Result<SettingsMessage, SettingsError> {
-        SettingsMessage::deserialize(message)
-            .map_err(|reason| SettingsError::Malformed { key: wrong_key(message), reason })
+        SettingsMessage::deserialize(message).map_err(|reason| SettingsError::Malformed {
+            key: wrong_key(message),
+            reason,
+        })
     }
 
     /// The settings in the balancer's terms.
     pub(crate) fn settings(&self) -> Settings {
-        let mode = if self.discovery_mode == "ask" { DiscoveryMode::Poll } else { DiscoveryMode::Push };
+        let mode = if self.discovery_mode == "ask" {
+            DiscoveryMode::Poll
+        } else {
+            DiscoveryMode::Push
+        };
         Settings {
             balancer_count: self.balancer_count,
             balancer_index: self.balancer_index,
             clock_resolution: self.clock_resolution_us,
             zone: self.zone.as_deref().map(zone),
             classes: self.classes.iter().map(ClassMessage::class).collect(),
-            tenants: self.tenants.iter().map(|tenant| Tenant { quota: tenant.quota }).collect(),
+            tenants: self
+                .tenants
+                .iter()
+                .map(|tenant| Tenant {
+                    quota: tenant.quota,
+                })
+                .collect(),
             limits: Limits {
                 cancellation: self.limits.cancellation,
                 health_checks: self.limits.health_checks,
--- a/soak/src/clients/connection.rs
+++ b/soak/src/clients/connection.rs
@@ -25,9 +25,16 @@
             return None;
         }
         let process = proxy.process();
-        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(proxy.address)).await.ok()?.ok()?;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(proxy.address))
+            .await
+            .ok()?
+            .ok()?;
         // Without it requests are later, but not wrong.
         let _ = stream.set_nodelay(true);
-        Some(Connection { reader: Reader::new(stream), process, used: false })
+        Some(Connection {
+            reader: Reader::new(stream),
+            process,
+            used: false,
+        })
     }
 }
--- a/soak/src/clients/exchange.rs
+++ b/soak/src/clients/exchange.rs
@@ -30,7 +30,10 @@
         } else {
             client_timeout + RESPONSE_DELAY
         };
-        Wait { duration, disconnects }
+        Wait {
+            duration,
+            disconnects,
+        }
     }
 }
 
@@ -55,7 +58,8 @@
         let wait = Wait::draw(environment, client_timeout);
         match timeout(wait.duration, connection.reader.message()).await {
             Ok(Ok(message)) => {
-                environment.ledger(|ledger| ledger.record_completion(id, message.status, &message.body));
+                environment
+                    .ledger(|ledger| ledger.record_completion(id, message.status, &message.body));
                 return message.header("connection") != Some("close");
             }
             Ok(Err(ReadError::Closed)) if may_resend && was_closed_between(environment, id) => {
@@ -79,12 +83,19 @@
 
 /// Whether the connection was closed before the proxy may have read the request.
 fn was_closed_between(environment: &Environment, id: u64) -> bool {
-    let unread = environment.request(id, |record| !record.new_connection && record.attempts.is_empty());
+    let unread = environment.request(id, |record| {
+        !record.new_connection && record.attempts.is_empty()
+    });
     unread.unwrap_or(false)
 }
 
 /// Replaces a connection that was closed between two requests.
-async fn reopen(environment: &Environment, proxy: &Proxy, connection: &mut Connection, id: u64) -> bool {
+async fn reopen(
+    environment: &Environment,
+    proxy: &Proxy,
+    connection: &mut Connection,
+    id: u64,
+) -> bool {
     let Some(new) = Connection::open(proxy).await else {
         environment.update_request(id, |record| record.exempt = true);
         return false;
@@ -108,14 +119,26 @@
     if truncated && !killed {
         environment.ledger(|ledger| ledger.record_truncated_response(id));
     }
-    environment.update_request(id, |record| record.exempt |= killed || truncated || !written);
+    environment.update_request(id, |record| {
+        record.exempt |= killed || truncated || !written
+    });
     environment.ledger(|ledger| ledger.record_completion(id, None, &[]));
 }
 
 /// The client's wait is over: it disconnects, or the response is missing.
-fn end_wait(environment: &Environment, proxy: &Proxy, connection: &Connection, id: u64, disconnects: bool) {
+fn end_wait(
+    environment: &Environment,
+    proxy: &Proxy,
+    connection: &Connection,
+    id: u64,
+    disconnects: bool,
+) {
     if disconnects {
-        let close = if environment.chance(0.3) { Close::Reset } else { Close::Graceful };
+        let close = if environment.chance(0.3) {
+            Close::Reset
+        } else {
+            Close::Graceful
+        };
         close_on_drop(&connection.reader.stream, close);
         environment.update_request(id, |record| record.disconnected_at = Some(Instant::now()));
     } else if proxy.was_killed(connection.process) {
--- a/soak/src/clients/invalid.rs
+++ b/soak/src/clients/invalid.rs
@@ -50,7 +50,11 @@
     }
 }
 
-async fn send_invalid_request(environment: &Environment, proxy: &Proxy, mut connection: Connection) {
+async fn send_invalid_request(
+    environment: &Environment,
+    proxy: &Proxy,
+    mut connection: Connection,
+) {
     let connected_at = Instant::now();
     let request = draw_invalid_request(environment);
     // If it cannot be written, the connection is closed, which is read next.
@@ -67,8 +71,11 @@
     match reaction {
         Reaction::None if !excused => {
             let excerpt = &request[..request.len().min(EXCERPT_BYTES)];
-            let description =
-                format!("proxy {}: {excerpt:?}, {} bytes, nothing within 3 s", proxy.number, request.len());
+            let description = format!(
+                "proxy {}: {excerpt:?}, {} bytes, nothing within 3 s",
+                proxy.number,
+                request.len()
+            );
             environment.record_violation(Rule::InvalidClient, description);
         }
         Reaction::Status(status) if !(400..600).contains(&status) => {
@@ -80,7 +87,8 @@
 }
 
 fn draw_invalid_request(environment: &Environment) -> String {
-    let request = INVALID_REQUESTS[environment.draw(|random| random.gen_range(0..INVALID_REQUESTS.len()))];
+    let request =
+        INVALID_REQUESTS[environment.draw(|random| random.gen_range(0..INVALID_REQUESTS.len()))];
     let mut request = request.to_owned();
     if request == INCOMPLETE_BODY && environment.chance(0.5) {
         request.push_str(&"x".repeat(LONG_BODY_BYTES));
--- a/soak/src/clients/pipelining.rs
+++ b/soak/src/clients/pipelining.rs
@@ -21,7 +21,11 @@
 ) -> bool {
     let ids = send(environment, proxy, connection, count).await;
     let disconnects = environment.chance(0.3);
-    let wait = if disconnects { environment.draw_millis(0, 60) } else { RESPONSES_TIMEOUT };
+    let wait = if disconnects {
+        environment.draw_millis(0, 60)
+    } else {
+        RESPONSES_TIMEOUT
+    };
     let until = Instant::now() + wait;
     for index in 0..ids.len() {
         match timeout_at(until.into(), connection.reader.message()).await {
@@ -52,8 +56,13 @@
     connection: &mut Connection,
     count: usize,
 ) -> Vec<u64> {
-    let requests: Vec<_> = (0..count).map(|_| request::draw(environment, proxy, connection)).collect();
-    let bytes: Vec<u8> = requests.iter().flat_map(|request| request.bytes.iter().copied()).collect();
+    let requests: Vec<_> = (0..count)
+        .map(|_| request::draw(environment, proxy, connection))
+        .collect();
+    let bytes: Vec<u8> = requests
+        .iter()
+        .flat_map(|request| request.bytes.iter().copied())
+        .collect();
     let written = connection.reader.stream.write_all(&bytes).await.is_ok();
     let now = Instant::now();
     let ids: Vec<u64> = requests.iter().map(|request| request.id).collect();
@@ -69,7 +78,9 @@
 
 /// Records the response to the first of the open requests; whether others may follow.
 fn record_response(environment: &Environment, open: &[u64], message: &Message) -> bool {
-    let Some((&answered, following)) = open.split_first() else { return false };
+    let Some((&answered, following)) = open.split_first() else {
+        return false;
+    };
     environment.ledger(|ledger| ledger.record_completion(answered, message.status, &message.body));
     if let Some(&next) = following.first() {
         // Responses come in order: the next one's time begins only now.
@@ -86,7 +97,13 @@
 
 /// The connection broke. The proxy owes no response to a request that it cannot have read: one
 /// behind a truncated response, or one that crossed the end of a connection between two requests.
-fn record_broken(environment: &Environment, open: &[u64], error: &ReadError, killed: bool, used: bool) {
+fn record_broken(
+    environment: &Environment,
+    open: &[u64],
+    error: &ReadError,
+    killed: bool,
+    used: bool,
+) {
     let truncated = matches!(error, ReadError::Truncated { .. });
     for (position, &id) in open.iter().enumerate() {
         let is_first = position == 0;
--- a/soak/src/clients/request.rs
+++ b/soak/src/clients/request.rs
@@ -8,8 +8,12 @@
 use std::time::{Duration, Instant};
 
 /// Classes by their frequency.
-const CLASSES: [RequestClass; 4] =
-    [RequestClass::Idempotent, RequestClass::Idempotent, RequestClass::Keyed, RequestClass::NonIdempotent];
+const CLASSES: [RequestClass; 4] = [
+    RequestClass::Idempotent,
+    RequestClass::Idempotent,
+    RequestClass::Keyed,
+    RequestClass::NonIdempotent,
+];
 
 /// A request to be sent.
 pub(super) struct DrawnRequest {
@@ -20,7 +24,11 @@
 }
 
 /// Draws a request and records it.
-pub(super) fn draw(environment: &Environment, proxy: &Proxy, connection: &Connection) -> DrawnRequest {
+pub(super) fn draw(
+    environment: &Environment,
+    proxy: &Proxy,
+    connection: &Connection,
+) -> DrawnRequest {
     let class = environment.draw(|random| CLASSES[random.gen_range(0..CLASSES.len())]);
     let timeout_ms = draw_timeout_ms(environment, class);
     let body = vec![b'x'; draw_body_length(environment, class)];
@@ -64,9 +72,10 @@
 fn head(id: u64, class: RequestClass, timeout_ms: u64, body_length: usize) -> String {
     let (method, headers) = match class {
         RequestClass::Idempotent => ("GET", String::new()),
-        RequestClass::Keyed => {
-            ("POST", format!("Idempotency-Key: k{id}\r\nContent-Length: {body_length}\r\n"))
-        }
+        RequestClass::Keyed => (
+            "POST",
+            format!("Idempotency-Key: k{id}\r\nContent-Length: {body_length}\r\n"),
+        ),
         RequestClass::NonIdempotent => ("POST", format!("Content-Length: {body_length}\r\n")),
     };
     let name = class.wire_name();
--- a/soak/src/config.rs
+++ b/soak/src/config.rs
@@ -48,15 +48,20 @@
     pub(crate) fn draw(proxy_count: usize, seed: u64) -> SimulationConfig {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ CONFIG_STREAM);
         let pushed = random.gen_bool(0.5);
-        let mut either_ms =
-            |first, second| Duration::from_millis(if random.gen_bool(0.5) { first } else { second });
+        let mut either_ms = |first, second| {
+            Duration::from_millis(if random.gen_bool(0.5) { first } else { second })
+        };
         let drain_grace = either_ms(400, 200);
         let deduplication_window = either_ms(800, 300);
         let endpoint_idle_timeout = either_ms(3_000, 400);
         let hedging = random.gen_bool(0.5);
         SimulationConfig {
             proxy_count,
-            discovery: if pushed { DiscoveryMode::Push } else { DiscoveryMode::Poll },
+            discovery: if pushed {
+                DiscoveryMode::Push
+            } else {
+                DiscoveryMode::Poll
+            },
             drain_grace,
             deduplication_window,
             endpoint_idle_timeout,
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -102,20 +102,32 @@
     }
 
     /// A complete request has arrived; whether that overloads the process.
-    pub(crate) fn record_arrival(&mut self, at: Instant, config: &SimulationConfig) -> Option<Overload> {
+    pub(crate) fn record_arrival(
+        &mut self,
+        at: Instant,
+        config: &SimulationConfig,
+    ) -> Option<Overload> {
         let age = at.saturating_duration_since(self.started_at);
         if age > config.slow_start {
             return None;
         }
         self.arrivals.push(at);
         let from = at.checked_sub(config.overload_duration).unwrap_or(at);
-        let received = self.arrivals.iter().filter(|arrival| **arrival > from).count() as f64;
+        let received = self
+            .arrivals
+            .iter()
+            .filter(|arrival| **arrival > from)
+            .count() as f64;
         let allowed = allowed_arrivals(age, config);
         if received <= allowed {
             return None;
         }
         self.arrivals.clear();
-        Some(Overload { age, received, allowed })
+        Some(Overload {
+            age,
+            received,
+            allowed,
+        })
     }
 }
 
--- a/soak/src/endpoint_list.rs
+++ b/soak/src/endpoint_list.rs
@@ -60,10 +60,15 @@
         for change in &self.changes {
             last.insert(&change.endpoint, change);
         }
-        let present = last.into_values().filter(|change| change.health != EndpointHealth::Removed);
+        let present = last
+            .into_values()
+            .filter(|change| change.health != EndpointHealth::Removed);
         let mut present: Vec<&Change> = present.collect();
         present.sort_by_key(|change| change.version);
-        let entries: Vec<_> = present.into_iter().map(|change| change.entry.clone()).collect();
+        let entries: Vec<_> = present
+            .into_iter()
+            .map(|change| change.entry.clone())
+            .collect();
         json!({"seq": self.version, "whole": true, "hosts": entries})
     }
 
@@ -77,11 +82,17 @@
 
     /// Since when a process is not to be sent new requests; `None`: it is, or was never ready.
     pub(crate) fn draining_since(&self, process: u64) -> Option<ChangeTime> {
-        let ready = |change: &Change| change.process == process && change.health == EndpointHealth::Ready;
+        let ready =
+            |change: &Change| change.process == process && change.health == EndpointHealth::Ready;
         let own = self.changes.iter().rposition(ready)?;
         let endpoint = &self.changes[own].endpoint;
         // Another process under the endpoint's name replaces this one.
-        let later = self.changes[own + 1..].iter().find(|change| &change.endpoint == endpoint);
-        later.map(|change| ChangeTime { at: change.at, version: change.version })
+        let later = self.changes[own + 1..]
+            .iter()
+            .find(|change| &change.endpoint == endpoint);
+        later.map(|change| ChangeTime {
+            at: change.at,
+            version: change.version,
+        })
     }
 }
--- a/soak/src/endpoint_response.rs
+++ b/soak/src/endpoint_response.rs
@@ -58,7 +58,11 @@
     });
     let body = response_body(id, length);
     let truncated = behaviour == Behaviour::Resetting && environment.chance(0.4);
-    let sent = if truncated { &body[..length / 2] } else { &body[..] };
+    let sent = if truncated {
+        &body[..length / 2]
+    } else {
+        &body[..]
+    };
     let mut after = AfterResponse::KeepAlive;
     let bytes = match environment.draw(|random| random.gen_range(0..4)) {
         0 => {
@@ -78,7 +82,11 @@
     if truncated || reset_behind {
         after = AfterResponse::Reset;
     }
-    PlannedResponse { bytes, truncated, after }
+    PlannedResponse {
+        bytes,
+        truncated,
+        after,
+    }
 }
 
 fn until_close(body: &[u8]) -> Vec<u8> {
--- a/soak/src/endpoint_server.rs
+++ b/soak/src/endpoint_server.rs
@@ -27,17 +27,29 @@
     name: &str,
     zone: char,
 ) -> Result<EndpointProcess, SetupError> {
-    let listen_error = |source| SetupError::Listen { purpose: "an endpoint", source };
-    let listener = TcpListener::bind("127.0.0.1:0").await.map_err(listen_error)?;
+    let listen_error = |source| SetupError::Listen {
+        purpose: "an endpoint",
+        source,
+    };
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .map_err(listen_error)?;
     let address = listener.local_addr().map_err(listen_error)?;
     let number = environment.next_process();
     let state = ProcessState {
         behaviour: Rc::new(Cell::new(Behaviour::Normal)),
         draining: Rc::new(Cell::new(false)),
     };
-    let server = Server { environment: environment.clone(), number, zone, state: state.clone() };
+    let server = Server {
+        environment: environment.clone(),
+        number,
+        zone,
+        state: state.clone(),
+    };
     let task = spawn_local(server.accept(listener)).abort_handle();
-    let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let unix_time = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     Ok(EndpointProcess {
         number,
         name: name.to_owned(),
@@ -88,7 +100,9 @@
             };
             match self.handle(&message, &mut reader).await {
                 Some(AfterResponse::KeepAlive) => {}
-                Some(AfterResponse::Close) => return close_on_drop(&reader.stream, Close::Graceful),
+                Some(AfterResponse::Close) => {
+                    return close_on_drop(&reader.stream, Close::Graceful)
+                }
                 Some(AfterResponse::Reset) | None => return,
             }
         }
@@ -97,26 +111,36 @@
     fn end_after_error(&self, reader: &Reader, error: ReadError) {
         match error {
             ReadError::Closed => close_on_drop(&reader.stream, Close::Graceful),
-            ReadError::Truncated { bytes, first_byte_at } => self.record_truncated(&bytes, first_byte_at),
+            ReadError::Truncated {
+                bytes,
+                first_byte_at,
+            } => self.record_truncated(&bytes, first_byte_at),
             ReadError::Invalid => self.record_violation("an endpoint got what is no request"),
         }
     }
 
     fn record_violation(&self, description: &str) {
-        self.environment.record_violation(Rule::Void, description.to_owned());
+        self.environment
+            .record_violation(Rule::Void, description.to_owned());
     }
 
     /// Answers a request; `None`: nobody sent it.
     async fn handle(&self, message: &Message, reader: &mut Reader) -> Option<AfterResponse> {
-        let id = message.header("x-call-id").and_then(|id| u64::from_str_radix(id, 16).ok());
+        let id = message
+            .header("x-call-id")
+            .and_then(|id| u64::from_str_radix(id, 16).ok());
         let Some(id) = id else {
             self.record_violation("an endpoint got a request without an id");
             return None;
         };
-        let advertised_ms = message.header("x-budget-ms").and_then(|value| value.parse().ok());
+        let advertised_ms = message
+            .header("x-budget-ms")
+            .and_then(|value| value.parse().ok());
         let advertised_timeout = advertised_ms.map(Duration::from_millis);
         let attempt = self.attempt(message.first_byte_at, Some(message.last_byte_at));
-        let attempt = self.environment.record_attempt(id, attempt, advertised_timeout, &message.body)?;
+        let attempt =
+            self.environment
+                .record_attempt(id, attempt, advertised_timeout, &message.body)?;
         let after = self.respond(id, attempt, reader).await;
         self.environment.update_attempt(id, attempt, |record| {
             record.ended_at = Some(Instant::now());
@@ -141,7 +165,10 @@
     /// A truncated request is not executed, but counts as an attempt.
     fn record_truncated(&self, bytes: &[u8], first_byte_at: Instant) {
         let head = String::from_utf8_lossy(bytes).to_lowercase();
-        let id = head.split("x-call-id: ").nth(1).and_then(|rest| rest.get(..16));
+        let id = head
+            .split("x-call-id: ")
+            .nth(1)
+            .and_then(|rest| rest.get(..16));
         if let Some(id) = id.and_then(|id| u64::from_str_radix(id, 16).ok()) {
             let mut attempt = self.attempt(first_byte_at, None);
             attempt.ended_at = Some(Instant::now());
@@ -152,10 +179,19 @@
     async fn respond(&self, id: u64, attempt: usize, reader: &mut Reader) -> AfterResponse {
         let behaviour = self.state.behaviour.get();
         if self.state.draining.get() && self.environment.chance(0.7) {
-            self.environment.update_attempt(id, attempt, |record| record.rejected = true);
-            return write(reader, endpoint_response::REJECTION, AfterResponse::KeepAlive).await;
+            self.environment
+                .update_attempt(id, attempt, |record| record.rejected = true);
+            return write(
+                reader,
+                endpoint_response::REJECTION,
+                AfterResponse::KeepAlive,
+            )
+            .await;
         }
-        let work_s = self.environment.draw_exponential(MEAN_WORK_S).min(MAX_WORK_S);
+        let work_s = self
+            .environment
+            .draw_exponential(MEAN_WORK_S)
+            .min(MAX_WORK_S);
         match behaviour {
             Behaviour::Hanging => {
                 reader.wait_for_activity().await;
@@ -168,7 +204,8 @@
             let response = endpoint_response::failure(&self.environment);
             return write(reader, response, AfterResponse::KeepAlive).await;
         }
-        self.respond_with_success(id, attempt, reader, behaviour).await
+        self.respond_with_success(id, attempt, reader, behaviour)
+            .await
     }
 
     async fn respond_with_success(
@@ -180,8 +217,11 @@
     ) -> AfterResponse {
         let response = endpoint_response::success(&self.environment, id, behaviour);
         // Before it is written: the client may have it before this task goes on.
-        self.environment.update_attempt(id, attempt, |record| record.served = !response.truncated);
-        let cut = self.environment.draw(|random| random.gen_range(0..=response.bytes.len()));
+        self.environment
+            .update_attempt(id, attempt, |record| record.served = !response.truncated);
+        let cut = self
+            .environment
+            .draw(|random| random.gen_range(0..=response.bytes.len()));
         let (first, second) = response.bytes.split_at(cut);
         if write(reader, first, AfterResponse::KeepAlive).await == AfterResponse::Reset {
             return AfterResponse::Reset;
--- a/soak/src/environment/mod.rs
+++ b/soak/src/environment/mod.rs
@@ -52,7 +52,10 @@
             last_request: 0,
             notifications: vec![Notifications::default(); config.proxy_count],
         };
-        Environment { config: Rc::new(config), state: Rc::new(RefCell::new(state)) }
+        Environment {
+            config: Rc::new(config),
+            state: Rc::new(RefCell::new(state)),
+        }
     }
 
     /// What the run is played with.
@@ -124,7 +127,12 @@
     }
 
     /// Changes the record of an attempt.
-    pub(crate) fn update_attempt(&self, id: u64, number: usize, update: impl FnOnce(&mut AttemptRecord)) {
+    pub(crate) fn update_attempt(
+        &self,
+        id: u64,
+        number: usize,
+        update: impl FnOnce(&mut AttemptRecord),
+    ) {
         self.ledger(|ledger| ledger.update_attempt(id, number, update));
     }
 
@@ -137,8 +145,14 @@
         advertised_timeout: Option<Duration>,
         body: &[u8],
     ) -> Option<usize> {
-        let AttemptRecord { process, first_byte_at, complete_at, .. } = attempt;
-        let number = self.ledger(|ledger| ledger.record_attempt(id, attempt, advertised_timeout, body))?;
+        let AttemptRecord {
+            process,
+            first_byte_at,
+            complete_at,
+            ..
+        } = attempt;
+        let number =
+            self.ledger(|ledger| ledger.record_attempt(id, attempt, advertised_timeout, body))?;
         let proxy = self.request(id, |request| request.proxy)?;
         self.check_drain(id, proxy, process, first_byte_at);
         if complete_at.is_some() {
@@ -148,12 +162,15 @@
     }
 
     fn check_drain(&self, request: u64, proxy: usize, process: u64, first_byte_at: Instant) {
-        let Some(notified) = self.notified_of_draining(proxy, process) else { return };
+        let Some(notified) = self.notified_of_draining(proxy, process) else {
+            return;
+        };
         if first_byte_at <= notified + self.config.drain_grace + DRAIN_SLACK {
             return;
         }
         let late = first_byte_at - notified;
-        let disruptions = self.notifications(proxy, |notifications| notifications.disruptions().clone());
+        let disruptions =
+            self.notifications(proxy, |notifications| notifications.disruptions().clone());
         let description = format!(
             "request {request:016x} at process {process} by proxy {proxy}, {late:?} after it was \
              notified; {disruptions:?}"
@@ -190,7 +207,12 @@
     /// Changes what the endpoint list says of a process, and notifies the agents.
     pub(crate) fn list_endpoint(&self, process: u64, health: EndpointHealth) {
         let mut state = self.state.borrow_mut();
-        let State { list, processes, list_version, .. } = &mut *state;
+        let State {
+            list,
+            processes,
+            list_version,
+            ..
+        } = &mut *state;
         if let Some(process) = processes.iter().find(|known| known.number == process) {
             list.change(process, health);
         }
@@ -204,7 +226,11 @@
     }
 
     /// Uses the notifications of a proxy.
-    pub(crate) fn notifications<T>(&self, proxy: usize, with: impl FnOnce(&mut Notifications) -> T) -> T {
+    pub(crate) fn notifications<T>(
+        &self,
+        proxy: usize,
+        with: impl FnOnce(&mut Notifications) -> T,
+    ) -> T {
         with(&mut self.state.borrow_mut().notifications[proxy])
     }
 
--- a/soak/src/faults/endpoints.rs
+++ b/soak/src/faults/endpoints.rs
@@ -35,7 +35,11 @@
 /// Lists all endpoints as draining for a while.
 pub(super) async fn drain_all(environment: &Environment) {
     let mut ready: Vec<u64> = environment.processes(|processes| {
-        processes.iter().filter(|process| !process.is_draining()).map(|process| process.number).collect()
+        processes
+            .iter()
+            .filter(|process| !process.is_draining())
+            .map(|process| process.number)
+            .collect()
     });
     environment.log_event(format!("endpoint processes {ready:?} take no new requests"));
     for &number in &ready {
@@ -45,7 +49,9 @@
     // Some may drain for another reason by now.
     ready.retain(|&number| {
         environment.processes(|processes| {
-            processes.iter().any(|process| process.number == number && !process.is_draining())
+            processes
+                .iter()
+                .any(|process| process.number == number && !process.is_draining())
         })
     });
     for number in ready {
@@ -67,11 +73,19 @@
     notice: Duration,
     orderly: bool,
 ) -> Result<(), SetupError> {
-    let Some(old) = choose_replaced(environment, notice) else { return Ok(()) };
+    let Some(old) = choose_replaced(environment, notice) else {
+        return Ok(());
+    };
     let same_name = environment.chance(0.5);
-    let name =
-        if same_name { old.name.clone() } else { endpoint_name(environment.draw(|random| random.gen())) };
-    environment.log_event(format!("endpoint process {} ends, in order: {orderly}", old.number));
+    let name = if same_name {
+        old.name.clone()
+    } else {
+        endpoint_name(environment.draw(|random| random.gen()))
+    };
+    environment.log_event(format!(
+        "endpoint process {} ends, in order: {orderly}",
+        old.number
+    ));
     if orderly {
         environment.list_endpoint(old.number, EndpointHealth::Draining);
     } else {
@@ -92,22 +106,34 @@
 /// Chooses a ready process of a zone that has enough, and lets it drain.
 fn choose_replaced(environment: &Environment, notice: Duration) -> Option<Replaced> {
     environment.processes(|processes| {
-        let ready: Vec<_> = processes.iter().filter(|process| !process.is_draining()).collect();
+        let ready: Vec<_> = processes
+            .iter()
+            .filter(|process| !process.is_draining())
+            .collect();
         let in_zone = |zone| ready.iter().filter(|process| process.zone == zone).count();
-        let candidates: Vec<_> =
-            ready.iter().filter(|process| in_zone(process.zone) > MIN_READY_PER_ZONE).collect();
+        let candidates: Vec<_> = ready
+            .iter()
+            .filter(|process| in_zone(process.zone) > MIN_READY_PER_ZONE)
+            .collect();
         // The notice is random too.
         let index = (notice.subsec_nanos() as usize).checked_rem(candidates.len())?;
         let process = candidates[index];
         process.state.draining.set(true);
-        Some(Replaced { number: process.number, name: process.name.clone(), zone: process.zone })
+        Some(Replaced {
+            number: process.number,
+            name: process.name.clone(),
+            zone: process.zone,
+        })
     })
 }
 
 fn kill(environment: &Environment, number: u64) {
     environment.log_event(format!("endpoint process {number} is killed"));
     environment.processes(|processes| {
-        processes.iter().filter(|process| process.number == number).for_each(EndpointProcess::kill);
+        processes
+            .iter()
+            .filter(|process| process.number == number)
+            .for_each(EndpointProcess::kill);
     });
     environment.ledger(|ledger| ledger.record_kill(number));
 }
--- a/soak/src/faults/mod.rs
+++ b/soak/src/faults/mod.rs
@@ -80,7 +80,11 @@
     while Instant::now() < end {
         let (fault, pause) = draw_fault(&environment);
         started.push(format!("{:.2} s {fault:?}", start.elapsed().as_secs_f64()));
-        running.push(spawn_local(inject(environment.clone(), proxies.clone(), fault)));
+        running.push(spawn_local(inject(
+            environment.clone(),
+            proxies.clone(),
+            fault,
+        )));
         sleep(pause).await;
     }
     for fault in running {
@@ -91,13 +95,24 @@
 
 /// Draws a fault and the pause after its start.
 fn draw_fault(environment: &Environment) -> (Fault, Duration) {
-    let (fault, pause_s) =
-        environment.draw(|random| (FAULTS[random.gen_range(0..FAULTS.len())], random.gen_range(0.1..0.6)));
+    let (fault, pause_s) = environment.draw(|random| {
+        (
+            FAULTS[random.gen_range(0..FAULTS.len())],
+            random.gen_range(0.1..0.6),
+        )
+    });
     let added = environment.chance(0.1);
-    (if added { Fault::EndpointAdded } else { fault }, Duration::from_secs_f64(pause_s))
+    (
+        if added { Fault::EndpointAdded } else { fault },
+        Duration::from_secs_f64(pause_s),
+    )
 }
 
-async fn inject(environment: Environment, proxies: Vec<Rc<Proxy>>, fault: Fault) -> Result<(), SetupError> {
+async fn inject(
+    environment: Environment,
+    proxies: Vec<Rc<Proxy>>,
+    fault: Fault,
+) -> Result<(), SetupError> {
     let environment = &environment;
     let proxies = &proxies;
     match fault {
--- a/soak/src/faults/proxies.rs
+++ b/soak/src/faults/proxies.rs
@@ -27,7 +27,9 @@
     orderly: bool,
 ) -> Result<(), SetupError> {
     let chosen = draw_proxies(environment, proxies, 3);
-    let restarts = chosen.into_iter().map(|proxy| spawn_local(restart(proxy, orderly)));
+    let restarts = chosen
+        .into_iter()
+        .map(|proxy| spawn_local(restart(proxy, orderly)));
     join_all(restarts.collect()).await
 }
 
@@ -54,7 +56,10 @@
 }
 
 /// Reloads some proxies, one after the other.
-pub(super) async fn reload_some(environment: &Environment, proxies: &[Rc<Proxy>]) -> Result<(), SetupError> {
+pub(super) async fn reload_some(
+    environment: &Environment,
+    proxies: &[Rc<Proxy>],
+) -> Result<(), SetupError> {
     for proxy in draw_proxies(environment, proxies, 2) {
         if proxy.reserve() {
             if proxy.accepts_connections() {
@@ -72,7 +77,13 @@
     proxies: &[Rc<Proxy>],
 ) -> Result<(), SetupError> {
     let chosen = draw_proxies(environment, proxies, 2);
-    join_all(chosen.into_iter().map(|proxy| spawn_local(hand_off(proxy))).collect()).await
+    join_all(
+        chosen
+            .into_iter()
+            .map(|proxy| spawn_local(hand_off(proxy)))
+            .collect(),
+    )
+    .await
 }
 
 async fn hand_off(proxy: Rc<Proxy>) -> Result<(), SetupError> {
@@ -109,7 +120,9 @@
 
 /// Opens many connections to a proxy that stay idle for a while.
 pub(super) async fn open_idle_connections(environment: &Environment, proxies: &[Rc<Proxy>]) {
-    let Some(proxy) = draw_proxies(environment, proxies, 1).pop() else { return };
+    let Some(proxy) = draw_proxies(environment, proxies, 1).pop() else {
+        return;
+    };
     let mut idle = Vec::new();
     for _ in 0..IDLE_CONNECTIONS {
         if proxy.accepts_connections() {
--- a/soak/src/faults/syscalls.rs
+++ b/soak/src/faults/syscalls.rs
@@ -11,7 +11,10 @@
 /// Draws the schedule of a proxy. Some proxies have no failing calls.
 pub(crate) fn syscall_faults(environment: &Environment, seed: u64, proxy: usize) -> Value {
     let fraction: f64 = environment.draw(|random| random.gen_range(0.01..0.15));
-    let rules: Vec<Value> = failing_calls(proxy).iter().map(|failing| failing.rule(fraction)).collect();
+    let rules: Vec<Value> = failing_calls(proxy)
+        .iter()
+        .map(|failing| failing.rule(fraction))
+        .collect();
     let offset_ms = environment.draw(|random| *WALL_CLOCK_OFFSETS_MS.choose(random).unwrap_or(&0));
     json!({"seed": seed.wrapping_add(proxy as u64), "wall_clock_ms": offset_ms, "rules": rules})
 }
@@ -33,13 +36,24 @@
 }
 
 const SHORT_TRANSFERS: &[FailingCall] = &[failing("receive", "SHORT"), failing("send", "SHORT")];
-const FAILING_OPENINGS: &[FailingCall] = &[failing("accept", "ECONNABORTED"), failing("socket", "ENOBUFS")];
-const FAILING_CONNECTS: &[FailingCall] =
-    &[failing("connect", "EADDRNOTAVAIL"), failing("connect", "ENETUNREACH")];
-const INTERRUPTIONS: &[FailingCall] =
-    &[failing("receive", "EINTR"), failing("send", "EINTR"), failing("wait", "EINTR")];
-const FAILING_FILES: &[FailingCall] =
-    &[failing("accept", "ENFILE"), failing("open", "EIO"), failing("lock", "EIO")];
+const FAILING_OPENINGS: &[FailingCall] = &[
+    failing("accept", "ECONNABORTED"),
+    failing("socket", "ENOBUFS"),
+];
+const FAILING_CONNECTS: &[FailingCall] = &[
+    failing("connect", "EADDRNOTAVAIL"),
+    failing("connect", "ENETUNREACH"),
+];
+const INTERRUPTIONS: &[FailingCall] = &[
+    failing("receive", "EINTR"),
+    failing("send", "EINTR"),
+    failing("wait", "EINTR"),
+];
+const FAILING_FILES: &[FailingCall] = &[
+    failing("accept", "ENFILE"),
+    failing("open", "EIO"),
+    failing("lock", "EIO"),
+];
 
 fn failing_calls(proxy: usize) -> &'static [FailingCall] {
     match proxy % 9 {
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -26,7 +26,10 @@
 impl Message {
     /// The value of a header, by its name in lower case.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(known, _)| known == name)
+            .map(|(_, value)| value.as_str())
     }
 }
 
@@ -58,12 +61,20 @@
 impl Reader {
     /// A reader at the stream's beginning.
     pub(crate) fn new(stream: TcpStream) -> Reader {
-        Reader { stream, buffer: Vec::new(), first_byte_at: None }
+        Reader {
+            stream,
+            buffer: Vec::new(),
+            first_byte_at: None,
+        }
     }
 
     /// Reads some bytes; `false`: the stream has ended or broken.
     async fn read_some(&mut self) -> bool {
-        let received = self.stream.read_buf(&mut self.buffer).await.is_ok_and(|count| count > 0);
+        let received = self
+            .stream
+            .read_buf(&mut self.buffer)
+            .await
+            .is_ok_and(|count| count > 0);
         if received {
             self.first_byte_at.get_or_insert_with(Instant::now);
         }
@@ -87,13 +98,18 @@
 
     /// Reads the next message.
     pub(crate) async fn message(&mut self) -> Result<Message, ReadError> {
-        let Head { mut message, length } = self.head().await?;
+        let Head {
+            mut message,
+            length,
+        } = self.head().await?;
         self.buffer.drain(..length);
         message.first_byte_at = self.first_byte_at.unwrap_or(message.first_byte_at);
         message.body = if message.header("transfer-encoding").is_some() {
             self.chunks().await?
         } else {
-            let length = message.header("content-length").and_then(|value| value.parse().ok());
+            let length = message
+                .header("content-length")
+                .and_then(|value| value.parse().ok());
             self.exactly(length.unwrap_or(0)).await?
         };
         message.last_byte_at = Instant::now();
@@ -166,16 +182,22 @@
     let mut status = None;
     let (length, headers) = if bytes.starts_with(b"HTTP/") {
         let mut response = httparse::Response::new(&mut headers);
-        let httparse::Status::Complete(length) = response.parse(bytes)? else { return Ok(None) };
+        let httparse::Status::Complete(length) = response.parse(bytes)? else {
+            return Ok(None);
+        };
         status = response.code;
         (length, response.headers)
     } else {
         let mut request = httparse::Request::new(&mut headers);
-        let httparse::Status::Complete(length) = request.parse(bytes)? else { return Ok(None) };
+        let httparse::Status::Complete(length) = request.parse(bytes)? else {
+            return Ok(None);
+        };
         (length, request.headers)
     };
     let text = |value: &[u8]| String::from_utf8_lossy(value).into_owned();
-    let headers = headers.iter().map(|header| (header.name.to_lowercase(), text(header.value)));
+    let headers = headers
+        .iter()
+        .map(|header| (header.name.to_lowercase(), text(header.value)));
     let now = Instant::now();
     let message = Message {
         status,
