--- a/soak/src/ledger/mod.rs
+++ b/soak/src/ledger/mod.rs
@@ -59,14 +59,20 @@
 
     /// Logs what was done.
     pub(crate) fn log_event(&mut self, description: String) {
-        self.events.push(LoggedEvent { at_s: self.elapsed_s(), description });
+        self.events.push(LoggedEvent {
+            at_s: self.elapsed_s(),
+            description,
+        });
     }
 
     /// An endpoint's process was killed: its attempts in flight end.
     pub(crate) fn record_kill(&mut self, process: u64) {
         let now = Some(Instant::now());
         self.killed_processes.insert(process);
-        let attempts = self.requests.values_mut().flat_map(|request| &mut request.attempts);
+        let attempts = self
+            .requests
+            .values_mut()
+            .flat_map(|request| &mut request.attempts);
         for attempt in attempts.filter(|attempt| attempt.process == process) {
             attempt.ended_at = attempt.ended_at.or(now);
         }
@@ -74,13 +80,20 @@
 
     /// Records that a rule was broken.
     pub(crate) fn record_violation(&mut self, rule: Rule, description: String) {
-        self.violations.push(Violation { rule, at_s: self.elapsed_s(), description });
+        self.violations.push(Violation {
+            rule,
+            at_s: self.elapsed_s(),
+            description,
+        });
     }
 
     fn record_request_violation(&mut self, rule: Rule, id: u64, reason: &str) {
         let description = match self.requests.get(&id) {
             Some(request) => {
-                format!("{reason}; request {id:016x}\n{}", timeline::timeline(self.start, request))
+                format!(
+                    "{reason}; request {id:016x}\n{}",
+                    timeline::timeline(self.start, request)
+                )
             }
             None => format!("{reason}; request {id:016x} of no client"),
         };
@@ -122,7 +135,12 @@
     }
 
     /// Changes the record of an attempt.
-    pub(crate) fn update_attempt(&mut self, id: u64, number: usize, update: impl FnOnce(&mut AttemptRecord)) {
+    pub(crate) fn update_attempt(
+        &mut self,
+        id: u64,
+        number: usize,
+        update: impl FnOnce(&mut AttemptRecord),
+    ) {
         let request = self.requests.get_mut(&id);
         if let Some(attempt) = request.and_then(|request| request.attempts.get_mut(number)) {
             update(attempt);
@@ -132,8 +150,13 @@
     /// A client got the response with this status and body, or, with `None`, its connection ended
     /// without one.
     pub(crate) fn record_completion(&mut self, id: u64, status: Option<u16>, body: &[u8]) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        request.completion = Some(Completion { status, at: Instant::now() });
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        request.completion = Some(Completion {
+            status,
+            at: Instant::now(),
+        });
         if request.exempt {
             return;
         }
@@ -142,9 +165,12 @@
         }
     }
 
-    /// A client got a part of a response: lost, if an endpoint that still runs has written all of it.
+    /// A client got a part of a response: lost, if an endpoint that still runs has written all of
+    /// it.
     pub(crate) fn record_truncated_response(&mut self, id: u64) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         let available = |attempt: &AttemptRecord| {
             attempt.fully_written && !self.killed_processes.contains(&attempt.process)
         };
@@ -156,8 +182,12 @@
 
     /// At the end of a run: complete requests without a response are lost.
     pub(crate) fn record_unanswered(&mut self) {
-        let unanswered = |request: &RequestRecord| request.complete_at.is_some() && request.is_unanswered();
-        let requests = self.requests.iter().filter(|(_, request)| unanswered(request));
+        let unanswered =
+            |request: &RequestRecord| request.complete_at.is_some() && request.is_unanswered();
+        let requests = self
+            .requests
+            .iter()
+            .filter(|(_, request)| unanswered(request));
         let lost: Vec<u64> = requests.map(|(id, _)| *id).collect();
         for id in lost {
             self.record_request_violation(Rule::Lost, id, "no response");
--- a/soak/src/ledger/rules.rs
+++ b/soak/src/ledger/rules.rs
@@ -23,7 +23,10 @@
 
 impl Finding {
     fn new(rule: Rule, reason: impl Into<String>) -> Finding {
-        Finding { rule, reason: reason.into() }
+        Finding {
+            rule,
+            reason: reason.into(),
+        }
     }
 }
 
@@ -92,7 +95,11 @@
     }
 
     fn repeated_execution(&self) -> Option<Finding> {
-        let first = self.request.attempts.iter().find(|attempt| attempt.may_have_executed())?;
+        let first = self
+            .request
+            .attempts
+            .iter()
+            .find(|attempt| attempt.may_have_executed())?;
         let window_end = first.first_byte_at + self.deduplication_window + SLACK;
         let reason = match self.request.class {
             RequestClass::NonIdempotent => "it may have been executed before",
@@ -125,15 +132,21 @@
     };
     let deadline = request.complete_at.map(|at| at + request.client_timeout);
     let late = deadline.is_some_and(|at| completion.at > at + RESPONSE_SLACK + SLACK);
-    let executed = request.attempts.iter().any(AttemptRecord::may_have_executed);
+    let executed = request
+        .attempts
+        .iter()
+        .any(AttemptRecord::may_have_executed);
     match status {
         200 if !request.attempts.iter().any(|attempt| attempt.served) => {
             lost("a response that no endpoint made".to_owned())
         }
-        200 if body != response_body(id, body.len()) => lost(format!("a wrong body of {} bytes", body.len())),
-        429 | 503 if request.class != RequestClass::Idempotent && executed => {
-            Some(Finding::new(Rule::Duplicate, "rejected after it may have been executed"))
+        200 if body != response_body(id, body.len()) => {
+            lost(format!("a wrong body of {} bytes", body.len()))
         }
+        429 | 503 if request.class != RequestClass::Idempotent && executed => Some(Finding::new(
+            Rule::Duplicate,
+            "rejected after it may have been executed",
+        )),
         400..=428 => lost(format!("a valid request was answered with {status}")),
         _ if late => lost("a late response".to_owned()),
         _ => None,
@@ -142,5 +155,10 @@
 
 /// The body that endpoints answer a request with.
 pub(crate) fn response_body(id: u64, length: usize) -> Vec<u8> {
-    format!("{id:016x}.").into_bytes().into_iter().cycle().take(length).collect()
+    format!("{id:016x}.")
+        .into_bytes()
+        .into_iter()
+        .cycle()
+        .take(length)
+        .collect()
 }
--- a/soak/src/ledger/timeline.rs
+++ b/soak/src/ledger/timeline.rs
@@ -14,19 +14,42 @@
         request.client_timeout,
         request.new_connection
     )];
-    lines.extend(request.complete_at.map(|complete| format!("    {} complete", at(complete))));
-    lines.extend(request.disconnected_at.map(|gone| format!("    {} client disconnected", at(gone))));
-    lines.extend(request.completion.map(|completion| match completion.status {
-        Some(status) => format!("    {} response {status}", at(completion.at)),
-        None => format!("    {} connection ended", at(completion.at)),
-    }));
-    lines.extend(request.attempts.iter().map(|attempt| attempt_line(start, attempt)));
+    lines.extend(
+        request
+            .complete_at
+            .map(|complete| format!("    {} complete", at(complete))),
+    );
+    lines.extend(
+        request
+            .disconnected_at
+            .map(|gone| format!("    {} client disconnected", at(gone))),
+    );
+    lines.extend(
+        request
+            .completion
+            .map(|completion| match completion.status {
+                Some(status) => format!("    {} response {status}", at(completion.at)),
+                None => format!("    {} connection ended", at(completion.at)),
+            }),
+    );
+    lines.extend(
+        request
+            .attempts
+            .iter()
+            .map(|attempt| attempt_line(start, attempt)),
+    );
     lines.join("\n")
 }
 
 fn attempt_line(start: Instant, attempt: &AttemptRecord) -> String {
     let at = |instant: Instant| seconds(start, instant);
-    let AttemptRecord { process, zone, rejected, served, .. } = attempt;
+    let AttemptRecord {
+        process,
+        zone,
+        rejected,
+        served,
+        ..
+    } = attempt;
     format!(
         "    {} at process {process} in {zone}, complete {:?}, ended {:?}, rejected: {rejected}, \
          served: {served}",
@@ -37,5 +60,8 @@
 }
 
 fn seconds(start: Instant, instant: Instant) -> String {
-    format!("{:.3}", instant.saturating_duration_since(start).as_secs_f64())
+    format!(
+        "{:.3}",
+        instant.saturating_duration_since(start).as_secs_f64()
+    )
 }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -32,11 +32,17 @@
     let arguments = Arguments::parse();
     let mut failed = 0;
     for seed in arguments.seed..arguments.seed + arguments.seeds {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         if !LocalSet::new().block_on(&runtime, run::run(&arguments, seed))? {
             failed += 1;
         }
     }
     println!("{} passed, {failed} failed", arguments.seeds - failed);
-    Ok(if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if failed == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
--- a/soak/src/notification.rs
+++ b/soak/src/notification.rs
@@ -53,7 +53,10 @@
 
     /// The agent stops answering.
     pub(crate) fn outage_started(&mut self) {
-        self.disruptions.outages.push(Outage { from: Instant::now(), until: None });
+        self.disruptions.outages.push(Outage {
+            from: Instant::now(),
+            until: None,
+        });
     }
 
     /// The agent answers again.
@@ -70,17 +73,29 @@
 
     /// A version of the list has been written to the proxy's watch.
     pub(crate) fn delivered(&mut self, version: u64) {
-        self.deliveries.push(Delivery { at: Instant::now(), version });
+        self.deliveries.push(Delivery {
+            at: Instant::now(),
+            version,
+        });
     }
 
     /// From when on the proxy counts as notified of a change: when the change was delivered, or by
     /// when it should have been. `None`: not yet.
     pub(crate) fn notified_at(&self, change: ChangeTime, mode: DiscoveryMode) -> Option<Instant> {
         let started = self.disruptions.process_started_at?;
-        let reached = |delivery: &&Delivery| delivery.at >= started && delivery.version >= change.version;
-        let delivered = self.deliveries.iter().find(reached).map(|delivery| delivery.at);
+        let reached =
+            |delivery: &&Delivery| delivery.at >= started && delivery.version >= change.version;
+        let delivered = self
+            .deliveries
+            .iter()
+            .find(reached)
+            .map(|delivery| delivery.at);
         let due = self.disruptions.due_by(change.at, mode);
-        [delivered, due].into_iter().flatten().min().map(|at| at.max(started))
+        [delivered, due]
+            .into_iter()
+            .flatten()
+            .min()
+            .map(|at| at.max(started))
     }
 }
 
@@ -88,7 +103,11 @@
     /// By when a proxy counts as notified of what discovery had at this time; `None`: not yet.
     fn due_by(&self, had_at: Instant, mode: DiscoveryMode) -> Option<Instant> {
         let pushed = mode == DiscoveryMode::Push;
-        let mut due = if pushed { had_at } else { had_at + NOTIFICATION_TIMEOUT };
+        let mut due = if pushed {
+            had_at
+        } else {
+            had_at + NOTIFICATION_TIMEOUT
+        };
         for outage in &self.outages {
             if outage.affects(had_at) {
                 let until = outage.until?;
@@ -99,7 +118,11 @@
                 });
             }
         }
-        let timeout = if pushed { RELOAD_NOTIFICATION_TIMEOUT } else { NOTIFICATION_TIMEOUT };
+        let timeout = if pushed {
+            RELOAD_NOTIFICATION_TIMEOUT
+        } else {
+            NOTIFICATION_TIMEOUT
+        };
         for &reload in &self.reloads {
             let before_reload = had_at + NOTIFICATION_TIMEOUT < reload;
             let after_reload = had_at > reload + RELOAD_NOTIFICATION_TIMEOUT;
@@ -115,7 +138,9 @@
     /// Whether it may keep a change from being delivered. A watch that falls silent may have lost
     /// what came just before, and stays silent when the agent is back.
     fn affects(&self, had_at: Instant) -> bool {
-        let broken_until = self.until.map(|until| until.max(self.from + NOTIFICATION_TIMEOUT));
+        let broken_until = self
+            .until
+            .map(|until| until.max(self.from + NOTIFICATION_TIMEOUT));
         had_at + HEARTBEAT_INTERVAL >= self.from && broken_until.is_none_or(|until| had_at <= until)
     }
 }
--- a/soak/src/proxy/handoff.rs
+++ b/soak/src/proxy/handoff.rs
@@ -22,7 +22,10 @@
         if !self.accepts_connections() {
             return Ok(());
         }
-        let operators = SocketAddr::new(self.address.ip(), FIRST_OPERATOR_PORT + self.process() as u16);
+        let operators = SocketAddr::new(
+            self.address.ip(),
+            FIRST_OPERATOR_PORT + self.process() as u16,
+        );
         let new = self.spawn(Some(operators))?;
         self.log_event("a new process beside it");
         self.wait_for_new_process(operators).await;
@@ -39,7 +42,10 @@
         let started = Instant::now();
         while !reports_ready(operators).await {
             if started.elapsed() > READY_TIMEOUT {
-                self.record_violation(Rule::Readiness, "has a new process that is not ready after 10 s");
+                self.record_violation(
+                    Rule::Readiness,
+                    "has a new process that is not ready after 10 s",
+                );
                 return;
             }
             sleep(POLL_INTERVAL).await;
@@ -48,9 +54,10 @@
 
     fn replace_process(&self, new: Child) {
         let now = Instant::now();
-        self.environment.notifications(self.number, |notifications| {
-            notifications.process_started(now + NOTIFICATION_DELAY);
-        });
+        self.environment
+            .notifications(self.number, |notifications| {
+                notifications.process_started(now + NOTIFICATION_DELAY);
+            });
         self.disturbed_at.borrow_mut().push(now);
         self.signal(Signal::SIGTERM);
         self.log_event("SIGTERM to the old process");
@@ -59,7 +66,9 @@
     }
 
     fn end_previous(&self) {
-        let Some(mut previous) = self.previous.borrow_mut().take() else { return };
+        let Some(mut previous) = self.previous.borrow_mut().take() else {
+            return;
+        };
         if let Ok(Some(status)) = previous.try_wait() {
             if !status.success() {
                 self.record_violation(Rule::Crash, &format!("ended with {status}"));
--- a/soak/src/proxy/limits.rs
+++ b/soak/src/proxy/limits.rs
@@ -21,9 +21,16 @@
         let current = self.child.borrow().as_ref().map(Child::id);
         let Some(current) = current else { return };
         let previous = self.previous.borrow().as_ref().map(Child::id);
-        let open: usize = [Some(current), previous].into_iter().flatten().map(open_descriptors).sum();
+        let open: usize = [Some(current), previous]
+            .into_iter()
+            .flatten()
+            .map(open_descriptors)
+            .sum();
         if open > MAX_DESCRIPTORS {
-            self.record_violation(Rule::Limit, &format!("holds {open} descriptors of {MAX_DESCRIPTORS}"));
+            self.record_violation(
+                Rule::Limit,
+                &format!("holds {open} descriptors of {MAX_DESCRIPTORS}"),
+            );
         }
         let memory_kb = resident_memory_kb(current);
         if memory_kb > MAX_MEMORY_MB * 1_024 {
@@ -34,8 +41,12 @@
     /// Lines of its log about panics and violated invariants.
     pub(crate) fn logged_failures(&self) -> Vec<String> {
         let log = fs::read_to_string(self.log_path()).unwrap_or_default();
-        let failure = |line: &&str| line.contains("panicked") || line.contains("invariant violated");
-        log.lines().filter(failure).map(|line| format!("proxy {}: {line}", self.number)).collect()
+        let failure =
+            |line: &&str| line.contains("panicked") || line.contains("invariant violated");
+        log.lines()
+            .filter(failure)
+            .map(|line| format!("proxy {}: {line}", self.number))
+            .collect()
     }
 }
 
@@ -47,5 +58,6 @@
     let path = Path::new("/proc").join(process.to_string()).join("status");
     let status = fs::read_to_string(path).unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
-    line.and_then(|line| line.split_whitespace().nth(1)?.parse().ok()).unwrap_or(0)
+    line.and_then(|line| line.split_whitespace().nth(1)?.parse().ok())
+        .unwrap_or(0)
 }
--- a/soak/src/proxy/process.rs
+++ b/soak/src/proxy/process.rs
@@ -81,7 +81,12 @@
         // A port that the system chose could be given to someone else between two processes of the
         // proxy. The address is this run's own.
         let run = std::process::id();
-        let ip = [127, 10 + (run % 200) as u8, (run / 200 % 250) as u8, 1 + number as u8];
+        let ip = [
+            127,
+            10 + (run % 200) as u8,
+            (run / 200 % 250) as u8,
+            1 + number as u8,
+        ];
         let (agent_mode, modes) = watch::channel(AgentMode::Responding);
         let agent = start_agent(environment, number, modes).await?;
         Ok(Rc::new(Proxy {
@@ -129,7 +134,10 @@
 
     /// Whether it was paused or got SIGTERM so late that a client of this time may notice.
     pub(crate) fn was_disturbed(&self, since: Instant) -> bool {
-        self.disturbed_at.borrow().iter().any(|at| *at + DISTURBANCE >= since)
+        self.disturbed_at
+            .borrow()
+            .iter()
+            .any(|at| *at + DISTURBANCE >= since)
     }
 
     fn folder(&self) -> PathBuf {
@@ -146,7 +154,10 @@
         let path = self.folder().join("config.json");
         fs::create_dir_all(self.folder())
             .and_then(|()| fs::write(&path, configuration.to_string()))
-            .map_err(|source| SetupError::Write { path: path.clone(), source })?;
+            .map_err(|source| SetupError::Write {
+                path: path.clone(),
+                source,
+            })?;
         Ok(path)
     }
 
@@ -167,18 +178,24 @@
             command.env("ROUTER_ADMIN", operators.to_string());
         }
         if let Some(faults) = &self.program.faults {
-            command.env("LD_PRELOAD", faults).env("SYSCALL_FAULTS", self.syscall_faults.to_string());
+            command
+                .env("LD_PRELOAD", faults)
+                .env("SYSCALL_FAULTS", self.syscall_faults.to_string());
         }
         let path = &self.program.path;
-        command.spawn().map_err(|source| SetupError::Spawn { path: path.clone(), source })
+        command.spawn().map_err(|source| SetupError::Spawn {
+            path: path.clone(),
+            source,
+        })
     }
 
     /// Starts it and waits until it is ready.
     pub(crate) async fn start(&self) -> Result<(), SetupError> {
         let started = Instant::now();
-        self.environment.notifications(self.number, |notifications| {
-            notifications.process_started(started);
-        });
+        self.environment
+            .notifications(self.number, |notifications| {
+                notifications.process_started(started);
+            });
         self.process_count.set(self.process_count.get() + 1);
         let child = self.spawn(None)?;
         *self.child.borrow_mut() = Some(child);
@@ -199,10 +216,19 @@
     }
 
     async fn is_ready(&self) -> bool {
-        let Ok(stream) = TcpStream::connect(self.address).await else { return false };
+        let Ok(stream) = TcpStream::connect(self.address).await else {
+            return false;
+        };
         let mut reader = Reader::new(stream);
-        let written = reader.stream.write_all(b"GET /_health HTTP/1.1\r\n\r\n").await;
-        written.is_ok() && reader.message().await.is_ok_and(|answer| answer.status == Some(200))
+        let written = reader
+            .stream
+            .write_all(b"GET /_health HTTP/1.1\r\n\r\n")
+            .await;
+        written.is_ok()
+            && reader
+                .message()
+                .await
+                .is_ok_and(|answer| answer.status == Some(200))
     }
 
     pub(super) fn signal(&self, signal: Signal) {
@@ -214,15 +240,20 @@
 
     /// Whether its process has ended by itself.
     pub(super) fn has_ended(&self) -> bool {
-        self.child.borrow_mut().as_mut().is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
+        self.child
+            .borrow_mut()
+            .as_mut()
+            .is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
     pub(super) fn log_event(&self, description: &str) {
-        self.environment.log_event(format!("proxy {}: {description}", self.number));
+        self.environment
+            .log_event(format!("proxy {}: {description}", self.number));
     }
 
     pub(super) fn record_violation(&self, rule: Rule, description: &str) {
-        self.environment.record_violation(rule, format!("proxy {} {description}", self.number));
+        self.environment
+            .record_violation(rule, format!("proxy {} {description}", self.number));
     }
 
     /// Kills it.
@@ -246,7 +277,11 @@
         while !self.has_ended() && started.elapsed() < SHUTDOWN_TIMEOUT {
             sleep(POLL_INTERVAL).await;
         }
-        let status = self.child.borrow_mut().as_mut().and_then(|child| child.try_wait().ok().flatten());
+        let status = self
+            .child
+            .borrow_mut()
+            .as_mut()
+            .and_then(|child| child.try_wait().ok().flatten());
         if let Some(status) = status.filter(|status| !status.success()) {
             self.record_violation(Rule::Crash, &format!("ended with {status} after SIGTERM"));
         }
@@ -264,10 +299,12 @@
 
     /// Gives it a new agent by SIGHUP; the old agent ends a while later.
     pub(crate) async fn reload(&self) -> Result<(), SetupError> {
-        let agent = start_agent(&self.environment, self.number, self.agent_mode.subscribe()).await?;
+        let agent =
+            start_agent(&self.environment, self.number, self.agent_mode.subscribe()).await?;
         let old = self.agent.replace(agent);
         self.write_configuration()?;
-        self.environment.notifications(self.number, |notifications| notifications.reloaded());
+        self.environment
+            .notifications(self.number, |notifications| notifications.reloaded());
         self.log_event("SIGHUP");
         self.signal(Signal::SIGHUP);
         sleep(OLD_AGENT_DELAY).await;
@@ -277,13 +314,14 @@
 
     /// Lets its agent fail, or respond again.
     pub(crate) fn set_agent_mode(&self, mode: AgentMode) {
-        self.environment.notifications(self.number, |notifications| {
-            if mode == AgentMode::Responding {
-                notifications.outage_ended();
-            } else {
-                notifications.outage_started();
-            }
-        });
+        self.environment
+            .notifications(self.number, |notifications| {
+                if mode == AgentMode::Responding {
+                    notifications.outage_ended();
+                } else {
+                    notifications.outage_started();
+                }
+            });
         // It fails only when the agent has ended with the run.
         let _ = self.agent_mode.send(mode);
     }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -65,7 +65,11 @@
     // Logs of an earlier run would be taken for this one's. Usually there are none.
     let _ = fs::remove_dir_all(&folder);
     let faults = arguments.faults.as_deref().map(absolute).transpose()?;
-    let program = Program { path: absolute(&arguments.program)?, faults, folder };
+    let program = Program {
+        path: absolute(&arguments.program)?,
+        faults,
+        folder,
+    };
     let mut proxies = Vec::new();
     for number in 0..arguments.proxies {
         let syscall_faults = faults::syscall_faults(environment, seed, number);
@@ -80,7 +84,10 @@
 }
 
 fn absolute(path: &Path) -> Result<PathBuf, SetupError> {
-    let path_error = |source| SetupError::Path { path: path.to_owned(), source };
+    let path_error = |source| SetupError::Path {
+        path: path.to_owned(),
+        source,
+    };
     std::path::absolute(path).map_err(path_error)
 }
 
@@ -97,7 +104,11 @@
     let measurement = spawn_local(measure_lateness(lateness.clone()));
     for proxy in proxies {
         for _ in 0..arguments.clients {
-            spawn_local(run_client(environment.clone(), proxy.clone(), end + CLIENTS_DELAY));
+            spawn_local(run_client(
+                environment.clone(),
+                proxy.clone(),
+                end + CLIENTS_DELAY,
+            ));
         }
         spawn_local(run_invalid_client(environment.clone(), proxy.clone(), end));
     }
--- a/soak/src/verdict.rs
+++ b/soak/src/verdict.rs
@@ -26,13 +26,24 @@
 ) -> bool {
     let violations = environment.ledger(|ledger| {
         ledger.record_unanswered();
-        println!("requests: {:?}, this program late by up to {lateness:?}", completions(ledger));
+        println!(
+            "requests: {:?}, this program late by up to {lateness:?}",
+            completions(ledger)
+        );
         for violation in &ledger.violations {
             print_violation(ledger, violation);
         }
-        count(ledger.violations.iter().map(|violation| violation.rule.to_string()))
+        count(
+            ledger
+                .violations
+                .iter()
+                .map(|violation| violation.rule.to_string()),
+        )
     });
-    let failures: Vec<String> = proxies.iter().flat_map(|proxy| proxy.logged_failures()).collect();
+    let failures: Vec<String> = proxies
+        .iter()
+        .flat_map(|proxy| proxy.logged_failures())
+        .collect();
     for line in failures.iter().take(MAX_PRINTED_FAILURES) {
         println!("  logged: {line}");
     }
@@ -71,9 +82,16 @@
 }
 
 fn print_violation(ledger: &Ledger, violation: &Violation) {
-    println!("  {}: {:.3} s: {}", violation.rule, violation.at_s, violation.description);
+    println!(
+        "  {}: {:.3} s: {}",
+        violation.rule, violation.at_s, violation.description
+    );
     let near = violation.at_s - EVENTS_BEFORE_S..=violation.at_s + EVENTS_AFTER_S;
-    for event in ledger.events.iter().filter(|event| near.contains(&event.at_s)) {
+    for event in ledger
+        .events
+        .iter()
+        .filter(|event| near.contains(&event.at_s))
+    {
         println!("      {:.3} {}", event.at_s, event.description);
     }
 }
--- a/soak/src/watch_delivery.rs
+++ b/soak/src/watch_delivery.rs
@@ -44,8 +44,13 @@
     proxy: usize,
     mode: watch::Receiver<AgentMode>,
 ) -> Result<Agent, SetupError> {
-    let listen_error = |source| SetupError::Listen { purpose: "an agent", source };
-    let listener = TcpListener::bind("127.0.0.1:0").await.map_err(listen_error)?;
+    let listen_error = |source| SetupError::Listen {
+        purpose: "an agent",
+        source,
+    };
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .map_err(listen_error)?;
     let address = listener.local_addr().map_err(listen_error)?;
     let environment = environment.clone();
     let task = spawn_local(async move {
@@ -62,7 +67,10 @@
             watches.spawn_local(watch.run());
         }
     });
-    Ok(Agent { address, task: task.abort_handle() })
+    Ok(Agent {
+        address,
+        task: task.abort_handle(),
+    })
 }
 
 /// A watch of a proxy.
@@ -98,11 +106,15 @@
         let (full, mut delivered) = self.environment.list(|list| (list.full(), list.version()));
         let mut message = Some(full);
         loop {
-            let line = message.take().map_or_else(|| "\n".to_owned(), |message| format!("{message}\n"));
+            let line = message
+                .take()
+                .map_or_else(|| "\n".to_owned(), |message| format!("{message}\n"));
             if !self.write_chunk(&line).await {
                 return;
             }
-            self.environment.notifications(self.proxy, |notifications| notifications.delivered(delivered));
+            self.environment.notifications(self.proxy, |notifications| {
+                notifications.delivered(delivered)
+            });
             tokio::select! {
                 () = sleep_until((Instant::now() + HEARTBEAT_INTERVAL).into()) => {}
                 changed = list_versions.changed() => if changed.is_err() { return },
@@ -124,7 +136,9 @@
     /// Writes a line in two pieces.
     async fn write_chunk(&mut self, line: &str) -> bool {
         let chunk = format!("{:x}\r\n{line}\r\n", line.len());
-        let cut = self.environment.draw(|random| random.gen_range(0..chunk.len()));
+        let cut = self
+            .environment
+            .draw(|random| random.gen_range(0..chunk.len()));
         let (first, second) = chunk.as_bytes().split_at(cut);
         let stream = &mut self.reader.stream;
         write(stream, first).await && write(stream, second).await
