--- a/proxy/src/control/attempt.rs
+++ b/proxy/src/control/attempt.rs
@@ -36,7 +36,9 @@
                 }
                 _ => end,
             },
-            () = self.write_guard.start_window_closed() => AttemptEnd::without_response(Outcome::NeverSent),
+            () = self.write_guard.start_window_closed() => {
+                AttemptEnd::without_response(Outcome::NeverSent)
+            }
             () = self.expired() => AttemptEnd::without_response(self.timeout_outcome()),
         };
         // What the client did says nothing about the endpoint.
--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -83,7 +83,8 @@
     /// Closes it at once; its descriptor is free when this returns.
     pub(super) fn close(&self, reason: ClientCloseReason) {
         self.metrics.count().client_closed(reason);
-        tracing::debug!(socket = ?self.socket, phase = ?self.phase.get(), reason = ?reason, "closed");
+        let phase = self.phase.get();
+        tracing::debug!(socket = ?self.socket, ?phase, ?reason, "closed");
         let is_unanswered =
             matches!(self.phase.get(), Phase::Open) && reason != ClientCloseReason::ResponseStalled;
         if is_unanswered && !self.socket.has_disconnected() {
--- a/proxy/src/invariants/mod.rs
+++ b/proxy/src/invariants/mod.rs
@@ -123,7 +123,8 @@
     /// It may not be written.
     pub(crate) fn write_denied(&self, denial: WriteDenial) {
         let history = self.request.history.borrow();
-        tracing::debug!(request = ?history.id, attempt = self.index, reason = ?denial, "write denied");
+        let request = &history.id;
+        tracing::debug!(?request, attempt = self.index, reason = ?denial, "write denied");
     }
 
     /// Its first byte has been written.
--- a/proxy/src/upstream/connection.rs
+++ b/proxy/src/upstream/connection.rs
@@ -39,7 +39,10 @@
 impl ConnectError {
     /// Whether this machine lacked the resources, which proves nothing about the endpoint.
     pub(crate) fn is_local(&self) -> bool {
-        matches!(self, ConnectError::Io(error) if ErrorClass::of(error) == ErrorClass::ResourcesExhausted)
+        let ConnectError::Io(error) = self else {
+            return false;
+        };
+        ErrorClass::of(error) == ErrorClass::ResourcesExhausted
     }
 }
 
--- a/proxy/tests/graceful_shutdown.rs
+++ b/proxy/tests/graceful_shutdown.rs
@@ -12,7 +12,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
-use tokio::task::spawn_local;
+use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
 /// A shutdown must respond to every accepted request, accept new connections for as long as they
@@ -270,87 +270,148 @@
     });
 }
 
+/// A request whose first attempt was rejected, and the connection of whose second one does not open.
+struct OpeningRetry {
+    proxy: Proxy,
+    client: Client,
+    /// The first attempt's.
+    connection: Client,
+    /// Where the second attempt goes: its listener, and what fills its backlog.
+    listener: TcpListener,
+    full: Vec<TcpStream>,
+    discovery: TestDiscovery,
+}
+
+async fn opening_retry() -> OpeningRetry {
+    let (stuck, full, listener) = endpoint_with_full_backlog().await;
+    let first = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = first.local_addr().expect("an address");
+    let discovery = TestDiscovery::without_updates().await;
+    let known = [TestEndpoint {
+        address,
+        ..TestEndpoint::start([ScriptedResponse::Stall]).await
+    }];
+    let proxy = Proxy::start_with(&discovery, &known, |config| {
+        config["admin"] = "127.0.0.1:0".into();
+        config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
+    })
+    .await;
+    let admin = proxy.admin.expect("an address for operators");
+    let mut client = proxy.client().await;
+    client.send(&request("unsafe", "", "the body")).await;
+    let mut connection = MessageReader::new(first.accept().await.expect("the proxy connects").0);
+    connection.message().await.expect("the first attempt");
+    let update = list(42, false, &[entry("s-1", stuck.address, "Ready")]);
+    discovery.push(&chunk(&update)).await;
+    while metrics(admin).await["members"] != 2 {}
+    let written = connection.stream.write_all(REJECTION.as_bytes()).await;
+    written.expect("written");
+    wait_until("the second connection is being opened", || {
+        is_connecting(stuck.address)
+    })
+    .await;
+    OpeningRetry {
+        proxy,
+        client,
+        connection,
+        listener,
+        full,
+        discovery,
+    }
+}
+
+/// Shuts the proxy down while the connection of a retry is being opened.
+async fn shut_down_during_a_retry(opens_in_time: bool) {
+    let OpeningRetry {
+        mut proxy,
+        mut client,
+        connection,
+        listener,
+        full,
+        discovery: _discovery,
+    } = opening_retry().await;
+    let admin = proxy.admin.expect("an address for operators");
+    let stopped_at = Instant::now();
+    drop(proxy.stop.take());
+    while admin_command(admin, "health\n")
+        .await
+        .starts_with("SUCCESS")
+    {}
+    let (mut full, mut listener) = (Some(full), Some(listener));
+    let endpoint = listener.take_if(|_| opens_in_time).map(|listener| {
+        full.take();
+        TestEndpoint::on_listener(listener, [ok("served")])
+    });
+    let response = client.message().await.expect("a response");
+    assert_eq!(response.header("connection"), Some("close"));
+    match &endpoint {
+        Some(endpoint) => {
+            let (status, body) = (response.status(), response.body.as_slice());
+            assert_eq!((status, body), (200, &b"served"[..]));
+            assert_eq!(endpoint.request_count(), 1);
+        }
+        None => {
+            let has_retry_after = response.header("retry-after").is_some();
+            assert_eq!((response.status(), has_retry_after), (503, true));
+        }
+    }
+    // 3 s for requests, 0.6 s on top, and 0.1 s of margin before it is killed.
+    assert!(stopped_at.elapsed() < Duration::from_millis(3_700));
+    let ended = (&mut proxy.task).await.expect("it ends without a panic");
+    ended.expect("it listened");
+    assert!(
+        connection.stream.try_read(&mut [0]).is_err(),
+        "the first endpoint gets nothing more"
+    );
+}
+
 /// The connection of a second attempt is being opened when the order to shut down arrives. If it
 /// opens in time, it is used; if not, the request is rejected before the process is killed, as it
 /// has not run. Either way the process ends.
 #[test]
 fn a_shutdown_waits_a_bounded_time_for_the_connection_of_a_retry() {
     for opens_in_time in [true, false] {
-        run_test(async {
-            let (stuck, full, listener) = endpoint_with_full_backlog().await;
-            let first = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let address = first.local_addr().expect("an address");
-            let discovery = TestDiscovery::without_updates().await;
-            let known = [TestEndpoint {
-                address,
-                ..TestEndpoint::start([ScriptedResponse::Stall]).await
-            }];
-            let mut proxy = Proxy::start_with(&discovery, &known, |config| {
-                config["admin"] = "127.0.0.1:0".into();
-                config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
-            })
-            .await;
-            let admin = proxy.admin.expect("an address for operators");
-            let mut client = proxy.client().await;
-            client.send(&request("unsafe", "", "the body")).await;
-            let mut connection =
-                MessageReader::new(first.accept().await.expect("the proxy connects").0);
-            connection.message().await.expect("the first attempt");
-            let update = list(42, false, &[entry("s-1", stuck.address, "Ready")]);
-            discovery.push(&chunk(&update)).await;
-            while metrics(admin).await["members"] != 2 {}
-            let rejection = REJECTION;
-            connection
-                .stream
-                .write_all(rejection.as_bytes())
-                .await
-                .expect("written");
-            wait_until("the second connection is being opened", || {
-                is_connecting(stuck.address)
-            })
-            .await;
-            let stopped_at = Instant::now();
-            drop(proxy.stop.take());
-            while admin_command(admin, "health\n")
-                .await
-                .starts_with("SUCCESS")
-            {}
-            let (mut full, mut listener) = (Some(full), Some(listener));
-            let endpoint = listener.take_if(|_| opens_in_time).map(|listener| {
-                full.take();
-                TestEndpoint::on_listener(listener, [ok("served")])
-            });
-            let response = client.message().await.expect("a response");
-            assert_eq!(response.header("connection"), Some("close"));
-            match &endpoint {
-                Some(endpoint) => {
-                    assert_eq!(
-                        (response.status(), response.body.as_slice()),
-                        (200, &b"served"[..])
-                    );
-                    assert_eq!(endpoint.request_count(), 1);
-                }
-                None => {
-                    assert_eq!(
-                        (response.status(), response.header("retry-after").is_some()),
-                        (503, true)
-                    )
-                }
-            }
-            // 3 s for requests, 0.6 s on top, and 0.1 s of margin before it is killed.
-            assert!(stopped_at.elapsed() < Duration::from_millis(3_700));
-            (&mut proxy.task)
-                .await
-                .expect("it ends without a panic")
-                .expect("it listened");
-            assert!(
-                connection.stream.try_read(&mut [0]).is_err(),
-                "the first endpoint gets nothing more"
-            );
-        });
+        run_test(shut_down_during_a_retry(opens_in_time));
     }
 }
 
+type ResponseStatuses = Rc<RefCell<HashMap<String, u16>>>;
+
+/// A client that goes on sending until its connection ends, and records the status of each response
+/// by its request's id. It sends the next request as soon as the last has its response, or without
+/// waiting for it.
+fn spawn_client(client: Client, waits: bool, responded: ResponseStatuses) -> JoinHandle<()> {
+    let (read, mut write) = client.stream.into_split();
+    let go = Rc::new(Notify::new());
+    let sent = Rc::new(RefCell::new(VecDeque::new()));
+    let (next, sending) = (go.clone(), sent.clone());
+    let writer = spawn_local(async move {
+        loop {
+            let text = request("unsafe", "", "");
+            let mut lines = text.split("\r\n");
+            let id = lines.find_map(|line| line.strip_prefix("X-Call-Id: "));
+            let id = id.expect("an id").to_owned();
+            sending.borrow_mut().push_back(id);
+            if write.write_all(text.as_bytes()).await.is_err() {
+                return;
+            }
+            if waits {
+                next.notified().await;
+            }
+        }
+    });
+    spawn_local(async move {
+        let mut reader = MessageReader::new(read);
+        while let Some(response) = reader.message().await {
+            let id: Option<String> = sent.borrow_mut().pop_front();
+            let id = id.expect("a request for the response");
+            responded.borrow_mut().insert(id, response.status());
+            go.notify_one();
+        }
+        writer.abort();
+    })
+}
+
 /// Clients go on sending on every connection: the next request as soon as the last has its
 /// response, or one after the other without waiting, so that no connection is ever idle. Every
 /// request that the endpoint has gets a response other than a rejection; a request without a
@@ -360,45 +421,11 @@
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let mut proxy = Proxy::start(from_ref(&endpoint)).await;
-        let responded = Rc::new(RefCell::new(HashMap::new()));
+        let responded = ResponseStatuses::default();
         let mut clients = Vec::new();
         for number in 0..24 {
-            let (read, mut write) = proxy.client().await.stream.into_split();
-            let (go, sent) = (
-                Rc::new(Notify::new()),
-                Rc::new(RefCell::new(VecDeque::new())),
-            );
-            let (next, sending) = (go.clone(), sent.clone());
-            let writer = spawn_local(async move {
-                loop {
-                    let text = request("unsafe", "", "");
-                    let id = text
-                        .split("\r\n")
-                        .find_map(|line| line.strip_prefix("X-Call-Id: "));
-                    sending
-                        .borrow_mut()
-                        .push_back(id.expect("an id").to_owned());
-                    if write.write_all(text.as_bytes()).await.is_err() {
-                        return;
-                    }
-                    if number % 2 == 0 {
-                        next.notified().await;
-                    }
-                }
-            });
-            let responded = responded.clone();
-            clients.push(spawn_local(async move {
-                let mut reader = MessageReader::new(read);
-                while let Some(response) = reader.message().await {
-                    let id: String = sent
-                        .borrow_mut()
-                        .pop_front()
-                        .expect("a request for the response");
-                    responded.borrow_mut().insert(id, response.status());
-                    go.notify_one();
-                }
-                writer.abort();
-            }));
+            let client = proxy.client().await;
+            clients.push(spawn_client(client, number % 2 == 0, responded.clone()));
         }
         wait_until("all clients are sending", || responded.borrow().len() > 240).await;
         drop(proxy.stop.take());
--- a/proxy/tests/process_replacement.rs
+++ b/proxy/tests/process_replacement.rs
@@ -266,95 +266,100 @@
 /// draining arrive together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum FirstSeen {
-    Answer,
+    Response,
     List,
     Neither,
 }
 
+/// Sends an endpoint's last byte and the update that it drains, in this order. Returns the client's
+/// response if it had to be read in between.
+async fn send_last_byte_and_update(
+    first: FirstSeen,
+    endpoint: &Client,
+    discovery: &TestDiscovery,
+    update: &str,
+    proxy: &Proxy,
+    client: &mut Client,
+) -> Option<Message> {
+    match first {
+        FirstSeen::Response => {
+            write_once_writable(endpoint, "x").await;
+            let response = client.message().await;
+            discovery.push(update).await;
+            response
+        }
+        FirstSeen::List => {
+            discovery.push(update).await;
+            wait_for_members(proxy, 2).await;
+            write_once_writable(endpoint, "x").await;
+            None
+        }
+        FirstSeen::Neither => {
+            let writable = endpoint.stream.writable().await;
+            writable.expect("it can be written to");
+            discovery.push(update).await;
+            write_once_writable(endpoint, "x").await;
+            None
+        }
+    }
+}
+
+/// The endpoint of a request begins to drain as the last byte of its response arrives.
+async fn drain_at_the_end_of_a_response(large: bool, first: FirstSeen) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let other = TestEndpoint::start([ok("other")]).await;
+    let address = listener.local_addr().expect("an address");
+    let leaving = TestEndpoint {
+        address,
+        ..other.clone()
+    };
+    let discovery = TestDiscovery::without_updates().await;
+    let proxy = Proxy::start_with(&discovery, from_ref(&leaving), with_admin).await;
+    wait_until("the watch is open", || {
+        discovery.watch_requests.borrow().len() == 1
+    })
+    .await;
+    let mut client = proxy.client().await;
+    client.send(&request("unsafe", "", "")).await;
+    let mut endpoint = accept(&listener).await;
+    endpoint.message().await.expect("a request");
+    // All but the last byte; a large response is forwarded before its end.
+    let size = if large { 100_000 } else { 10 };
+    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n");
+    endpoint.send(&head).await;
+    endpoint.send(&"x".repeat(size - 1)).await;
+    let endpoints = [
+        entry("s-0", address, "Terminating"),
+        entry("s-1", other.address, "Ready"),
+    ];
+    let update = chunk(&list(42, false, &endpoints));
+    if large {
+        client.stream.readable().await.expect("it is passed on");
+    }
+    let early =
+        send_last_byte_and_update(first, &endpoint, &discovery, &update, &proxy, &mut client).await;
+    let response = match early {
+        Some(response) => Some(response),
+        None => client.message().await,
+    };
+    let response = response.expect("a response");
+    assert_eq!(response.body.len(), size, "{large}, {first:?}");
+    assert!(
+        endpoint.message().await.is_none(),
+        "{large}, {first:?}: closed, and nothing more arrived"
+    );
+    wait_for_members(&proxy, 2).await;
+    let next = client.exchange(&request("unsafe", "", "")).await;
+    assert_eq!(next.body, b"other");
+}
+
 /// A draining endpoint gets nothing new, also on a connection whose response ends at that moment,
 /// small or large: it is closed whichever of the two the proxy sees first.
 #[test]
 fn a_connection_that_becomes_idle_as_its_endpoint_begins_to_drain_is_closed() {
     for large in [false, true] {
-        for first in [FirstSeen::Answer, FirstSeen::List, FirstSeen::Neither] {
-            run_test(async {
-                let (listener, other) = (
-                    TcpListener::bind("127.0.0.1:0").await,
-                    TestEndpoint::start([ok("other")]).await,
-                );
-                let listener = listener.expect("a port");
-                let address = listener.local_addr().expect("an address");
-                let leaving = TestEndpoint {
-                    address,
-                    ..other.clone()
-                };
-                let discovery = TestDiscovery::without_updates().await;
-                let proxy = Proxy::start_with(&discovery, from_ref(&leaving), with_admin).await;
-                wait_until("the watch is open", || {
-                    discovery.watch_requests.borrow().len() == 1
-                })
-                .await;
-                let mut client = proxy.client().await;
-                client.send(&request("unsafe", "", "")).await;
-                let mut endpoint = accept(&listener).await;
-                endpoint.message().await.expect("a request");
-                // All but the last byte; a large response is forwarded before its end.
-                let size = if large { 100_000 } else { 10 };
-                endpoint
-                    .send(&format!(
-                        "HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n"
-                    ))
-                    .await;
-                endpoint.send(&"x".repeat(size - 1)).await;
-                let endpoints = [
-                    entry("s-0", address, "Terminating"),
-                    entry("s-1", other.address, "Ready"),
-                ];
-                let update = chunk(&list(42, false, &endpoints));
-                if large {
-                    client.stream.readable().await.expect("it is passed on");
-                }
-                let mut response = None;
-                match first {
-                    FirstSeen::Answer => {
-                        write_once_writable(&endpoint, "x").await;
-                        response = client.message().await;
-                        discovery.push(&update).await;
-                    }
-                    FirstSeen::List => {
-                        discovery.push(&update).await;
-                        wait_for_members(&proxy, 2).await;
-                        write_once_writable(&endpoint, "x").await;
-                    }
-                    FirstSeen::Neither => {
-                        endpoint
-                            .stream
-                            .writable()
-                            .await
-                            .expect("it can be written to");
-                        discovery.push(&update).await;
-                        write_once_writable(&endpoint, "x").await;
-                    }
-                }
-                let response = match response {
-                    Some(response) => Some(response),
-                    None => client.message().await,
-                };
-                assert_eq!(
-                    response.expect("a response").body.len(),
-                    size,
-                    "{large}, {first:?}"
-                );
-                assert!(
-                    endpoint.message().await.is_none(),
-                    "{large}, {first:?}: closed, and nothing more arrived"
-                );
-                wait_for_members(&proxy, 2).await;
-                assert_eq!(
-                    client.exchange(&request("unsafe", "", "")).await.body,
-                    b"other"
-                );
-            });
+        for first in [FirstSeen::Response, FirstSeen::List, FirstSeen::Neither] {
+            run_test(drain_at_the_end_of_a_response(large, first));
         }
     }
 }
--- a/settings/tests/names.rs
+++ b/settings/tests/names.rs
@@ -6,15 +6,15 @@
     Settings, SlowStart, Tenant,
 };
 use balancer_settings::{read, zone};
-use serde_json::json;
+use serde_json::{json, Value};
 
-#[test]
-fn each_key_of_the_settings_is_read_under_its_name() {
+/// A message that gives each key a value that is not its default.
+fn message() -> Value {
     let class = |name: &str, idempotency: &str, scope: &str| {
         json!({"name": name, "objective_us": 1, "deadline_us": 2, "worth": 3.0, "late_value": 0.5,
             "idempotency": idempotency, "dedup_scope": scope, "repeat_window_us": 6})
     };
-    let message = json!({
+    json!({
         "balancers": 7, "me": 5, "locality": "split-dc", "discovery": "ask", "tick_us": 8,
         "classes": [
             class("a", "free", ""), class("b", "guarded", "all"), class("c", "guarded", "zone"),
@@ -26,7 +26,11 @@
         "invariants": {"cold_from": 0.11, "cold_us": 12, "fall_multiple": 13.0,
             "ask_every_us": 14, "told_after_us": 15},
         "result_mix": {"whole": 0.16, "worst_class": 0.17},
-    });
+    })
+}
+
+/// The settings of that message.
+fn expected_settings() -> Settings {
     let class = |idempotency| Class {
         latency_objective: 1,
         deadline: 2,
@@ -35,7 +39,7 @@
         idempotency,
     };
     let keyed = |scope| class(Idempotency::Keyed { scope, window: 6 });
-    let expected = Settings {
+    Settings {
         balancer_count: 7,
         balancer_index: 5,
         clock_resolution: 8,
@@ -69,9 +73,13 @@
             overall: 0.16,
             worst_class: 0.17,
         },
-    };
-    let site = read(&message).expect("settings");
-    assert_eq!(site.settings, expected);
+    }
+}
+
+#[test]
+fn each_key_of_the_settings_is_read_under_its_name() {
+    let site = read(&message()).expect("settings");
+    assert_eq!(site.settings, expected_settings());
     assert_eq!(site.class_names, ["a", "b", "c", "d", "e"]);
     assert_eq!(site.tenant_names, ["t", "u"]);
 }
