--- a/balancer/src/outlier_detection.rs
+++ b/balancer/src/outlier_detection.rs
@@ -26,7 +26,7 @@
 impl Balancer {
     /// Number of listed endpoints that get no requests now: they are ejected and not being tried,
     /// or in a zone that is avoided.
-    pub fn avoided(&self, now: Micros) -> usize {
+    pub fn unavailable_count(&self, now: Micros) -> usize {
         let is_avoided = |endpoint: &&Endpoint| {
             let is_tried = endpoint.limit.trial_in_flight
                 || endpoint.is_awaiting_trial(now, self.served_count, &self.settings.slow_start);
--- a/balancer/tests/outlier_detection.rs
+++ b/balancer/tests/outlier_detection.rs
@@ -58,7 +58,7 @@
 #[test]
 fn an_ejected_endpoint_is_avoided_until_it_may_be_tried() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
-    assert_eq!(proxy.balancer.avoided(proxy.now), 0);
+    assert_eq!(proxy.balancer.unavailable_count(proxy.now), 0);
     for _ in 0..60 {
         let (request, actions) = proxy.request();
         for (attempt, (_, endpoint)) in (0..).zip(forwarded(&actions)) {
@@ -70,9 +70,9 @@
             proxy.now += 10 * MS;
             proxy.end_attempt(request, attempt, outcome, 10 * MS);
         }
-        if proxy.balancer.avoided(proxy.now) == 1 {
+        if proxy.balancer.unavailable_count(proxy.now) == 1 {
             proxy.now += 1_000 * MS;
-            assert_eq!(proxy.balancer.avoided(proxy.now), 0);
+            assert_eq!(proxy.balancer.unavailable_count(proxy.now), 0);
             return;
         }
     }
--- a/deploy/sites/generate/src/generator.rs
+++ b/deploy/sites/generate/src/generator.rs
@@ -75,12 +75,12 @@
     }
 
     /// Log-uniform: as likely in each octave.
-    fn log_between(&mut self, (low, high): (f64, f64)) -> f64 {
+    fn log_uniform(&mut self, (low, high): (f64, f64)) -> f64 {
         self.between((low.ln(), high.ln())).exp()
     }
 
-    fn log_between_whole(&mut self, bounds: (f64, f64)) -> i64 {
-        self.log_between(bounds).round() as i64
+    fn log_uniform_integer(&mut self, bounds: (f64, f64)) -> i64 {
+        self.log_uniform(bounds).round() as i64
     }
 
     fn network(&mut self, site: &mut Table) -> Result<(), DrawError> {
@@ -140,9 +140,9 @@
     }
 
     fn rules(&mut self, site: &mut Table) -> Result<(), DrawError> {
-        let drain_grace_ms = self.log_between_whole((200.0, 3_000.0));
+        let drain_grace_ms = self.log_uniform_integer((200.0, 3_000.0));
         let overload_multiple = rounded(self.between((2.5, 4.0)), 1);
-        let overload_ms = self.log_between_whole((1_000.0, 3_000.0));
+        let overload_ms = self.log_uniform_integer((1_000.0, 3_000.0));
         let rules = table(site, "rules")?;
         rules.insert("drain_grace_ms".into(), drain_grace_ms.into());
         rules.insert("fall_multiple".into(), overload_multiple.into());
@@ -153,13 +153,16 @@
     fn endpoints(&mut self, site: &mut Table) -> Result<(), DrawError> {
         for tier in tables(site, "tier", "tier")? {
             let connections = table(tier, "conn")?;
-            let handshake_us = self.log_between_whole((1_000.0, 9_000.0)) as f64;
+            let handshake_us = self.log_uniform_integer((1_000.0, 9_000.0)) as f64;
             connections.insert(
                 "handshake_us".into(),
                 range(handshake_us, 1.6 * handshake_us),
             );
-            connections.insert("idle_s".into(), self.log_between_whole((3.0, 120.0)).into());
-            let connect_timeout_ms = self.log_between_whole((100.0, 1_000.0));
+            connections.insert(
+                "idle_s".into(),
+                self.log_uniform_integer((3.0, 120.0)).into(),
+            );
+            let connect_timeout_ms = self.log_uniform_integer((100.0, 1_000.0));
             connections.insert("connect_timeout_ms".into(), connect_timeout_ms.into());
             let lower_start = self.random.gen_bool(0.5);
             for kind in tables(tier, "kind", "tier.kind")? {
@@ -192,10 +195,10 @@
     }
 
     fn class(&mut self, number: usize) -> Table {
-        let deadline_ms = self.log_between(DEADLINE_MS);
+        let deadline_ms = self.log_uniform(DEADLINE_MS);
         let objective_ms = deadline_ms * self.between(OBJECTIVE_FRACTION);
         let work_ms = (objective_ms * self.between(WORK_FRACTION)).clamp(WORK_MS.0, WORK_MS.1);
-        let share = rounded(self.log_between((0.08, 0.8)), 2);
+        let share = rounded(self.log_uniform((0.08, 0.8)), 2);
         let mut class = Table::new();
         let mut set = |name: &str, value: Value| class.insert(name.into(), value);
         set("name", format!("class-{number}").into());
@@ -232,7 +235,7 @@
                 );
                 set(
                     "window_ms",
-                    self.log_between_whole((300.0, 20_000.0)).into(),
+                    self.log_uniform_integer((300.0, 20_000.0)).into(),
                 );
             }
             _ => {
--- a/proxy/src/control/attempts.rs
+++ b/proxy/src/control/attempts.rs
@@ -91,7 +91,7 @@
             return;
         };
         let outcome = Outcome::Cancelled;
-        attempt.bar(outcome);
+        attempt.end_by_proxy(outcome);
         let elapsed = attempt.started_at.elapsed();
         let event = ended_by_proxy(id, number, outcome, elapsed, request.has_reply());
         self.events.push_back(event);
--- a/proxy/src/control/in_flight.rs
+++ b/proxy/src/control/in_flight.rs
@@ -193,7 +193,7 @@
         let request_finished = self.has_reply();
         for (number, attempt) in (0..).zip(&mut self.attempts) {
             if let Some(attempt) = attempt.take_if(|attempt| is_unwanted(attempt)) {
-                attempt.bar(outcome);
+                attempt.end_by_proxy(outcome);
                 let elapsed = attempt.started_at.elapsed();
                 events.push_back(ended_by_proxy(
                     id,
@@ -218,8 +218,8 @@
 }
 
 impl InFlightAttempt {
-    /// Lets nothing more be written of it, as the proxy has ended it.
-    pub(super) fn bar(&self, outcome: Outcome) {
+    /// Ends it: nothing more of it is written.
+    pub(super) fn end_by_proxy(&self, outcome: Outcome) {
         self.write_guard.withdraw();
         self.write_guard.finish(outcome);
     }
--- a/proxy/src/control/snapshot.rs
+++ b/proxy/src/control/snapshot.rs
@@ -10,7 +10,7 @@
         // Draining endpoints are unavailable by the list's word, whatever the balancer thinks of
         // them.
         let draining = state.endpoints.count() - state.endpoints.ready_count();
-        let unavailable = state.balancer.avoided(state.clock.now()) + draining;
+        let unavailable = state.balancer.unavailable_count(state.clock.now()) + draining;
         let metrics = state.metrics.snapshot();
         metrics.to_json(&state.config.classes, state.endpoints.count(), unavailable)
     }
--- a/proxy/src/control/watch.rs
+++ b/proxy/src/control/watch.rs
@@ -12,7 +12,7 @@
 pub(super) struct WatchState {
     /// Version of the last list or update.
     pub(super) version: Option<u64>,
-    /// A list has been received, or the configuration held one that names endpoints.
+    /// A list has been received, or the configuration has one that names endpoints.
     pub(super) has_list: bool,
     /// The first list is no longer waited for: clients are served without one.
     pub(super) list_wait_ended: bool,
--- a/proxy/src/downstream/client_connections.rs
+++ b/proxy/src/downstream/client_connections.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether one more connection may be open. At the limit one is evicted for it.
-    pub(super) fn make_room(&mut self) -> bool {
+    pub(super) fn ensure_capacity(&mut self) -> bool {
         let config = self.shared.control.config();
         let limit = config.max_client_connections();
         self.shared
--- a/proxy/src/downstream/listener.rs
+++ b/proxy/src/downstream/listener.rs
@@ -28,13 +28,13 @@
     let mut sweeps = sweep_ticks();
     let mut accept_from = Instant::now();
     loop {
-        let has_room = connections.make_room();
+        let has_capacity = connections.ensure_capacity();
         let accepted = async {
             sleep_until(accept_from).await;
             listener.accept().await
         };
         tokio::select! {
-            accepted = accepted, if has_room => match accepted {
+            accepted = accepted, if has_capacity => match accepted {
                 Ok((stream, _)) => {
                     connections.add(stream);
                     // Its task runs: a client that sends at once is known from a silent one only
@@ -53,7 +53,7 @@
 pub(super) async fn accept_remaining(listener: &TcpListener, connections: &mut ClientConnections) {
     let mut failing_since: Option<Instant> = None;
     loop {
-        if !connections.make_room() {
+        if !connections.ensure_capacity() {
             sleep(SWEEP_INTERVAL).await;
             connections.sweep();
             continue;
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -77,7 +77,7 @@
         .map(|listener| task::spawn(operators::serve(listener, control.clone())));
     let _list_wait = task::spawn(end_list_wait(control.clone()));
     let _presence =
-        presence_folder.map(|folder| task::spawn(share_with_other(folder, control.clone())));
+        presence_folder.map(|folder| task::spawn(follow_other_process(folder, control.clone())));
     let ended = tokio::select! {
         ended = serve_clients(listeners.clients, &control, shutdown) => ended,
         () = apply_reloads(&control, reload) => Ok(()),
@@ -154,7 +154,7 @@
 }
 
 /// Shares the limits with another process of the program for as long as there is one.
-async fn share_with_other(folder: PathBuf, control: Control) {
+async fn follow_other_process(folder: PathBuf, control: Control) {
     let on_change = |is_shared| {
         if is_shared {
             log::line("another process serves too");
--- a/soak/src/notification.rs
+++ b/soak/src/notification.rs
@@ -136,7 +136,7 @@
 
 impl Outage {
     /// Whether it may keep a change from being delivered. A watch that falls silent may have lost
-    /// what came just before, and stays silent when the agent is back.
+    /// what arrived just before, and stays silent when the agent is back.
     fn affects(&self, had_at: Instant) -> bool {
         let broken_until = self
             .until
