--- a/proxy/src/control/request.rs
+++ b/proxy/src/control/request.rs
@@ -9,6 +9,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// How long the client still waits, in milliseconds, as advertised to endpoints.
+const TIMEOUT_MS_HEADER: &str = "x-budget-ms";
+
 /// A client's request as it is forwarded to endpoints.
 #[derive(Debug)]
 pub struct ForwardedRequest {
@@ -48,7 +51,7 @@
         write_guard.advertise_timeout(Duration::from_millis(time_left_ms));
         message
             .headers_mut()
-            .insert("x-budget-ms", HeaderValue::from(time_left_ms.max(1)));
+            .insert(TIMEOUT_MS_HEADER, HeaderValue::from(time_left_ms.max(1)));
         message
     }
 
--- a/proxy/src/upstream/response.rs
+++ b/proxy/src/upstream/response.rs
@@ -15,6 +15,8 @@
 use thiserror::Error;
 use tokio::time::{timeout_at, Instant};
 
+/// `1`: the endpoint has rejected the request without executing it.
+const REJECTED_HEADER: &str = "x-rejected";
 /// How long a response of unknown length is buffered once its body has begun.
 const BUFFERING_TIMEOUT: Duration = Duration::from_millis(20);
 
@@ -70,7 +72,9 @@
 
 /// What a status other than 200 proves.
 pub(super) fn classify_status(status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let is_rejected = headers.get("x-rejected").is_some_and(|value| value == "1");
+    let is_rejected = headers
+        .get(REJECTED_HEADER)
+        .is_some_and(|value| value == "1");
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejected => {
             Outcome::Rejected
