--- a/proxy/tests/external_names.rs
+++ b/proxy/tests/external_names.rs
@@ -8,6 +8,7 @@
 use client_proxy::discovery::ListedState;
 use common::*;
 use serde_json::json;
+use std::path::Path;
 use std::slice::from_ref;
 use std::time::Duration;
 
@@ -101,3 +102,11 @@
         assert_eq!(health.status(), 200);
     });
 }
+
+/// README runs the program with this file.
+#[test]
+fn the_example_configuration_is_valid() {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/example.json");
+    let config = Config::load(&path).expect("a good configuration");
+    assert_eq!(config.classes, ["read", "write"]);
+}
