--- a/proxy/tests/client_disconnect_under_load.rs
+++ b/proxy/tests/client_disconnect_under_load.rs
@@ -34,11 +34,20 @@
     clients
 }
 
+/// The crowd where the proxy is to be busy, and otherwise no client.
+async fn connect_crowd_if(busy: bool, proxy: &Proxy) -> Vec<Client> {
+    if busy {
+        connect_crowd(proxy).await
+    } else {
+        Vec::new()
+    }
+}
+
 /// Every client sends a request at once.
 fn request_health_on_all(crowd: &[Client]) {
-    crowd
-        .iter()
-        .for_each(|client| write_now(client, HEALTH_REQUEST));
+    for client in crowd {
+        write_now(client, HEALTH_REQUEST);
+    }
 }
 
 /// Disconnects, and keeps the thread until the system has delivered that to the proxy's end.
@@ -83,70 +92,72 @@
     ]
 }
 
+/// The headers of a request with a large body, and the part of that body that is sent.
+fn large_body(sent: usize) -> (String, String) {
+    let head = format!("Content-Length: {}\r\n", 30 << 20);
+    (head, "x".repeat(sent))
+}
+
+/// Two requests are in flight, a third with these headers is queued, with these bytes behind it.
+async fn assert_queued_request_is_not_sent(
+    head: &str,
+    pipelined: &str,
+    how: Disconnect,
+    busy: bool,
+) {
+    let (endpoint, listener) = manual_endpoint().await;
+    let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |config| {
+        limit_to_two_in_flight(config);
+        allow_many_sockets(config);
+    })
+    .await;
+    let crowd = connect_crowd_if(busy, &proxy).await;
+    let mut first = proxy.client().await;
+    let mut second = proxy.client().await;
+    write_now(&first, &request("free", "", ""));
+    let (mut connection, _) = accept_request(&listener).await;
+    write_now(&second, &request("free", "", ""));
+    let (mut other, _) = accept_request(&listener).await;
+    let mut client = proxy.client().await;
+    client.send(&request("unsafe", head, "")).await;
+    client.send(pipelined).await;
+    // It is queued: with its body unread it does not count as pending.
+    if head.is_empty() {
+        wait_for_pending(admin, 3).await;
+    } else {
+        let health = proxy.client().await.exchange(HEALTH_REQUEST).await;
+        assert_eq!(health.status(), 200);
+    }
+    request_health_on_all(&crowd);
+    for connection in [&connection, &other] {
+        write_now(connection, OK_RESPONSE);
+    }
+    disconnect_unnoticed(client, how, &proxy);
+    assert_eq!(first.message().await.expect("a response").status(), 200);
+    assert_eq!(second.message().await.expect("a response").status(), 200);
+    first.send(&request("unsafe", "", "the next")).await;
+    let next = tokio::select! {
+        next = next_body(&mut connection, [&listener, &listener]) => next,
+        message = other.message() => message.expect("a request").body,
+    };
+    let shown = &pipelined[..pipelined.len().min(20)];
+    assert_eq!(next, b"the next", "{how:?}, {head}{shown}");
+    assert_eq!(upstream_requests(admin).await, 3);
+}
+
 /// The request is queued, also with a large body of which most is unread, while its client
 /// disconnects and capacity becomes free, both in one turn of a proxy that has much else to do.
 #[test]
 fn a_queued_request_is_not_sent_when_its_client_disconnects_as_capacity_becomes_free() {
-    let long = |part: usize| {
-        (
-            format!("Content-Length: {}\r\n", 30 << 20),
-            "x".repeat(part),
-        )
-    };
     let bodies = pipelined_bytes().map(|pipelined| (String::new(), pipelined));
-    for (head, pipelined) in bodies.into_iter().chain([long(0), long(100 << 10)]) {
-        for (how, busy) in DISCONNECTS
-            .into_iter()
-            .flat_map(|how| [(how, true), (how, false)])
-        {
-            run_test(async {
-                let (endpoint, listener) = manual_endpoint().await;
-                let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |config| {
-                    (limit_to_two_in_flight(config), allow_many_sockets(config)).0
-                })
-                .await;
-                let crowd = if busy {
-                    connect_crowd(&proxy).await
-                } else {
-                    Vec::new()
-                };
-                let (mut first, mut second) = (proxy.client().await, proxy.client().await);
-                write_now(&first, &request("free", "", ""));
-                let (mut connection, _) = accept_request(&listener).await;
-                write_now(&second, &request("free", "", ""));
-                let (mut other, _) = accept_request(&listener).await;
-                let mut client = proxy.client().await;
-                client.send(&request("unsafe", &head, "")).await;
-                client.send(&pipelined).await;
-                // It is queued: with its body unread it does not count as pending.
-                if head.is_empty() {
-                    wait_for_pending(admin, 3).await;
-                } else {
-                    assert_eq!(
-                        proxy.client().await.exchange(HEALTH_REQUEST).await.status(),
-                        200
-                    );
-                }
-                request_health_on_all(&crowd);
-                for connection in [&connection, &other] {
-                    write_now(connection, OK_RESPONSE);
-                }
-                disconnect_unnoticed(client, how, &proxy);
-                assert_eq!(first.message().await.expect("a response").status(), 200);
-                assert_eq!(second.message().await.expect("a response").status(), 200);
-                first.send(&request("unsafe", "", "the next")).await;
-                let next = tokio::select! {
-                    next = next_body(&mut connection, [&listener, &listener]) => next,
-                    message = other.message() => message.expect("a request").body,
-                };
-                assert_eq!(
-                    next,
-                    b"the next",
-                    "{how:?}, {head}{}",
-                    &pipelined[..pipelined.len().min(20)]
-                );
-                assert_eq!(upstream_requests(admin).await, 3);
-            });
+    let large_bodies = [large_body(0), large_body(100 << 10)];
+    for (head, pipelined) in bodies.into_iter().chain(large_bodies) {
+        for how in DISCONNECTS {
+            for busy in [true, false] {
+                run_test(assert_queued_request_is_not_sent(
+                    &head, &pipelined, how, busy,
+                ));
+            }
         }
     }
 }
@@ -169,11 +180,7 @@
                     )
                     .await;
                     let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
-                    let crowd = if busy {
-                        connect_crowd(&proxy).await
-                    } else {
-                        Vec::new()
-                    };
+                    let crowd = connect_crowd_if(busy, &proxy).await;
                     let client = proxy.client().await;
                     write_now(&client, &(request("unsafe", "", "the body") + &pipelined));
                     let (mut connection, _) = tokio::select! {
@@ -225,7 +232,9 @@
             let listener = listener.into_std().expect("a listener");
             let waiting = full.len();
             drop(full);
-            (0..waiting).for_each(|_| drop(listener.accept().expect("accepted")));
+            for _ in 0..waiting {
+                drop(listener.accept().expect("accepted"));
+            }
             request_health_on_all(&crowd);
             disconnect_unnoticed(client, how, &proxy);
             while !has_established_connection(stuck.address) {}
@@ -234,15 +243,9 @@
                 [ok("served")],
             );
             wait_for_pending(admin, 0).await;
-            assert_eq!(
-                proxy
-                    .client()
-                    .await
-                    .exchange(&request("unsafe", "", "the next"))
-                    .await
-                    .status(),
-                200
-            );
+            let text = request("unsafe", "", "the next");
+            let next = proxy.client().await.exchange(&text).await;
+            assert_eq!(next.status(), 200);
             let bodies: Vec<_> = endpoint
                 .requests
                 .borrow()
@@ -266,11 +269,7 @@
                 let (endpoint, listener) = manual_endpoint().await;
                 let (proxy, admin) =
                     start_without_cancellation(from_ref(&endpoint), allow_many_sockets).await;
-                let crowd = if busy {
-                    connect_crowd(&proxy).await
-                } else {
-                    Vec::new()
-                };
+                let crowd = connect_crowd_if(busy, &proxy).await;
                 let client = proxy.client().await;
                 write_now(
                     &client,
@@ -324,6 +323,27 @@
     }
 }
 
+/// Responds to every request, and accepts a new connection for each.
+async fn respond_to_all(listener: &TcpListener) {
+    let mut open = Vec::new();
+    loop {
+        let (connection, _) = accept_request(listener).await;
+        write_now(
+            &connection,
+            &OK_RESPONSE.replace("OK\r\n", "OK\r\nConnection: close\r\n"),
+        );
+        open.push(connection);
+    }
+}
+
+/// Sends this many requests, one after the other, which are all served.
+async fn exchange_requests(client: &mut Client, count: usize) {
+    for _ in 0..count {
+        let response = client.exchange(&request("free", "", "")).await;
+        assert_eq!(response.status(), 200);
+    }
+}
+
 /// The request is late, and a hedged request is due: the client disconnects before that, in the
 /// same turn.
 #[test]
@@ -348,24 +368,10 @@
                 // Responses give the typical latency, and earn the credit that a hedged request is
                 // paid from.
                 let mut before = proxy.client().await;
-                let responses = [one, other].map(|listener| async move {
-                    let mut open = Vec::new();
-                    loop {
-                        let (connection, _) = accept_request(listener).await;
-                        write_now(
-                            &connection,
-                            &OK_RESPONSE.replace("OK\r\n", "OK\r\nConnection: close\r\n"),
-                        );
-                        open.push(connection);
-                    }
-                });
-                let [ones, others] = responses;
                 tokio::select! {
-                    () = ones => {}
-                    () = others => {}
-                    () = async { for _ in 0..60 {
-                        assert_eq!(before.exchange(&request("free", "", "")).await.status(), 200);
-                    } } => {}
+                    () = respond_to_all(one) => {}
+                    () = respond_to_all(other) => {}
+                    () = exchange_requests(&mut before, 60) => {}
                 }
                 let sent_before = upstream_requests(admin).await;
                 let client = proxy.client().await;
--- a/proxy/tests/endpoint_list_propagation.rs
+++ b/proxy/tests/endpoint_list_propagation.rs
@@ -92,11 +92,62 @@
     }
 }
 
+/// Until when a change that the agent has is applied: the drain grace of 0.4 s and its slack of
+/// 50 ms.
+const DRAIN_GRACE: Duration = Duration::from_millis(450);
+
+/// The pushed watch is reset, and requests for the next one fail in this way before one succeeds.
+async fn assert_applied_within_the_grace(path: Vec<WatchResponse>) {
+    let name = format!("{path:?}");
+    let endpoint = TestEndpoint::start([ok("served")]).await;
+    let count = path.len();
+    let is_unreachable = path
+        .iter()
+        .any(|response| matches!(response, Unreachable(_)));
+    let script = [NO_UPDATES()]
+        .into_iter()
+        .chain(path)
+        .chain([notify_draining(&endpoint)]);
+    let discovery = ScriptedDiscovery::start(script).await;
+    let proxy = PausedProxy::start("push", 5, &discovery, endpoint).await;
+    wait_without_time("the watch", || discovery.request_count.get() == 1).await;
+    advance(Duration::from_secs(1)).await;
+    settle().await;
+    discovery.reset();
+    advance_until("the last that fails", || {
+        is_unreachable || discovery.request_count.get() > count
+    })
+    .await;
+    let elapsed = proxy.until_draining("the drain").await;
+    let elapsed = discovery
+        .reachable_since
+        .get()
+        .map_or(elapsed, |reachable_since| reachable_since.elapsed());
+    assert!(elapsed <= DRAIN_GRACE, "{elapsed:?}: {name}");
+}
+
+/// The pushed watch is silent from the beginning, and requests for the next one fail in this way
+/// before one succeeds.
+async fn assert_applied_after_a_silent_watch(path: Vec<WatchResponse>) {
+    let name = format!("{path:?}");
+    let endpoint = TestEndpoint::start([ok("served")]).await;
+    let script = [NO_UPDATES()]
+        .into_iter()
+        .chain(path)
+        .chain([notify_draining(&endpoint)]);
+    let discovery = ScriptedDiscovery::start(script).await;
+    let proxy = PausedProxy::start("push", 5, &discovery, endpoint).await;
+    let elapsed = proxy.until_draining("the drain").await;
+    assert!(
+        elapsed <= 6_000 * MS + MARGIN,
+        "silent for {elapsed:?}: {name}"
+    );
+}
+
 /// Whatever happened to the request before, what the agent has counts as notified at once: the
-/// bound is the drain grace of 0.4 s and its slack of 50 ms.
+/// bound is the drain grace and its slack.
 #[test]
 fn a_change_that_the_agent_has_is_applied_within_the_drain_grace() {
-    let grace = Duration::from_millis(450);
     let fails = [
         REJECTED,
         NO_RESPONSE,
@@ -104,59 +155,12 @@
         || Reset,
         || Unreachable(Duration::from_secs(8)),
     ];
-    for path in fails.into_iter().map(|failure| vec![failure()]).chain([
-        Vec::new(),
-        repeated(NO_RESPONSE, 9),
-        repeated(REJECTED, 9),
-    ]) {
-        let name = format!("{path:?}");
-        run_with_paused_time(async {
-            let endpoint = TestEndpoint::start([ok("served")]).await;
-            let (count, is_unreachable) = (
-                path.len(),
-                path.iter()
-                    .any(|response| matches!(response, Unreachable(_))),
-            );
-            let script = [NO_UPDATES()]
-                .into_iter()
-                .chain(path)
-                .chain([notify_draining(&endpoint)]);
-            let discovery = ScriptedDiscovery::start(script).await;
-            let proxy = PausedProxy::start("push", 5, &discovery, endpoint).await;
-            wait_without_time("the watch", || discovery.request_count.get() == 1).await;
-            advance(Duration::from_secs(1)).await;
-            settle().await;
-            discovery.reset();
-            advance_until("the last that fails", || {
-                is_unreachable || discovery.request_count.get() > count
-            })
-            .await;
-            let elapsed = proxy.until_draining("the drain").await;
-            let elapsed = discovery
-                .reachable_since
-                .get()
-                .map_or(elapsed, |reachable_since| reachable_since.elapsed());
-            assert!(elapsed <= grace, "{elapsed:?}: {name}");
-        });
+    let once = fails.into_iter().map(|failure| vec![failure()]);
+    for path in once.chain([Vec::new(), repeated(NO_RESPONSE, 9), repeated(REJECTED, 9)]) {
+        run_with_paused_time(assert_applied_within_the_grace(path));
     }
     for path in failure_sequences() {
-        let name = format!("{path:?}");
-        run_with_paused_time(async {
-            let endpoint = TestEndpoint::start([ok("served")]).await;
-            let discovery = ScriptedDiscovery::start(
-                [NO_UPDATES()]
-                    .into_iter()
-                    .chain(path)
-                    .chain([notify_draining(&endpoint)]),
-            )
-            .await;
-            let proxy = PausedProxy::start("push", 5, &discovery, endpoint).await;
-            let elapsed = proxy.until_draining("the drain").await;
-            assert!(
-                elapsed <= 6_000 * MS + MARGIN,
-                "silent for {elapsed:?}: {name}"
-            );
-        });
+        run_with_paused_time(assert_applied_after_a_silent_watch(path));
     }
 }
 
@@ -172,23 +176,14 @@
         || Reset,
         || Unreachable(Duration::from_secs(5)),
     ];
-    for path in absent.into_iter().map(|failure| {
-        repeated(
-            failure,
-            if matches!(failure(), Unreachable(_)) {
-                1
-            } else {
-                30
-            },
-        )
-    }) {
+    for failure in absent {
+        let is_unreachable = matches!(failure(), Unreachable(_));
+        let path = repeated(failure, if is_unreachable { 1 } else { 30 });
         let name = format!("{:?}", path[0]);
         run_with_paused_time(async {
-            let (old, new) = (
-                TestEndpoint::start([ok("old")]).await,
-                TestEndpoint::start([ok("new")]).await,
-            );
-            let (count, is_unreachable) = (path.len(), matches!(path[0], Unreachable(_)));
+            let old = TestEndpoint::start([ok("old")]).await;
+            let new = TestEndpoint::start([ok("new")]).await;
+            let count = path.len();
             // It omits the old endpoint: that is removed, though it still responds.
             let full = list(42, true, &[entry("s-1", new.address, "Ready")]);
             let script = path
@@ -207,7 +202,7 @@
                 .reachable_since
                 .get()
                 .map_or(elapsed, |reachable_since| reachable_since.elapsed());
-            assert!(elapsed <= Duration::from_millis(450), "{elapsed:?}: {name}");
+            assert!(elapsed <= DRAIN_GRACE, "{elapsed:?}: {name}");
             let mut client =
                 MessageReader::new(TcpStream::connect(proxy.address).await.expect("it listens"));
             assert_eq!(
--- a/proxy/tests/graceful_shutdown.rs
+++ b/proxy/tests/graceful_shutdown.rs
@@ -23,7 +23,8 @@
         let endpoint =
             TestEndpoint::start([ok("before"), ScriptedResponse::Stall, ok("after")]).await;
         let mut proxy = Proxy::start(from_ref(&endpoint)).await;
-        let (mut idle, mut busy) = (proxy.client().await, proxy.client().await);
+        let mut idle = proxy.client().await;
+        let mut busy = proxy.client().await;
         let mut half = proxy.client().await;
         assert_eq!(
             idle.exchange(&request("unsafe", "", "")).await.body,
@@ -64,7 +65,8 @@
         const HALF_BYTES: usize = 100_000;
         let (endpoint, listener) = manual_endpoint().await;
         let mut proxy = Proxy::start(from_ref(&endpoint)).await;
-        let (mut client, mut late) = (proxy.client().await, proxy.client().await);
+        let mut client = proxy.client().await;
+        let mut late = proxy.client().await;
         client.send(&request("free", "", "")).await;
         let mut stream = listener.accept().await.expect("the proxy connects").0;
         let head = format!(
@@ -270,7 +272,8 @@
     });
 }
 
-/// A request whose first attempt was rejected, and the connection of whose second one does not open.
+/// A request whose first attempt was rejected, and the connection of whose second one does not
+/// open.
 struct OpeningRetry {
     proxy: Proxy,
     client: Client,
@@ -337,7 +340,8 @@
         .await
         .starts_with("SUCCESS")
     {}
-    let (mut full, mut listener) = (Some(full), Some(listener));
+    let mut full = Some(full);
+    let mut listener = Some(listener);
     let endpoint = listener.take_if(|_| opens_in_time).map(|listener| {
         full.take();
         TestEndpoint::on_listener(listener, [ok("served")])
@@ -346,8 +350,8 @@
     assert_eq!(response.header("connection"), Some("close"));
     match &endpoint {
         Some(endpoint) => {
-            let (status, body) = (response.status(), response.body.as_slice());
-            assert_eq!((status, body), (200, &b"served"[..]));
+            let body = response.body.as_slice();
+            assert_eq!((response.status(), body), (200, &b"served"[..]));
             assert_eq!(endpoint.request_count(), 1);
         }
         None => {
@@ -384,7 +388,8 @@
     let (read, mut write) = client.stream.into_split();
     let go = Rc::new(Notify::new());
     let sent = Rc::new(RefCell::new(VecDeque::new()));
-    let (next, sending) = (go.clone(), sent.clone());
+    let next = go.clone();
+    let sending = sent.clone();
     let writer = spawn_local(async move {
         loop {
             let text = request("unsafe", "", "");
--- a/proxy/tests/process_handoff.rs
+++ b/proxy/tests/process_handoff.rs
@@ -27,11 +27,9 @@
 
 impl HandoffSite {
     async fn new(name: &str, script: impl IntoIterator<Item = ScriptedResponse>) -> HandoffSite {
-        let (endpoint, discovery, port) = (
-            TestEndpoint::start(script).await,
-            TestDiscovery::without_updates().await,
-            reserve_port(),
-        );
+        let endpoint = TestEndpoint::start(script).await;
+        let discovery = TestDiscovery::without_updates().await;
+        let port = reserve_port();
         let address = port.local_addr().expect("an address");
         let config = configuration(discovery.address, from_ref(&endpoint), |config| {
             config["listen"] = address.to_string().into();
@@ -185,11 +183,12 @@
     });
 }
 
-/// The response to an operator's command, or nothing while nobody listens there.
-async fn health_response(admin: &str, line: &str) -> String {
+/// The response to an operator's question whether a process is ready, or nothing while nobody
+/// listens there.
+async fn health_response(admin: SocketAddr) -> String {
     let mut response = String::new();
     if let Ok(mut stream) = TcpStream::connect(admin).await {
-        stream.write_all(line.as_bytes()).await.expect("written");
+        stream.write_all(b"health\n").await.expect("written");
         stream
             .read_to_string(&mut response)
             .await
@@ -198,80 +197,62 @@
     response
 }
 
+/// A client whose request the endpoint has, as its second, and does not respond to.
+async fn client_with_stalled_request(site: &HandoffSite) -> Client {
+    let mut client = connect(site.address).await;
+    client.send(&request("unsafe", "", "")).await;
+    wait_until("the endpoint has the request", || {
+        site.endpoint.request_count() == 2
+    })
+    .await;
+    client
+}
+
+/// Requests on new connections get responses from a process that doesn't shut down.
+async fn assert_new_connections_are_served(address: SocketAddr) {
+    for _ in 0..16 {
+        let mut next = connect(address).await;
+        let response = next.exchange(&request("unsafe", "", "")).await;
+        assert_eq!(
+            (response.status(), response.header("connection")),
+            (200, None),
+            "the new process responds"
+        );
+    }
+}
+
 /// The new process takes over the address; the old one responds to what arrives on its
 /// connections, and ends.
 #[test]
 fn a_new_process_takes_over_from_the_old_one() {
     run_test(async {
-        let endpoint =
-            TestEndpoint::start([ok("served"), ScriptedResponse::Stall, ok("served")]).await;
-        let discovery = TestDiscovery::without_updates().await;
-        let port = reserve_port();
-        let address = port.local_addr().expect("an address");
-        let config = configuration(discovery.address, from_ref(&endpoint), |config| {
-            config["listen"] = address.to_string().into();
-        });
-        let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("beside");
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let start = |admin: &str| {
-            let mut command = program_command(&config, "beside.json").0;
-            command
-                .env("TMPDIR", &folder)
-                .env("ROUTER_ADMIN", admin)
-                .stderr(Stdio::null());
-            RunningProgram(command.spawn().expect("it starts"))
-        };
-        let admins = [reserve_port(), reserve_port()];
-        let [here, there] = admins
-            .each_ref()
-            .map(|port| port.local_addr().expect("an address").to_string());
-        let (here, there) = (here.as_str(), there.as_str());
-        let mut old = start(here);
-        while health_response(here, "health\n").await != "SUCCESS yes\n" {}
-        let mut client = connect(address).await;
+        let script = [ok("served"), ScriptedResponse::Stall, ok("served")];
+        let site = HandoffSite::new("beside", script).await;
+        let (mut old, old_admin) = site.start().await;
+        let mut client = connect(site.address).await;
         assert_eq!(
             client.exchange(&request("unsafe", "", "")).await.body,
             b"served"
         );
-        let mut busy = connect(address).await;
-        busy.send(&request("unsafe", "", "")).await;
-        wait_until("the endpoint has the request", || {
-            endpoint.request_count() == 2
-        })
-        .await;
-        let mut new = start(there);
-        while health_response(there, "health\n").await != "SUCCESS yes\n" {}
+        let mut busy = client_with_stalled_request(&site).await;
+        let (mut new, new_admin) = site.start().await;
         assert!(Command::new("kill")
             .arg(old.0.id().to_string())
             .status()
             .expect("kill runs")
             .success());
-        while health_response(here, "health\n").await == "SUCCESS yes\n" {}
-        for _ in 0..16 {
-            let mut next = connect(address).await;
-            let response = next.exchange(&request("unsafe", "", "")).await;
-            assert_eq!(
-                (response.status(), response.header("connection")),
-                (200, None),
-                "the new process responds"
-            );
-        }
+        while health_response(old_admin).await == "SUCCESS yes\n" {}
+        assert_new_connections_are_served(site.address).await;
         assert!(client.message().await.is_none(), "closed between requests");
-        endpoint.release.notify_one();
+        site.endpoint.release.notify_one();
         let last = busy.message().await.expect("a response");
         assert_eq!(
             (last.status(), last.header("connection")),
             (200, Some("close")),
             "the old process responds"
         );
-        let ended = loop {
-            match old.0.try_wait().expect("it can be waited for") {
-                Some(status) => break status,
-                None => sleep(Duration::from_millis(5)).await,
-            }
-        };
-        assert!(ended.success());
-        assert_eq!(health_response(there, "health\n").await, "SUCCESS yes\n");
+        assert!(old.ends().await);
+        assert_eq!(health_response(new_admin).await, "SUCCESS yes\n");
         assert!(
             new.0.try_wait().expect("it can be waited for").is_none(),
             "it still runs"
--- a/proxy/tests/program.rs
+++ b/proxy/tests/program.rs
@@ -6,12 +6,28 @@
 use std::io::{BufRead, BufReader, Read as _};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Command, Stdio};
+use std::process::{Child, Command, Stdio};
 use std::slice::from_ref;
 use std::time::Duration;
-use tokio::net::TcpStream;
+use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::sleep;
 
+/// The configuration of a program that listens at this address.
+fn configuration_at(
+    address: SocketAddr,
+    discovery: &TestDiscovery,
+    endpoint: &TestEndpoint,
+) -> String {
+    configuration(discovery.address, from_ref(endpoint), |config| {
+        config["listen"] = address.to_string().into();
+    })
+}
+
+/// Waits until discovery has its first watch request; `what` names that if it never has.
+async fn wait_for_watch(what: &str, discovery: &TestDiscovery) {
+    wait_until(what, || discovery.watch_requests.borrow().len() == 1).await;
+}
+
 #[test]
 fn the_program_serves_and_shuts_down_on_sigterm() {
     run_test(async {
@@ -19,9 +35,7 @@
         let discovery = TestDiscovery::without_updates().await;
         let port = reserve_port();
         let address = port.local_addr().expect("an address");
-        let config = configuration(discovery.address, from_ref(&endpoint), |config| {
-            config["listen"] = address.to_string().into();
-        });
+        let config = configuration_at(address, &discovery, &endpoint);
         let mut child = program_command(&config, "good.json")
             .0
             .spawn()
@@ -65,60 +79,49 @@
     });
 }
 
+/// Orders a process to read its configuration again.
+fn send_hangup(process: &Child) {
+    let sent = Command::new("kill")
+        .args(["-HUP", &process.id().to_string()])
+        .status();
+    assert!(sent.expect("kill runs").success());
+}
+
+/// Reads a log up to the first line that contains this text.
+fn read_until_line(log: &mut impl Iterator<Item = std::io::Result<String>>, text: &str) {
+    while !log.next().expect("a line").expect("text").contains(text) {}
+}
+
 /// SIGHUP must not end the program. It reads its file again and goes on with the endpoints that it
 /// has; it watches the new discovery at once, from the current version, and what the old one still
 /// sends is ignored.
 #[test]
 fn a_reload_moves_the_watch_and_keeps_the_endpoints() {
     run_test(async {
-        let (endpoint, other) = (
-            TestEndpoint::start([ok("first")]).await,
-            TestEndpoint::start([ok("second")]).await,
-        );
-        let (old, new) = (
-            TestDiscovery::without_updates().await,
-            TestDiscovery::without_updates().await,
-        );
+        let endpoint = TestEndpoint::start([ok("first")]).await;
+        let other = TestEndpoint::start([ok("second")]).await;
+        let old = TestDiscovery::without_updates().await;
+        let new = TestDiscovery::without_updates().await;
         let port = reserve_port();
         let address = port.local_addr().expect("an address");
-        let config = |discovery: &TestDiscovery| {
-            configuration(discovery.address, from_ref(&endpoint), |config| {
-                config["listen"] = address.to_string().into();
-            })
-        };
-        let (mut command, path) = program_command(&config(&old), "reload.json");
+        let config = configuration_at(address, &old, &endpoint);
+        let (mut command, path) = program_command(&config, "reload.json");
         let mut child = command.spawn().expect("it starts");
-        let id = child.id().to_string();
-        let hangup = || {
-            let sent = Command::new("kill").args(["-HUP", &id]).status();
-            assert!(sent.expect("kill runs").success());
-        };
-        wait_until("the old watch is open", || {
-            old.watch_requests.borrow().len() == 1
-        })
-        .await;
+        wait_for_watch("the old watch is open", &old).await;
         let mut client = connect(address).await;
         assert_eq!(
             client.exchange(&request("unsafe", "", "")).await.body,
             b"first"
         );
         std::fs::write(&path, "{ broken").expect("written");
-        hangup();
+        send_hangup(&child);
         // The log is in order: the line about the broken file stands before that about the good
         // one.
         let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
-        while !log
-            .next()
-            .expect("a line")
-            .expect("text")
-            .contains("configuration kept")
-        {}
-        std::fs::write(&path, config(&new)).expect("written");
-        hangup();
-        wait_until("the new watch is open", || {
-            new.watch_requests.borrow().len() == 1
-        })
-        .await;
+        read_until_line(&mut log, "configuration kept");
+        std::fs::write(&path, configuration_at(address, &new, &endpoint)).expect("written");
+        send_hangup(&child);
+        wait_for_watch("the new watch is open", &new).await;
         assert_eq!(
             new.watch_requests.borrow()[0],
             "GET /catalog/members?follow=1&since=41 HTTP/1.1"
@@ -128,12 +131,8 @@
             b"first"
         );
         wait_until("the old watch is closed", || old.is_disconnected()).await;
-        new.push(&chunk(&list(
-            42,
-            true,
-            &[entry("s-9", other.address, "Ready")],
-        )))
-        .await;
+        let update = list(42, true, &[entry("s-9", other.address, "Ready")]);
+        new.push(&chunk(&update)).await;
         while client.exchange(&request("unsafe", "", "")).await.body != b"second" {}
         child.kill().expect("it still runs");
         child.wait().expect("it can be waited for");
@@ -246,72 +245,70 @@
     }
 }
 
-async fn descriptors_are_reserved(mode: &str) {
+/// Endpoints that don't respond until they are released.
+async fn stalling_endpoints(count: usize) -> Vec<TestEndpoint> {
     let mut endpoints = Vec::new();
-    for _ in 0..24 {
+    for _ in 0..count {
         endpoints.push(TestEndpoint::start([ScriptedResponse::Stall]).await);
     }
-    let [listen, admin, discovery] = [reserve_port(), reserve_port(), reserve_port()];
-    let [address, operators, discovery_address] =
-        [&listen, &admin, &discovery].map(|port| port.local_addr().expect("an address"));
-    let config = configuration(discovery_address, &endpoints, |config| {
-        config["listen"] = address.to_string().into();
-        config["admin"] = operators.to_string().into();
-        config["limits"]["sockets"] = MAX_DESCRIPTORS.into();
-        config["settings"]["discovery"] = mode.into();
-    });
-    let parsed = client_proxy::config::Config::parse(&config).expect("a good configuration");
-    let (max_clients, max_upstream) = (
-        parsed.max_client_connections(),
-        parsed.max_endpoint_connections(),
-    );
-    let (process, log) = start_with_descriptor_limit(&config, &format!("full-{mode}"));
-    // As many requests as there may be connections to endpoints, and then clients that send
-    // nothing.
-    let mut stalled = clients_with_requests(address, max_upstream).await;
-    wait_until("all are in flight", || {
-        endpoints
-            .iter()
-            .map(TestEndpoint::request_count)
-            .sum::<usize>()
-            == max_upstream
-    })
-    .await;
-    let mut silent = Vec::new();
-    for _ in 0..2 * max_clients {
-        silent.push(connect_when_listening(address).await);
+    endpoints
+}
+
+/// This many clients that send nothing.
+async fn connect_silent_clients(address: SocketAddr, count: usize) -> Vec<Client> {
+    let mut clients = Vec::new();
+    for _ in 0..count {
+        clients.push(connect_when_listening(address).await);
     }
-    let mut silent_operators = Vec::new();
+    clients
+}
+
+/// As many operators that send nothing as are admitted.
+async fn connect_silent_operators(address: SocketAddr) -> Vec<TcpStream> {
+    let mut operators = Vec::new();
     for _ in 0..client_proxy::config::MAX_OPERATOR_CONNECTIONS {
-        silent_operators.push(
-            TcpStream::connect(operators)
+        operators.push(
+            TcpStream::connect(address)
                 .await
                 .expect("operators are admitted"),
         );
     }
-    wait_until("it has all connections that it may have", || {
-        open_descriptors(process.0.id()) >= max_upstream + max_clients + silent_operators.len()
+    operators
+}
+
+/// Waits until the endpoints have this many requests.
+async fn wait_for_requests(endpoints: &[TestEndpoint], count: usize) {
+    wait_until("all are in flight", || {
+        endpoints
+            .iter()
+            .map(TestEndpoint::request_count)
+            .sum::<usize>()
+            == count
     })
     .await;
-    // Discovery returns, and the first endpoint is draining.
+}
+
+/// Discovery returns, with this list for the watch that is opened.
+async fn start_discovery(port: TcpSocket, endpoint_list: &str) -> TestDiscovery {
     let discovery = TestDiscovery::on_listener(
-        discovery.listen(8).expect("it listens"),
-        [format!(
-            "{WATCH_HEAD}{}",
-            chunk(&list_with_first_draining(&endpoints))
-        )],
+        port.listen(8).expect("it listens"),
+        [format!("{WATCH_HEAD}{}", chunk(endpoint_list))],
     );
-    wait_until("the watch is open", || {
-        discovery.watch_requests.borrow().len() == 1
-    })
-    .await;
-    while metrics(operators).await["members_unavailable"] == 0 {}
-    let drained = endpoints[0].request_count();
-    for endpoint in &endpoints {
+    wait_for_watch("the watch is open", &discovery).await;
+    discovery
+}
+
+/// The endpoints respond: the requests that stalled are served, and so are those of new clients.
+async fn assert_requests_are_served(
+    endpoints: &[TestEndpoint],
+    stalled: &mut [Client],
+    address: SocketAddr,
+) {
+    for endpoint in endpoints {
         *endpoint.script.borrow_mut() = [ok("served")].into();
         endpoint.release.notify_waiters();
     }
-    for client in &mut stalled {
+    for client in stalled {
         assert_eq!(
             client.message().await.expect("a response").status(),
             200,
@@ -323,6 +320,37 @@
         let response = client.exchange(&request("unsafe", "", "")).await;
         assert_eq!(response.status(), 200, "it finds a connection");
     }
+}
+
+async fn descriptors_are_reserved(mode: &str) {
+    let endpoints = stalling_endpoints(24).await;
+    let [listen, admin, discovery] = [reserve_port(), reserve_port(), reserve_port()];
+    let [address, operators, discovery_address] =
+        [&listen, &admin, &discovery].map(|port| port.local_addr().expect("an address"));
+    let config = configuration(discovery_address, &endpoints, |config| {
+        config["listen"] = address.to_string().into();
+        config["admin"] = operators.to_string().into();
+        config["limits"]["sockets"] = MAX_DESCRIPTORS.into();
+        config["settings"]["discovery"] = mode.into();
+    });
+    let parsed = client_proxy::config::Config::parse(&config).expect("a good configuration");
+    let max_clients = parsed.max_client_connections();
+    let max_upstream = parsed.max_endpoint_connections();
+    let (process, log) = start_with_descriptor_limit(&config, &format!("full-{mode}"));
+    // As many requests as there may be connections to endpoints, and then clients that send
+    // nothing.
+    let mut stalled = clients_with_requests(address, max_upstream).await;
+    wait_for_requests(&endpoints, max_upstream).await;
+    let silent = connect_silent_clients(address, 2 * max_clients).await;
+    let silent_operators = connect_silent_operators(operators).await;
+    wait_until("it has all connections that it may have", || {
+        open_descriptors(process.0.id()) >= max_upstream + max_clients + silent_operators.len()
+    })
+    .await;
+    let _discovery = start_discovery(discovery, &list_with_first_draining(&endpoints)).await;
+    while metrics(operators).await["members_unavailable"] == 0 {}
+    let drained = endpoints[0].request_count();
+    assert_requests_are_served(&endpoints, &mut stalled, address).await;
     assert_eq!(
         endpoints[0].request_count(),
         drained,
@@ -341,9 +369,7 @@
         let discovery = TestDiscovery::without_updates().await;
         let port = reserve_port();
         let address = port.local_addr().expect("an address");
-        let config = configuration(discovery.address, from_ref(&endpoint), |config| {
-            config["listen"] = address.to_string().into();
-        });
+        let config = configuration_at(address, &discovery, &endpoint);
         let mut command = program_command(&config, "unread-log.json").0;
         // Some hundred bytes a request, of the 64 KiB that a pipe holds.
         let _program = RunningProgram(command.env("ROUTER_TRACE", "1").spawn().expect("it starts"));
--- a/proxy/tests/requests.rs
+++ b/proxy/tests/requests.rs
@@ -49,6 +49,104 @@
     });
 }
 
+/// A request, and the status of the response to it.
+type Rejection = (String, u16);
+
+/// Requests with an invalid id, class or deadline.
+fn requests_with_invalid_headers(good: &str) -> Vec<Rejection> {
+    let id = good
+        .split("\r\n")
+        .find(|line| line.starts_with("X-Call-Id"))
+        .expect("an id");
+    vec![
+        (good.replace("X-Call-Id", "X-Other"), 400),
+        (good.replace(id, "X-Call-Id: "), 400),
+        (request("free", "X-Call-Id: twice\r\n", ""), 400),
+        (request("unheard-of", "", ""), 400),
+        (good.replace("8000", "soon"), 400),
+        (good.replace("8000", "0"), 400),
+        (good.replace("8000", "-5"), 400),
+        (good.replace("8000", "+5"), 400),
+        (good.replace("8000", "99999999999999999999"), 400),
+        (good.replace("X-Budget-Ms", "X-Other"), 400),
+    ]
+}
+
+/// Requests whose method, idempotency key or body does not fit their class.
+fn requests_that_contradict_their_class(good: &str, post: &str) -> Vec<Rejection> {
+    let keyed = request("keyed", "", "body");
+    vec![
+        (good.replace("GET", "POST"), 400),
+        (request("free", "Idempotency-Key: k\r\n", ""), 400),
+        (request("free", "", "body"), 400),
+        (post.replace("POST", "PUT"), 400),
+        (request("unsafe", "Idempotency-Key: k\r\n", ""), 400),
+        (keyed.replace("Idempotency-Key", "X-Other"), 400),
+        (
+            request("keyed", "Idempotency-Key: k\r\nIdempotency-Key: k\r\n", ""),
+            400,
+        ),
+    ]
+}
+
+/// Requests with an invalid framing. Whatever it says, the second request must not be read, nor
+/// forwarded in the first's body.
+fn requests_with_invalid_framing(post: &str) -> Vec<Rejection> {
+    let smuggled = format!("0\r\n\r\n{}", request("unsafe", "", ""));
+    let chunked = "Transfer-Encoding: chunked\r\n";
+    let length = format!("Content-Length: {}\r\n", smuggled.len());
+    let framed = |framing: &str| request("unsafe", framing, "") + &smuggled;
+    vec![
+        (post.replace("Content-Length: 4", "Content-Length: -4"), 400),
+        (
+            post.replace(
+                "Content-Length: 4",
+                "Content-Length: 4\r\nContent-Length: 5",
+            ),
+            400,
+        ),
+        (framed(&format!("{chunked}{length}")), 400),
+        (framed(&format!("{length}{chunked}")), 400),
+        (framed(&format!("{length}{length}")), 400),
+        (framed("Transfer-Encoding: gzip, chunked\r\n"), 400),
+    ]
+}
+
+/// Requests that are invalid in other ways.
+fn other_invalid_requests(good: &str, post: &str) -> Vec<Rejection> {
+    vec![
+        (good.replace("/api", "/other"), 404),
+        (
+            post.replace("Content-Length: 4", "Content-Length: 99999999999"),
+            413,
+        ),
+        ("no http\r\n\r\n".to_owned(), 400),
+    ]
+}
+
+/// The request is rejected with this status, and its connection is closed.
+async fn assert_rejected(proxy: &Proxy, text: String, status: u16) {
+    let mut client = proxy.client().await;
+    let text = text + &request("unsafe", "", "");
+    // The proxy reads the rest only for a while: the end of a large request may find the
+    // connection closed.
+    let _ = client.stream.write_all(text.as_bytes()).await;
+    let response = client.message().await.expect("a response");
+    assert_eq!(
+        response.status(),
+        status,
+        "{}",
+        &text[..text.len().min(300)]
+    );
+    assert_eq!(
+        response.header("connection"),
+        Some("close"),
+        "{}",
+        &text[..text.len().min(300)]
+    );
+    assert!(client.message().await.is_none(), "what follows is not read");
+}
+
 /// An invalid request must end at once and reach neither the balancer nor an endpoint.
 #[test]
 fn invalid_requests_are_rejected_at_once() {
@@ -56,78 +154,15 @@
         let endpoint = TestEndpoint::start([ok("")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
         let good = request("free", "", "");
-        let (post, keyed) = (request("unsafe", "", "body"), request("keyed", "", "body"));
-        let id = good
-            .split("\r\n")
-            .find(|line| line.starts_with("X-Call-Id"))
-            .expect("an id")
-            .to_owned();
-        // Whatever its framing says, the second request must not be read, nor forwarded in the
-        // first's body.
-        let smuggled = format!("0\r\n\r\n{}", request("unsafe", "", ""));
-        let chunked = "Transfer-Encoding: chunked\r\n";
-        let length = format!("Content-Length: {}\r\n", smuggled.len());
-        let framed = |framing: &str| request("unsafe", framing, "") + &smuggled;
+        let post = request("unsafe", "", "body");
         let cases = [
-            (good.replace("X-Call-Id", "X-Other"), 400),
-            (good.replace(&id, "X-Call-Id: "), 400),
-            (request("free", "X-Call-Id: twice\r\n", ""), 400),
-            (request("unheard-of", "", ""), 400),
-            (good.replace("8000", "soon"), 400),
-            (good.replace("8000", "0"), 400),
-            (good.replace("8000", "-5"), 400),
-            (good.replace("8000", "+5"), 400),
-            (good.replace("8000", "99999999999999999999"), 400),
-            (good.replace("X-Budget-Ms", "X-Other"), 400),
-            (good.replace("GET", "POST"), 400),
-            (request("free", "Idempotency-Key: k\r\n", ""), 400),
-            (request("free", "", "body"), 400),
-            (post.replace("POST", "PUT"), 400),
-            (request("unsafe", "Idempotency-Key: k\r\n", ""), 400),
-            (keyed.replace("Idempotency-Key", "X-Other"), 400),
-            (
-                request("keyed", "Idempotency-Key: k\r\nIdempotency-Key: k\r\n", ""),
-                400,
-            ),
-            (post.replace("Content-Length: 4", "Content-Length: -4"), 400),
-            (
-                post.replace(
-                    "Content-Length: 4",
-                    "Content-Length: 4\r\nContent-Length: 5",
-                ),
-                400,
-            ),
-            (framed(&format!("{chunked}{length}")), 400),
-            (framed(&format!("{length}{chunked}")), 400),
-            (framed(&format!("{length}{length}")), 400),
-            (framed("Transfer-Encoding: gzip, chunked\r\n"), 400),
-            (good.replace("/api", "/other"), 404),
-            (
-                post.replace("Content-Length: 4", "Content-Length: 99999999999"),
-                413,
-            ),
-            ("no http\r\n\r\n".to_owned(), 400),
+            requests_with_invalid_headers(&good),
+            requests_that_contradict_their_class(&good, &post),
+            requests_with_invalid_framing(&post),
+            other_invalid_requests(&good, &post),
         ];
-        for (text, status) in cases {
-            let mut client = proxy.client().await;
-            let text = text + &request("unsafe", "", "");
-            // The proxy reads the rest only for a while: the end of a large request may find the
-            // connection closed.
-            let _ = client.stream.write_all(text.as_bytes()).await;
-            let response = client.message().await.expect("a response");
-            assert_eq!(
-                response.status(),
-                status,
-                "{}",
-                &text[..text.len().min(300)]
-            );
-            assert_eq!(
-                response.header("connection"),
-                Some("close"),
-                "{}",
-                &text[..text.len().min(300)]
-            );
-            assert!(client.message().await.is_none(), "what follows is not read");
+        for (text, status) in cases.concat() {
+            assert_rejected(&proxy, text, status).await;
         }
         assert_eq!(endpoint.request_count(), 0);
         assert_eq!(proxy.client().await.exchange(&good).await.status(), 200);
@@ -156,13 +191,11 @@
     });
 }
 
-/// A non-idempotent request that may have run must neither be retried nor be rejected as if it had
-/// not run.
-#[test]
-fn a_non_idempotent_request_that_may_have_run_fails() {
+/// Responses that fail, or end early.
+fn failed_responses() -> Vec<ScriptedResponse> {
     let error = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
     let not_rejected = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-    let responses = [
+    vec![
         ScriptedResponse::WriteAndClose(String::new()),
         ScriptedResponse::WriteAndClose(
             "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned(),
@@ -170,7 +203,12 @@
         ScriptedResponse::Write(error.to_owned()),
         ScriptedResponse::Write(not_rejected.to_owned()),
         ScriptedResponse::Write("noise\r\n\r\n".to_owned()),
-        // Responses that may be complete or not, or are none.
+    ]
+}
+
+/// Responses that may be complete or not, or are none.
+fn ambiguous_responses() -> Vec<ScriptedResponse> {
+    vec![
         ScriptedResponse::WriteAndClose(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nwhole?".to_owned(),
         ),
@@ -202,26 +240,35 @@
                 .to_owned(),
         ),
         ScriptedResponse::Write("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n".to_owned()),
+    ]
+}
+
+/// Both endpoints respond in this way: one of them gets the request, once, and it fails.
+async fn assert_fails_after_one_attempt(scripted: ScriptedResponse) {
+    let endpoints = [
+        TestEndpoint::start([scripted.clone()]).await,
+        TestEndpoint::start([scripted.clone()]).await,
     ];
-    for scripted in responses {
-        run_test(async {
-            let endpoints = [
-                TestEndpoint::start([scripted.clone()]).await,
-                TestEndpoint::start([scripted.clone()]).await,
-            ];
-            let proxy = Proxy::start(&endpoints).await;
-            let response = proxy
-                .client()
-                .await
-                .exchange(&request("unsafe", "", ""))
-                .await;
-            assert_eq!(response.status(), 502, "{scripted:?}");
-            assert_eq!(
-                endpoints[0].request_count() + endpoints[1].request_count(),
-                1,
-                "{scripted:?}"
-            );
-        });
+    let proxy = Proxy::start(&endpoints).await;
+    let response = proxy
+        .client()
+        .await
+        .exchange(&request("unsafe", "", ""))
+        .await;
+    assert_eq!(response.status(), 502, "{scripted:?}");
+    assert_eq!(
+        endpoints[0].request_count() + endpoints[1].request_count(),
+        1,
+        "{scripted:?}"
+    );
+}
+
+/// A non-idempotent request that may have run must neither be retried nor be rejected as if it had
+/// not run.
+#[test]
+fn a_non_idempotent_request_that_may_have_run_fails() {
+    for scripted in [failed_responses(), ambiguous_responses()].concat() {
+        run_test(assert_fails_after_one_attempt(scripted));
     }
 }
 
