--- /dev/null
+++ b/proxy/tests/invalid_requests.rs
@@ -0,0 +1,127 @@
+//! Requests that are invalid: how they are rejected.
+
+mod common;
+
+use common::*;
+use std::slice::from_ref;
+use tokio::io::AsyncWriteExt;
+
+/// A request, and the status of the response to it.
+type Rejection = (String, u16);
+
+/// Requests with an invalid id, class or deadline.
+fn requests_with_invalid_headers(good: &str) -> Vec<Rejection> {
+    let id = good
+        .split("\r\n")
+        .find(|line| line.starts_with("X-Call-Id"))
+        .expect("an id");
+    vec![
+        (good.replace("X-Call-Id", "X-Other"), 400),
+        (good.replace(id, "X-Call-Id: "), 400),
+        (request("free", "X-Call-Id: twice\r\n", ""), 400),
+        (request("unheard-of", "", ""), 400),
+        (good.replace("8000", "soon"), 400),
+        (good.replace("8000", "0"), 400),
+        (good.replace("8000", "-5"), 400),
+        (good.replace("8000", "+5"), 400),
+        (good.replace("8000", "99999999999999999999"), 400),
+        (good.replace("X-Budget-Ms", "X-Other"), 400),
+    ]
+}
+
+/// Requests whose method, idempotency key or body does not fit their class.
+fn requests_that_contradict_their_class(good: &str, post: &str) -> Vec<Rejection> {
+    let keyed = request("keyed", "", "body");
+    vec![
+        (good.replace("GET", "POST"), 400),
+        (request("free", "Idempotency-Key: k\r\n", ""), 400),
+        (request("free", "", "body"), 400),
+        (post.replace("POST", "PUT"), 400),
+        (request("unsafe", "Idempotency-Key: k\r\n", ""), 400),
+        (keyed.replace("Idempotency-Key", "X-Other"), 400),
+        (
+            request("keyed", "Idempotency-Key: k\r\nIdempotency-Key: k\r\n", ""),
+            400,
+        ),
+    ]
+}
+
+/// Requests with an invalid framing. Whatever it says, the second request must not be read, nor
+/// forwarded in the first's body.
+fn requests_with_invalid_framing(post: &str) -> Vec<Rejection> {
+    let smuggled = format!("0\r\n\r\n{}", request("unsafe", "", ""));
+    let chunked = "Transfer-Encoding: chunked\r\n";
+    let length = format!("Content-Length: {}\r\n", smuggled.len());
+    let framed = |framing: &str| request("unsafe", framing, "") + &smuggled;
+    vec![
+        (post.replace("Content-Length: 4", "Content-Length: -4"), 400),
+        (
+            post.replace(
+                "Content-Length: 4",
+                "Content-Length: 4\r\nContent-Length: 5",
+            ),
+            400,
+        ),
+        (framed(&format!("{chunked}{length}")), 400),
+        (framed(&format!("{length}{chunked}")), 400),
+        (framed(&format!("{length}{length}")), 400),
+        (framed("Transfer-Encoding: gzip, chunked\r\n"), 400),
+    ]
+}
+
+/// Requests that are invalid in other ways.
+fn other_invalid_requests(good: &str, post: &str) -> Vec<Rejection> {
+    vec![
+        (good.replace("/api", "/other"), 404),
+        (
+            post.replace("Content-Length: 4", "Content-Length: 99999999999"),
+            413,
+        ),
+        ("no http\r\n\r\n".to_owned(), 400),
+    ]
+}
+
+/// The request is rejected with this status, and its connection is closed.
+async fn assert_rejected(proxy: &Proxy, text: String, status: u16) {
+    let mut client = proxy.client().await;
+    let text = text + &request("unsafe", "", "");
+    // The proxy reads the rest only for a while: the end of a large request may find the
+    // connection closed.
+    let _ = client.stream.write_all(text.as_bytes()).await;
+    let response = client.message().await.expect("a response");
+    assert_eq!(
+        response.status(),
+        status,
+        "{}",
+        &text[..text.len().min(300)]
+    );
+    assert_eq!(
+        response.header("connection"),
+        Some("close"),
+        "{}",
+        &text[..text.len().min(300)]
+    );
+    assert!(client.message().await.is_none(), "what follows is not read");
+}
+
+/// An invalid request must end at once and reach neither the balancer nor an endpoint.
+#[test]
+fn invalid_requests_are_rejected_at_once() {
+    run_test(async {
+        let endpoint = TestEndpoint::start([ok("")]).await;
+        let proxy = Proxy::start(from_ref(&endpoint)).await;
+        let good = request("free", "", "");
+        let post = request("unsafe", "", "body");
+        let cases = [
+            requests_with_invalid_headers(&good),
+            requests_that_contradict_their_class(&good, &post),
+            requests_with_invalid_framing(&post),
+            other_invalid_requests(&good, &post),
+        ];
+        for (text, status) in cases.concat() {
+            assert_rejected(&proxy, text, status).await;
+        }
+        assert_eq!(endpoint.request_count(), 0);
+        assert_eq!(proxy.client().await.exchange(&good).await.status(), 200);
+    });
+}
