--- a/balancer/tests/models/outage/attempts.rs
+++ b/balancer/tests/models/outage/attempts.rs
@@ -133,15 +133,16 @@
             return;
         }
         let half = self.unit() < 0.5;
-        let (now, host) = (self.now, &mut self.endpoints[endpoint]);
-        if host.is_failing && half {
+        let now = self.now;
+        let target = &mut self.endpoints[endpoint];
+        if target.is_failing && half {
             return self.at(now + 2 * MS, Step::Response(attempt, Outcome::Error));
         }
-        host.advance(now);
-        if host.request_count() as f64 >= 6.0 * host.cores {
+        target.advance(now);
+        if target.request_count() as f64 >= 6.0 * target.cores {
             return self.at(now + MS, Step::Response(attempt, Outcome::Rejected));
         }
-        host.waiting.push_back((work, attempt));
+        target.waiting.push_back((work, attempt));
         self.start_queued_work(endpoint);
     }
 
--- a/balancer/tests/request_outcomes.rs
+++ b/balancer/tests/request_outcomes.rs
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_timeout_at_the_deadline_ends_the_request() {
-    for (idempotency, may_refuse) in [
+    for (idempotency, is_rejected) in [
         (Idempotency::Idempotent, true),
         (Idempotency::NonIdempotent, false),
         (CELL, false),
@@ -47,8 +47,8 @@
         let (request, _) = proxy.request();
         proxy.now += 1_200 * MS;
         let actions = proxy.end_attempt(request, 0, Outcome::TimedOut, 1_200 * MS);
-        assert_eq!(rejected(&actions, request), may_refuse);
-        assert_eq!(failed(&actions, request), !may_refuse);
+        assert_eq!(rejected(&actions, request), is_rejected);
+        assert_eq!(failed(&actions, request), !is_rejected);
         assert!(forwarded(&proxy.request().1).iter().all(|s| s.0 != request));
     }
 }
--- a/balancer/tests/source_files.rs
+++ b/balancer/tests/source_files.rs
@@ -14,7 +14,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
-/// Names of the files that hold decisions, relative to the repository.
+/// Names of the files that make decisions, relative to the repository.
 fn decision_files() -> BTreeSet<String> {
     let entries =
         fs::read_dir(repository().join("balancer/src")).expect("the folder of the decisions");
--- a/proxy/tests/client_disconnect.rs
+++ b/proxy/tests/client_disconnect.rs
@@ -187,7 +187,7 @@
                 ),
                 (0.into(), [0; 3])
             );
-            let _host = TestEndpoint::on_listener(listener, [ok("served")]);
+            let _endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
             assert_eq!(
                 proxy
                     .client()
--- a/proxy/tests/client_disconnect_under_load.rs
+++ b/proxy/tests/client_disconnect_under_load.rs
@@ -365,7 +365,7 @@
                 .await;
                 let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
                 let crowd = connect_crowd(&proxy).await;
-                // Responses give the typical latency, and earn the credit that a hedged request is
+                // Responses give the typical latency, and the credit that a hedged request is
                 // paid from.
                 let mut before = proxy.client().await;
                 tokio::select! {
--- a/proxy/tests/endpoint_connections.rs
+++ b/proxy/tests/endpoint_connections.rs
@@ -222,7 +222,7 @@
     });
 }
 
-/// The limit on sockets holds for endpoints too: a request beyond it ends, and no descriptor is
+/// The limit on sockets applies to endpoints too: a request beyond it ends, and no descriptor is
 /// opened for it.
 #[test]
 fn connections_to_endpoints_stay_under_the_limit() {
