--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -197,15 +197,19 @@
         .any(|a| matches!(a, Action::Fail { request, .. } if *request == id))
 }
 
+/// The balancer with this index among so many, before so many endpoints.
+pub(crate) fn balancer_of(balancer_count: u32, balancer_index: u32, endpoints: u32) -> Proxy {
+    let settings = Settings {
+        balancer_count,
+        balancer_index,
+        ..settings(Idempotency::Idempotent)
+    };
+    Proxy::new(settings, endpoints)
+}
+
 /// One of a hundred balancers, with sixty endpoints.
 pub(crate) fn one_of_many() -> Proxy {
-    Proxy::new(
-        Settings {
-            balancer_count: 100,
-            ..settings(Idempotency::Idempotent)
-        },
-        60,
-    )
+    balancer_of(100, 0, 60)
 }
 
 /// Sends `requests` requests at once and returns those that were forwarded.
--- a/balancer/tests/selection.rs
+++ b/balancer/tests/selection.rs
@@ -165,14 +165,7 @@
 fn subsets_cover_the_endpoints_evenly_over_all_balancers() {
     let mut subsets: BTreeMap<EndpointId, u32> = BTreeMap::new();
     for balancer_index in 0..100 {
-        let mut proxy = Proxy::new(
-            Settings {
-                balancer_count: 100,
-                balancer_index,
-                ..settings(Idempotency::Idempotent)
-            },
-            50,
-        );
+        let mut proxy = balancer_of(100, balancer_index, 50);
         let mut used = std::collections::BTreeSet::new();
         for _ in 0..60 {
             proxy.now += 500 * MS;
@@ -250,14 +243,7 @@
 fn a_slower_endpoint_is_recognised_by_more_than_its_last_few_responses() {
     let (mut slow, mut all) = (0, 0);
     for balancer_index in 0..100 {
-        let mut proxy = Proxy::new(
-            Settings {
-                balancer_count: 100,
-                balancer_index,
-                ..settings(Idempotency::Idempotent)
-            },
-            60,
-        );
+        let mut proxy = balancer_of(100, balancer_index, 60);
         for step in 0..200_u64 {
             let (request, actions) = proxy.request();
             let is_slow = forwarded(&actions)[0].1 .0.is_multiple_of(2);
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -100,14 +100,7 @@
 fn a_thousand_balancers_together_stay_within_a_new_endpoints_capacity() {
     let (mut to_new, mut all) = (0, 0);
     for balancer_index in 0..1_000 {
-        let mut proxy = Proxy::new(
-            Settings {
-                balancer_count: 1_000,
-                balancer_index,
-                ..settings(Idempotency::Idempotent)
-            },
-            20,
-        );
+        let mut proxy = balancer_of(1_000, balancer_index, 20);
         (0..3).for_each(|_| drop((proxy.advance(500 * MS), proxy.serve_request(40 * MS))));
         let started_at = proxy.now;
         proxy.update_list(
@@ -134,14 +127,7 @@
 fn new_endpoints_serve_their_part_where_most_are_new() {
     let (mut to_new, mut all) = (0, 0);
     for balancer_index in 0..100 {
-        let mut proxy = Proxy::new(
-            Settings {
-                balancer_count: 100,
-                balancer_index,
-                ..settings(Idempotency::Idempotent)
-            },
-            60,
-        );
+        let mut proxy = balancer_of(100, balancer_index, 60);
         // At least a third of the way through slow start: four tenths of its capacity.
         let started_at = proxy.now;
         proxy.now += 6_667 * MS;
--- a/balancer/tests/timeouts.rs
+++ b/balancer/tests/timeouts.rs
@@ -121,14 +121,7 @@
 fn silent_endpoints_are_tried_with_few_requests_by_all_balancers_together() {
     let (mut lost, mut all) = (0, 0);
     for balancer_index in 0..100 {
-        let mut proxy = Proxy::new(
-            Settings {
-                balancer_count: 100,
-                balancer_index,
-                ..settings(Idempotency::Idempotent)
-            },
-            60,
-        );
+        let mut proxy = balancer_of(100, balancer_index, 60);
         for step in 0..300 {
             let (request, actions) = proxy.request();
             let Some(&(_, endpoint)) = forwarded(&actions).first() else {
