--- a/balancer/src/action.rs
+++ b/balancer/src/action.rs
@@ -6,48 +6,48 @@
 /// An action that the proxy carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Forward a request to an endpoint. The first time this is attempt 0 of the request, then 1,
-    /// and so on. An attempt times out when its client stops waiting.
+    /// Forward a request to an endpoint. The attempts of a request are numbered from 0 in the order
+    /// of these actions. An attempt times out when its client stops waiting.
     Forward {
-        /// Which request.
+        /// The request to forward.
         request: RequestId,
-        /// To which endpoint.
+        /// The endpoint to forward it to.
         endpoint: EndpointId,
         /// Time from now within which the first byte may be written. After that the attempt ends as
-        /// [`Outcome::NeverSent`](crate::Outcome::NeverSent). `None`: for as long as the client
-        /// waits.
+        /// [`Outcome::NeverSent`](crate::Outcome::NeverSent). `None` if only the client's deadline
+        /// applies.
         start_within: Option<Micros>,
     },
-    /// Answer a request as rejected: it was not executed, or repeating it is safe.
+    /// Reply that a request is rejected: it was not executed, or repeating it is safe.
     Reject {
-        /// Which request.
+        /// The rejected request.
         request: RequestId,
-        /// When the client may retry.
+        /// Time from now after which the client may retry.
         retry_after: Micros,
-        /// Why.
+        /// Why it is rejected.
         reason: FailureReason,
     },
-    /// Answer a request as failed: it may have been executed.
+    /// Reply that a request has failed: it may have been executed.
     Fail {
-        /// Which request.
+        /// The failed request.
         request: RequestId,
-        /// Why.
+        /// Why it has failed.
         reason: FailureReason,
     },
     /// Cancel an attempt.
     CancelAttempt {
-        /// Of which request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Which attempt of it.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
     /// Send a health check.
     CheckHealth {
-        /// To which endpoint.
+        /// The endpoint to check.
         endpoint: EndpointId,
     },
-    /// Send [`Event::Timer`](crate::Event::Timer) after this time. It replaces the timer set
-    /// before.
+    /// Send [`Event::Timer`](crate::Event::Timer) after this time. Replaces the timer that was
+    /// set before.
     SetTimer {
         /// Time from now.
         after: Micros,
@@ -63,7 +63,7 @@
 pub enum LogEvent {
     /// An endpoint was ejected as an outlier.
     EndpointEjected(EndpointId),
-    /// An ejected endpoint takes requests again.
+    /// An ejected endpoint gets requests again.
     EndpointReadmitted(EndpointId),
 }
 
--- a/balancer/src/event.rs
+++ b/balancer/src/event.rs
@@ -7,10 +7,10 @@
 /// State of an endpoint in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// It accepts requests.
     #[default]
     Ready,
-    /// It finishes the requests that it has and takes no new ones.
+    /// It finishes the requests that it has and accepts no new ones.
     Draining,
     /// It has been removed.
     Removed,
@@ -19,7 +19,7 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointEntry {
-    /// Which endpoint.
+    /// The endpoint.
     pub endpoint: EndpointId,
     /// Its state.
     pub state: EndpointState,
@@ -27,13 +27,14 @@
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
-    /// When its process started, by the list's clock; 0: long ago.
+    /// When its process started, by the clock of the endpoint list; 0 if long ago.
     pub started_at: Micros,
-    /// Its size relative to the others'; what is not positive or not finite counts as 1.
+    /// Its capacity relative to the other endpoints'. A weight that is not positive or not finite
+    /// counts as 1.
     pub weight: f64,
 }
 
-/// Kind of an update of the endpoint list, or why there is none.
+/// What an update of the endpoint list contains, or why there was no update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
     /// Changed entries only.
@@ -44,82 +45,83 @@
     Cached,
     /// No update: a poll failed, or the watch could not be opened.
     PollFailed,
-    /// No update: the watch was open and broke, fell silent, or has to be opened elsewhere.
+    /// No update: the open watch broke, received nothing for too long, or has to be replaced after
+    /// a change of the configuration.
     WatchLost,
-    /// No update: the watch broke right after it was opened, as the one before it did. The list was
-    /// current until now.
+    /// No update: the watch broke right after it was opened, and so did the one before it. The list
+    /// was current until now.
     WatchFlapping,
 }
 
 /// An event that the proxy reports to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The proxy starts. Its cached endpoint list, if there is one, follows.
+    /// The proxy has started. Its cached endpoint list, if there is one, follows.
     Start,
     /// An update of the endpoint list.
     EndpointList {
-        /// Which entries the update contains.
+        /// What the update contains, or why there was none.
         kind: ListUpdate,
         /// The entries.
         entries: Vec<EndpointEntry>,
     },
-    /// The watch is alive and nothing has changed: the present list is current.
+    /// The watch is open and nothing has changed: the present list is current.
     Heartbeat,
     /// A request has arrived.
     RequestReceived {
-        /// Which request.
+        /// The request.
         request: RequestId,
         /// Its class.
         class: ClassId,
         /// Its tenant.
         tenant: Option<TenantId>,
-        /// How long the client still waits.
+        /// Time until its client stops waiting.
         time_left: Micros,
-        /// The client says that this is a retry of its own.
+        /// Whether the client marked the request as its own retry.
         client_retry: bool,
-        /// Its body is still arriving and is not buffered: what one endpoint has got of it cannot
-        /// be sent to another. The client's time and the endpoint's work begin with
-        /// [`Event::RequestCompleted`].
+        /// Whether its body is still arriving and is not buffered, so that what was sent to one
+        /// endpoint cannot be sent to another. The client's deadline and the endpoint's work then
+        /// count from [`Event::RequestCompleted`].
         non_replayable: bool,
     },
-    /// The last byte of a request that cannot be replayed has arrived.
+    /// The last byte of a non-replayable request has arrived.
     RequestCompleted {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// How long the client waits from now on.
+        /// Time until its client stops waiting.
         time_left: Micros,
     },
     /// Graceful shutdown has begun.
     ShutdownStarted {
-        /// No request waits for longer than this.
+        /// Time until the shutdown ends; no request waits for longer than this.
         time_left: Micros,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which attempt of it, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
         /// How it ended.
         outcome: Outcome,
         /// How long it took.
         elapsed: Micros,
-        /// The request needs no further response.
+        /// Whether the request needs no further attempt, whatever the outcome.
         request_finished: bool,
         /// The endpoint's load report.
         load: LoadReport,
     },
-    /// The response of an attempt is being streamed to the client; no other attempt can answer the
-    /// request now.
+    /// The response of an attempt is being streamed to the client, so no other attempt can be used
+    /// for the reply any more.
     ResponseStarted {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which attempt of it.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// A health check was answered.
+    /// A health check has ended.
     HealthChecked {
-        /// By which endpoint.
+        /// The checked endpoint.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
@@ -128,7 +130,7 @@
     },
     /// The client has cancelled a request or disconnected.
     RequestCancelled {
-        /// Which request.
+        /// The request.
         request: RequestId,
     },
     /// The timer set by [`Action::SetTimer`](crate::Action::SetTimer) has fired.
--- a/balancer/src/ids.rs
+++ b/balancer/src/ids.rs
@@ -3,11 +3,11 @@
 /// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A client's request, as the proxy numbers it. Numbers are never reused.
+/// Number of a client's request, assigned by the proxy and never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// An endpoint. It keeps its number when its process restarts.
+/// Number of an endpoint, which stays the same when its process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
@@ -19,10 +19,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// An availability zone, as the proxy numbers it.
+/// Number of an availability zone, assigned by the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// A cell: a group of endpoints that deduplicate each other's requests.
+/// Number of a cell: a group of endpoints that deduplicate each other's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decisions of a client-side load balancer: which endpoint gets a request, when a request is
-//! queued, retried, hedged, rejected or failed. It does no I/O and reads no clock.
+//! Decisions of a client-side load balancer: which endpoint gets a request, and when a request is
+//! queued, retried, hedged, rejected or failed. The crate does no I/O and reads no clock.
 //!
 //! A proxy creates one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
 //!
@@ -81,7 +81,7 @@
     Settings, SlowStart, Tenant,
 };
 
-/// The README's example is compiled as a test too.
+/// Compiles and runs the README's example as a doctest.
 #[cfg(doctest)]
 #[doc = include_str!("../../README.md")]
 struct Readme;
--- a/balancer/src/outcome.rs
+++ b/balancer/src/outcome.rs
@@ -7,27 +7,27 @@
     Served,
     /// The endpoint answered with an error.
     Error,
-    /// The endpoint rejected it without executing it: it is full or draining.
+    /// The endpoint is overloaded or draining and rejected it without executing it.
     Rejected,
-    /// No response in time.
+    /// No response arrived in time.
     TimedOut,
     /// No connection could be established.
     ConnectFailed,
     /// The connection broke while the attempt was in flight.
     Reset,
-    /// A reused connection broke before any response: the endpoint may have closed it before. The
-    /// attempt may have been executed.
+    /// A reused connection broke before any response. The endpoint may have closed it before the
+    /// request arrived, but the attempt may also have been executed.
     Stale,
-    /// The connection broke, or time ran out, with only a part of the request written: it was not
-    /// executed. What was written of a body that cannot be replayed is lost.
+    /// The connection broke or the attempt timed out with only a part of the request written, so it
+    /// was not executed. The written part of a body that cannot be replayed is lost.
     Truncated,
     /// This balancer cancelled it.
     Cancelled,
-    /// Nothing of it was written.
+    /// Nothing of the request was written.
     NeverSent,
-    /// The endpoint found the request itself invalid, as any other would.
+    /// The endpoint found the request invalid, as any other endpoint would.
     Invalid,
-    /// Anything else, such as a malformed response; it may have been executed.
+    /// Anything else, such as a malformed response. The attempt may have been executed.
     Unknown,
 }
 
@@ -40,8 +40,8 @@
         )
     }
 
-    /// Whether this says nothing about the endpoint's health: the cause was the proxy, the request
-    /// or one connection.
+    /// Whether this says nothing about the endpoint's health, because the proxy, the request or a
+    /// single connection caused it.
     pub(crate) fn is_neutral(self) -> bool {
         matches!(
             self,
@@ -55,23 +55,23 @@
 pub enum FailureReason {
     /// The pending queue is full.
     QueueFull,
-    /// It was queued until a typical response would be late, or until it may no longer be sent
-    /// anywhere.
+    /// It was queued until a response of typical latency would be late, or until no endpoint may be
+    /// sent it any more.
     QueueTimeout,
     /// No endpoint is available.
     NoEndpoint,
-    /// An attempt failed, and no other is allowed.
+    /// An attempt failed, and no further attempt is allowed.
     AttemptsExhausted,
-    /// The endpoint found it invalid.
+    /// An endpoint found it invalid.
     Invalid,
 }
 
-/// Load that an endpoint reports with a response; what it does not report is absent.
+/// Load that an endpoint reports with a response; `None` for what it doesn't report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight, queued ones included.
+    /// Number of requests in flight, queued ones included.
     pub in_flight: Option<f64>,
-    /// Requests queued.
+    /// Number of queued requests.
     pub queued: Option<f64>,
     /// Fraction of its cores that is busy, 0 to 1.
     pub cpu_utilization: Option<f64>,
--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -16,14 +16,14 @@
 /// Whether requests of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeating a request has no effect.
+    /// Executing a request again has no further effect.
     Idempotent,
-    /// Requests carry an idempotency key. Repeats are dropped within `scope`, for `window` from the
-    /// first attempt that may have been executed.
+    /// Requests carry an idempotency key. The endpoints in `scope` drop repeats for `window` after
+    /// the first attempt that may have been executed.
     Keyed {
         /// Which endpoints drop repeats.
         scope: DeduplicationScope,
-        /// For how long.
+        /// How long they drop repeats.
         window: Micros,
     },
     /// A request must not be executed twice.
@@ -33,20 +33,21 @@
 /// A class of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// A response within this time counts with the full priority weight.
+    /// Time within which a response counts with the full priority weight.
     pub latency_objective: Micros,
-    /// How long a client waits in all.
+    /// How long a client waits for a request altogether.
     pub deadline: Micros,
     /// Value of a response within the latency objective.
     pub priority_weight: f64,
-    /// Fraction of the weight, 0 to 1, of a response between objective and deadline.
+    /// Fraction of the priority weight, 0 to 1, that a response counts between the latency
+    /// objective and the deadline.
     pub late_weight_fraction: f64,
     /// Whether a request may be executed again.
     pub idempotency: Idempotency,
 }
 
 impl Default for Class {
-    /// Non-idempotent, without objective, deadline or weight.
+    /// A non-idempotent class without latency objective, deadline or priority weight.
     fn default() -> Self {
         Class {
             latency_objective: 0,
@@ -65,29 +66,29 @@
     pub quota: f64,
 }
 
-/// What the deployment allows.
+/// Limits of the deployment on attempts, health checks and `Retry-After`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Endpoints may be sent health checks.
+    /// Whether endpoints may be sent health checks.
     pub health_checks: bool,
-    /// A request may have two attempts in flight at once.
+    /// Whether a request may have two attempts in flight at once.
     pub hedging: bool,
     /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Longest `Retry-After` that clients respect; 0: they respect none.
+    /// Longest `Retry-After` that clients respect; 0 if they ignore it.
     pub max_retry_after: Micros,
 }
 
 /// How endpoints warm up after a start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
-    /// Fraction of its capacity, 0 to 1, that an endpoint has at its start at the least.
+    /// Minimum fraction of its capacity, 0 to 1, that an endpoint has right after its start.
     pub initial_capacity: f64,
-    /// By when it has all of it at the latest.
+    /// Time after its start by which it has its full capacity at the latest.
     pub duration: Micros,
-    /// An endpoint fails when it is sent more than this multiple of its present capacity.
+    /// Multiple of its present capacity beyond which an endpoint fails under load.
     pub overload_multiple: f64,
 }
 
@@ -105,44 +106,44 @@
 pub struct Discovery {
     /// How the list arrives.
     pub mode: DiscoveryMode,
-    /// Longest that a balancer may go without polling.
+    /// Longest time that a balancer may go without polling.
     pub max_poll_interval: Micros,
-    /// A balancer counts as notified of a change this long after discovery had it and could be
-    /// reached.
+    /// Time after which a balancer is expected to know of a change, counted from when discovery
+    /// knew of it and could be reached.
     pub notification_deadline: Micros,
 }
 
-/// Weights of the parts of the service's score.
+/// Weights of the parts of the score that the service is rated by.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScoreWeights {
     /// All requests together.
     pub overall: f64,
-    /// The class that is served worst.
+    /// The class with the worst results.
     pub worst_class: f64,
 }
 
-/// Settings of a balancer, for all of its life.
+/// Settings of a balancer, which stay the same for its lifetime.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Number of balancers that send to these endpoints, this one included.
     pub balancer_count: u32,
-    /// Index of this balancer among them, from 0.
+    /// Index of this balancer among those, from 0.
     pub balancer_index: u32,
-    /// Smallest step of the proxy's clock.
+    /// Resolution of the proxy's clock.
     pub clock_resolution: Micros,
-    /// The balancer's own zone. Requests to other zones cost more and take longer. `None`: unknown.
+    /// The balancer's own zone, if known. Requests to other zones cost more and take longer.
     pub zone: Option<ZoneId>,
     /// Classes of requests.
     pub classes: Vec<Class>,
     /// Tenants, if there are any.
     pub tenants: Vec<Tenant>,
-    /// What the deployment allows.
+    /// Limits of the deployment.
     pub limits: Limits,
-    /// How endpoints warm up.
+    /// How endpoints warm up after a start.
     pub slow_start: SlowStart,
     /// How the endpoint list arrives.
     pub discovery: Discovery,
-    /// Weights of the score.
+    /// Weights of the parts of the score.
     pub score_weights: ScoreWeights,
 }
 
@@ -159,7 +160,8 @@
 }
 
 impl Default for Settings {
-    /// One balancer, a pushed list, and one non-idempotent class with an objective of 0.5 s.
+    /// One balancer, a pushed endpoint list, and one non-idempotent class with a latency objective
+    /// of 0.5 s.
     fn default() -> Self {
         let class = Class {
             latency_objective: 500_000,
