--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -1,19 +1,20 @@
-//! Which requests join the pending queue, by the time that others have waited in it, their priority
-//! and their tenant's quota.
+//! Which requests are admitted to the pending queue. This depends on how long queued requests have
+//! waited, on the request's priority and on its tenant's quota.
 
 use crate::balancer::Balancer;
 use crate::latency::SLACK_TYPICAL_LATENCIES;
 use crate::request::Request;
 use crate::{Action, Class, ClassId, FailureReason, Micros, RequestId, TenantId};
 
-/// Time in the queue beyond which new requests are rejected, as a fraction of their objective.
+/// New requests are rejected if the first queued request has waited for longer than this fraction
+/// of their latency objective, unless they have high priority.
 const QUEUE_WAIT_OBJECTIVE_FRACTION: f64 = 0.1;
-/// The same for tenants over their quota, as a fraction of that.
+/// Fraction of that time that applies to requests of tenants over their quota.
 const OVER_QUOTA_WAIT_FRACTION: f64 = 0.5;
 
 impl Balancer {
-    /// Adds a request that has arrived. A class that the settings do not name counts as
-    /// non-idempotent, with an objective of the time that its client waits.
+    /// Adds a request that has arrived. If its class is not in the settings, it is treated as
+    /// non-idempotent, with the time that its client waits as its latency objective.
     pub(crate) fn add_request(
         &mut self,
         now: Micros,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Queues a new request, or sheds it if it would wait too long.
+    /// Queues a new request, or rejects it if it would wait too long.
     pub(crate) fn admit(
         &mut self,
         now: Micros,
@@ -69,8 +70,8 @@
         }
     }
 
-    /// How long the first queued request may have waited for this one to join the queue. Without a
-    /// bound all would be served late.
+    /// The longest that the first queued request may have waited if this request is to be queued.
+    /// Without this bound, all requests would be served late under overload.
     fn max_queue_wait(&self, id: RequestId, is_over_quota: bool) -> Micros {
         let request = &self.requests[&id];
         let typical_latency = self.typical_latency(request);
@@ -86,8 +87,9 @@
         limit.min(latency_objective - typical_latency).max(0.0) as Micros
     }
 
-    /// Whether a class's priority weight for its work, relative to that of all requests, outweighs
-    /// the score's part for the class that is served worst.
+    /// Whether the request's class has so much priority weight per unit of work, compared to all
+    /// requests, that serving it instead of others raises the score, even if those others are of
+    /// the class with the worst results.
     fn is_high_priority(&self, request: &Request) -> bool {
         let mut total_weight = 0.0;
         let mut total_work = 0.0;
--- a/balancer/src/attempt.rs
+++ b/balancer/src/attempt.rs
@@ -2,31 +2,32 @@
 
 use crate::{CellId, EndpointId, Micros, Outcome, ZoneId};
 
-/// Which concurrency limit an attempt exceeds as a trial that may raise it.
+/// The concurrency limit that an attempt exceeds as a trial, which raises that limit if it is
+/// served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Trial {
-    /// None: it is within the limits.
+    /// None: the attempt is within the limits.
     None,
-    /// The endpoint's.
+    /// The endpoint's own limit.
     Endpoint,
-    /// The one that all endpoints share.
+    /// The limit that all endpoints share.
     Shared,
 }
 
-/// An attempt, as it was sent and as it ended.
+/// An attempt: where and when it was sent, and how it ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointId,
-    /// Start of the endpoint's process that it was sent to, by the list's clock.
+    /// When the endpoint's process that it was sent to started, by the clock of the endpoint list.
     pub(crate) started_at: Micros,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) class_id: usize,
     pub(crate) sent_at: Micros,
     pub(crate) trial: Trial,
-    /// The request is still arriving: the endpoint has nothing to work on yet.
+    /// Whether the request is still arriving, so that the endpoint cannot work on it yet.
     pub(crate) is_uploading: bool,
-    /// `None`: it is in flight.
+    /// `None` while it is in flight.
     pub(crate) outcome: Option<Outcome>,
 }
 
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer's state, and the dispatch of events to the modules that decide.
+//! The balancer's state, and the dispatch of events to the modules that make the decisions.
 
 use crate::backoff;
 use crate::endpoint_starts::EndpointStarts;
@@ -17,11 +17,11 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 
-/// While requests are queued, the queue is inspected at least this many times per first backoff:
-/// limits, backoffs and pauses end without an event.
+/// While requests are queued, the queue is inspected at least this many times per initial backoff:
+/// no event reports that a backoff or pause has ended or that a limit has capacity again.
 const QUEUE_INSPECTIONS_PER_BACKOFF: Micros = 8;
 
-/// Decides for one client proxy.
+/// Makes the load-balancing decisions of one client proxy.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) settings: Settings,
@@ -29,7 +29,7 @@
     pub(crate) endpoints: Endpoints,
     pub(crate) endpoint_starts: EndpointStarts,
     pub(crate) polling: ListPolling,
-    /// `None`: each endpoint has a limit of its own.
+    /// `None` if each endpoint has a limit of its own.
     pub(crate) shared_limit: Option<SharedLimit>,
     pub(crate) zone_outages: ZoneOutages,
     pub(crate) requests: BTreeMap<RequestId, Request>,
@@ -42,12 +42,12 @@
     pub(crate) forwarded_count: u64,
     /// Number of attempts served so far.
     pub(crate) served_count: u64,
-    /// When the proxy's timer fires; `Micros::MAX`: none is set.
+    /// When the proxy's timer fires; `Micros::MAX` if none is set.
     proxy_timer_at: Micros,
 }
 
 impl Balancer {
-    /// A balancer that draws all its random numbers from `seed`.
+    /// Creates a balancer whose random numbers are all generated from `seed`.
     pub fn new(seed: u64, settings: Settings) -> Self {
         Balancer {
             random: Pcg32::seed_from_u64(seed),
@@ -71,7 +71,7 @@
 
     /// Handles one event at time `now` and appends the actions to carry out.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        // A request that arrives behind queued ones changes nothing for them.
+        // A request that arrives behind queued ones doesn't affect them.
         let queue_unaffected =
             matches!(event, Event::RequestReceived { .. }) && !self.queue.is_empty();
         self.dispatch(now, event, actions);
@@ -137,7 +137,7 @@
                 self.remove_if_done(request);
             }
             Event::Timer => {
-                // Only the timer that is due now counts: each earlier one would set another.
+                // A replaced timer that fires all the same is ignored: it would set a further one.
                 if now >= self.proxy_timer_at {
                     self.proxy_timer_at = Micros::MAX;
                 }
@@ -157,14 +157,15 @@
         }
     }
 
-    /// Sets a request's timer in place of the one that it has; `None`: it needs none.
+    /// Replaces a request's timer; `None` removes it.
     pub(crate) fn set_request_timer(&mut self, id: RequestId, at: Option<Micros>) {
         if let Some(request) = self.requests.get_mut(&id) {
             self.request_timers.set(id, request, at);
         }
     }
 
-    /// Sets the proxy's one timer for everything that is due by time alone.
+    /// Sets the proxy's timer for whatever is due first: a poll, a request's timer or the next
+    /// inspection of the queue.
     fn set_proxy_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let mut next = self.polling.due_at.min(self.request_timers.next_at());
         if !self.queue.is_empty() {
@@ -184,7 +185,7 @@
         backoff::initial_backoff(&self.settings)
     }
 
-    /// A random number from 0 to below `bound`.
+    /// Returns a random number below `bound`, or 0 if `bound` is 0.
     pub(crate) fn random_below(&mut self, bound: u64) -> u64 {
         (u64::from(self.random.next_u32()) * bound.min(u64::from(u32::MAX))) >> 32
     }
--- a/balancer/src/ended_attempt.rs
+++ b/balancer/src/ended_attempt.rs
@@ -1,19 +1,19 @@
-//! An attempt that has ended, with the estimates of before by which it is judged.
+//! An attempt that has ended, with the estimates from before its end that it is judged by.
 
 use crate::attempt::Attempt;
 use crate::{Micros, Outcome};
 
-/// Maximum latency pressure of one response, and of a load report.
+/// Maximum latency pressure of one response or load report.
 pub(crate) const MAX_LATENCY_PRESSURE: f64 = 4.0;
 
-/// What an attempt's outcome says of its endpoint.
+/// What an attempt's outcome says about its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// It works, though it may be slow.
+    /// The endpoint works, though it may be slow.
     Healthy,
-    /// It failed.
+    /// The endpoint failed.
     Failed,
-    /// Nothing: the cause was another.
+    /// Nothing: the endpoint did not cause the outcome.
     Neutral,
 }
 
@@ -23,19 +23,21 @@
     pub(crate) now: Micros,
     pub(crate) attempt: Attempt,
     pub(crate) outcome: Outcome,
-    /// 0 if the request was still arriving.
+    /// Duration of the attempt; 0 if the request was still arriving.
     pub(crate) elapsed: f64,
     pub(crate) initial_backoff: Micros,
     pub(crate) longest_latency_objective: f64,
-    /// Of all classes.
+    /// Mean latency of the slowest class.
     pub(crate) longest_typical_latency: f64,
-    /// Of its class.
+    /// Mean latency of the attempt's class.
     pub(crate) typical_latency: f64,
     pub(crate) subset_size: usize,
-    /// Its time relative to what its class allows, and to what that allows under a shared limit.
+    /// Duration relative to what the class allows at an endpoint with a limit of its own.
     pub(crate) latency_pressure: f64,
+    /// Duration relative to what the class allows under a shared limit.
     pub(crate) shared_latency_pressure: f64,
-    /// It timed out before most responses of its class arrive: its client allowed too little time.
+    /// Whether it timed out before most responses of its class arrive, because its client allowed
+    /// too little time.
     pub(crate) has_short_deadline: bool,
 }
 
@@ -44,7 +46,7 @@
         self.outcome == Outcome::Served
     }
 
-    /// Whether its connection could not be established or broke.
+    /// Whether the connection could not be established or broke.
     pub(crate) fn is_connection_lost(&self) -> bool {
         matches!(
             self.outcome,
--- a/balancer/src/forwarding.rs
+++ b/balancer/src/forwarding.rs
@@ -1,4 +1,4 @@
-//! Forwards a request to the endpoint that was selected, and accounts for it.
+//! Forwards a request to the selected endpoint and counts the attempt there.
 
 use crate::attempt::{Attempt, Trial};
 use crate::balancer::Balancer;
@@ -21,8 +21,8 @@
 }
 
 impl Balancer {
-    /// Forwards a request. The attempt runs for as long as its client waits: the endpoint would
-    /// work on one abandoned earlier all the same, but uncounted.
+    /// Forwards a request. The attempt times out only when its client stops waiting: after an
+    /// earlier timeout the endpoint would go on working on the request without it being counted.
     pub(crate) fn forward(
         &mut self,
         now: Micros,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Counts an attempt as work of its endpoint from now on.
+    /// Counts an attempt as in flight at its endpoint and under the shared limit.
     pub(crate) fn begin_work(&mut self, now: Micros, attempt: &Attempt) {
         if let Some(index) = self.endpoints.index_of(attempt.endpoint) {
             let endpoint = &mut self.endpoints[index];
--- a/balancer/src/hedging.rs
+++ b/balancer/src/hedging.rs
@@ -1,4 +1,5 @@
-//! Hedged requests: a second attempt for a request whose first may be at a stalled endpoint.
+//! Hedged requests: a second attempt for a request whose first attempt may be at a stalled
+//! endpoint.
 
 use crate::attempt::Trial;
 use crate::balancer::Balancer;
@@ -9,9 +10,10 @@
 use crate::{Action, Micros, RequestId};
 
 impl Balancer {
-    /// When to hedge a request that was forwarded for the first time: at the latest moment at which
-    /// a second attempt can be in time, but not before the first is late. Under a shared limit a
-    /// balancer knows too little of single endpoints: a second attempt would only add load.
+    /// When to hedge a request that was forwarded for the first time: as late as a second attempt
+    /// can still be in time, but not before the first is late for its class. Under a shared limit
+    /// nothing is hedged: a balancer knows too little about each endpoint, so a second attempt
+    /// would only add load.
     pub(crate) fn hedge_at(&self, now: Micros, request: &Request) -> Option<Micros> {
         let is_allowed = request.attempts.len() == 1
             && !request.is_non_replayable
@@ -31,8 +33,8 @@
         (hedge_at + typical_latency <= objective_at).then(|| (hedge_at as Micros).max(now + 1))
     }
 
-    /// Hedges a request if nothing is queued, the retry budget allows it, and an endpoint that it
-    /// has not been sent to has capacity.
+    /// Hedges a request if it has attempts left, nothing is queued, the retry budget allows it, and
+    /// an endpoint that it has not been sent to has capacity.
     pub(crate) fn forward_hedge(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let request = &self.requests[&id];
         let is_candidate = |endpoint: &Endpoint| {
--- a/balancer/src/pending_queue.rs
+++ b/balancer/src/pending_queue.rs
@@ -1,9 +1,9 @@
-//! Requests that wait for an endpoint.
+//! The queue of requests that wait for an endpoint.
 
 use crate::RequestId;
 use std::collections::VecDeque;
 
-/// Pending requests: retries first, then the others in the order of their arrival.
+/// Pending requests: retries first, then the others in order of arrival.
 #[derive(Debug, Default)]
 pub(crate) struct PendingQueue {
     requests: VecDeque<RequestId>,
@@ -22,7 +22,7 @@
         self.requests.get(index).copied()
     }
 
-    /// The request that has waited longest, or a retry.
+    /// The latest retry or, if none is queued, the request that has waited longest.
     pub(crate) fn front(&self) -> Option<RequestId> {
         self.get(0)
     }
@@ -32,7 +32,7 @@
         self.requests.push_back(id);
     }
 
-    /// Adds a retry, which is older than what waits.
+    /// Adds a retry ahead of the queued requests, as it is older.
     pub(crate) fn push_front(&mut self, id: RequestId) {
         self.requests.push_front(id);
     }
--- a/balancer/src/queue_dispatch.rs
+++ b/balancer/src/queue_dispatch.rs
@@ -6,8 +6,8 @@
 use crate::selection::Route;
 use crate::{Action, FailureReason, Micros, RequestId};
 
-/// Queued requests that are inspected beyond the first at an event: it bounds the CPU time that a
-/// long queue costs.
+/// Maximum number of queued requests that are inspected after the first at each event. It bounds
+/// the CPU time that a long queue costs.
 const MAX_QUEUE_SCAN: usize = 16;
 
 impl Balancer {
@@ -17,7 +17,7 @@
         self.mark_queued(now, id);
     }
 
-    /// Queues a request for another attempt, ahead of others as it is older.
+    /// Queues a request for another attempt, ahead of the others as it is older.
     pub(crate) fn enqueue_retry(&mut self, now: Micros, id: RequestId) {
         self.queue.push_front(id);
         self.mark_queued(now, id);
@@ -30,9 +30,9 @@
         }
     }
 
-    /// Sets the timer for when a request leaves the queue without an attempt: when a typical
-    /// response would miss the objective, before its client stops waiting, and for a retry at the
-    /// end of its deduplication window.
+    /// Sets the timer at which a request leaves the queue without a further attempt: when a
+    /// response of typical latency would be late, but before its client stops waiting, and for a
+    /// retry no later than the end of its deduplication window.
     pub(crate) fn set_queue_deadline(&mut self, now: Micros, id: RequestId) {
         let request = &self.requests[&id];
         let before_deadline = request
@@ -50,7 +50,7 @@
         self.set_request_timer(id, Some(at));
     }
 
-    /// Sends a queued request to each ejected endpoint that may be tried again.
+    /// Forwards a queued request as a trial to each ejected endpoint whose trial is due.
     pub(crate) fn forward_readmission_trials(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for index in 0..self.endpoints.len() {
             if let Some(position) = self.find_readmission_trial(now, index) {
@@ -59,8 +59,9 @@
         }
     }
 
-    /// Position in the queue of a request to try an ejected endpoint with. It must not have been
-    /// attempted before: a retry may be restricted to some endpoints.
+    /// Position in the queue of a request for the trial of an ejected endpoint, if the trial is
+    /// due. The request must not have been attempted before: a retry may be restricted to some
+    /// endpoints.
     fn find_readmission_trial(&self, now: Micros, index: usize) -> Option<usize> {
         let endpoint = &self.endpoints[index];
         if !endpoint.is_awaiting_trial(now, self.served_count, &self.settings.slow_start)
@@ -79,7 +80,8 @@
             .position(|id| is_suitable(&self.requests[&id]))
     }
 
-    /// Forwards queued requests in order, until one has to wait that could go to any endpoint.
+    /// Forwards queued requests in order, up to the first that has to wait although it may be sent
+    /// to any endpoint: those behind it would have to wait too.
     pub(crate) fn forward_queued(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let mut position = 0;
         while let Some(id) = self.queue.get(position) {
@@ -118,8 +120,8 @@
         self.forward(now, id, endpoint, trial, actions);
     }
 
-    /// Whether a request may be sent to some endpoints only, by its earlier attempts or as others
-    /// reject its class.
+    /// Whether a request may be sent only to some endpoints, because of its earlier attempts or
+    /// because some endpoints reject its class.
     fn is_restricted(&self, now: Micros, id: RequestId) -> bool {
         let request = &self.requests[&id];
         request.first_possibly_executed().is_some()
@@ -128,7 +130,7 @@
             })
     }
 
-    /// Answers a request that has been queued for too long.
+    /// Rejects or fails a request that has been queued for too long.
     pub(crate) fn abandon_queued(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let waited = now.saturating_sub(self.requests[&id].arrived_at);
         self.abandon(id, waited, FailureReason::QueueTimeout, actions);
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival until it is finished and has no attempt in flight.
+//! The state of a request, kept from its arrival until it is finished and has no attempt in flight.
 
 use crate::attempt::Attempt;
 use crate::endpoint::Endpoint;
@@ -14,11 +14,11 @@
     pub(crate) deadline: Micros,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) is_queued: bool,
-    /// What an endpoint has got of it cannot be sent to another.
+    /// Whether what was sent to one endpoint cannot be sent to another.
     pub(crate) is_non_replayable: bool,
-    /// It is still arriving.
+    /// Whether the request is still arriving.
     pub(crate) is_uploading: bool,
-    /// Its client has a response, or needs none.
+    /// Whether no further attempt is needed: its client has a reply, or waits for none.
     pub(crate) is_finished: bool,
     pub(crate) timer_at: Option<Micros>,
 }
@@ -31,7 +31,8 @@
             .count()
     }
 
-    /// The first attempt that may have been executed, which restricts all further ones.
+    /// The first attempt that may have been executed, which restricts where and when further ones
+    /// may be sent.
     pub(crate) fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
@@ -44,7 +45,8 @@
             .all(|attempt| attempt.endpoint != endpoint)
     }
 
-    /// Until when a response counts with its class's weight, or a fraction of it.
+    /// Until when a response counts with the priority weight of its class or a fraction of it: the
+    /// latency objective or, if late responses count too, the deadline.
     pub(crate) fn objective_at(&self) -> Micros {
         let latency_objective = if self.class.late_weight_fraction > 0.0 {
             self.class.deadline
@@ -55,8 +57,8 @@
             .min(self.arrived_at.saturating_add(latency_objective))
     }
 
-    /// Until when a further attempt may begin: the class's deduplication window, from the first
-    /// attempt that may have been executed.
+    /// When the deduplication window ends, which begins with the first attempt that may have been
+    /// executed. Further attempts must begin before. `None` if there is no such limit.
     pub(crate) fn attempt_deadline(&self) -> Option<Micros> {
         match (self.first_possibly_executed(), self.class.idempotency) {
             (Some(first), Idempotency::Keyed { window, .. }) => {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Whether the request may be attempted at an endpoint. That depends on all of its attempts.
+    /// Whether the request may be sent to an endpoint, given its earlier attempts.
     pub(crate) fn may_attempt(
         &self,
         now: Micros,
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Whether it may be answered as rejected, which invites the client to retry.
+    /// Whether the reply may be a rejection, which allows the client to retry.
     pub(crate) fn may_be_rejected(&self) -> bool {
         let is_repeatable = matches!(
             self.class.idempotency,
--- a/balancer/src/request_lifecycle.rs
+++ b/balancer/src/request_lifecycle.rs
@@ -1,12 +1,13 @@
-//! A request's way from its arrival to its end: uploads, ends of attempts, final answers.
+//! What happens to a request after its arrival: the end of its upload, the ends of its attempts,
+//! and its reply.
 
 use crate::attempt::Attempt;
 use crate::balancer::Balancer;
 use crate::{Action, FailureReason, Micros, Outcome, RequestId};
 
 impl Balancer {
-    /// Handles the last byte of a request that cannot be replayed: its client's time begins, and
-    /// the work of the endpoint that it has been sent to.
+    /// Handles the last byte of a non-replayable request: only now its client's deadline is set and
+    /// the endpoint that it was sent to begins to work on it.
     pub(crate) fn complete_upload(&mut self, now: Micros, id: RequestId, time_left: Micros) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -25,7 +26,8 @@
         self.begin_work(now, &attempt);
     }
 
-    /// Lets no request wait beyond `deadline`, queued ones included.
+    /// Brings the deadlines of all requests, queued ones included, forward to `deadline` if they
+    /// are later.
     pub(crate) fn shorten_deadlines(&mut self, now: Micros, deadline: Micros) {
         let mut shortened = Vec::new();
         for (&id, request) in &mut self.requests {
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Records the end of an attempt; `None` if it is not in flight.
+    /// Records the end of an attempt and returns it, or `None` if it was not in flight.
     pub(crate) fn end_attempt(
         &mut self,
         id: RequestId,
@@ -57,8 +59,8 @@
         Some(*ended)
     }
 
-    /// Decides what follows the end of an attempt: the request's end, a retry, or nothing while
-    /// another attempt is in flight.
+    /// Finishes, retries, rejects or fails a request after an attempt has ended, or leaves it to
+    /// another attempt that is in flight.
     pub(crate) fn continue_request(
         &mut self,
         now: Micros,
@@ -75,7 +77,7 @@
             self.finish_request(id);
             self.cancel_attempts(id, None, actions);
         } else if is_open && outcome == Outcome::Invalid {
-            // Any endpoint would find it invalid, and the client must not retry it.
+            // Any endpoint would find it invalid, so nobody should retry it.
             actions.push(Action::Fail {
                 request: id,
                 reason: FailureReason::Invalid,
@@ -87,8 +89,8 @@
         self.remove_if_done(id);
     }
 
-    /// Answers a request that is not served: as rejected if a retry by its client is harmless, else
-    /// as failed.
+    /// Rejects a request that will not be served if its client may safely retry it, and fails it
+    /// otherwise.
     pub(crate) fn abandon(
         &mut self,
         id: RequestId,
@@ -114,7 +116,7 @@
         self.remove_if_done(id);
     }
 
-    /// Marks a request that needs no further attempt.
+    /// Marks a request as needing no further attempt and takes it out of the queue.
     pub(crate) fn finish_request(&mut self, id: RequestId) {
         self.set_request_timer(id, None);
         let Some(request) = self.requests.get_mut(&id) else {
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Cancels the attempts in flight but `except`, where the deployment allows that.
+    /// Cancels the attempts in flight other than `except`, if the deployment allows that.
     pub(crate) fn cancel_attempts(
         &self,
         id: RequestId,
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Forgets a request that is finished and has no attempt in flight.
+    /// Removes a request if it is finished and has no attempt in flight.
     pub(crate) fn remove_if_done(&mut self, id: RequestId) {
         let request = self.requests.get(&id);
         if request.is_some_and(|request| request.is_finished && request.in_flight_count() == 0) {
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -1,11 +1,11 @@
-//! Whether a request is retried after an attempt that was not served.
+//! Decides whether a request is retried after an attempt that was not served.
 
 use crate::balancer::Balancer;
 use crate::request::Request;
 use crate::{Action, FailureReason, Micros, Outcome, RequestId};
 
 impl Balancer {
-    /// Queues a request for a retry, or answers it.
+    /// Queues a request for a retry, or rejects or fails it.
     pub(crate) fn retry_or_abandon(
         &mut self,
         now: Micros,
@@ -13,7 +13,8 @@
         outcome: Outcome,
         actions: &mut Vec<Action>,
     ) {
-        // A failed connection cost the endpoint nothing: it is retried without a budget too.
+        // A connection that could not be established cost the endpoint nothing, so the request is
+        // retried even if the budget is used up.
         let is_paid = self.retry_budget.allows_retry() || outcome == Outcome::ConnectFailed;
         if is_paid && self.may_retry(now, &self.requests[&id], outcome) {
             self.retry_budget.spend();
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Whether a retry could be in time, is allowed, and has an endpoint to go to.
+    /// Whether a retry is allowed, can be in time, and has an endpoint that it may be sent to.
     fn may_retry(&self, now: Micros, request: &Request, outcome: Outcome) -> bool {
         let is_in_time = now as f64 + self.typical_latency(request) < request.objective_at() as f64;
         let is_body_lost = request.is_non_replayable
--- a/balancer/src/retry_budget.rs
+++ b/balancer/src/retry_budget.rs
@@ -1,10 +1,11 @@
 //! The budget that limits retries and hedged requests to a fraction of all requests.
 
-/// Retries that each request adds to the budget, and its maximum.
+/// Number of retries that each request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.2;
+/// Maximum number of retries in the budget.
 const MAX_RETRY_BUDGET: f64 = 20.0;
-/// What hedged requests leave of it: they may turn out unnecessary, while a failed attempt is lost
-/// for certain.
+/// Number of retries that hedged requests leave in the budget for failed attempts: a hedged request
+/// may turn out to be unnecessary, while a failed attempt is certainly lost.
 const HEDGING_RETRY_RESERVE: f64 = MAX_RETRY_BUDGET / 2.0;
 
 /// Number of retries that are allowed now.
@@ -22,7 +23,7 @@
 }
 
 impl RetryBudget {
-    /// Adds a request's share.
+    /// Adds what a new request contributes to the budget.
     pub(crate) fn add_request(&mut self) {
         self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
     }
@@ -35,7 +36,7 @@
         self.retries >= HEDGING_RETRY_RESERVE + 1.0
     }
 
-    /// Pays for a retry or a hedged request.
+    /// Takes one retry or hedged request from the budget.
     pub(crate) fn spend(&mut self) {
         self.retries = (self.retries - 1.0).max(0.0);
     }
--- a/balancer/src/selection.rs
+++ b/balancer/src/selection.rs
@@ -1,4 +1,5 @@
-//! Which endpoint gets a request: the less loaded of two random ones within this balancer's subset.
+//! Selects the endpoint for a request: the less loaded of two random ones in this balancer's
+//! subset.
 
 use crate::attempt::Trial;
 use crate::balancer::Balancer;
@@ -9,15 +10,15 @@
 pub(crate) enum Route {
     /// To an endpoint, given by its index.
     Forward { endpoint: usize, trial: Trial },
-    /// It waits, as nothing has capacity for it.
+    /// It waits in the queue, as no endpoint has capacity for it.
     Queue,
     /// It is rejected, as all endpoints are ejected.
     Reject { retry_after: Micros },
 }
 
 impl Balancer {
-    /// Selects an endpoint: one of two random candidates, then one of two with capacity, then one
-    /// to exceed its limit as a trial.
+    /// Selects an endpoint: the better of two random candidates or, if that is full, of two that
+    /// have capacity or, if there are none, of two that may exceed their limit as a trial.
     pub(crate) fn route(&mut self, now: Micros, id: RequestId) -> Route {
         let typical_latency = self.latencies.longest_typical();
         let reached_limit = self
@@ -46,7 +47,7 @@
         let for_trial = self.filter_endpoints(&candidates, |endpoint| {
             self.may_exceed_limit(now, endpoint, typical_latency)
         });
-        // Both draw random numbers, also where one would do: a run stays repeatable.
+        // Both are drawn even if one would do, so that runs with the same seed stay repeatable.
         let within_limit = self.pick_of_two(&with_capacity);
         let beyond_limit = self.pick_of_two(&for_trial);
         match (within_limit, beyond_limit) {
@@ -60,9 +61,10 @@
         }
     }
 
-    /// Indices of the endpoints to choose from: those of the subset that may serve the request.
-    /// Endpoints that accept its class, and then those that it has not been sent to, are preferred.
-    /// A burst under a shared limit spills over to further endpoints, with one request at each.
+    /// Indices of the endpoints to choose from: the first ones on the ring, as many as the subset
+    /// has, that may be sent the request. Endpoints that accept its class, and then those that it
+    /// has not been sent to, are preferred. Under a shared limit full endpoints are skipped while
+    /// others have capacity, so a burst spills over to further endpoints, one request to each.
     fn candidates(&self, now: Micros, id: RequestId) -> Vec<usize> {
         let request = &self.requests[&id];
         let slow_start = &self.settings.slow_start;
@@ -106,8 +108,8 @@
             .collect()
     }
 
-    /// Whether a request may be sent to an endpoint beyond its limit, as the trial that may raise
-    /// it.
+    /// Whether an endpoint may be sent a request beyond its limit, as the trial that raises the
+    /// limit if it is served.
     fn may_exceed_limit(&self, now: Micros, endpoint: &Endpoint, typical_latency: f64) -> bool {
         endpoint.limit.is_trial_ready(now)
             && endpoint.latency_pressure <= 1.0
@@ -115,8 +117,8 @@
             && endpoint.is_warm(now, &self.settings.slow_start)
     }
 
-    /// Queues a request that no endpoint can take, or rejects it until the first trial if all are
-    /// ejected.
+    /// Queues a request that no endpoint can be sent. If all endpoints are ejected, rejects it
+    /// until the first of them may be tried again.
     fn queue_or_reject(&self, now: Micros) -> Route {
         let listed = self.endpoints.iter().filter(|endpoint| endpoint.is_listed);
         if !listed.clone().all(Endpoint::is_ejected) {
@@ -130,10 +132,11 @@
         }
     }
 
-    /// The less loaded of two random endpoints: by requests in flight, then the one in this
-    /// balancer's zone, then by latency. Under a shared limit nearly every choice is a tie, and a
-    /// zone with more balancers than endpoints would be overloaded: there the one without latency
-    /// pressure, then by recent load.
+    /// The better of two random endpoints: the one with fewer requests in flight, then the one in
+    /// this balancer's zone, then the one with less latency pressure. Under a shared limit nearly
+    /// every choice is a tie, and preferring the own zone would overload a zone that has more
+    /// balancers than endpoints. There, ties go to the one whose latency pressure is within the
+    /// limit, then to the one with less recent load.
     fn pick_of_two(&mut self, candidates: &[usize]) -> Option<usize> {
         let len = candidates.len() as u64;
         let offset = self.random_below(len);
--- a/balancer/src/subset.rs
+++ b/balancer/src/subset.rs
@@ -1,6 +1,6 @@
-//! The subset of the endpoints that this balancer sends to under a shared limit. One of very many
-//! balancers that sent to all would open a connection for nearly every request and learn nothing of
-//! single endpoints.
+//! The subset of the endpoints that this balancer sends to under a shared limit. If each of very
+//! many balancers sent to all endpoints, it would open a connection for nearly every request and
+//! learn nothing about each endpoint.
 
 use crate::balancer::Balancer;
 
@@ -9,7 +9,7 @@
 const SUBSET_REQUESTS_PER_ENDPOINT: f64 = 0.8;
 
 impl Balancer {
-    /// Number of endpoints that requests are spread over.
+    /// Number of endpoints that requests are spread over: all of them without a shared limit.
     pub(crate) fn subset_size(&self) -> usize {
         let needed = self.shared_limit.as_ref().map_or(f64::MAX, |shared_limit| {
             shared_limit.mean_in_flight / SUBSET_REQUESTS_PER_ENDPOINT
@@ -19,8 +19,8 @@
             .min(self.endpoints.len())
     }
 
-    /// Indices of all endpoints, as a ring from this balancer's place on. The balancers' places are
-    /// at even distances.
+    /// Indices of all endpoints as a ring, from this balancer's start on. The balancers' starts are
+    /// spread evenly over the ring.
     pub(crate) fn subset_ring(&self) -> impl Iterator<Item = usize> + Clone {
         let len = self.endpoints.len();
         let balancer_index = self.settings.balancer_index as usize;
--- a/balancer/src/tenant_usage.rs
+++ b/balancer/src/tenant_usage.rs
@@ -1,14 +1,14 @@
-//! Each tenant's fraction of this balancer's requests, against its quota.
+//! Compares each tenant's fraction of this balancer's requests with its quota.
 
 use crate::latency::LATENCY_SMOOTHING;
 use crate::{Tenant, TenantId};
 
-/// How many times longer usage is remembered than latencies.
+/// Memory of the usage average, as a multiple of that of the latency averages.
 const USAGE_MEMORY_MULTIPLE: f64 = 10.0;
-/// Usage up to this multiple of the quota is not over it.
+/// Multiple of the quota beyond which usage counts as over quota.
 const QUOTA_TOLERANCE: f64 = 1.1;
 
-/// Recent fraction of the requests by tenant.
+/// Moving average of each tenant's fraction of the requests.
 #[derive(Debug)]
 pub(crate) struct TenantUsage {
     fractions: Vec<f64>,
@@ -21,8 +21,8 @@
         }
     }
 
-    /// Counts a request and returns whether its tenant is over its quota. A tenant that the
-    /// settings do not name always is.
+    /// Counts a request and returns whether its tenant is over its quota. A tenant that is not in
+    /// the settings always is.
     pub(crate) fn record(&mut self, tenant: TenantId, tenants: &[Tenant]) -> bool {
         let Some(quota) = tenants.get(tenant.0).map(|tenant| tenant.quota) else {
             return true;
--- a/balancer/src/timers.rs
+++ b/balancer/src/timers.rs
@@ -1,17 +1,17 @@
-//! Timers of requests: when one leaves the pending queue, or is hedged.
+//! The timers at which requests leave the pending queue or are hedged.
 
 use crate::request::Request;
 use crate::{Micros, RequestId};
 use std::collections::BTreeSet;
 
-/// At most one timer for each request, in the order of their times.
+/// At most one timer for each request, in the order in which they are due.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTimers {
     due: BTreeSet<(Micros, RequestId)>,
 }
 
 impl RequestTimers {
-    /// Sets a request's timer in place of the one that it has; `None`: it needs none.
+    /// Replaces a request's timer; `None` removes it.
     pub(crate) fn set(&mut self, id: RequestId, request: &mut Request, at: Option<Micros>) {
         if let Some(previous) = request.timer_at {
             self.due.remove(&(previous, id));
@@ -22,12 +22,12 @@
         }
     }
 
-    /// When the first timer is due; `Micros::MAX` if there is none.
+    /// When the next timer is due; `Micros::MAX` if there is none.
     pub(crate) fn next_at(&self) -> Micros {
         self.due.first().map_or(Micros::MAX, |timer| timer.0)
     }
 
-    /// A request whose timer is due.
+    /// The request whose timer is due first, if that is due now.
     pub(crate) fn first_due(&self, now: Micros) -> Option<RequestId> {
         self.due
             .first()
