--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A proxy for tests: it passes events to a balancer and records the actions.
+//! A stand-in for the proxy that passes events to a balancer and records its actions, and helpers
+//! for the tests.
 #![allow(dead_code)]
 
 use balancer::*;
@@ -6,7 +7,7 @@
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000 * MS;
 
-/// A proxy that carries out nothing and records everything.
+/// A proxy with a clock that the test sets. It records the balancer's actions and carries out none.
 pub(crate) struct Proxy {
     pub(crate) balancer: Balancer,
     pub(crate) now: Micros,
@@ -14,8 +15,8 @@
     next: u64,
 }
 
-/// Settings with one class of the given idempotency: an objective of 500 ms and a deadline of 1.2
-/// s.
+/// Settings for 7 balancers and one class of the given idempotency, with a latency objective of
+/// 500 ms and a deadline of 1.2 s.
 pub(crate) fn settings(idempotency: Idempotency) -> Settings {
     let class = Class {
         latency_objective: 500 * MS,
@@ -35,7 +36,7 @@
     }
 }
 
-/// Discovery that is polled.
+/// Discovery settings with an endpoint list that is polled.
 pub(crate) fn polled_discovery() -> Discovery {
     Discovery {
         mode: DiscoveryMode::Poll,
@@ -52,7 +53,7 @@
 }
 
 impl Proxy {
-    /// A started proxy with `endpoints` ready, warm endpoints, numbered from 1.
+    /// A started proxy with this number of ready, warm endpoints, numbered from 1.
     pub(crate) fn new(settings: Settings, endpoints: u32) -> Proxy {
         let mut proxy = Proxy {
             balancer: Balancer::new(7, settings),
@@ -117,7 +118,8 @@
         })
     }
 
-    /// Has a request served after `elapsed`; returns where it was forwarded to.
+    /// Sends a request that is served after `elapsed`. Returns the endpoint that it was forwarded
+    /// to.
     pub(crate) fn serve_request(&mut self, elapsed: Micros) -> Option<EndpointId> {
         let (request, actions) = self.request();
         let endpoint = forwarded(&actions).first().map(|s| s.1);
@@ -126,8 +128,8 @@
         endpoint
     }
 
-    /// Ends the attempts of a request one after another, until none is forwarded; `actions` are
-    /// those of its arrival. `pause` passes before each end.
+    /// Ends the attempts of a request one after another, each after `pause`, until no further one
+    /// is forwarded. `actions` are those that followed the request's arrival.
     pub(crate) fn end_attempts(
         &mut self,
         request: RequestId,
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Ends a request's first attempt, whatever the outcome, as its last.
+    /// Ends a request's first attempt, after which no other is needed whatever the outcome.
     pub(crate) fn end_request(
         &mut self,
         request: RequestId,
@@ -197,7 +199,7 @@
         .any(|a| matches!(a, Action::Fail { request, .. } if *request == id))
 }
 
-/// The balancer with this index among so many, before so many endpoints.
+/// The proxy of the balancer with this index among `balancer_count`, with this number of endpoints.
 pub(crate) fn balancer_of(balancer_count: u32, balancer_index: u32, endpoints: u32) -> Proxy {
     let settings = Settings {
         balancer_count,
@@ -207,7 +209,7 @@
     Proxy::new(settings, endpoints)
 }
 
-/// One of a hundred balancers, with sixty endpoints.
+/// The proxy of one of 100 balancers, with 60 endpoints, which have a shared limit.
 pub(crate) fn one_of_many() -> Proxy {
     balancer_of(100, 0, 60)
 }
@@ -222,7 +224,8 @@
         .collect()
 }
 
-/// Serves requests after `elapsed`, and in their turn the queued ones that are forwarded then.
+/// Ends these requests as served after `elapsed`, then likewise the queued ones that are forwarded
+/// as a result, until none is left.
 pub(crate) fn serve_forwarded(proxy: &mut Proxy, requests: Vec<RequestId>, elapsed: Micros) {
     let mut out = requests;
     while !out.is_empty() {
@@ -238,7 +241,8 @@
     }
 }
 
-/// Bursts that are served soon, until the balancer's limit has grown to what they need.
+/// Sends 20 bursts of 40 requests that are served quickly: the shared limit grows to allow such
+/// bursts.
 pub(crate) fn raise_shared_limit(proxy: &mut Proxy) {
     for _ in 0..20 {
         let out = request_burst(proxy, 40);
@@ -247,7 +251,7 @@
     }
 }
 
-/// When the timer that was set fires, from now.
+/// Time from now until the timer fires that these actions set.
 pub(crate) fn timer_after(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|action| match action {
         Action::SetTimer { after } => Some(*after),
--- a/balancer/tests/hedging.rs
+++ b/balancer/tests/hedging.rs
@@ -45,14 +45,14 @@
     });
     assert!(
         forwarded(&proxy.advance(450 * MS)).is_empty(),
-        "no hedged request"
+        "hedged although its response has started"
     );
     let actions = proxy.end_attempt(request, 0, Outcome::Reset, 450 * MS);
     assert!(forwarded(&actions).is_empty());
 }
 
-/// A hedged request may be unnecessary, a failed attempt is not: hedging of requests that are
-/// merely slow must not spend what saves those whose only attempt was lost.
+/// Hedging a request that is merely slow may be unnecessary, while a request whose only attempt was
+/// lost needs its retry. Hedged requests must not use up the retry budget.
 #[test]
 fn hedged_requests_leave_retry_budget_for_failed_attempts() {
     let mut config = settings(Idempotency::Idempotent);
@@ -74,16 +74,20 @@
             proxy.end_attempt(request, 0, Outcome::Cancelled, 490 * MS);
         }
     }
-    assert!(hedges >= 10, "{hedges}");
+    assert!(hedges >= 10, "only {hedges} of 60 requests were hedged");
     for _ in 0..3 {
         let (request, _) = proxy.request();
         let again = proxy.end_attempt(request, 0, Outcome::Reset, 10 * MS);
-        assert_eq!(forwarded(&again).len(), 1, "{again:?}");
+        assert_eq!(
+            forwarded(&again).len(),
+            1,
+            "the lost attempt was not retried: {again:?}"
+        );
         proxy.end_attempt(request, 1, Outcome::Served, 10 * MS);
     }
 }
 
-/// Where latencies vary widely, a request that takes twice the mean is normal: hedging it would
+/// Where latencies vary widely, a request that takes twice the mean is normal, and hedging it would
 /// only add load.
 #[test]
 fn a_request_within_the_typical_spread_of_its_class_is_not_hedged() {
@@ -98,6 +102,9 @@
     proxy.request();
     for _ in 0..12 {
         let actions = proxy.advance(30 * MS);
-        assert!(forwarded(&actions).is_empty(), "one in five takes 400 ms");
+        assert!(
+            forwarded(&actions).is_empty(),
+            "hedged although one in five requests takes 400 ms"
+        );
     }
 }
--- a/balancer/tests/odd_input.rs
+++ b/balancer/tests/odd_input.rs
@@ -1,4 +1,4 @@
-//! Input that no proxy sends, and settings that no deployment has.
+//! Events that no proxy sends, and settings that no deployment has, must not cause a panic.
 
 mod common;
 use balancer::*;
--- a/balancer/tests/random_sequences.rs
+++ b/balancer/tests/random_sequences.rs
@@ -1,4 +1,6 @@
-//! Long odd-but-legal event sequences; the rules are checked on every action.
+//! Long random sequences of valid events. Every action is checked: requests are sent only to ready
+//! endpoints and no more often than allowed, may be executed twice only where that is harmless, and
+//! end exactly once.
 
 mod common;
 use balancer::*;
@@ -25,7 +27,7 @@
 }
 
 impl RequestRecord {
-    /// Numbers of the attempts in flight.
+    /// Numbers of the attempts that are in flight.
     fn in_flight(&self) -> Vec<usize> {
         (0..self.attempts.len())
             .filter(|&number| self.attempts[number].outcome.is_none())
@@ -33,7 +35,7 @@
     }
 }
 
-/// A random sequence of events, and what has to be known to check the actions.
+/// A random sequence of events, with the state that its actions are checked against.
 struct Sequence {
     random: Pcg32,
     proxy: Proxy,
@@ -109,7 +111,7 @@
                 8 if step % 7 == 0 => self.change_list(),
                 8 if step % 31 == 0 => self.proxy.update_list(ListUpdate::PollFailed, vec![]),
                 _ => {
-                    // Deadlines first, as the proxy's clock would have them.
+                    // A proxy reports attempts that have timed out before it reports its timer.
                     self.end_late_attempts();
                     self.proxy.handle(Event::Timer)
                 }
@@ -195,7 +197,8 @@
         open.map(|(&id, _)| id).collect()
     }
 
-    /// Lets all clients' time pass: all requests have to be answered then.
+    /// Advances the clock beyond all deadlines, ends the remaining attempts as timed out and checks
+    /// that all requests have ended.
     fn finish(&mut self, seed: u64) {
         for _ in 0..3 {
             self.proxy.now += 700 * MS;
@@ -203,7 +206,11 @@
             self.check(&actions);
             for id in self.open_requests() {
                 for number in 0..self.requests[&id].attempts.len() {
-                    let attempt = &mut self.requests.get_mut(&id).expect("known").attempts[number];
+                    let attempt = &mut self
+                        .requests
+                        .get_mut(&id)
+                        .expect("a known request")
+                        .attempts[number];
                     if attempt.outcome.is_none() {
                         attempt.outcome = Some(Outcome::TimedOut);
                         let outcome = Outcome::TimedOut;
@@ -214,7 +221,10 @@
             }
         }
         let lost = self.open_requests();
-        assert!(lost.is_empty(), "seed {seed}: never ended {lost:?}");
+        assert!(
+            lost.is_empty(),
+            "seed {seed}: requests that never ended: {lost:?}"
+        );
         let forwarded = self
             .requests
             .values()
@@ -222,7 +232,7 @@
             .count();
         assert!(
             forwarded > 100,
-            "seed {seed}: a sequence with too few requests, {forwarded} sent"
+            "seed {seed}: only {forwarded} requests were forwarded, too few for a meaningful check"
         );
     }
 
@@ -238,11 +248,17 @@
                         .requests
                         .get_mut(&request)
                         .expect("a request that arrived");
-                    assert!(!std::mem::replace(&mut record.ended, true), "ended twice");
+                    assert!(
+                        !std::mem::replace(&mut record.ended, true),
+                        "failed after its end"
+                    );
                 }
                 Action::CancelAttempt { request, attempt } => {
                     let count = self.requests[&request].attempts.len();
-                    assert!((attempt as usize) < count, "no such attempt");
+                    assert!(
+                        (attempt as usize) < count,
+                        "cancelled an attempt that does not exist"
+                    );
                 }
                 _ => {}
             }
@@ -251,17 +267,20 @@
 
     fn check_attempt(&mut self, id: RequestId, endpoint: EndpointId) {
         let request = self.requests.get_mut(&id).expect("a request that arrived");
-        assert!(!request.ended, "sent after its end");
+        assert!(!request.ended, "forwarded after its end");
         assert!(
             self.known.contains(&endpoint) && self.list[&endpoint] == EndpointState::Ready,
-            "sent to one that is not ready"
+            "forwarded to an endpoint that is not ready"
         );
         assert!(
             request.attempts.len() < MAX_ATTEMPTS as usize,
             "more attempts than allowed"
         );
         let in_flight = request.in_flight().len();
-        assert!(in_flight == 0 || self.hedging && in_flight == 1);
+        assert!(
+            in_flight == 0 || self.hedging && in_flight == 1,
+            "more attempts in flight than allowed: {in_flight}"
+        );
         let may_have_run =
             |attempt: &&AttemptRecord| attempt.outcome.is_none_or(|outcome| !outcome.never_ran());
         let first = request.attempts.iter().find(may_have_run);
@@ -271,9 +290,12 @@
                 let is_same_cell = first.endpoint.0 % 2 == endpoint.0 % 2;
                 assert!(
                     scope == DeduplicationScope::All || is_same_cell,
-                    "left its cell"
+                    "retried outside its cell"
+                );
+                assert!(
+                    self.proxy.now <= first.sent_at + window,
+                    "retried after its deduplication window"
                 );
-                assert!(self.proxy.now <= first.sent_at + window, "left its window");
             }
             _ => {}
         }
@@ -286,7 +308,10 @@
 
     fn check_rejection(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&id).expect("a request that arrived");
-        assert!(!std::mem::replace(&mut request.ended, true), "ended twice");
+        assert!(
+            !std::mem::replace(&mut request.ended, true),
+            "rejected after its end"
+        );
         let mut attempts = request.attempts.iter();
         let never_executed = attempts.all(|a| a.outcome.is_some_and(Outcome::never_ran));
         let is_repeatable = matches!(
@@ -299,7 +324,7 @@
         );
         assert!(
             never_executed || is_repeatable,
-            "rejected though it may have been executed"
+            "rejected although it may have been executed and must not be repeated"
         );
     }
 }
--- a/balancer/tests/request_outcomes.rs
+++ b/balancer/tests/request_outcomes.rs
@@ -1,5 +1,5 @@
-//! Each request is answered in time, none is executed twice, and none is sent to an endpoint that
-//! has left; queues and timers are bounded.
+//! Each request gets its reply in time, none is executed twice, none is sent to an endpoint that is
+//! draining or removed, and the time in the queue and the number of timers are bounded.
 
 mod common;
 use balancer::*;
@@ -20,7 +20,7 @@
         .collect()
 }
 
-// Each request is answered.
+// Each request gets a reply.
 
 #[test]
 fn queued_requests_are_answered_before_their_client_stops_waiting() {
@@ -53,8 +53,8 @@
     }
 }
 
-/// A proxy that shuts down answers its queued requests before, however long their clients would
-/// wait.
+/// A proxy that shuts down replies to its queued requests before its shutdown ends, however long
+/// their clients would wait.
 #[test]
 fn queued_requests_are_answered_before_the_shutdown_ends() {
     for late_weight_fraction in [0.0, 0.5] {
@@ -90,7 +90,7 @@
     Outcome::Unknown,
 ];
 
-/// Has two attempts of a request end with these outcomes and checks what follows each.
+/// Ends two attempts of a request with these outcomes and checks the retry or reply after each.
 fn check_two_attempts(idempotency: Idempotency, first: Outcome, second: Outcome) {
     let mut proxy = Proxy::new(settings(idempotency), 0);
     proxy.update_list(ListUpdate::Full, endpoints_of_two_cells());
@@ -113,10 +113,14 @@
         }
     );
     if bound && !never_executed {
-        assert_eq!(again[0].1 .0 % 2, home.0 % 2, "stays with its group");
+        assert_eq!(
+            again[0].1 .0 % 2,
+            home.0 % 2,
+            "the retry left the zone or cell of the first attempt"
+        );
     }
-    // The second attempt's end, when no other is possible: rejected only where that is
-    // harmless.
+    // The second attempt ends too late for another: the request is rejected only if its client may
+    // safely retry it.
     proxy.now += 450 * MS;
     let actions = proxy.end_attempt(request, 1, second, MS);
     let is_repeatable = match idempotency {
@@ -127,7 +131,10 @@
         } => true,
         _ => never_executed && second.never_ran(),
     };
-    assert!(forwarded(&actions).is_empty(), "too late to be in time");
+    assert!(
+        forwarded(&actions).is_empty(),
+        "retried although a response would be late"
+    );
     assert_eq!(
         rejected(&actions, request),
         is_repeatable,
@@ -173,7 +180,8 @@
     assert!(forwarded(&actions).is_empty() && failed(&actions, request));
 }
 
-/// A queued retry gets its final answer as soon as it may be sent nowhere any more.
+/// A queued retry gets its reply as soon as its deduplication window ends, as it may not be sent to
+/// any endpoint any more.
 #[test]
 fn a_queued_retry_is_answered_at_the_end_of_its_window() {
     let window = 100 * MS;
@@ -188,7 +196,7 @@
     assert_eq!(
         forwarded(&more).len(),
         1,
-        "it takes the capacity that the other will need"
+        "the trial should use up the capacity that the retry needs"
     );
     proxy.now += 10 * MS;
     let mut actions = proxy.end_attempt(request, 0, Outcome::Error, 10 * MS);
@@ -201,8 +209,8 @@
     assert!(forwarded(&proxy.end_attempt(trial, 0, Outcome::Served, window)).is_empty());
 }
 
-/// A retry's connection may take long to be established: the window bounds its first byte, not its
-/// selection.
+/// The connection for a retry may take long to be established: the deduplication window bounds when
+/// its first byte may be written, not when its endpoint is selected.
 #[test]
 fn a_retry_may_start_within_what_is_left_of_its_window() {
     let scope = DeduplicationScope::Cell;
@@ -223,9 +231,13 @@
             |actions: &[Action]| match actions.iter().find(|a| matches!(a, Action::Forward { .. }))
             {
                 Some(Action::Forward { start_within, .. }) => *start_within,
-                _ => panic!("it is not sent"),
+                _ => panic!("the request was not forwarded"),
             };
-        assert_eq!(within(&actions), None, "the first of its attempts");
+        assert_eq!(
+            within(&actions),
+            None,
+            "the first attempt is not bound by a window"
+        );
         proxy.now += 30 * MS;
         assert_eq!(
             within(&proxy.end_attempt(request, 0, Outcome::Error, 30 * MS)),
@@ -235,7 +247,7 @@
     }
 }
 
-// Nothing is sent to endpoints that drain.
+// Nothing is sent to draining or removed endpoints.
 
 #[test]
 fn nothing_is_forwarded_to_a_draining_or_removed_endpoint_also_after_a_cached_list() {
@@ -255,12 +267,12 @@
         assert_eq!(
             proxy.serve_request(MS),
             Some(EndpointId(2)),
-            "what a full list omits is removed"
+            "an endpoint that a full list omits was used"
         );
     }
 }
 
-// Queues and timers.
+// The queue and the timers are bounded.
 
 #[test]
 fn time_in_the_queue_is_bounded_so_that_not_all_are_served_late() {
@@ -273,7 +285,7 @@
     }
     assert!(
         early > 20,
-        "requests that would wait too long are rejected as they arrive: {early}"
+        "only {early} requests were rejected on arrival although they would wait too long"
     );
 }
 
@@ -296,6 +308,9 @@
         proxy.now = proxy.now.max(at);
         proxy.handle(Event::Timer);
         timers += 1;
-        assert!(timers < 1_000, "50 requests end within a second");
+        assert!(
+            timers < 1_000,
+            "{timers} timers have fired for 50 requests, which end within a second"
+        );
     }
 }
--- a/balancer/tests/selection.rs
+++ b/balancer/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request is sent to, and the subset of the endpoints.
+//! Selection of the endpoint for a request, and of the subset of endpoints that a balancer uses.
 
 mod common;
 use balancer::*;
@@ -23,8 +23,8 @@
     assert_eq!(load[&EndpointId(2)], 5);
 }
 
-/// How many of 400 requests, one at a time, are forwarded to endpoint 2, by how (and after how
-/// long) each endpoint ends them.
+/// Sends 400 requests one at a time, which `end` gives an outcome and a duration by their endpoint.
+/// Returns how many were forwarded to endpoint 2.
 fn requests_to_second(
     entries: Vec<EndpointEntry>,
     end: impl Fn(EndpointId) -> (Outcome, Micros),
@@ -33,7 +33,8 @@
         max_attempts: 1,
         ..Settings::default().limits
     };
-    // A hundred balancers: an endpoint's first limit is far below one request.
+    // With 100 balancers the initial limit of each endpoint would be far below one request, so the
+    // endpoints share one limit.
     let mut proxy = Proxy::new(
         Settings {
             balancer_count: 100,
@@ -73,10 +74,13 @@
     };
     assert!(
         requests_to_second(two(), slow_first) > 300,
-        "five times as fast: five requests to one"
+        "endpoint 2 is five times as fast and should get five of six requests"
     );
     let alike = requests_to_second(two(), |_| (Outcome::Served, 40 * MS));
-    assert!((180..=220).contains(&alike), "{alike}");
+    assert!(
+        (180..=220).contains(&alike),
+        "equally fast endpoints should get half of 400 requests: {alike}"
+    );
 }
 
 #[test]
@@ -91,7 +95,7 @@
     let double = requests_to_second(sized, |_| (Outcome::Served, 40 * MS));
     assert!(
         (250..=290).contains(&double),
-        "two thirds to the endpoint of twice the weight: {double}"
+        "the endpoint with twice the weight should get two thirds of 400 requests: {double}"
     );
     // Invalid weights count as 1.
     let two = || vec![ready(1), ready(2)];
@@ -106,7 +110,10 @@
         },
     ];
     let alike = requests_to_second(odd, |_| (Outcome::Served, 40 * MS));
-    assert!((180..=220).contains(&alike), "{alike}");
+    assert!(
+        (180..=220).contains(&alike),
+        "invalid weights should count as equal: {alike} of 400 requests"
+    );
     let full = |s| {
         if s == EndpointId(1) {
             (Outcome::Rejected, MS)
@@ -117,12 +124,12 @@
     let shunned = requests_to_second(two(), full);
     assert!(
         shunned > 300,
-        "a fast rejection is not a fast response: {shunned}"
+        "fast rejections attracted requests: only {shunned} of 400 went to the other endpoint"
     );
 }
 
-/// Requests to another zone cost more and take longer: of two endpoints with as many requests the
-/// local one is selected, also where the other was faster.
+/// Requests to another zone cost more and take longer. Of two endpoints with equally many requests
+/// in flight the local one is selected, even if its latency pressure is higher.
 #[test]
 fn ties_go_to_the_balancers_own_zone() {
     let (near, far) = (ZoneId(1), ZoneId(2));
@@ -142,14 +149,14 @@
     assert_eq!(
         forwarded(&proxy.request().1)[0].1,
         EndpointId(1),
-        "it has fewer"
+        "the other zone's endpoint has fewer requests in flight"
     );
 }
 
 #[test]
 fn a_choice_of_a_full_endpoint_is_redrawn_among_those_with_capacity() {
-    // One of twenty has capacity: two random choices alone would rarely find it, and a trial would
-    // be needed.
+    // When only one of 20 endpoints has capacity left, two random choices alone would rarely find
+    // it and the request would exceed another's limit as a trial.
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 20);
     let endpoints: std::collections::BTreeSet<EndpointId> = (0..20)
         .map(|_| forwarded(&proxy.request().1)[0].1)
@@ -157,7 +164,7 @@
     assert_eq!(
         endpoints.len(),
         20,
-        "every limit is used before any is exceeded"
+        "an endpoint was sent a second request while another had none"
     );
 }
 
@@ -174,7 +181,7 @@
         assert_eq!(
             used.len(),
             8,
-            "few endpoints, each used often: connections stay open"
+            "each balancer should use the minimum subset, so that its connections stay open"
         );
         used.into_iter()
             .for_each(|s| *subsets.entry(s).or_default() += 1);
@@ -182,7 +189,7 @@
     assert_eq!(subsets.len(), 50);
     assert!(
         subsets.values().all(|n| *n == 16),
-        "100 subsets of 8 over 50 endpoints: {subsets:?}"
+        "100 subsets of 8 should use each of 50 endpoints 16 times: {subsets:?}"
     );
 }
 
@@ -233,12 +240,12 @@
     }
     assert!(
         (250..350).contains(&remote),
-        "three times as fast, three of four requests: {remote} of 400"
+        "three times as fast, the remote endpoint should get 3 of 4 requests: {remote} of 400"
     );
 }
 
-/// Requests differ in their work far more than endpoints in their speed: a few responses each are
-/// chance.
+/// Requests differ in their work far more than endpoints in their speed, so the latencies of a few
+/// responses don't tell which endpoint is slower.
 #[test]
 fn a_slower_endpoint_is_recognised_by_more_than_its_last_few_responses() {
     let (mut slow, mut all) = (0, 0);
@@ -263,6 +270,6 @@
     }
     assert!(
         slow * 5 < all * 2,
-        "{slow} of {all} requests went to the half that is twice as slow"
+        "{slow} of {all} requests went to the endpoints that are half as fast"
     );
 }
--- a/balancer/tests/source_files.rs
+++ b/balancer/tests/source_files.rs
@@ -1,52 +1,65 @@
-//! Bounds on the source of the decisions: no file and no line grows without end, and the deploy
-//! file names them all.
+//! Limits on the length of this crate's source files and of their lines, and a check that the
+//! deploy file lists all of these files.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Most lines of a file that are not blank.
+/// Maximum number of lines in a file, blank ones not counted.
 const MAX_LINES: usize = 330;
-/// Most characters of a line.
+/// Maximum number of characters in a line.
 const MAX_COLUMNS: usize = 100;
 
 fn repository() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
-/// Names of the files that make decisions, relative to the repository.
+/// Paths of this crate's source files, relative to the repository.
 fn decision_files() -> BTreeSet<String> {
-    let entries =
-        fs::read_dir(repository().join("balancer/src")).expect("the folder of the decisions");
-    let names = entries.map(|entry| entry.expect("an entry").file_name());
+    let entries = fs::read_dir(repository().join("balancer/src"))
+        .expect("the source folder should be readable");
+    let names = entries.map(|entry| {
+        entry
+            .expect("a folder entry should be readable")
+            .file_name()
+    });
     names
-        .map(|name| format!("balancer/src/{}", name.to_str().expect("a name in UTF-8")))
+        .map(|name| {
+            format!(
+                "balancer/src/{}",
+                name.to_str().expect("a file name should be UTF-8")
+            )
+        })
         .collect()
 }
 
 #[test]
 fn every_decision_file_is_short_and_its_lines_too() {
     let names = decision_files();
-    assert!(names.len() > 6, "{names:?}");
+    assert!(names.len() > 6, "too few source files: {names:?}");
     for name in names {
-        let text = fs::read_to_string(repository().join(&name)).expect("a source file");
+        let text =
+            fs::read_to_string(repository().join(&name)).expect("a source file should be readable");
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
         assert!(
             lines <= MAX_LINES,
-            "{name}: {lines} lines that are not blank"
+            "{name}: {lines} lines that are not blank, more than {MAX_LINES}"
         );
         let wide: Vec<&str> = text
             .lines()
             .filter(|line| line.chars().count() > MAX_COLUMNS)
             .collect();
-        assert!(wide.is_empty(), "{name}: {wide:#?}");
+        assert!(
+            wide.is_empty(),
+            "{name}: lines of more than {MAX_COLUMNS} characters: {wide:#?}"
+        );
     }
 }
 
 #[test]
 fn the_deploy_file_names_every_decision_file() {
-    let text =
-        fs::read_to_string(repository().join("deploy/balancer.toml")).expect("the deploy file");
+    let text = fs::read_to_string(repository().join("deploy/balancer.toml"))
+        .expect("the deploy file should be readable");
     let keys: Vec<&str> = text
         .lines()
         .filter_map(|line| Some(line.split_once(" = ")?.0))
@@ -55,7 +68,7 @@
     let policy = text
         .lines()
         .find_map(|line| line.strip_prefix("policy = "))
-        .expect("a policy");
+        .expect("the deploy file should have a policy");
     let named: BTreeSet<String> = policy
         .split('"')
         .filter(|part| part.contains('/'))
--- a/balancer/tests/timeouts.rs
+++ b/balancer/tests/timeouts.rs
@@ -1,4 +1,4 @@
-//! What timeouts say of an endpoint.
+//! When timeouts eject an endpoint.
 
 mod common;
 use balancer::*;
@@ -35,10 +35,11 @@
         .count();
     assert!(failures > 20, "too few timed out to tell: {failures}");
     let ejections = log.iter().filter(|action| is_ejection(action)).count();
-    assert_eq!(ejections, 0, "slow, not gone");
+    assert_eq!(ejections, 0, "ejected although it served other requests");
 }
 
-/// Clients may wait for less than responses take. They time out whatever the endpoints do.
+/// Clients may wait for less time than responses usually take. Their requests time out at healthy
+/// endpoints too.
 #[test]
 fn timeouts_of_clients_with_short_deadlines_eject_no_endpoint() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
@@ -67,11 +68,11 @@
     );
 }
 
-/// A hundred balancers that each wait for a second timeout would keep an overloaded endpoint
-/// overloaded with requests that arrive too late.
+/// If each of 100 balancers ejected an endpoint only after a second timeout, their requests would
+/// keep an overloaded endpoint overloaded.
 #[test]
 fn one_timeout_ejects_an_endpoint_under_a_shared_limit() {
-    // Its client waits for less than some responses take, or for long.
+    // Once the client waits for less time than some responses take, once for long.
     for late in [200 * MS, 600 * MS] {
         let settings = Settings {
             balancer_count: 100,
@@ -107,16 +108,20 @@
         let to: Vec<(RequestId, EndpointId)> = (0..40)
             .flat_map(|_| forwarded(&proxy.request().1))
             .collect();
-        assert!(to.len() >= 20, "all others have capacity: {}", to.len());
+        assert!(
+            to.len() >= 20,
+            "all other endpoints have capacity, but only {} requests were forwarded",
+            to.len()
+        );
         assert!(
             to.iter().all(|(_, endpoint)| *endpoint != overloaded),
-            "after {late} us it is used again"
+            "the endpoint was used again after a timeout of {late} us"
         );
     }
 }
 
-/// A quarter of the endpoints are silent. All balancers together must try them with only a small
-/// part of their requests.
+/// A quarter of the endpoints do not respond. Of the requests of all balancers together, only a
+/// small part may be sent to them as trials.
 #[test]
 fn silent_endpoints_are_tried_with_few_requests_by_all_balancers_together() {
     let (mut lost, mut all) = (0, 0);
@@ -143,6 +148,6 @@
     }
     assert!(
         lost * 20 < all,
-        "{lost} of {all} requests went to endpoints that are silent"
+        "{lost} of {all} requests went to endpoints that do not respond"
     );
 }
--- a/balancer/tests/uploads.rs
+++ b/balancer/tests/uploads.rs
@@ -1,4 +1,4 @@
-//! Requests that are forwarded while they arrive.
+//! Requests that are forwarded while their body is still arriving.
 
 mod common;
 use balancer::*;
@@ -17,8 +17,8 @@
     proxy.handle(request)
 }
 
-/// An endpoint has no work with a request that is still arriving: it does not count towards the
-/// limit, and its time begins when it is complete.
+/// An endpoint cannot work on a request that is still arriving: it does not count towards the
+/// limit, and its client's deadline is set only when it is complete.
 #[test]
 fn a_request_that_is_still_arriving_takes_no_capacity() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
@@ -28,10 +28,10 @@
     proxy.now += 10_000 * MS;
     assert!(
         proxy.handle(Event::Timer).is_empty(),
-        "its client does not wait yet"
+        "a request that is still arriving has no deadline"
     );
-    // One complete request reaches the limit, one more exceeds it as the trial, and the next is
-    // queued.
+    // One complete request reaches the limit, the next exceeds it as a trial, and the one after
+    // that is queued.
     proxy.handle(Event::RequestCompleted {
         request: RequestId(1_000),
         time_left: 1_200 * MS,
@@ -51,8 +51,8 @@
     );
 }
 
-/// What cannot be replayed is retried only if nothing of it was written; truncated, it was not
-/// executed and is rejected.
+/// A non-replayable request is retried only if nothing of it was written. If it was truncated, it
+/// was not executed, so it is rejected.
 #[test]
 fn a_non_replayable_request_is_retried_only_if_nothing_was_written() {
     for (outcome, again) in [(Outcome::ConnectFailed, true), (Outcome::Truncated, false)] {
@@ -62,7 +62,7 @@
         assert_eq!(forwarded(&actions).len(), usize::from(again), "{outcome:?}");
         assert_eq!(rejected(&actions, RequestId(1_000)), !again, "{outcome:?}");
     }
-    // The same outcome allows a retry of a request whose body is buffered.
+    // After the same outcome a request whose body is buffered is retried.
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 3);
     let (request, _) = proxy.request();
     assert_eq!(
