--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -24,7 +24,7 @@
         is_non_replayable: bool,
     ) {
         let class_id = class.0;
-        let unknown = Class {
+        let unknown_class = Class {
             latency_objective: time_left,
             deadline: time_left,
             ..Class::default()
@@ -35,7 +35,7 @@
                 .classes
                 .get(class_id)
                 .copied()
-                .unwrap_or(unknown),
+                .unwrap_or(unknown_class),
             class_id,
             arrived_at: now,
             deadline: now.saturating_add(time_left),
@@ -60,11 +60,11 @@
     ) {
         let is_over_quota =
             tenant.is_some_and(|tenant| self.tenant_usage.record(tenant, &self.settings.tenants));
-        let waited = self.queue.front().map_or(0, |first| {
+        let queue_wait = self.queue.front().map_or(0, |first| {
             now.saturating_sub(self.requests[&first].arrived_at)
         });
-        if waited > self.max_queue_wait(id, is_over_quota) {
-            self.abandon(id, waited, FailureReason::QueueFull, actions);
+        if queue_wait > self.max_queue_wait(id, is_over_quota) {
+            self.reject_or_fail(id, queue_wait, FailureReason::QueueFull, actions);
         } else {
             self.enqueue(now, id);
         }
@@ -75,16 +75,16 @@
     fn max_queue_wait(&self, id: RequestId, is_over_quota: bool) -> Micros {
         let request = &self.requests[&id];
         let typical_latency = self.typical_latency(request);
-        let latency_objective = request.objective_at().saturating_sub(request.arrived_at) as f64;
-        let fraction = latency_objective * QUEUE_WAIT_OBJECTIVE_FRACTION;
-        let limit = if is_over_quota {
-            fraction * OVER_QUOTA_WAIT_FRACTION
+        let allowed_latency = request.response_due_at().saturating_sub(request.arrived_at) as f64;
+        let default_wait = allowed_latency * QUEUE_WAIT_OBJECTIVE_FRACTION;
+        let max_wait = if is_over_quota {
+            default_wait * OVER_QUOTA_WAIT_FRACTION
         } else if self.is_high_priority(request) {
-            fraction.max(latency_objective - SLACK_TYPICAL_LATENCIES * typical_latency)
+            default_wait.max(allowed_latency - SLACK_TYPICAL_LATENCIES * typical_latency)
         } else {
-            fraction
+            default_wait
         };
-        limit.min(latency_objective - typical_latency).max(0.0) as Micros
+        max_wait.min(allowed_latency - typical_latency).max(0.0) as Micros
     }
 
     /// Whether the request's class has so much priority weight per unit of work, compared to all
@@ -97,14 +97,16 @@
             total_weight += estimate.request_count * class.priority_weight;
             total_work += estimate.request_count * estimate.base;
         }
-        let base = self
+        let unloaded_latency = self
             .latencies
             .get(request.class_id)
             .map_or(f64::MAX, |estimate| estimate.base);
-        let density =
-            request.class.priority_weight / base * total_work / total_weight.max(f64::MIN_POSITIVE);
+        let relative_weight_per_work = request.class.priority_weight / unloaded_latency
+            * total_work
+            / total_weight.max(f64::MIN_POSITIVE);
         let score_weights = &self.settings.score_weights;
-        score_weights.overall * density > score_weights.overall + score_weights.worst_class
+        score_weights.overall * relative_weight_per_work
+            > score_weights.overall + score_weights.worst_class
     }
 
     /// Mean latency of a request's class, in microseconds.
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -124,7 +124,7 @@
                 self.record_load_report(request, attempt, load);
                 if let Some(ended) = self.end_attempt(request, attempt, outcome) {
                     self.learn_from_attempt(now, ended, outcome, elapsed, actions);
-                    self.continue_request(now, request, outcome, request_finished, actions);
+                    self.finish_or_retry(now, request, outcome, request_finished, actions);
                 }
             }
             Event::ResponseStarted { request, attempt } => {
@@ -150,7 +150,7 @@
         while let Some(id) = self.request_timers.first_due(now) {
             self.set_request_timer(id, None);
             if self.requests[&id].is_queued {
-                self.abandon_queued(now, id, actions);
+                self.expire_queued(now, id, actions);
             } else {
                 self.forward_hedge(now, id, actions);
             }
@@ -167,15 +167,15 @@
     /// Sets the proxy's timer for whatever is due first: a poll, a request's timer or the next
     /// inspection of the queue.
     fn set_proxy_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let mut next = self.polling.due_at.min(self.request_timers.next_at());
+        let mut next_due_at = self.polling.due_at.min(self.request_timers.next_due_at());
         if !self.queue.is_empty() {
             let interval = self.initial_backoff() / QUEUE_INSPECTIONS_PER_BACKOFF;
-            next = next.min(now + self.settings.clock_resolution.max(interval));
+            next_due_at = next_due_at.min(now + self.settings.clock_resolution.max(interval));
         }
-        if next < self.proxy_timer_at {
-            self.proxy_timer_at = next;
+        if next_due_at < self.proxy_timer_at {
+            self.proxy_timer_at = next_due_at;
             actions.push(Action::SetTimer {
-                after: next.saturating_sub(now).max(1),
+                after: next_due_at.saturating_sub(now).max(1),
             });
         }
     }
--- a/balancer/src/hedging.rs
+++ b/balancer/src/hedging.rs
@@ -22,15 +22,15 @@
         if !is_allowed {
             return None;
         }
-        let tail = self
+        let tail_latency = self
             .latencies
             .get(request.class_id)
             .map_or(f64::MAX, |estimate| estimate.tail);
         let typical_latency = self.typical_latency(request);
-        let objective_at = request.objective_at() as f64;
-        let hedge_at = (objective_at - SLACK_TYPICAL_LATENCIES * typical_latency)
-            .max(request.arrived_at as f64 + tail);
-        (hedge_at + typical_latency <= objective_at).then(|| (hedge_at as Micros).max(now + 1))
+        let response_due_at = request.response_due_at() as f64;
+        let hedge_at = (response_due_at - SLACK_TYPICAL_LATENCIES * typical_latency)
+            .max(request.arrived_at as f64 + tail_latency);
+        (hedge_at + typical_latency <= response_due_at).then(|| (hedge_at as Micros).max(now + 1))
     }
 
     /// Hedges a request if it has attempts left, nothing is queued, the retry budget allows it, and
@@ -40,7 +40,7 @@
         let is_candidate = |endpoint: &Endpoint| {
             endpoint.is_usable(now, self.served_count, &self.settings.slow_start)
                 && request.may_attempt(now, endpoint, self.settings.clock_resolution)
-                && request.is_untried(endpoint.id)
+                && request.has_not_tried(endpoint.id)
         };
         let is_allowed = self.has_attempts_left(request)
             && request.in_flight_count() == 1
--- a/balancer/src/queue_dispatch.rs
+++ b/balancer/src/queue_dispatch.rs
@@ -35,25 +35,25 @@
     /// retry no later than the end of its deduplication window.
     pub(crate) fn set_queue_deadline(&mut self, now: Micros, id: RequestId) {
         let request = &self.requests[&id];
-        let before_deadline = request
+        let last_reply_at = request
             .deadline
             .saturating_sub(self.settings.clock_resolution);
-        let in_time = request
-            .objective_at()
+        let last_useful_start = request
+            .response_due_at()
             .saturating_sub(self.typical_latency(request) as Micros);
         let window_end = request.attempt_deadline().unwrap_or(Micros::MAX);
-        let at = in_time
+        let leave_at = last_useful_start
             .max(now + 1)
-            .min(before_deadline.max(now))
+            .min(last_reply_at.max(now))
             .min(window_end)
             .max(1);
-        self.set_request_timer(id, Some(at));
+        self.set_request_timer(id, Some(leave_at));
     }
 
     /// Forwards a queued request as a trial to each ejected endpoint whose trial is due.
     pub(crate) fn forward_readmission_trials(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for index in 0..self.endpoints.len() {
-            if let Some(position) = self.find_readmission_trial(now, index) {
+            if let Some(position) = self.find_trial_request(now, index) {
                 self.forward_queued_at(now, position, index, Trial::Endpoint, actions);
             }
         }
@@ -62,7 +62,7 @@
     /// Position in the queue of a request for the trial of an ejected endpoint, if the trial is
     /// due. The request must not have been attempted before: a retry may be restricted to some
     /// endpoints.
-    fn find_readmission_trial(&self, now: Micros, index: usize) -> Option<usize> {
+    fn find_trial_request(&self, now: Micros, index: usize) -> Option<usize> {
         let endpoint = &self.endpoints[index];
         if !endpoint.is_awaiting_trial(now, self.served_count, &self.settings.slow_start)
             || !self.zone_outages.is_reachable(endpoint.zone, now)
@@ -90,7 +90,7 @@
                     self.forward_queued_at(now, position, endpoint, trial, actions);
                 }
                 Route::Reject { retry_after } => {
-                    self.abandon(id, retry_after, FailureReason::NoEndpoint, actions);
+                    self.reject_or_fail(id, retry_after, FailureReason::NoEndpoint, actions);
                 }
                 Route::Queue => {
                     if position >= MAX_QUEUE_SCAN || !self.is_restricted(now, id) {
@@ -131,8 +131,8 @@
     }
 
     /// Rejects or fails a request that has been queued for too long.
-    pub(crate) fn abandon_queued(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+    pub(crate) fn expire_queued(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let waited = now.saturating_sub(self.requests[&id].arrived_at);
-        self.abandon(id, waited, FailureReason::QueueTimeout, actions);
+        self.reject_or_fail(id, waited, FailureReason::QueueTimeout, actions);
     }
 }
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -39,7 +39,7 @@
             .find(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran))
     }
 
-    pub(crate) fn is_untried(&self, endpoint: EndpointId) -> bool {
+    pub(crate) fn has_not_tried(&self, endpoint: EndpointId) -> bool {
         self.attempts
             .iter()
             .all(|attempt| attempt.endpoint != endpoint)
@@ -47,7 +47,7 @@
 
     /// Until when a response counts with the priority weight of its class or a fraction of it: the
     /// latency objective or, if late responses count too, the deadline.
-    pub(crate) fn objective_at(&self) -> Micros {
+    pub(crate) fn response_due_at(&self) -> Micros {
         let latency_objective = if self.class.late_weight_fraction > 0.0 {
             self.class.deadline
         } else {
--- a/balancer/src/request_lifecycle.rs
+++ b/balancer/src/request_lifecycle.rs
@@ -61,7 +61,7 @@
 
     /// Finishes, retries, rejects or fails a request after an attempt has ended, or leaves it to
     /// another attempt that is in flight.
-    pub(crate) fn continue_request(
+    pub(crate) fn finish_or_retry(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -72,26 +72,27 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let is_open = !request.is_finished && !request.is_queued && request.in_flight_count() == 0;
+        let is_undecided =
+            !request.is_finished && !request.is_queued && request.in_flight_count() == 0;
         if is_finished || outcome == Outcome::Served {
             self.finish_request(id);
             self.cancel_attempts(id, None, actions);
-        } else if is_open && outcome == Outcome::Invalid {
+        } else if is_undecided && outcome == Outcome::Invalid {
             // Any endpoint would find it invalid, so nobody should retry it.
             actions.push(Action::Fail {
                 request: id,
                 reason: FailureReason::Invalid,
             });
             self.finish_request(id);
-        } else if is_open {
-            self.retry_or_abandon(now, id, outcome, actions);
+        } else if is_undecided {
+            self.retry_or_give_up(now, id, outcome, actions);
         }
         self.remove_if_done(id);
     }
 
     /// Rejects a request that will not be served if its client may safely retry it, and fails it
     /// otherwise.
-    pub(crate) fn abandon(
+    pub(crate) fn reject_or_fail(
         &mut self,
         id: RequestId,
         retry_after: Micros,
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -6,7 +6,7 @@
 
 impl Balancer {
     /// Queues a request for a retry, or rejects or fails it.
-    pub(crate) fn retry_or_abandon(
+    pub(crate) fn retry_or_give_up(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -15,12 +15,13 @@
     ) {
         // A connection that could not be established cost the endpoint nothing, so the request is
         // retried even if the budget is used up.
-        let is_paid = self.retry_budget.allows_retry() || outcome == Outcome::ConnectFailed;
-        if is_paid && self.may_retry(now, &self.requests[&id], outcome) {
+        let is_within_budget =
+            self.retry_budget.allows_retry() || outcome == Outcome::ConnectFailed;
+        if is_within_budget && self.may_retry(now, &self.requests[&id], outcome) {
             self.retry_budget.spend();
             self.enqueue_retry(now, id);
         } else {
-            self.abandon(
+            self.reject_or_fail(
                 id,
                 self.initial_backoff(),
                 FailureReason::AttemptsExhausted,
@@ -31,7 +32,8 @@
 
     /// Whether a retry is allowed, can be in time, and has an endpoint that it may be sent to.
     fn may_retry(&self, now: Micros, request: &Request, outcome: Outcome) -> bool {
-        let is_in_time = now as f64 + self.typical_latency(request) < request.objective_at() as f64;
+        let is_in_time =
+            now as f64 + self.typical_latency(request) < request.response_due_at() as f64;
         let is_body_lost = request.is_non_replayable
             && !matches!(outcome, Outcome::ConnectFailed | Outcome::NeverSent);
         is_in_time
--- a/balancer/src/retry_budget.rs
+++ b/balancer/src/retry_budget.rs
@@ -11,13 +11,13 @@
 /// Number of retries that are allowed now.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
-    retries: f64,
+    available_retries: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         RetryBudget {
-            retries: MAX_RETRY_BUDGET,
+            available_retries: MAX_RETRY_BUDGET,
         }
     }
 }
@@ -25,19 +25,20 @@
 impl RetryBudget {
     /// Adds what a new request contributes to the budget.
     pub(crate) fn add_request(&mut self) {
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
+        self.available_retries =
+            (self.available_retries + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
     }
 
     pub(crate) fn allows_retry(&self) -> bool {
-        self.retries >= 1.0
+        self.available_retries >= 1.0
     }
 
     pub(crate) fn allows_hedge(&self) -> bool {
-        self.retries >= HEDGING_RETRY_RESERVE + 1.0
+        self.available_retries >= HEDGING_RETRY_RESERVE + 1.0
     }
 
     /// Takes one retry or hedged request from the budget.
     pub(crate) fn spend(&mut self) {
-        self.retries = (self.retries - 1.0).max(0.0);
+        self.available_retries = (self.available_retries - 1.0).max(0.0);
     }
 }
--- a/balancer/src/selection.rs
+++ b/balancer/src/selection.rs
@@ -40,16 +40,16 @@
         let with_capacity = self.filter_endpoints(&candidates, |endpoint| {
             !endpoint.is_full(now, &self.settings.slow_start)
         });
-        let choice = self.pick_of_two(&candidates);
-        if let Some(endpoint) = choice.filter(|endpoint| with_capacity.contains(endpoint)) {
+        let first_choice = self.pick_of_two(&candidates);
+        if let Some(endpoint) = first_choice.filter(|endpoint| with_capacity.contains(endpoint)) {
             return Route::Forward { endpoint, trial };
         }
-        let for_trial = self.filter_endpoints(&candidates, |endpoint| {
+        let trial_candidates = self.filter_endpoints(&candidates, |endpoint| {
             self.may_exceed_limit(now, endpoint, typical_latency)
         });
         // Both are drawn even if one would do, so that runs with the same seed stay repeatable.
         let within_limit = self.pick_of_two(&with_capacity);
-        let beyond_limit = self.pick_of_two(&for_trial);
+        let beyond_limit = self.pick_of_two(&trial_candidates);
         match (within_limit, beyond_limit) {
             (Some(endpoint), _) => Route::Forward { endpoint, trial },
             (None, Some(_)) if needs_shared_trial => Route::Queue,
@@ -80,7 +80,7 @@
                 .class_rejections
                 .accepts(request.class_id, now)
         };
-        let is_untried = |index: &usize| request.is_untried(self.endpoints[*index].id);
+        let is_untried = |index: &usize| request.has_not_tried(self.endpoints[*index].id);
         let has_capacity = |index: &usize| !self.endpoints[*index].is_full(now, slow_start);
 
         let allowed = || self.subset_ring().filter(is_allowed);
@@ -147,14 +147,14 @@
         let subset_size = self.subset_size() as f64;
         let load = |index: usize| {
             let endpoint = &self.endpoints[index];
-            let (is_second_choice, tie_breaker) = if self.shared_limit.is_some() {
+            let (is_less_preferred, tie_breaker) = if self.shared_limit.is_some() {
                 let recent_load = endpoint.recent_load(forwarded_count, subset_size);
                 (endpoint.latency_pressure > 1.0, recent_load)
             } else {
                 let is_remote = self.settings.zone.is_some_and(|zone| zone != endpoint.zone);
                 (is_remote, endpoint.latency_pressure)
             };
-            (endpoint.in_flight, is_second_choice, tie_breaker)
+            (endpoint.in_flight, is_less_preferred, tie_breaker)
         };
         Some(if load(second) < load(first) {
             second
