--- a/balancer/tests/hedging.rs
+++ b/balancer/tests/hedging.rs
@@ -90,7 +90,7 @@
 /// Where latencies vary widely, a request that takes twice the mean is normal, and hedging it would
 /// only add load.
 #[test]
-fn a_request_within_the_typical_spread_of_its_class_is_not_hedged() {
+fn a_request_within_the_usual_latencies_of_its_class_is_not_hedged() {
     let mut config = settings(Idempotency::Idempotent);
     config.limits.hedging = true;
     let mut proxy = Proxy::new(config, 6);
--- a/balancer/tests/odd_input.rs
+++ b/balancer/tests/odd_input.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn odd_input_causes_no_panic() {
+fn invalid_events_and_settings_cause_no_panic() {
     let mut odd = settings(Idempotency::Idempotent);
     odd.balancer_count = 0;
     odd.limits.max_attempts = 0;
--- a/balancer/tests/random_sequences.rs
+++ b/balancer/tests/random_sequences.rs
@@ -330,7 +330,7 @@
 }
 
 #[test]
-fn every_action_of_random_event_sequences_keeps_the_rules() {
+fn every_action_of_a_random_event_sequence_is_allowed() {
     for seed in 0..12 {
         let mut sequence = Sequence::new(seed);
         sequence.run();
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn the_same_seed_and_events_give_the_same_actions() {
     let run = || {
         let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 5);
         for i in 0..300 {
--- a/balancer/tests/request_outcomes.rs
+++ b/balancer/tests/request_outcomes.rs
@@ -23,7 +23,7 @@
 // Each request gets a reply.
 
 #[test]
-fn queued_requests_are_answered_before_their_client_stops_waiting() {
+fn queued_requests_get_a_reply_before_their_client_stops_waiting() {
     for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent, CELL] {
         let mut proxy = Proxy::new(settings(idempotency), 0);
         let (request, mut actions) = proxy.request();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_timeout_at_the_deadline_ends_the_request() {
+fn a_request_that_timed_out_is_rejected_if_repeatable_and_failed_otherwise() {
     for (idempotency, is_rejected) in [
         (Idempotency::Idempotent, true),
         (Idempotency::NonIdempotent, false),
@@ -56,7 +56,7 @@
 /// A proxy that shuts down replies to its queued requests before its shutdown ends, however long
 /// their clients would wait.
 #[test]
-fn queued_requests_are_answered_before_the_shutdown_ends() {
+fn queued_requests_get_a_reply_before_the_shutdown_ends() {
     for late_weight_fraction in [0.0, 0.5] {
         let mut settings = settings(Idempotency::Idempotent);
         settings.classes[0] = Class {
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn each_outcome_against_each_kind_of_idempotency() {
+fn retries_and_replies_respect_idempotency_after_any_two_outcomes() {
     let guarded = |scope| Idempotency::Keyed {
         scope,
         window: 400 * MS,
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_keyed_request_is_not_retried_after_its_window() {
+fn a_keyed_request_is_not_retried_after_its_deduplication_window() {
     let mut proxy = Proxy::new(
         settings(Idempotency::Keyed {
             scope: DeduplicationScope::Cell,
@@ -183,7 +183,7 @@
 /// A queued retry gets its reply as soon as its deduplication window ends, as it may not be sent to
 /// any endpoint any more.
 #[test]
-fn a_queued_retry_is_answered_at_the_end_of_its_window() {
+fn a_queued_retry_is_failed_at_the_end_of_its_deduplication_window() {
     let window = 100 * MS;
     let mut proxy = Proxy::new(
         settings(Idempotency::Keyed {
@@ -212,7 +212,7 @@
 /// The connection for a retry may take long to be established: the deduplication window bounds when
 /// its first byte may be written, not when its endpoint is selected.
 #[test]
-fn a_retry_may_start_within_what_is_left_of_its_window() {
+fn a_retry_must_start_within_the_rest_of_its_deduplication_window() {
     let scope = DeduplicationScope::Cell;
     let cases = [
         (Idempotency::Idempotent, None),
@@ -250,7 +250,7 @@
 // Nothing is sent to draining or removed endpoints.
 
 #[test]
-fn nothing_is_forwarded_to_a_draining_or_removed_endpoint_also_after_a_cached_list() {
+fn nothing_is_forwarded_to_a_draining_or_removed_endpoint_even_if_a_cached_list_had_it_ready() {
     for kind in [ListUpdate::Delta, ListUpdate::Full] {
         for state in [EndpointState::Draining, EndpointState::Removed] {
             let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
@@ -275,7 +275,7 @@
 // The queue and the timers are bounded.
 
 #[test]
-fn time_in_the_queue_is_bounded_so_that_not_all_are_served_late() {
+fn requests_that_would_be_queued_for_too_long_are_rejected_on_arrival() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
     let mut early = 0;
     for _ in 0..60 {
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn timers_do_not_set_further_timers_for_ever() {
+fn timers_do_not_keep_setting_further_timers_after_all_requests_have_ended() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
     (0..50).for_each(|_| drop(proxy.request()));
     let mut due = std::collections::BinaryHeap::new();
--- a/balancer/tests/selection.rs
+++ b/balancer/tests/selection.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn ties_go_by_weight_and_fast_errors_count_as_the_latency_objective() {
+fn ties_go_by_weight_and_fast_rejections_do_not_attract_requests() {
     let sized = vec![
         ready(1),
         EndpointEntry {
@@ -131,7 +131,7 @@
 /// Requests to another zone cost more and take longer. Of two endpoints with equally many requests
 /// in flight the local one is selected, even if its latency pressure is higher.
 #[test]
-fn ties_go_to_the_balancers_own_zone() {
+fn ties_go_to_the_balancers_own_zone_even_if_its_latency_pressure_is_higher() {
     let (near, far) = (ZoneId(1), ZoneId(2));
     let mut proxy = Proxy::new(
         Settings {
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_choice_of_a_full_endpoint_is_redrawn_among_those_with_capacity() {
+fn a_full_endpoint_is_not_selected_while_another_has_capacity() {
     // When only one of 20 endpoints has capacity left, two random choices alone would rarely find
     // it and the request would exceed another's limit as a trial.
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 20);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn subsets_cover_the_endpoints_evenly_over_all_balancers() {
+fn the_subsets_of_all_balancers_cover_the_endpoints_evenly() {
     let mut subsets: BTreeMap<EndpointId, u32> = BTreeMap::new();
     for balancer_index in 0..100 {
         let mut proxy = balancer_of(100, balancer_index, 50);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_subset_moves_past_endpoints_that_are_down() {
+fn a_subset_skips_endpoints_that_have_left_the_list() {
     let mut proxy = Proxy::new(
         Settings {
             balancer_count: 100,
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn ties_under_a_shared_limit_leave_a_local_zone_that_is_slower() {
+fn ties_under_a_shared_limit_favour_faster_endpoints_over_the_own_zone() {
     let (near, far) = (ZoneId(1), ZoneId(2));
     let settings = Settings {
         balancer_count: 100,
@@ -247,7 +247,7 @@
 /// Requests differ in their work far more than endpoints in their speed, so the latencies of a few
 /// responses don't tell which endpoint is slower.
 #[test]
-fn a_slower_endpoint_is_recognised_by_more_than_its_last_few_responses() {
+fn slower_endpoints_get_fewer_requests_although_single_latencies_vary_more() {
     let (mut slow, mut all) = (0, 0);
     for balancer_index in 0..100 {
         let mut proxy = balancer_of(100, balancer_index, 60);
--- a/balancer/tests/source_files.rs
+++ b/balancer/tests/source_files.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn every_decision_file_is_short_and_its_lines_too() {
+fn no_source_file_and_no_line_is_too_long() {
     let names = decision_files();
     assert!(names.len() > 6, "too few source files: {names:?}");
     for name in names {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_deploy_file_names_every_decision_file() {
+fn the_deploy_file_lists_every_source_file() {
     let text = fs::read_to_string(repository().join("deploy/balancer.toml"))
         .expect("the deploy file should be readable");
     let keys: Vec<&str> = text
--- a/balancer/tests/timeouts.rs
+++ b/balancer/tests/timeouts.rs
@@ -5,7 +5,7 @@
 use common::*;
 
 #[test]
-fn timeouts_do_not_eject_an_endpoint_that_serves_others() {
+fn timeouts_do_not_eject_an_endpoint_that_serves_other_requests() {
     let mut proxy = Proxy::new(
         Settings {
             balancer_count: 1,
@@ -71,7 +71,7 @@
 /// If each of 100 balancers ejected an endpoint only after a second timeout, their requests would
 /// keep an overloaded endpoint overloaded.
 #[test]
-fn one_timeout_ejects_an_endpoint_under_a_shared_limit() {
+fn a_single_timeout_ejects_an_endpoint_under_a_shared_limit() {
     // Once the client waits for less time than some responses take, once for long.
     for late in [200 * MS, 600 * MS] {
         let settings = Settings {
@@ -123,7 +123,7 @@
 /// A quarter of the endpoints do not respond. Of the requests of all balancers together, only a
 /// small part may be sent to them as trials.
 #[test]
-fn silent_endpoints_are_tried_with_few_requests_by_all_balancers_together() {
+fn all_balancers_together_send_few_requests_to_endpoints_that_do_not_respond() {
     let (mut lost, mut all) = (0, 0);
     for balancer_index in 0..100 {
         let mut proxy = balancer_of(100, balancer_index, 60);
--- a/balancer/tests/uploads.rs
+++ b/balancer/tests/uploads.rs
@@ -20,7 +20,7 @@
 /// An endpoint cannot work on a request that is still arriving: it does not count towards the
 /// limit, and its client's deadline is set only when it is complete.
 #[test]
-fn a_request_that_is_still_arriving_takes_no_capacity() {
+fn a_request_that_is_still_arriving_takes_no_capacity_and_has_no_deadline() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
     for request in 0..4 {
         assert_eq!(forwarded(&receive_upload(&mut proxy, request)).len(), 1);
