--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -12,7 +12,7 @@
     pub(crate) balancer: Balancer,
     pub(crate) now: Micros,
     pub(crate) actions: Vec<Action>,
-    next: u64,
+    last_request_id: u64,
 }
 
 /// Settings for 7 balancers and one class of the given idempotency, with a latency objective of
@@ -59,7 +59,7 @@
             balancer: Balancer::new(7, settings),
             now: 1_000_000,
             actions: Vec::new(),
-            next: 0,
+            last_request_id: 0,
         };
         proxy.handle(Event::Start);
         proxy.update_list(ListUpdate::Full, (1..=endpoints).map(ready).collect());
@@ -82,8 +82,8 @@
     }
 
     pub(crate) fn request_of_class(&mut self, class: usize) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let request = RequestId(self.next);
+        self.last_request_id += 1;
+        let request = RequestId(self.last_request_id);
         let class = ClassId(class);
         let event = Event::RequestReceived {
             request,
@@ -122,7 +122,7 @@
     /// to.
     pub(crate) fn serve_request(&mut self, elapsed: Micros) -> Option<EndpointId> {
         let (request, actions) = self.request();
-        let endpoint = forwarded(&actions).first().map(|s| s.1);
+        let endpoint = forwarded(&actions).first().map(|attempt| attempt.1);
         self.now += elapsed;
         self.end_attempt(request, 0, Outcome::Served, elapsed);
         endpoint
@@ -169,8 +169,8 @@
         });
     }
 
-    pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
-        self.now += span;
+    pub(crate) fn advance(&mut self, duration: Micros) -> Vec<Action> {
+        self.now += duration;
         self.handle(Event::Timer)
     }
 }
@@ -178,7 +178,7 @@
 pub(crate) fn forwarded(actions: &[Action]) -> Vec<(RequestId, EndpointId)> {
     actions
         .iter()
-        .filter_map(|a| match a {
+        .filter_map(|action| match action {
             Action::Forward {
                 request, endpoint, ..
             } => Some((*request, *endpoint)),
@@ -190,13 +190,13 @@
 pub(crate) fn rejected(actions: &[Action], id: RequestId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
+        .any(|action| matches!(action, Action::Reject { request, .. } if *request == id))
 }
 
 pub(crate) fn failed(actions: &[Action], id: RequestId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Fail { request, .. } if *request == id))
+        .any(|action| matches!(action, Action::Fail { request, .. } if *request == id))
 }
 
 /// The proxy of the balancer with this index among `balancer_count`, with this number of endpoints.
@@ -227,15 +227,15 @@
 /// Ends these requests as served after `elapsed`, then likewise the queued ones that are forwarded
 /// as a result, until none is left.
 pub(crate) fn serve_forwarded(proxy: &mut Proxy, requests: Vec<RequestId>, elapsed: Micros) {
-    let mut out = requests;
-    while !out.is_empty() {
+    let mut in_flight = requests;
+    while !in_flight.is_empty() {
         proxy.now += elapsed;
-        let ended = std::mem::take(&mut out);
+        let ended = std::mem::take(&mut in_flight);
         for request in ended {
-            out.extend(
+            in_flight.extend(
                 forwarded(&proxy.end_attempt(request, 0, Outcome::Served, elapsed))
                     .into_iter()
-                    .map(|s| s.0),
+                    .map(|attempt| attempt.0),
             );
         }
     }
@@ -245,8 +245,8 @@
 /// bursts.
 pub(crate) fn raise_shared_limit(proxy: &mut Proxy) {
     for _ in 0..20 {
-        let out = request_burst(proxy, 40);
-        serve_forwarded(proxy, out, 40 * MS);
+        let in_flight = request_burst(proxy, 40);
+        serve_forwarded(proxy, in_flight, 40 * MS);
         proxy.advance(300 * MS);
     }
 }
--- a/balancer/tests/hedging.rs
+++ b/balancer/tests/hedging.rs
@@ -18,12 +18,12 @@
             proxy.serve_request(40 * MS);
         }
         let (request, actions) = proxy.request();
-        let home = forwarded(&actions)[0].1;
+        let first_endpoint = forwarded(&actions)[0].1;
         let actions = proxy.advance(430 * MS);
-        let copy = forwarded(&actions);
-        assert_eq!(copy.len(), hedges);
+        let hedged = forwarded(&actions);
+        assert_eq!(hedged.len(), hedges);
         if hedges == 1 {
-            assert_ne!(copy[0].1, home);
+            assert_ne!(hedged[0].1, first_endpoint);
             let actions = proxy.end_attempt(request, 1, Outcome::Served, 30 * MS);
             assert!(actions.contains(&Action::CancelAttempt {
                 request,
@@ -55,9 +55,9 @@
 /// lost needs its retry. Hedged requests must not use up the retry budget.
 #[test]
 fn hedged_requests_leave_retry_budget_for_failed_attempts() {
-    let mut config = settings(Idempotency::Idempotent);
-    config.limits.hedging = true;
-    let mut proxy = Proxy::new(config, 6);
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.limits.hedging = true;
+    let mut proxy = Proxy::new(settings, 6);
     for _ in 0..20 {
         proxy.serve_request(40 * MS);
     }
@@ -77,11 +77,11 @@
     assert!(hedges >= 10, "only {hedges} of 60 requests were hedged");
     for _ in 0..3 {
         let (request, _) = proxy.request();
-        let again = proxy.end_attempt(request, 0, Outcome::Reset, 10 * MS);
+        let retry_actions = proxy.end_attempt(request, 0, Outcome::Reset, 10 * MS);
         assert_eq!(
-            forwarded(&again).len(),
+            forwarded(&retry_actions).len(),
             1,
-            "the lost attempt was not retried: {again:?}"
+            "the lost attempt was not retried: {retry_actions:?}"
         );
         proxy.end_attempt(request, 1, Outcome::Served, 10 * MS);
     }
@@ -91,9 +91,9 @@
 /// only add load.
 #[test]
 fn a_request_within_the_usual_latencies_of_its_class_is_not_hedged() {
-    let mut config = settings(Idempotency::Idempotent);
-    config.limits.hedging = true;
-    let mut proxy = Proxy::new(config, 6);
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.limits.hedging = true;
+    let mut proxy = Proxy::new(settings, 6);
     for _ in 0..40 {
         for elapsed in [60 * MS, 60 * MS, 60 * MS, 60 * MS, 400 * MS] {
             proxy.serve_request(elapsed);
--- a/balancer/tests/odd_input.rs
+++ b/balancer/tests/odd_input.rs
@@ -4,7 +4,7 @@
 use balancer::*;
 use common::*;
 
-fn handle_odd_input(settings: Settings) {
+fn handle_invalid_events(settings: Settings) {
     let mut proxy = Proxy::new(settings, 2);
     let times = [0, 1, u64::MAX / 2];
     for (i, &time_left) in times.iter().chain(&[u64::MAX]).enumerate() {
@@ -59,25 +59,25 @@
 
 #[test]
 fn invalid_events_and_settings_cause_no_panic() {
-    let mut odd = settings(Idempotency::Idempotent);
-    odd.balancer_count = 0;
-    odd.limits.max_attempts = 0;
-    odd.tenants = vec![Tenant { quota: 0.0 }];
-    odd.slow_start = SlowStart {
+    let mut invalid = settings(Idempotency::Idempotent);
+    invalid.balancer_count = 0;
+    invalid.limits.max_attempts = 0;
+    invalid.tenants = vec![Tenant { quota: 0.0 }];
+    invalid.slow_start = SlowStart {
         initial_capacity: 0.0,
         duration: 0,
         overload_multiple: 0.0,
     };
-    odd.discovery = Discovery {
+    invalid.discovery = Discovery {
         mode: DiscoveryMode::Push,
         max_poll_interval: 0,
         notification_deadline: 0,
     };
-    let empty = Settings {
+    let without_classes = Settings {
         classes: vec![],
-        ..odd.clone()
+        ..invalid.clone()
     };
-    for settings in [odd, empty] {
-        handle_odd_input(settings);
+    for settings in [invalid, without_classes] {
+        handle_invalid_events(settings);
     }
 }
--- a/balancer/tests/random_sequences.rs
+++ b/balancer/tests/random_sequences.rs
@@ -43,7 +43,7 @@
     hedging: bool,
     requests: BTreeMap<RequestId, RequestRecord>,
     list: BTreeMap<EndpointId, EndpointState>,
-    known: BTreeSet<EndpointId>,
+    ever_listed: BTreeSet<EndpointId>,
 }
 
 fn below(random: &mut Pcg32, bound: u64) -> u64 {
@@ -89,7 +89,7 @@
             proxy: Proxy::new(settings, 0),
             requests: BTreeMap::new(),
             list: BTreeMap::new(),
-            known: BTreeSet::new(),
+            ever_listed: BTreeSet::new(),
         }
     }
 
@@ -100,14 +100,14 @@
     fn run(&mut self) {
         for step in 0..4_000_u64 {
             self.proxy.now += self.below(8) * MS;
-            let open: Vec<(RequestId, usize)> = self
+            let in_flight: Vec<(RequestId, usize)> = self
                 .requests
                 .iter()
                 .flat_map(|(&id, request)| request.in_flight().into_iter().map(move |n| (id, n)))
                 .collect();
             let actions = match self.below(10) {
                 0..=3 => self.receive_request(),
-                4..=7 if !open.is_empty() => self.end_some_attempt(&open),
+                4..=7 if !in_flight.is_empty() => self.end_some_attempt(&in_flight),
                 8 if step % 7 == 0 => self.change_list(),
                 8 if step % 31 == 0 => self.proxy.update_list(ListUpdate::PollFailed, vec![]),
                 _ => {
@@ -135,8 +135,8 @@
         actions
     }
 
-    fn end_some_attempt(&mut self, open: &[(RequestId, usize)]) -> Vec<Action> {
-        let (id, number) = open[self.below(open.len() as u64) as usize];
+    fn end_some_attempt(&mut self, in_flight: &[(RequestId, usize)]) -> Vec<Action> {
+        let (id, number) = in_flight[self.below(in_flight.len() as u64) as usize];
         let outcome = match self.below(12) {
             0 => Outcome::Error,
             1 => Outcome::Rejected,
@@ -166,7 +166,7 @@
         ];
         let state = states[self.below(4) as usize];
         let started_at = if self.below(4) > 0 { 0 } else { self.proxy.now };
-        self.known.insert(endpoint);
+        self.ever_listed.insert(endpoint);
         self.list.insert(endpoint, state);
         let cell = CellId(endpoint.0 % 2);
         let entry = EndpointEntry {
@@ -220,15 +220,15 @@
                 }
             }
         }
-        let lost = self.open_requests();
+        let never_ended = self.open_requests();
         assert!(
-            lost.is_empty(),
-            "seed {seed}: requests that never ended: {lost:?}"
+            never_ended.is_empty(),
+            "seed {seed}: requests that never ended: {never_ended:?}"
         );
         let forwarded = self
             .requests
             .values()
-            .filter(|r| !r.attempts.is_empty())
+            .filter(|request| !request.attempts.is_empty())
             .count();
         assert!(
             forwarded > 100,
@@ -269,7 +269,7 @@
         let request = self.requests.get_mut(&id).expect("a request that arrived");
         assert!(!request.ended, "forwarded after its end");
         assert!(
-            self.known.contains(&endpoint) && self.list[&endpoint] == EndpointState::Ready,
+            self.ever_listed.contains(&endpoint) && self.list[&endpoint] == EndpointState::Ready,
             "forwarded to an endpoint that is not ready"
         );
         assert!(
@@ -281,9 +281,9 @@
             in_flight == 0 || self.hedging && in_flight == 1,
             "more attempts in flight than allowed: {in_flight}"
         );
-        let may_have_run =
+        let may_have_been_executed =
             |attempt: &&AttemptRecord| attempt.outcome.is_none_or(|outcome| !outcome.never_ran());
-        let first = request.attempts.iter().find(may_have_run);
+        let first = request.attempts.iter().find(may_have_been_executed);
         match (self.classes[request.class].idempotency, first) {
             (Idempotency::NonIdempotent, Some(_)) => panic!("a non-idempotent request was retried"),
             (Idempotency::Keyed { scope, window }, Some(first)) => {
@@ -313,7 +313,8 @@
             "rejected after its end"
         );
         let mut attempts = request.attempts.iter();
-        let never_executed = attempts.all(|a| a.outcome.is_some_and(Outcome::never_ran));
+        let never_executed =
+            attempts.all(|attempt| attempt.outcome.is_some_and(Outcome::never_ran));
         let is_repeatable = matches!(
             self.classes[request.class].idempotency,
             Idempotency::Idempotent
--- a/balancer/tests/request_outcomes.rs
+++ b/balancer/tests/request_outcomes.rs
@@ -5,7 +5,7 @@
 use balancer::*;
 use common::*;
 
-const CELL: Idempotency = Idempotency::Keyed {
+const KEYED_BY_CELL: Idempotency = Idempotency::Keyed {
     scope: DeduplicationScope::Cell,
     window: 400 * MS,
 };
@@ -24,7 +24,11 @@
 
 #[test]
 fn queued_requests_get_a_reply_before_their_client_stops_waiting() {
-    for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent, CELL] {
+    for idempotency in [
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        KEYED_BY_CELL,
+    ] {
         let mut proxy = Proxy::new(settings(idempotency), 0);
         let (request, mut actions) = proxy.request();
         assert!(forwarded(&actions).is_empty());
@@ -41,7 +45,7 @@
     for (idempotency, is_rejected) in [
         (Idempotency::Idempotent, true),
         (Idempotency::NonIdempotent, false),
-        (CELL, false),
+        (KEYED_BY_CELL, false),
     ] {
         let mut proxy = Proxy::new(settings(idempotency), 1);
         let (request, _) = proxy.request();
@@ -49,7 +53,9 @@
         let actions = proxy.end_attempt(request, 0, Outcome::TimedOut, 1_200 * MS);
         assert_eq!(rejected(&actions, request), is_rejected);
         assert_eq!(failed(&actions, request), !is_rejected);
-        assert!(forwarded(&proxy.request().1).iter().all(|s| s.0 != request));
+        assert!(forwarded(&proxy.request().1)
+            .iter()
+            .all(|attempt| attempt.0 != request));
     }
 }
 
@@ -95,27 +101,27 @@
     let mut proxy = Proxy::new(settings(idempotency), 0);
     proxy.update_list(ListUpdate::Full, endpoints_of_two_cells());
     let (request, actions) = proxy.request();
-    let home = forwarded(&actions)[0].1;
+    let first_endpoint = forwarded(&actions)[0].1;
     proxy.now += MS;
     let actions = proxy.end_attempt(request, 0, first, MS);
-    let again = forwarded(&actions);
+    let retries = forwarded(&actions);
     let never_executed = first.never_ran();
     if idempotency == Idempotency::NonIdempotent && !never_executed {
-        assert!(again.is_empty() && failed(&actions, request), "{first:?}");
+        assert!(retries.is_empty() && failed(&actions, request), "{first:?}");
         return;
     }
-    assert_eq!(again.len(), 1, "{idempotency:?} after {first:?}");
-    let bound = matches!(
+    assert_eq!(retries.len(), 1, "{idempotency:?} after {first:?}");
+    let is_scoped = matches!(
         idempotency,
         Idempotency::Keyed {
             scope: DeduplicationScope::Zone | DeduplicationScope::Cell,
             ..
         }
     );
-    if bound && !never_executed {
+    if is_scoped && !never_executed {
         assert_eq!(
-            again[0].1 .0 % 2,
-            home.0 % 2,
+            retries[0].1 .0 % 2,
+            first_endpoint.0 % 2,
             "the retry left the zone or cell of the first attempt"
         );
     }
@@ -145,16 +151,16 @@
 
 #[test]
 fn retries_and_replies_respect_idempotency_after_any_two_outcomes() {
-    let guarded = |scope| Idempotency::Keyed {
+    let keyed = |scope| Idempotency::Keyed {
         scope,
         window: 400 * MS,
     };
     let kinds = [
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
-        guarded(DeduplicationScope::All),
-        guarded(DeduplicationScope::Zone),
-        guarded(DeduplicationScope::Cell),
+        keyed(DeduplicationScope::All),
+        keyed(DeduplicationScope::Zone),
+        keyed(DeduplicationScope::Cell),
     ];
     for idempotency in kinds {
         for first in FAILED_OUTCOMES {
@@ -192,9 +198,10 @@
         }),
         1,
     );
-    let (start, (request, _), (trial, more)) = (proxy.now, proxy.request(), proxy.request());
+    let (start, (request, _), (trial, trial_actions)) =
+        (proxy.now, proxy.request(), proxy.request());
     assert_eq!(
-        forwarded(&more).len(),
+        forwarded(&trial_actions).len(),
         1,
         "the trial should use up the capacity that the retry needs"
     );
@@ -224,24 +231,25 @@
             Some(70 * MS - 1_000),
         ),
     ];
-    for (idempotency, left) in cases {
+    for (idempotency, expected) in cases {
         let mut proxy = Proxy::new(settings(idempotency), 4);
         let (request, actions) = proxy.request();
-        let within =
-            |actions: &[Action]| match actions.iter().find(|a| matches!(a, Action::Forward { .. }))
-            {
-                Some(Action::Forward { start_within, .. }) => *start_within,
-                _ => panic!("the request was not forwarded"),
-            };
+        let start_within_of = |actions: &[Action]| match actions
+            .iter()
+            .find(|action| matches!(action, Action::Forward { .. }))
+        {
+            Some(Action::Forward { start_within, .. }) => *start_within,
+            _ => panic!("the request was not forwarded"),
+        };
         assert_eq!(
-            within(&actions),
+            start_within_of(&actions),
             None,
             "the first attempt is not bound by a window"
         );
         proxy.now += 30 * MS;
         assert_eq!(
-            within(&proxy.end_attempt(request, 0, Outcome::Error, 30 * MS)),
-            left,
+            start_within_of(&proxy.end_attempt(request, 0, Outcome::Error, 30 * MS)),
+            expected,
             "{idempotency:?}"
         );
     }
@@ -277,15 +285,15 @@
 #[test]
 fn requests_that_would_be_queued_for_too_long_are_rejected_on_arrival() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
-    let mut early = 0;
+    let mut rejected_count = 0;
     for _ in 0..60 {
         proxy.now += 10 * MS;
         let (request, actions) = proxy.request();
-        early += usize::from(rejected(&actions, request));
+        rejected_count += usize::from(rejected(&actions, request));
     }
     assert!(
-        early > 20,
-        "only {early} requests were rejected on arrival although they would wait too long"
+        rejected_count > 20,
+        "only {rejected_count} requests were rejected on arrival although they would wait too long"
     );
 }
 
@@ -294,14 +302,14 @@
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
     (0..50).for_each(|_| drop(proxy.request()));
     let mut due = std::collections::BinaryHeap::new();
-    let (mut timers, mut seen) = (0, 0);
+    let (mut timers, mut handled_action_count) = (0, 0);
     loop {
-        for action in &proxy.actions[seen..] {
+        for action in &proxy.actions[handled_action_count..] {
             if let Action::SetTimer { after } = action {
                 due.push(std::cmp::Reverse(proxy.now + after));
             }
         }
-        seen = proxy.actions.len();
+        handled_action_count = proxy.actions.len();
         let Some(std::cmp::Reverse(at)) = due.pop() else {
             break;
         };
--- a/balancer/tests/selection.rs
+++ b/balancer/tests/selection.rs
@@ -25,7 +25,7 @@
 
 /// Sends 400 requests one at a time, which `end` gives an outcome and a duration by their endpoint.
 /// Returns how many were forwarded to endpoint 2.
-fn requests_to_second(
+fn requests_to_endpoint_2(
     entries: Vec<EndpointEntry>,
     end: impl Fn(EndpointId) -> (Outcome, Micros),
 ) -> usize {
@@ -44,28 +44,28 @@
         2,
     );
     proxy.update_list(ListUpdate::Full, entries);
-    let mut second = 0;
+    let mut to_endpoint_2 = 0;
     for _ in 0..400 {
         proxy.now += 100 * MS;
         let (request, actions) = proxy.request();
         let Some(&(_, endpoint)) = forwarded(&actions).first() else {
             continue;
         };
-        second += usize::from(endpoint == EndpointId(2));
+        to_endpoint_2 += usize::from(endpoint == EndpointId(2));
         let (outcome, elapsed) = end(endpoint);
         proxy.now += elapsed;
         proxy.end_attempt(request, 0, outcome, elapsed);
     }
-    second
+    to_endpoint_2
 }
 
 #[test]
 fn ties_go_to_the_endpoint_with_less_recent_busy_time() {
-    let two = || vec![ready(1), ready(2)];
-    let slow_first = |s| {
+    let both_ready = || vec![ready(1), ready(2)];
+    let slow_first = |endpoint| {
         (
             Outcome::Served,
-            if s == EndpointId(1) {
+            if endpoint == EndpointId(1) {
                 200 * MS
             } else {
                 40 * MS
@@ -73,33 +73,33 @@
         )
     };
     assert!(
-        requests_to_second(two(), slow_first) > 300,
+        requests_to_endpoint_2(both_ready(), slow_first) > 300,
         "endpoint 2 is five times as fast and should get five of six requests"
     );
-    let alike = requests_to_second(two(), |_| (Outcome::Served, 40 * MS));
+    let to_endpoint_2 = requests_to_endpoint_2(both_ready(), |_| (Outcome::Served, 40 * MS));
     assert!(
-        (180..=220).contains(&alike),
-        "equally fast endpoints should get half of 400 requests: {alike}"
+        (180..=220).contains(&to_endpoint_2),
+        "equally fast endpoints should get half of 400 requests: {to_endpoint_2}"
     );
 }
 
 #[test]
 fn ties_go_by_weight_and_fast_rejections_do_not_attract_requests() {
-    let sized = vec![
+    let weighted = vec![
         ready(1),
         EndpointEntry {
             weight: 2.0,
             ..ready(2)
         },
     ];
-    let double = requests_to_second(sized, |_| (Outcome::Served, 40 * MS));
+    let to_heavier = requests_to_endpoint_2(weighted, |_| (Outcome::Served, 40 * MS));
     assert!(
-        (250..=290).contains(&double),
-        "the endpoint with twice the weight should get two thirds of 400 requests: {double}"
+        (250..=290).contains(&to_heavier),
+        "the endpoint with twice the weight should get two thirds of 400 requests: {to_heavier}"
     );
     // Invalid weights count as 1.
-    let two = || vec![ready(1), ready(2)];
-    let odd = vec![
+    let both_ready = || vec![ready(1), ready(2)];
+    let invalid_weights = vec![
         EndpointEntry {
             weight: f64::NAN,
             ..ready(1)
@@ -109,22 +109,22 @@
             ..ready(2)
         },
     ];
-    let alike = requests_to_second(odd, |_| (Outcome::Served, 40 * MS));
+    let to_endpoint_2 = requests_to_endpoint_2(invalid_weights, |_| (Outcome::Served, 40 * MS));
     assert!(
-        (180..=220).contains(&alike),
-        "invalid weights should count as equal: {alike} of 400 requests"
+        (180..=220).contains(&to_endpoint_2),
+        "invalid weights should count as equal: {to_endpoint_2} of 400 requests"
     );
-    let full = |s| {
-        if s == EndpointId(1) {
+    let rejects_at_first = |endpoint| {
+        if endpoint == EndpointId(1) {
             (Outcome::Rejected, MS)
         } else {
             (Outcome::Served, 40 * MS)
         }
     };
-    let shunned = requests_to_second(two(), full);
+    let to_serving = requests_to_endpoint_2(both_ready(), rejects_at_first);
     assert!(
-        shunned > 300,
-        "fast rejections attracted requests: only {shunned} of 400 went to the other endpoint"
+        to_serving > 300,
+        "fast rejections attracted requests: only {to_serving} of 400 went to the other endpoint"
     );
 }
 
@@ -132,16 +132,19 @@
 /// in flight the local one is selected, even if its latency pressure is higher.
 #[test]
 fn ties_go_to_the_balancers_own_zone_even_if_its_latency_pressure_is_higher() {
-    let (near, far) = (ZoneId(1), ZoneId(2));
+    let (own_zone, other_zone) = (ZoneId(1), ZoneId(2));
     let mut proxy = Proxy::new(
         Settings {
-            zone: Some(near),
+            zone: Some(own_zone),
             ..settings(Idempotency::NonIdempotent)
         },
         0,
     );
-    let zoned = |id, zone| EndpointEntry { zone, ..ready(id) };
-    proxy.update_list(ListUpdate::Full, vec![zoned(1, far), zoned(2, near)]);
+    let in_zone = |id, zone| EndpointEntry { zone, ..ready(id) };
+    proxy.update_list(
+        ListUpdate::Full,
+        vec![in_zone(1, other_zone), in_zone(2, own_zone)],
+    );
     for _ in 0..20 {
         assert_eq!(proxy.serve_request(40 * MS), Some(EndpointId(2)));
     }
@@ -170,7 +173,7 @@
 
 #[test]
 fn the_subsets_of_all_balancers_cover_the_endpoints_evenly() {
-    let mut subsets: BTreeMap<EndpointId, u32> = BTreeMap::new();
+    let mut subset_counts: BTreeMap<EndpointId, u32> = BTreeMap::new();
     for balancer_index in 0..100 {
         let mut proxy = balancer_of(100, balancer_index, 50);
         let mut used = std::collections::BTreeSet::new();
@@ -184,12 +187,12 @@
             "each balancer should use the minimum subset, so that its connections stay open"
         );
         used.into_iter()
-            .for_each(|s| *subsets.entry(s).or_default() += 1);
+            .for_each(|endpoint| *subset_counts.entry(endpoint).or_default() += 1);
     }
-    assert_eq!(subsets.len(), 50);
+    assert_eq!(subset_counts.len(), 50);
     assert!(
-        subsets.values().all(|n| *n == 16),
-        "100 subsets of 8 should use each of 50 endpoints 16 times: {subsets:?}"
+        subset_counts.values().all(|n| *n == 16),
+        "100 subsets of 8 should use each of 50 endpoints 16 times: {subset_counts:?}"
     );
 }
 
@@ -204,26 +207,29 @@
     );
     proxy.update_list(
         ListUpdate::Full,
-        (1..=50).filter(|i| *i > 8).map(ready).collect(),
+        (1..=50).filter(|id| *id > 8).map(ready).collect(),
     );
     assert!(
         (0..20).all(|_| (proxy.advance(500 * MS), proxy.serve_request(20 * MS))
             .1
-            .is_some_and(|s| s.0 > 8))
+            .is_some_and(|endpoint| endpoint.0 > 8))
     );
 }
 
 #[test]
 fn ties_under_a_shared_limit_favour_faster_endpoints_over_the_own_zone() {
-    let (near, far) = (ZoneId(1), ZoneId(2));
+    let (own_zone, other_zone) = (ZoneId(1), ZoneId(2));
     let settings = Settings {
         balancer_count: 100,
-        zone: Some(near),
+        zone: Some(own_zone),
         ..settings(Idempotency::Idempotent)
     };
     let mut proxy = Proxy::new(settings, 0);
-    let zoned = |id, zone| EndpointEntry { zone, ..ready(id) };
-    proxy.update_list(ListUpdate::Full, vec![zoned(1, near), zoned(2, far)]);
+    let in_zone = |id, zone| EndpointEntry { zone, ..ready(id) };
+    proxy.update_list(
+        ListUpdate::Full,
+        vec![in_zone(1, own_zone), in_zone(2, other_zone)],
+    );
     let mut remote = 0;
     for _ in 0..400 {
         proxy.now += 100 * MS;
--- a/balancer/tests/source_files.rs
+++ b/balancer/tests/source_files.rs
@@ -15,7 +15,7 @@
 }
 
 /// Paths of this crate's source files, relative to the repository.
-fn decision_files() -> BTreeSet<String> {
+fn source_files() -> BTreeSet<String> {
     let entries = fs::read_dir(repository().join("balancer/src"))
         .expect("the source folder should be readable");
     let names = entries.map(|entry| {
@@ -35,23 +35,23 @@
 
 #[test]
 fn no_source_file_and_no_line_is_too_long() {
-    let names = decision_files();
+    let names = source_files();
     assert!(names.len() > 6, "too few source files: {names:?}");
     for name in names {
         let text =
             fs::read_to_string(repository().join(&name)).expect("a source file should be readable");
-        let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
+        let line_count = text.lines().filter(|line| !line.trim().is_empty()).count();
         assert!(
-            lines <= MAX_LINES,
-            "{name}: {lines} lines that are not blank, more than {MAX_LINES}"
+            line_count <= MAX_LINES,
+            "{name}: {line_count} lines that are not blank, more than {MAX_LINES}"
         );
-        let wide: Vec<&str> = text
+        let long_lines: Vec<&str> = text
             .lines()
             .filter(|line| line.chars().count() > MAX_COLUMNS)
             .collect();
         assert!(
-            wide.is_empty(),
-            "{name}: lines of more than {MAX_COLUMNS} characters: {wide:#?}"
+            long_lines.is_empty(),
+            "{name}: lines of more than {MAX_COLUMNS} characters: {long_lines:#?}"
         );
     }
 }
@@ -74,5 +74,5 @@
         .filter(|part| part.contains('/'))
         .map(str::to_owned)
         .collect();
-    assert_eq!(named, decision_files());
+    assert_eq!(named, source_files());
 }
--- a/balancer/tests/timeouts.rs
+++ b/balancer/tests/timeouts.rs
@@ -13,28 +13,36 @@
         },
         3,
     );
-    let mut log = Vec::new();
+    let mut timeout_actions = Vec::new();
     for _ in 0..30 {
         // Of the requests at each endpoint the first is served and the others time out.
         let requests: Vec<(RequestId, Vec<Action>)> = (0..9).map(|_| proxy.request()).collect();
-        let at = |i: usize| forwarded(&requests[i].1).first().map(|s| s.1);
-        let first = |i: usize| (0..i).all(|j| at(j) != at(i));
+        let endpoint_of = |i: usize| forwarded(&requests[i].1).first().map(|attempt| attempt.1);
+        let is_first_at_endpoint = |i: usize| (0..i).all(|j| endpoint_of(j) != endpoint_of(i));
         proxy.now += 100 * MS;
-        for i in (0..9).filter(|&i| at(i).is_some() && first(i)) {
+        for i in (0..9).filter(|&i| endpoint_of(i).is_some() && is_first_at_endpoint(i)) {
             proxy.end_attempt(requests[i].0, 0, Outcome::Served, 100 * MS);
         }
         proxy.now += 400 * MS;
-        for i in (0..9).filter(|&i| at(i).is_some() && !first(i)) {
-            log.extend(proxy.end_attempt(requests[i].0, 0, Outcome::TimedOut, 500 * MS));
+        for i in (0..9).filter(|&i| endpoint_of(i).is_some() && !is_first_at_endpoint(i)) {
+            timeout_actions.extend(proxy.end_attempt(
+                requests[i].0,
+                0,
+                Outcome::TimedOut,
+                500 * MS,
+            ));
         }
         proxy.advance(600 * MS);
     }
-    let failures = log
+    let failures = timeout_actions
         .iter()
-        .filter(|a| matches!(a, Action::Fail { .. }))
+        .filter(|action| matches!(action, Action::Fail { .. }))
         .count();
     assert!(failures > 20, "too few timed out to tell: {failures}");
-    let ejections = log.iter().filter(|action| is_ejection(action)).count();
+    let ejections = timeout_actions
+        .iter()
+        .filter(|action| is_ejection(action))
+        .count();
     assert_eq!(ejections, 0, "ejected although it served other requests");
 }
 
@@ -56,9 +64,9 @@
             client_retry: false,
             non_replayable: false,
         };
-        let out = !forwarded(&proxy.handle(event)).is_empty();
+        let is_forwarded = !forwarded(&proxy.handle(event)).is_empty();
         proxy.now += time_left;
-        if out {
+        if is_forwarded {
             proxy.end_attempt(request, 0, Outcome::TimedOut, time_left);
         }
     }
@@ -73,25 +81,25 @@
 #[test]
 fn a_single_timeout_ejects_an_endpoint_under_a_shared_limit() {
     // Once the client waits for less time than some responses take, once for long.
-    for late in [200 * MS, 600 * MS] {
+    for timeout in [200 * MS, 600 * MS] {
         let settings = Settings {
             balancer_count: 100,
             ..settings(Idempotency::Idempotent)
         };
         let mut proxy = Proxy::new(settings, 24);
         for _ in 0..20 {
-            let out = request_burst(&mut proxy, 40);
-            serve_forwarded(&mut proxy, out, 40 * MS);
+            let in_flight = request_burst(&mut proxy, 40);
+            serve_forwarded(&mut proxy, in_flight, 40 * MS);
             proxy.advance(300 * MS);
         }
-        let out: Vec<(RequestId, EndpointId)> = (0..40)
+        let in_flight: Vec<(RequestId, EndpointId)> = (0..40)
             .flat_map(|_| forwarded(&proxy.request().1))
             .collect();
-        let (lost, overloaded) = out[0];
-        let mut next = Vec::new();
+        let (timed_out, overloaded) = in_flight[0];
+        let mut from_queue = Vec::new();
         proxy.now += 40 * MS;
-        for (request, _) in &out[1..] {
-            next.extend(forwarded(&proxy.end_attempt(
+        for (request, _) in &in_flight[1..] {
+            from_queue.extend(forwarded(&proxy.end_attempt(
                 *request,
                 0,
                 Outcome::Served,
@@ -100,22 +108,24 @@
         }
         serve_forwarded(
             &mut proxy,
-            next.into_iter().map(|(request, _)| request).collect(),
+            from_queue.into_iter().map(|(request, _)| request).collect(),
             40 * MS,
         );
-        proxy.now += late;
-        proxy.end_request(lost, Outcome::TimedOut, late, LoadReport::default());
-        let to: Vec<(RequestId, EndpointId)> = (0..40)
+        proxy.now += timeout;
+        proxy.end_request(timed_out, Outcome::TimedOut, timeout, LoadReport::default());
+        let forwarded_after: Vec<(RequestId, EndpointId)> = (0..40)
             .flat_map(|_| forwarded(&proxy.request().1))
             .collect();
         assert!(
-            to.len() >= 20,
+            forwarded_after.len() >= 20,
             "all other endpoints have capacity, but only {} requests were forwarded",
-            to.len()
+            forwarded_after.len()
         );
         assert!(
-            to.iter().all(|(_, endpoint)| *endpoint != overloaded),
-            "the endpoint was used again after a timeout of {late} us"
+            forwarded_after
+                .iter()
+                .all(|(_, endpoint)| *endpoint != overloaded),
+            "the endpoint was used again after a timeout of {timeout} us"
         );
     }
 }
@@ -124,7 +134,7 @@
 /// small part may be sent to them as trials.
 #[test]
 fn all_balancers_together_send_few_requests_to_endpoints_that_do_not_respond() {
-    let (mut lost, mut all) = (0, 0);
+    let (mut timed_out, mut all) = (0, 0);
     for balancer_index in 0..100 {
         let mut proxy = balancer_of(100, balancer_index, 60);
         for step in 0..300 {
@@ -133,8 +143,8 @@
                 proxy.handle(Event::RequestCancelled { request });
                 continue;
             };
-            let hangs = endpoint.0 % 4 == 0;
-            let (outcome, elapsed) = if hangs {
+            let is_unresponsive = endpoint.0 % 4 == 0;
+            let (outcome, elapsed) = if is_unresponsive {
                 (Outcome::TimedOut, 200 * MS)
             } else {
                 (Outcome::Served, 20 * MS)
@@ -142,12 +152,12 @@
             proxy.now += elapsed;
             proxy.end_request(request, outcome, elapsed, LoadReport::default());
             if step >= 100 {
-                (lost, all) = (lost + usize::from(hangs), all + 1);
+                (timed_out, all) = (timed_out + usize::from(is_unresponsive), all + 1);
             }
         }
     }
     assert!(
-        lost * 20 < all,
-        "{lost} of {all} requests went to endpoints that do not respond"
+        timed_out * 20 < all,
+        "{timed_out} of {all} requests went to endpoints that do not respond"
     );
 }
--- a/balancer/tests/uploads.rs
+++ b/balancer/tests/uploads.rs
@@ -4,9 +4,9 @@
 use balancer::*;
 use common::*;
 
-fn receive_upload(proxy: &mut Proxy, request: u64) -> Vec<Action> {
-    let (request, class) = (RequestId(1_000 + request), ClassId(0));
-    let request = Event::RequestReceived {
+fn receive_upload(proxy: &mut Proxy, number: u64) -> Vec<Action> {
+    let (request, class) = (RequestId(1_000 + number), ClassId(0));
+    let event = Event::RequestReceived {
         request,
         class,
         tenant: None,
@@ -14,7 +14,7 @@
         client_retry: false,
         non_replayable: true,
     };
-    proxy.handle(request)
+    proxy.handle(event)
 }
 
 /// An endpoint cannot work on a request that is still arriving: it does not count towards the
@@ -22,8 +22,8 @@
 #[test]
 fn a_request_that_is_still_arriving_takes_no_capacity_and_has_no_deadline() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
-    for request in 0..4 {
-        assert_eq!(forwarded(&receive_upload(&mut proxy, request)).len(), 1);
+    for number in 0..4 {
+        assert_eq!(forwarded(&receive_upload(&mut proxy, number)).len(), 1);
     }
     proxy.now += 10_000 * MS;
     assert!(
@@ -55,12 +55,20 @@
 /// was not executed, so it is rejected.
 #[test]
 fn a_non_replayable_request_is_retried_only_if_nothing_was_written() {
-    for (outcome, again) in [(Outcome::ConnectFailed, true), (Outcome::Truncated, false)] {
+    for (outcome, is_retried) in [(Outcome::ConnectFailed, true), (Outcome::Truncated, false)] {
         let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 3);
         receive_upload(&mut proxy, 0);
         let actions = proxy.end_attempt(RequestId(1_000), 0, outcome, 0);
-        assert_eq!(forwarded(&actions).len(), usize::from(again), "{outcome:?}");
-        assert_eq!(rejected(&actions, RequestId(1_000)), !again, "{outcome:?}");
+        assert_eq!(
+            forwarded(&actions).len(),
+            usize::from(is_retried),
+            "{outcome:?}"
+        );
+        assert_eq!(
+            rejected(&actions, RequestId(1_000)),
+            !is_retried,
+            "{outcome:?}"
+        );
     }
     // After the same outcome a request whose body is buffered is retried.
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 3);
