--- a/balancer/src/ended_attempt.rs
+++ b/balancer/src/ended_attempt.rs
@@ -32,9 +32,9 @@
     /// Mean latency of the attempt's class.
     pub(crate) typical_latency: f64,
     pub(crate) subset_size: usize,
-    /// Duration relative to what the class allows at an endpoint with a limit of its own.
+    /// Duration relative to what the class allows, for the endpoint's latency pressure.
     pub(crate) latency_pressure: f64,
-    /// Duration relative to what the class allows under a shared limit.
+    /// Duration relative to what the class allows, for the shared limit's latency pressure.
     pub(crate) shared_latency_pressure: f64,
     /// Whether it timed out before most responses of its class arrive, because its client allowed
     /// too little time.
