--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A proxy for tests: it passes events to a balancer and records the actions.
+//! A stand-in for the proxy that passes events to a balancer and records its actions, and helpers
+//! for the tests.
 #![allow(dead_code)]
 
 use balancer::*;
@@ -6,16 +7,16 @@
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000 * MS;
 
-/// A proxy that carries out nothing and records everything.
+/// A proxy with a clock that the test sets. It records the balancer's actions and carries out none.
 pub(crate) struct Proxy {
     pub(crate) balancer: Balancer,
     pub(crate) now: Micros,
     pub(crate) actions: Vec<Action>,
-    next: u64,
+    last_request_id: u64,
 }
 
-/// Settings with one class of the given idempotency: an objective of 500 ms and a deadline of 1.2
-/// s.
+/// Settings for 7 balancers and one class of the given idempotency, with a latency objective of
+/// 500 ms and a deadline of 1.2 s.
 pub(crate) fn settings(idempotency: Idempotency) -> Settings {
     let class = Class {
         latency_objective: 500 * MS,
@@ -35,7 +36,7 @@
     }
 }
 
-/// Discovery that is polled.
+/// Discovery settings with an endpoint list that is polled.
 pub(crate) fn polled_discovery() -> Discovery {
     Discovery {
         mode: DiscoveryMode::Poll,
@@ -52,13 +53,13 @@
 }
 
 impl Proxy {
-    /// A started proxy with `endpoints` ready, warm endpoints, numbered from 1.
+    /// A started proxy with this number of ready, warm endpoints, numbered from 1.
     pub(crate) fn new(settings: Settings, endpoints: u32) -> Proxy {
         let mut proxy = Proxy {
             balancer: Balancer::new(7, settings),
             now: 1_000_000,
             actions: Vec::new(),
-            next: 0,
+            last_request_id: 0,
         };
         proxy.handle(Event::Start);
         proxy.update_list(ListUpdate::Full, (1..=endpoints).map(ready).collect());
@@ -81,8 +82,8 @@
     }
 
     pub(crate) fn request_of_class(&mut self, class: usize) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let request = RequestId(self.next);
+        self.last_request_id += 1;
+        let request = RequestId(self.last_request_id);
         let class = ClassId(class);
         let event = Event::RequestReceived {
             request,
@@ -117,17 +118,18 @@
         })
     }
 
-    /// Has a request served after `elapsed`; returns where it was forwarded to.
+    /// Sends a request that is served after `elapsed`. Returns the endpoint that it was forwarded
+    /// to.
     pub(crate) fn serve_request(&mut self, elapsed: Micros) -> Option<EndpointId> {
         let (request, actions) = self.request();
-        let endpoint = forwarded(&actions).first().map(|s| s.1);
+        let endpoint = forwarded(&actions).first().map(|attempt| attempt.1);
         self.now += elapsed;
         self.end_attempt(request, 0, Outcome::Served, elapsed);
         endpoint
     }
 
-    /// Ends the attempts of a request one after another, until none is forwarded; `actions` are
-    /// those of its arrival. `pause` passes before each end.
+    /// Ends the attempts of a request one after another, each after `pause`, until no further one
+    /// is forwarded. `actions` are those that followed the request's arrival.
     pub(crate) fn end_attempts(
         &mut self,
         request: RequestId,
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Ends a request's first attempt, whatever the outcome, as its last.
+    /// Ends a request's first attempt, after which no other is needed whatever the outcome.
     pub(crate) fn end_request(
         &mut self,
         request: RequestId,
@@ -167,8 +169,8 @@
         });
     }
 
-    pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
-        self.now += span;
+    pub(crate) fn advance(&mut self, duration: Micros) -> Vec<Action> {
+        self.now += duration;
         self.handle(Event::Timer)
     }
 }
@@ -176,7 +178,7 @@
 pub(crate) fn forwarded(actions: &[Action]) -> Vec<(RequestId, EndpointId)> {
     actions
         .iter()
-        .filter_map(|a| match a {
+        .filter_map(|action| match action {
             Action::Forward {
                 request, endpoint, ..
             } => Some((*request, *endpoint)),
@@ -188,16 +190,16 @@
 pub(crate) fn rejected(actions: &[Action], id: RequestId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
+        .any(|action| matches!(action, Action::Reject { request, .. } if *request == id))
 }
 
 pub(crate) fn failed(actions: &[Action], id: RequestId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Fail { request, .. } if *request == id))
+        .any(|action| matches!(action, Action::Fail { request, .. } if *request == id))
 }
 
-/// The balancer with this index among so many, before so many endpoints.
+/// The proxy of the balancer with this index among `balancer_count`, with this number of endpoints.
 pub(crate) fn balancer_of(balancer_count: u32, balancer_index: u32, endpoints: u32) -> Proxy {
     let settings = Settings {
         balancer_count,
@@ -207,7 +209,7 @@
     Proxy::new(settings, endpoints)
 }
 
-/// One of a hundred balancers, with sixty endpoints.
+/// The proxy of one of 100 balancers, with 60 endpoints, which have a shared limit.
 pub(crate) fn one_of_many() -> Proxy {
     balancer_of(100, 0, 60)
 }
@@ -222,32 +224,34 @@
         .collect()
 }
 
-/// Serves requests after `elapsed`, and in their turn the queued ones that are forwarded then.
+/// Ends these requests as served after `elapsed`, then likewise the queued ones that are forwarded
+/// as a result, until none is left.
 pub(crate) fn serve_forwarded(proxy: &mut Proxy, requests: Vec<RequestId>, elapsed: Micros) {
-    let mut out = requests;
-    while !out.is_empty() {
+    let mut in_flight = requests;
+    while !in_flight.is_empty() {
         proxy.now += elapsed;
-        let ended = std::mem::take(&mut out);
+        let ended = std::mem::take(&mut in_flight);
         for request in ended {
-            out.extend(
+            in_flight.extend(
                 forwarded(&proxy.end_attempt(request, 0, Outcome::Served, elapsed))
                     .into_iter()
-                    .map(|s| s.0),
+                    .map(|attempt| attempt.0),
             );
         }
     }
 }
 
-/// Bursts that are served soon, until the balancer's limit has grown to what they need.
+/// Sends 20 bursts of 40 requests that are served quickly: the shared limit grows to allow such
+/// bursts.
 pub(crate) fn raise_shared_limit(proxy: &mut Proxy) {
     for _ in 0..20 {
-        let out = request_burst(proxy, 40);
-        serve_forwarded(proxy, out, 40 * MS);
+        let in_flight = request_burst(proxy, 40);
+        serve_forwarded(proxy, in_flight, 40 * MS);
         proxy.advance(300 * MS);
     }
 }
 
-/// When the timer that was set fires, from now.
+/// Time from now until the timer fires that these actions set.
 pub(crate) fn timer_after(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|action| match action {
         Action::SetTimer { after } => Some(*after),
--- a/balancer/tests/random_sequences.rs
+++ b/balancer/tests/random_sequences.rs
@@ -1,4 +1,6 @@
-//! Long odd-but-legal event sequences; the rules are checked on every action.
+//! Long random sequences of valid events. Every action is checked: requests are sent only to ready
+//! endpoints and no more often than allowed, may be executed twice only where that is harmless, and
+//! end exactly once.
 
 mod common;
 use balancer::*;
@@ -25,7 +27,7 @@
 }
 
 impl RequestRecord {
-    /// Numbers of the attempts in flight.
+    /// Numbers of the attempts that are in flight.
     fn in_flight(&self) -> Vec<usize> {
         (0..self.attempts.len())
             .filter(|&number| self.attempts[number].outcome.is_none())
@@ -33,7 +35,7 @@
     }
 }
 
-/// A random sequence of events, and what has to be known to check the actions.
+/// A random sequence of events, with the state that its actions are checked against.
 struct Sequence {
     random: Pcg32,
     proxy: Proxy,
@@ -41,7 +43,7 @@
     hedging: bool,
     requests: BTreeMap<RequestId, RequestRecord>,
     list: BTreeMap<EndpointId, EndpointState>,
-    known: BTreeSet<EndpointId>,
+    ever_listed: BTreeSet<EndpointId>,
 }
 
 fn below(random: &mut Pcg32, bound: u64) -> u64 {
@@ -87,7 +89,7 @@
             proxy: Proxy::new(settings, 0),
             requests: BTreeMap::new(),
             list: BTreeMap::new(),
-            known: BTreeSet::new(),
+            ever_listed: BTreeSet::new(),
         }
     }
 
@@ -98,18 +100,18 @@
     fn run(&mut self) {
         for step in 0..4_000_u64 {
             self.proxy.now += self.below(8) * MS;
-            let open: Vec<(RequestId, usize)> = self
+            let in_flight: Vec<(RequestId, usize)> = self
                 .requests
                 .iter()
                 .flat_map(|(&id, request)| request.in_flight().into_iter().map(move |n| (id, n)))
                 .collect();
             let actions = match self.below(10) {
                 0..=3 => self.receive_request(),
-                4..=7 if !open.is_empty() => self.end_some_attempt(&open),
+                4..=7 if !in_flight.is_empty() => self.end_some_attempt(&in_flight),
                 8 if step % 7 == 0 => self.change_list(),
                 8 if step % 31 == 0 => self.proxy.update_list(ListUpdate::PollFailed, vec![]),
                 _ => {
-                    // Deadlines first, as the proxy's clock would have them.
+                    // A proxy reports attempts that have timed out before it reports its timer.
                     self.end_late_attempts();
                     self.proxy.handle(Event::Timer)
                 }
@@ -133,8 +135,8 @@
         actions
     }
 
-    fn end_some_attempt(&mut self, open: &[(RequestId, usize)]) -> Vec<Action> {
-        let (id, number) = open[self.below(open.len() as u64) as usize];
+    fn end_some_attempt(&mut self, in_flight: &[(RequestId, usize)]) -> Vec<Action> {
+        let (id, number) = in_flight[self.below(in_flight.len() as u64) as usize];
         let outcome = match self.below(12) {
             0 => Outcome::Error,
             1 => Outcome::Rejected,
@@ -164,7 +166,7 @@
         ];
         let state = states[self.below(4) as usize];
         let started_at = if self.below(4) > 0 { 0 } else { self.proxy.now };
-        self.known.insert(endpoint);
+        self.ever_listed.insert(endpoint);
         self.list.insert(endpoint, state);
         let cell = CellId(endpoint.0 % 2);
         let entry = EndpointEntry {
@@ -195,7 +197,8 @@
         open.map(|(&id, _)| id).collect()
     }
 
-    /// Lets all clients' time pass: all requests have to be answered then.
+    /// Advances the clock beyond all deadlines, ends the remaining attempts as timed out and checks
+    /// that all requests have ended.
     fn finish(&mut self, seed: u64) {
         for _ in 0..3 {
             self.proxy.now += 700 * MS;
@@ -203,7 +206,11 @@
             self.check(&actions);
             for id in self.open_requests() {
                 for number in 0..self.requests[&id].attempts.len() {
-                    let attempt = &mut self.requests.get_mut(&id).expect("known").attempts[number];
+                    let attempt = &mut self
+                        .requests
+                        .get_mut(&id)
+                        .expect("a known request")
+                        .attempts[number];
                     if attempt.outcome.is_none() {
                         attempt.outcome = Some(Outcome::TimedOut);
                         let outcome = Outcome::TimedOut;
@@ -213,16 +220,19 @@
                 }
             }
         }
-        let lost = self.open_requests();
-        assert!(lost.is_empty(), "seed {seed}: never ended {lost:?}");
+        let never_ended = self.open_requests();
+        assert!(
+            never_ended.is_empty(),
+            "seed {seed}: requests that never ended: {never_ended:?}"
+        );
         let forwarded = self
             .requests
             .values()
-            .filter(|r| !r.attempts.is_empty())
+            .filter(|request| !request.attempts.is_empty())
             .count();
         assert!(
             forwarded > 100,
-            "seed {seed}: a sequence with too few requests, {forwarded} sent"
+            "seed {seed}: only {forwarded} requests were forwarded, too few for a meaningful check"
         );
     }
 
@@ -238,11 +248,17 @@
                         .requests
                         .get_mut(&request)
                         .expect("a request that arrived");
-                    assert!(!std::mem::replace(&mut record.ended, true), "ended twice");
+                    assert!(
+                        !std::mem::replace(&mut record.ended, true),
+                        "failed after its end"
+                    );
                 }
                 Action::CancelAttempt { request, attempt } => {
                     let count = self.requests[&request].attempts.len();
-                    assert!((attempt as usize) < count, "no such attempt");
+                    assert!(
+                        (attempt as usize) < count,
+                        "cancelled an attempt that does not exist"
+                    );
                 }
                 _ => {}
             }
@@ -251,29 +267,35 @@
 
     fn check_attempt(&mut self, id: RequestId, endpoint: EndpointId) {
         let request = self.requests.get_mut(&id).expect("a request that arrived");
-        assert!(!request.ended, "sent after its end");
+        assert!(!request.ended, "forwarded after its end");
         assert!(
-            self.known.contains(&endpoint) && self.list[&endpoint] == EndpointState::Ready,
-            "sent to one that is not ready"
+            self.ever_listed.contains(&endpoint) && self.list[&endpoint] == EndpointState::Ready,
+            "forwarded to an endpoint that is not ready"
         );
         assert!(
             request.attempts.len() < MAX_ATTEMPTS as usize,
             "more attempts than allowed"
         );
         let in_flight = request.in_flight().len();
-        assert!(in_flight == 0 || self.hedging && in_flight == 1);
-        let may_have_run =
+        assert!(
+            in_flight == 0 || self.hedging && in_flight == 1,
+            "more attempts in flight than allowed: {in_flight}"
+        );
+        let may_have_been_executed =
             |attempt: &&AttemptRecord| attempt.outcome.is_none_or(|outcome| !outcome.never_ran());
-        let first = request.attempts.iter().find(may_have_run);
+        let first = request.attempts.iter().find(may_have_been_executed);
         match (self.classes[request.class].idempotency, first) {
             (Idempotency::NonIdempotent, Some(_)) => panic!("a non-idempotent request was retried"),
             (Idempotency::Keyed { scope, window }, Some(first)) => {
                 let is_same_cell = first.endpoint.0 % 2 == endpoint.0 % 2;
                 assert!(
                     scope == DeduplicationScope::All || is_same_cell,
-                    "left its cell"
+                    "retried outside its cell"
+                );
+                assert!(
+                    self.proxy.now <= first.sent_at + window,
+                    "retried after its deduplication window"
                 );
-                assert!(self.proxy.now <= first.sent_at + window, "left its window");
             }
             _ => {}
         }
@@ -286,9 +308,13 @@
 
     fn check_rejection(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&id).expect("a request that arrived");
-        assert!(!std::mem::replace(&mut request.ended, true), "ended twice");
+        assert!(
+            !std::mem::replace(&mut request.ended, true),
+            "rejected after its end"
+        );
         let mut attempts = request.attempts.iter();
-        let never_executed = attempts.all(|a| a.outcome.is_some_and(Outcome::never_ran));
+        let never_executed =
+            attempts.all(|attempt| attempt.outcome.is_some_and(Outcome::never_ran));
         let is_repeatable = matches!(
             self.classes[request.class].idempotency,
             Idempotency::Idempotent
@@ -299,13 +325,13 @@
         );
         assert!(
             never_executed || is_repeatable,
-            "rejected though it may have been executed"
+            "rejected although it may have been executed and must not be repeated"
         );
     }
 }
 
 #[test]
-fn every_action_of_random_event_sequences_keeps_the_rules() {
+fn every_action_of_a_random_event_sequence_is_allowed() {
     for seed in 0..12 {
         let mut sequence = Sequence::new(seed);
         sequence.run();
@@ -314,7 +340,7 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn the_same_seed_and_events_give_the_same_actions() {
     let run = || {
         let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 5);
         for i in 0..300 {
--- a/balancer/tests/request_outcomes.rs
+++ b/balancer/tests/request_outcomes.rs
@@ -1,11 +1,11 @@
-//! Each request is answered in time, none is executed twice, and none is sent to an endpoint that
-//! has left; queues and timers are bounded.
+//! Each request gets its reply in time, none is executed twice, none is sent to an endpoint that is
+//! draining or removed, and the time in the queue and the number of timers are bounded.
 
 mod common;
 use balancer::*;
 use common::*;
 
-const CELL: Idempotency = Idempotency::Keyed {
+const KEYED_BY_CELL: Idempotency = Idempotency::Keyed {
     scope: DeduplicationScope::Cell,
     window: 400 * MS,
 };
@@ -20,11 +20,15 @@
         .collect()
 }
 
-// Each request is answered.
+// Each request gets a reply.
 
 #[test]
-fn queued_requests_are_answered_before_their_client_stops_waiting() {
-    for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent, CELL] {
+fn queued_requests_get_a_reply_before_their_client_stops_waiting() {
+    for idempotency in [
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        KEYED_BY_CELL,
+    ] {
         let mut proxy = Proxy::new(settings(idempotency), 0);
         let (request, mut actions) = proxy.request();
         assert!(forwarded(&actions).is_empty());
@@ -37,11 +41,11 @@
 }
 
 #[test]
-fn a_timeout_at_the_deadline_ends_the_request() {
+fn a_request_that_timed_out_is_rejected_if_repeatable_and_failed_otherwise() {
     for (idempotency, is_rejected) in [
         (Idempotency::Idempotent, true),
         (Idempotency::NonIdempotent, false),
-        (CELL, false),
+        (KEYED_BY_CELL, false),
     ] {
         let mut proxy = Proxy::new(settings(idempotency), 1);
         let (request, _) = proxy.request();
@@ -49,14 +53,16 @@
         let actions = proxy.end_attempt(request, 0, Outcome::TimedOut, 1_200 * MS);
         assert_eq!(rejected(&actions, request), is_rejected);
         assert_eq!(failed(&actions, request), !is_rejected);
-        assert!(forwarded(&proxy.request().1).iter().all(|s| s.0 != request));
+        assert!(forwarded(&proxy.request().1)
+            .iter()
+            .all(|attempt| attempt.0 != request));
     }
 }
 
-/// A proxy that shuts down answers its queued requests before, however long their clients would
-/// wait.
+/// A proxy that shuts down replies to its queued requests before its shutdown ends, however long
+/// their clients would wait.
 #[test]
-fn queued_requests_are_answered_before_the_shutdown_ends() {
+fn queued_requests_get_a_reply_before_the_shutdown_ends() {
     for late_weight_fraction in [0.0, 0.5] {
         let mut settings = settings(Idempotency::Idempotent);
         settings.classes[0] = Class {
@@ -90,33 +96,37 @@
     Outcome::Unknown,
 ];
 
-/// Has two attempts of a request end with these outcomes and checks what follows each.
+/// Ends two attempts of a request with these outcomes and checks the retry or reply after each.
 fn check_two_attempts(idempotency: Idempotency, first: Outcome, second: Outcome) {
     let mut proxy = Proxy::new(settings(idempotency), 0);
     proxy.update_list(ListUpdate::Full, endpoints_of_two_cells());
     let (request, actions) = proxy.request();
-    let home = forwarded(&actions)[0].1;
+    let first_endpoint = forwarded(&actions)[0].1;
     proxy.now += MS;
     let actions = proxy.end_attempt(request, 0, first, MS);
-    let again = forwarded(&actions);
+    let retries = forwarded(&actions);
     let never_executed = first.never_ran();
     if idempotency == Idempotency::NonIdempotent && !never_executed {
-        assert!(again.is_empty() && failed(&actions, request), "{first:?}");
+        assert!(retries.is_empty() && failed(&actions, request), "{first:?}");
         return;
     }
-    assert_eq!(again.len(), 1, "{idempotency:?} after {first:?}");
-    let bound = matches!(
+    assert_eq!(retries.len(), 1, "{idempotency:?} after {first:?}");
+    let is_scoped = matches!(
         idempotency,
         Idempotency::Keyed {
             scope: DeduplicationScope::Zone | DeduplicationScope::Cell,
             ..
         }
     );
-    if bound && !never_executed {
-        assert_eq!(again[0].1 .0 % 2, home.0 % 2, "stays with its group");
+    if is_scoped && !never_executed {
+        assert_eq!(
+            retries[0].1 .0 % 2,
+            first_endpoint.0 % 2,
+            "the retry left the zone or cell of the first attempt"
+        );
     }
-    // The second attempt's end, when no other is possible: rejected only where that is
-    // harmless.
+    // The second attempt ends too late for another: the request is rejected only if its client may
+    // safely retry it.
     proxy.now += 450 * MS;
     let actions = proxy.end_attempt(request, 1, second, MS);
     let is_repeatable = match idempotency {
@@ -127,7 +137,10 @@
         } => true,
         _ => never_executed && second.never_ran(),
     };
-    assert!(forwarded(&actions).is_empty(), "too late to be in time");
+    assert!(
+        forwarded(&actions).is_empty(),
+        "retried although a response would be late"
+    );
     assert_eq!(
         rejected(&actions, request),
         is_repeatable,
@@ -137,17 +150,17 @@
 }
 
 #[test]
-fn each_outcome_against_each_kind_of_idempotency() {
-    let guarded = |scope| Idempotency::Keyed {
+fn retries_and_replies_respect_idempotency_after_any_two_outcomes() {
+    let keyed = |scope| Idempotency::Keyed {
         scope,
         window: 400 * MS,
     };
     let kinds = [
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
-        guarded(DeduplicationScope::All),
-        guarded(DeduplicationScope::Zone),
-        guarded(DeduplicationScope::Cell),
+        keyed(DeduplicationScope::All),
+        keyed(DeduplicationScope::Zone),
+        keyed(DeduplicationScope::Cell),
     ];
     for idempotency in kinds {
         for first in FAILED_OUTCOMES {
@@ -159,7 +172,7 @@
 }
 
 #[test]
-fn a_keyed_request_is_not_retried_after_its_window() {
+fn a_keyed_request_is_not_retried_after_its_deduplication_window() {
     let mut proxy = Proxy::new(
         settings(Idempotency::Keyed {
             scope: DeduplicationScope::Cell,
@@ -173,9 +186,10 @@
     assert!(forwarded(&actions).is_empty() && failed(&actions, request));
 }
 
-/// A queued retry gets its final answer as soon as it may be sent nowhere any more.
+/// A queued retry gets its reply as soon as its deduplication window ends, as it may not be sent to
+/// any endpoint any more.
 #[test]
-fn a_queued_retry_is_answered_at_the_end_of_its_window() {
+fn a_queued_retry_is_failed_at_the_end_of_its_deduplication_window() {
     let window = 100 * MS;
     let mut proxy = Proxy::new(
         settings(Idempotency::Keyed {
@@ -184,11 +198,12 @@
         }),
         1,
     );
-    let (start, (request, _), (trial, more)) = (proxy.now, proxy.request(), proxy.request());
+    let (start, (request, _), (trial, trial_actions)) =
+        (proxy.now, proxy.request(), proxy.request());
     assert_eq!(
-        forwarded(&more).len(),
+        forwarded(&trial_actions).len(),
         1,
-        "it takes the capacity that the other will need"
+        "the trial should use up the capacity that the retry needs"
     );
     proxy.now += 10 * MS;
     let mut actions = proxy.end_attempt(request, 0, Outcome::Error, 10 * MS);
@@ -201,10 +216,10 @@
     assert!(forwarded(&proxy.end_attempt(trial, 0, Outcome::Served, window)).is_empty());
 }
 
-/// A retry's connection may take long to be established: the window bounds its first byte, not its
-/// selection.
+/// The connection for a retry may take long to be established: the deduplication window bounds when
+/// its first byte may be written, not when its endpoint is selected.
 #[test]
-fn a_retry_may_start_within_what_is_left_of_its_window() {
+fn a_retry_must_start_within_the_rest_of_its_deduplication_window() {
     let scope = DeduplicationScope::Cell;
     let cases = [
         (Idempotency::Idempotent, None),
@@ -216,29 +231,34 @@
             Some(70 * MS - 1_000),
         ),
     ];
-    for (idempotency, left) in cases {
+    for (idempotency, expected) in cases {
         let mut proxy = Proxy::new(settings(idempotency), 4);
         let (request, actions) = proxy.request();
-        let within =
-            |actions: &[Action]| match actions.iter().find(|a| matches!(a, Action::Forward { .. }))
-            {
-                Some(Action::Forward { start_within, .. }) => *start_within,
-                _ => panic!("it is not sent"),
-            };
-        assert_eq!(within(&actions), None, "the first of its attempts");
+        let start_within_of = |actions: &[Action]| match actions
+            .iter()
+            .find(|action| matches!(action, Action::Forward { .. }))
+        {
+            Some(Action::Forward { start_within, .. }) => *start_within,
+            _ => panic!("the request was not forwarded"),
+        };
+        assert_eq!(
+            start_within_of(&actions),
+            None,
+            "the first attempt is not bound by a window"
+        );
         proxy.now += 30 * MS;
         assert_eq!(
-            within(&proxy.end_attempt(request, 0, Outcome::Error, 30 * MS)),
-            left,
+            start_within_of(&proxy.end_attempt(request, 0, Outcome::Error, 30 * MS)),
+            expected,
             "{idempotency:?}"
         );
     }
 }
 
-// Nothing is sent to endpoints that drain.
+// Nothing is sent to draining or removed endpoints.
 
 #[test]
-fn nothing_is_forwarded_to_a_draining_or_removed_endpoint_also_after_a_cached_list() {
+fn nothing_is_forwarded_to_a_draining_or_removed_endpoint_even_if_a_cached_list_had_it_ready() {
     for kind in [ListUpdate::Delta, ListUpdate::Full] {
         for state in [EndpointState::Draining, EndpointState::Removed] {
             let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
@@ -255,47 +275,50 @@
         assert_eq!(
             proxy.serve_request(MS),
             Some(EndpointId(2)),
-            "what a full list omits is removed"
+            "an endpoint that a full list omits was used"
         );
     }
 }
 
-// Queues and timers.
+// The queue and the timers are bounded.
 
 #[test]
-fn time_in_the_queue_is_bounded_so_that_not_all_are_served_late() {
+fn requests_that_would_be_queued_for_too_long_are_rejected_on_arrival() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 1);
-    let mut early = 0;
+    let mut rejected_count = 0;
     for _ in 0..60 {
         proxy.now += 10 * MS;
         let (request, actions) = proxy.request();
-        early += usize::from(rejected(&actions, request));
+        rejected_count += usize::from(rejected(&actions, request));
     }
     assert!(
-        early > 20,
-        "requests that would wait too long are rejected as they arrive: {early}"
+        rejected_count > 20,
+        "only {rejected_count} requests were rejected on arrival although they would wait too long"
     );
 }
 
 #[test]
-fn timers_do_not_set_further_timers_for_ever() {
+fn timers_do_not_keep_setting_further_timers_after_all_requests_have_ended() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
     (0..50).for_each(|_| drop(proxy.request()));
     let mut due = std::collections::BinaryHeap::new();
-    let (mut timers, mut seen) = (0, 0);
+    let (mut timers, mut handled_action_count) = (0, 0);
     loop {
-        for action in &proxy.actions[seen..] {
+        for action in &proxy.actions[handled_action_count..] {
             if let Action::SetTimer { after } = action {
                 due.push(std::cmp::Reverse(proxy.now + after));
             }
         }
-        seen = proxy.actions.len();
+        handled_action_count = proxy.actions.len();
         let Some(std::cmp::Reverse(at)) = due.pop() else {
             break;
         };
         proxy.now = proxy.now.max(at);
         proxy.handle(Event::Timer);
         timers += 1;
-        assert!(timers < 1_000, "50 requests end within a second");
+        assert!(
+            timers < 1_000,
+            "{timers} timers have fired for 50 requests, which end within a second"
+        );
     }
 }
--- a/balancer/tests/selection.rs
+++ b/balancer/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request is sent to, and the subset of the endpoints.
+//! Selection of the endpoint for a request, and of the subset of endpoints that a balancer uses.
 
 mod common;
 use balancer::*;
@@ -23,9 +23,9 @@
     assert_eq!(load[&EndpointId(2)], 5);
 }
 
-/// How many of 400 requests, one at a time, are forwarded to endpoint 2, by how (and after how
-/// long) each endpoint ends them.
-fn requests_to_second(
+/// Sends 400 requests one at a time, which `end` gives an outcome and a duration by their endpoint.
+/// Returns how many were forwarded to endpoint 2.
+fn requests_to_endpoint_2(
     entries: Vec<EndpointEntry>,
     end: impl Fn(EndpointId) -> (Outcome, Micros),
 ) -> usize {
@@ -33,7 +33,8 @@
         max_attempts: 1,
         ..Settings::default().limits
     };
-    // A hundred balancers: an endpoint's first limit is far below one request.
+    // With 100 balancers the initial limit of each endpoint would be far below one request, so the
+    // endpoints share one limit.
     let mut proxy = Proxy::new(
         Settings {
             balancer_count: 100,
@@ -43,28 +44,28 @@
         2,
     );
     proxy.update_list(ListUpdate::Full, entries);
-    let mut second = 0;
+    let mut to_endpoint_2 = 0;
     for _ in 0..400 {
         proxy.now += 100 * MS;
         let (request, actions) = proxy.request();
         let Some(&(_, endpoint)) = forwarded(&actions).first() else {
             continue;
         };
-        second += usize::from(endpoint == EndpointId(2));
+        to_endpoint_2 += usize::from(endpoint == EndpointId(2));
         let (outcome, elapsed) = end(endpoint);
         proxy.now += elapsed;
         proxy.end_attempt(request, 0, outcome, elapsed);
     }
-    second
+    to_endpoint_2
 }
 
 #[test]
 fn ties_go_to_the_endpoint_with_less_recent_busy_time() {
-    let two = || vec![ready(1), ready(2)];
-    let slow_first = |s| {
+    let both_ready = || vec![ready(1), ready(2)];
+    let slow_first = |endpoint| {
         (
             Outcome::Served,
-            if s == EndpointId(1) {
+            if endpoint == EndpointId(1) {
                 200 * MS
             } else {
                 40 * MS
@@ -72,30 +73,33 @@
         )
     };
     assert!(
-        requests_to_second(two(), slow_first) > 300,
-        "five times as fast: five requests to one"
+        requests_to_endpoint_2(both_ready(), slow_first) > 300,
+        "endpoint 2 is five times as fast and should get five of six requests"
+    );
+    let to_endpoint_2 = requests_to_endpoint_2(both_ready(), |_| (Outcome::Served, 40 * MS));
+    assert!(
+        (180..=220).contains(&to_endpoint_2),
+        "equally fast endpoints should get half of 400 requests: {to_endpoint_2}"
     );
-    let alike = requests_to_second(two(), |_| (Outcome::Served, 40 * MS));
-    assert!((180..=220).contains(&alike), "{alike}");
 }
 
 #[test]
-fn ties_go_by_weight_and_fast_errors_count_as_the_latency_objective() {
-    let sized = vec![
+fn ties_go_by_weight_and_fast_rejections_do_not_attract_requests() {
+    let weighted = vec![
         ready(1),
         EndpointEntry {
             weight: 2.0,
             ..ready(2)
         },
     ];
-    let double = requests_to_second(sized, |_| (Outcome::Served, 40 * MS));
+    let to_heavier = requests_to_endpoint_2(weighted, |_| (Outcome::Served, 40 * MS));
     assert!(
-        (250..=290).contains(&double),
-        "two thirds to the endpoint of twice the weight: {double}"
+        (250..=290).contains(&to_heavier),
+        "the endpoint with twice the weight should get two thirds of 400 requests: {to_heavier}"
     );
     // Invalid weights count as 1.
-    let two = || vec![ready(1), ready(2)];
-    let odd = vec![
+    let both_ready = || vec![ready(1), ready(2)];
+    let invalid_weights = vec![
         EndpointEntry {
             weight: f64::NAN,
             ..ready(1)
@@ -105,36 +109,42 @@
             ..ready(2)
         },
     ];
-    let alike = requests_to_second(odd, |_| (Outcome::Served, 40 * MS));
-    assert!((180..=220).contains(&alike), "{alike}");
-    let full = |s| {
-        if s == EndpointId(1) {
+    let to_endpoint_2 = requests_to_endpoint_2(invalid_weights, |_| (Outcome::Served, 40 * MS));
+    assert!(
+        (180..=220).contains(&to_endpoint_2),
+        "invalid weights should count as equal: {to_endpoint_2} of 400 requests"
+    );
+    let rejects_at_first = |endpoint| {
+        if endpoint == EndpointId(1) {
             (Outcome::Rejected, MS)
         } else {
             (Outcome::Served, 40 * MS)
         }
     };
-    let shunned = requests_to_second(two(), full);
+    let to_serving = requests_to_endpoint_2(both_ready(), rejects_at_first);
     assert!(
-        shunned > 300,
-        "a fast rejection is not a fast response: {shunned}"
+        to_serving > 300,
+        "fast rejections attracted requests: only {to_serving} of 400 went to the other endpoint"
     );
 }
 
-/// Requests to another zone cost more and take longer: of two endpoints with as many requests the
-/// local one is selected, also where the other was faster.
+/// Requests to another zone cost more and take longer. Of two endpoints with equally many requests
+/// in flight the local one is selected, even if its latency pressure is higher.
 #[test]
-fn ties_go_to_the_balancers_own_zone() {
-    let (near, far) = (ZoneId(1), ZoneId(2));
+fn ties_go_to_the_balancers_own_zone_even_if_its_latency_pressure_is_higher() {
+    let (own_zone, other_zone) = (ZoneId(1), ZoneId(2));
     let mut proxy = Proxy::new(
         Settings {
-            zone: Some(near),
+            zone: Some(own_zone),
             ..settings(Idempotency::NonIdempotent)
         },
         0,
     );
-    let zoned = |id, zone| EndpointEntry { zone, ..ready(id) };
-    proxy.update_list(ListUpdate::Full, vec![zoned(1, far), zoned(2, near)]);
+    let in_zone = |id, zone| EndpointEntry { zone, ..ready(id) };
+    proxy.update_list(
+        ListUpdate::Full,
+        vec![in_zone(1, other_zone), in_zone(2, own_zone)],
+    );
     for _ in 0..20 {
         assert_eq!(proxy.serve_request(40 * MS), Some(EndpointId(2)));
     }
@@ -142,14 +152,14 @@
     assert_eq!(
         forwarded(&proxy.request().1)[0].1,
         EndpointId(1),
-        "it has fewer"
+        "the other zone's endpoint has fewer requests in flight"
     );
 }
 
 #[test]
-fn a_choice_of_a_full_endpoint_is_redrawn_among_those_with_capacity() {
-    // One of twenty has capacity: two random choices alone would rarely find it, and a trial would
-    // be needed.
+fn a_full_endpoint_is_not_selected_while_another_has_capacity() {
+    // When only one of 20 endpoints has capacity left, two random choices alone would rarely find
+    // it and the request would exceed another's limit as a trial.
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 20);
     let endpoints: std::collections::BTreeSet<EndpointId> = (0..20)
         .map(|_| forwarded(&proxy.request().1)[0].1)
@@ -157,13 +167,13 @@
     assert_eq!(
         endpoints.len(),
         20,
-        "every limit is used before any is exceeded"
+        "an endpoint was sent a second request while another had none"
     );
 }
 
 #[test]
-fn subsets_cover_the_endpoints_evenly_over_all_balancers() {
-    let mut subsets: BTreeMap<EndpointId, u32> = BTreeMap::new();
+fn the_subsets_of_all_balancers_cover_the_endpoints_evenly() {
+    let mut subset_counts: BTreeMap<EndpointId, u32> = BTreeMap::new();
     for balancer_index in 0..100 {
         let mut proxy = balancer_of(100, balancer_index, 50);
         let mut used = std::collections::BTreeSet::new();
@@ -174,20 +184,20 @@
         assert_eq!(
             used.len(),
             8,
-            "few endpoints, each used often: connections stay open"
+            "each balancer should use the minimum subset, so that its connections stay open"
         );
         used.into_iter()
-            .for_each(|s| *subsets.entry(s).or_default() += 1);
+            .for_each(|endpoint| *subset_counts.entry(endpoint).or_default() += 1);
     }
-    assert_eq!(subsets.len(), 50);
+    assert_eq!(subset_counts.len(), 50);
     assert!(
-        subsets.values().all(|n| *n == 16),
-        "100 subsets of 8 over 50 endpoints: {subsets:?}"
+        subset_counts.values().all(|n| *n == 16),
+        "100 subsets of 8 should use each of 50 endpoints 16 times: {subset_counts:?}"
     );
 }
 
 #[test]
-fn a_subset_moves_past_endpoints_that_are_down() {
+fn a_subset_skips_endpoints_that_have_left_the_list() {
     let mut proxy = Proxy::new(
         Settings {
             balancer_count: 100,
@@ -197,26 +207,29 @@
     );
     proxy.update_list(
         ListUpdate::Full,
-        (1..=50).filter(|i| *i > 8).map(ready).collect(),
+        (1..=50).filter(|id| *id > 8).map(ready).collect(),
     );
     assert!(
         (0..20).all(|_| (proxy.advance(500 * MS), proxy.serve_request(20 * MS))
             .1
-            .is_some_and(|s| s.0 > 8))
+            .is_some_and(|endpoint| endpoint.0 > 8))
     );
 }
 
 #[test]
-fn ties_under_a_shared_limit_leave_a_local_zone_that_is_slower() {
-    let (near, far) = (ZoneId(1), ZoneId(2));
+fn ties_under_a_shared_limit_favour_faster_endpoints_over_the_own_zone() {
+    let (own_zone, other_zone) = (ZoneId(1), ZoneId(2));
     let settings = Settings {
         balancer_count: 100,
-        zone: Some(near),
+        zone: Some(own_zone),
         ..settings(Idempotency::Idempotent)
     };
     let mut proxy = Proxy::new(settings, 0);
-    let zoned = |id, zone| EndpointEntry { zone, ..ready(id) };
-    proxy.update_list(ListUpdate::Full, vec![zoned(1, near), zoned(2, far)]);
+    let in_zone = |id, zone| EndpointEntry { zone, ..ready(id) };
+    proxy.update_list(
+        ListUpdate::Full,
+        vec![in_zone(1, own_zone), in_zone(2, other_zone)],
+    );
     let mut remote = 0;
     for _ in 0..400 {
         proxy.now += 100 * MS;
@@ -233,14 +246,14 @@
     }
     assert!(
         (250..350).contains(&remote),
-        "three times as fast, three of four requests: {remote} of 400"
+        "three times as fast, the remote endpoint should get 3 of 4 requests: {remote} of 400"
     );
 }
 
-/// Requests differ in their work far more than endpoints in their speed: a few responses each are
-/// chance.
+/// Requests differ in their work far more than endpoints in their speed, so the latencies of a few
+/// responses don't tell which endpoint is slower.
 #[test]
-fn a_slower_endpoint_is_recognised_by_more_than_its_last_few_responses() {
+fn slower_endpoints_get_fewer_requests_although_single_latencies_vary_more() {
     let (mut slow, mut all) = (0, 0);
     for balancer_index in 0..100 {
         let mut proxy = balancer_of(100, balancer_index, 60);
@@ -263,6 +276,6 @@
     }
     assert!(
         slow * 5 < all * 2,
-        "{slow} of {all} requests went to the half that is twice as slow"
+        "{slow} of {all} requests went to the endpoints that are half as fast"
     );
 }
