--- a/balancer/src/class_rejections.rs
+++ b/balancer/src/class_rejections.rs
@@ -1,18 +1,18 @@
-//! Whether an endpoint rejects the requests of some classes alone.
+//! Detects that an endpoint rejects the requests of some classes while it serves others.
 
 use crate::backoff::MAX_BACKOFF_DOUBLINGS;
 use crate::{Micros, Outcome};
 
-/// What an endpoint did with the requests of one class.
+/// Recent rejections of the requests of one class by an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassRejection {
-    /// Rejections since the last request that was served.
+    /// Number of rejections since a request of the class was last served.
     consecutive: u32,
-    /// When the first of those was sent.
+    /// When the first of these rejected requests was sent.
     first_sent_at: Micros,
-    /// When the last request that was served had been sent.
+    /// When the request of the class that was served last was sent.
     served_sent_at: Micros,
-    /// Requests of the class prefer other endpoints before this time.
+    /// Until this time, requests of the class prefer other endpoints.
     avoided_until: Micros,
 }
 
@@ -29,15 +29,18 @@
         }
     }
 
-    /// Whether requests of a class may be sent to the endpoint.
+    /// Whether requests of a class may be sent to the endpoint; otherwise they prefer other
+    /// endpoints.
     pub(crate) fn accepts(&self, class_id: usize, now: Micros) -> bool {
         self.by_class
             .get(class_id)
             .is_none_or(|class| now >= class.avoided_until)
     }
 
-    /// Records the outcome of an attempt and returns whether the endpoint rejects that class alone:
-    /// more than one was rejected, while others that were sent after the first were served.
+    /// Records the outcome of an attempt. Returns true if the endpoint rejects only this class: it
+    /// has rejected at least two consecutive requests of the class, and served a request of another
+    /// class that was sent after the first of them. Requests of the class then avoid the endpoint
+    /// for an exponential backoff.
     pub(crate) fn record(
         &mut self,
         class_id: usize,
--- a/balancer/src/concurrency_limit.rs
+++ b/balancer/src/concurrency_limit.rs
@@ -1,42 +1,44 @@
-//! How many requests may be in flight at an endpoint. The limit consists of steps, as in gRPC's
-//! proposal A105 (connection scaling), each of a number of requests.
+//! Limits the requests in flight at an endpoint. The limit is a number of steps, as in gRPC's
+//! proposal A105 (connection scaling), times a number of requests per step.
 
 use crate::backoff::MAX_BACKOFF_DOUBLINGS;
 use crate::Micros;
 
-/// Maximum number of steps, as for A105's connections.
+/// Maximum number of steps, the same as A105's maximum number of connections.
 const MAX_STEPS: u32 = 10;
-/// Requests in flight at an endpoint, from all balancers together: initially, and what cuts leave.
+/// Initial limit of an endpoint, in requests from all balancers together.
 const INITIAL_CONCURRENCY: f64 = 7.0;
+/// Minimum limit of an endpoint after a cut, in requests from all balancers together.
 const CONCURRENCY_FLOOR: f64 = 12.0;
-/// Least factor of one cut, as in TCP.
+/// Minimum factor of a cut: like in TCP, one cut at most halves the limit.
 const MIN_CUT_FACTOR: f64 = 0.5;
-/// What a deep cut leaves of the floor.
+/// Minimum limit after a deep cut, as a fraction of the floor.
 const DEEP_CUT_FLOOR_FRACTION: f64 = 0.2;
 
-/// A limit of `steps * concurrency` requests in flight. A request that is served beyond it, as a
-/// trial, adds a step.
+/// A limit of `steps * concurrency` requests in flight. A trial is a request that is sent although
+/// the limit is reached; if it is served, the limit grows by a step.
 #[derive(Debug, Default)]
 pub(crate) struct ConcurrencyLimit {
-    /// 0: the endpoint is ejected.
+    /// 0 means that the endpoint is ejected.
     pub(crate) steps: u32,
     /// Requests per step.
     pub(crate) concurrency: f64,
-    /// The limit that cuts leave, in requests.
+    /// Minimum limit after a cut, in requests.
     pub(crate) floor: f64,
     pub(crate) trial_in_flight: bool,
     pub(crate) backoff_doublings: u32,
-    /// When the next trial may be sent.
+    /// Earliest time at which the next trial may be sent.
     pub(crate) backoff_end: Micros,
 }
 
 impl ConcurrencyLimit {
-    /// The initial limit of an endpoint.
+    /// Creates the initial limit of an endpoint.
     pub(crate) fn new(balancer_count: u32) -> Self {
         Self::with_concurrency(INITIAL_CONCURRENCY, CONCURRENCY_FLOOR, balancer_count)
     }
 
-    /// A limit of one step; both figures are those of all balancers together.
+    /// Creates a limit of one step. `concurrency` and `floor` are totals for all balancers, of
+    /// which this one gets an equal share.
     pub(crate) fn with_concurrency(concurrency: f64, floor: f64, balancer_count: u32) -> Self {
         let balancers = f64::from(balancer_count.max(1));
         ConcurrencyLimit {
@@ -47,7 +49,7 @@
         }
     }
 
-    /// The limit, in requests.
+    /// The limit on requests in flight.
     pub(crate) fn total(&self) -> f64 {
         f64::from(self.steps) * self.concurrency
     }
@@ -56,7 +58,8 @@
         !self.trial_in_flight && now >= self.backoff_end
     }
 
-    /// Raises the limit after a trial that was served.
+    /// Raises the limit after a served trial: by a step or, at the maximum number of steps, by as
+    /// many requests through larger steps.
     pub(crate) fn raise(&mut self) {
         self.backoff_doublings = 0;
         if self.steps < MAX_STEPS {
@@ -66,13 +69,14 @@
         }
     }
 
-    /// Delays the next trial.
+    /// Delays the next trial, and doubles the delay of the one after it up to a maximum.
     pub(crate) fn back_off(&mut self, now: Micros, initial_backoff: Micros) {
         self.backoff_end = now + (initial_backoff << self.backoff_doublings);
         self.backoff_doublings = (self.backoff_doublings + 1).min(MAX_BACKOFF_DOUBLINGS);
     }
 
-    /// Multiplies the limit by `factor`, down to the floor or, if `is_deep`, to a fraction of it.
+    /// Multiplies the limit by `factor`. The result is at least the floor or, if `is_deep`, a
+    /// fraction of the floor.
     pub(crate) fn cut(&mut self, factor: f64, is_deep: bool) {
         let floor = if is_deep {
             self.floor * DEEP_CUT_FLOOR_FRACTION
--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! An endpoint as this balancer sees it: what was sent to it, how that ended, and whether it can
-//! take more.
+//! The state that this balancer keeps of an endpoint: its requests in flight, how earlier attempts
+//! ended, and whether it can take more requests.
 
 use crate::class_rejections::ClassRejections;
 use crate::concurrency_limit::ConcurrencyLimit;
@@ -7,49 +7,56 @@
 use crate::shared_limit::UTILIZATION_MEMORY_US;
 use crate::{CellId, EndpointEntry, EndpointId, Micros, Settings, SlowStart, ZoneId};
 
-/// Memory of an endpoint's recent load, in requests that this balancer forwards per endpoint:
-/// requests differ in their work far more than endpoints in their speed.
+/// Number of requests forwarded per endpoint over which an endpoint's recent load decays by a
+/// factor of e. It spans many requests because requests differ far more in work than endpoints do
+/// in speed.
 const RECENT_LOAD_MEMORY_ROUNDS: f64 = 16.0;
-/// Typical latencies after which a changed limit has taken effect, however few attempts have ended.
+/// Time after which the effect of a changed limit can be judged from few attempts, in typical
+/// latencies.
 const SETTLING_TYPICAL_LATENCIES: f64 = 2.0;
-/// A cool-down ends this long after the last attempt, even if nothing was served meanwhile.
+/// A cool-down ends at the latest this long after the last attempt ended, however few requests have
+/// been served since.
 const MAX_COOL_DOWN_US: f64 = 3.0 * UTILIZATION_MEMORY_US;
 
-/// State of an endpoint.
+/// What this balancer knows of one endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct Endpoint {
     pub(crate) id: EndpointId,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
-    /// Whether the list has it as ready.
+    /// Whether it is in the endpoint list as ready.
     pub(crate) is_listed: bool,
-    /// Its start by the list's clock, which tells its processes apart; 0: long ago.
+    /// When its process started by the clock of the endpoint list, which distinguishes its process
+    /// from earlier ones; 0 means long ago.
     pub(crate) started_at: Micros,
-    /// Its start by this balancer's clock.
+    /// When its process started by this balancer's clock, as estimated.
     pub(crate) local_start: Micros,
     pub(crate) in_flight: u32,
     pub(crate) limit: ConcurrencyLimit,
     pub(crate) weight: f64,
-    /// Time that attempts recently took there, decaying; in microseconds.
+    /// Exponentially decaying sum of the time that its attempts took, in microseconds.
     recent_busy_us: f64,
-    /// Number of requests that had been forwarded when that was updated.
+    /// Value of the balancer's `forwarded_count` when `recent_busy_us` was last updated.
     recent_busy_updated: u64,
-    /// Time of responses relative to what their classes allow; 1 is the limit.
+    /// Moving average of response times relative to what their classes allow; above 1 its limit is
+    /// cut.
     pub(crate) latency_pressure: f64,
-    /// Load that it last reported, on the scale of the latency pressure.
+    /// Load that it last reported, converted to the scale of `latency_pressure`.
     pub(crate) reported_load: f64,
     pub(crate) samples_since_limit_change: u32,
     pub(crate) limit_changed_at: Micros,
-    /// When an attempt last ended there.
+    /// When an attempt at it last ended; attempts with a neutral verdict don't count.
     pub(crate) last_ended_at: Micros,
     pub(crate) last_served_at: Micros,
-    /// Recent fraction of attempts that failed.
+    /// Moving average of the fraction of attempts that failed.
     pub(crate) failure_rate: f64,
-    /// Nothing is sent to it before this time.
+    /// No request is sent to it before this time.
     pub(crate) paused_until: Micros,
-    /// Nothing is sent to it before this balancer has had that many requests served.
+    /// No request is sent to it until the balancer's `served_count` reaches this, or its cool-down
+    /// times out.
     pub(crate) cool_down_until_served: u64,
-    /// While it warms up, a request may be sent to it for one unit of credit, or at the due time.
+    /// During slow start a request may be sent to it for one unit of credit, or without credit from
+    /// `slow_start_due_at` on.
     pub(crate) slow_start_credit: f64,
     pub(crate) slow_start_due_at: Micros,
     pub(crate) class_rejections: ClassRejections,
@@ -70,15 +77,16 @@
         }
     }
 
-    /// Recent busy time relative to the endpoint's weight. `forwarded_count` is the number of
-    /// requests that this balancer has forwarded, to `endpoint_count` endpoints.
+    /// Recent busy time divided by the endpoint's weight. `forwarded_count` is the number of
+    /// attempts that this balancer has forwarded, and `endpoint_count` the number of endpoints that
+    /// it spreads them over.
     pub(crate) fn recent_load(&self, forwarded_count: f64, endpoint_count: f64) -> f64 {
         let age = forwarded_count - self.recent_busy_updated as f64;
         let memory = endpoint_count * RECENT_LOAD_MEMORY_ROUNDS;
         self.recent_busy_us * (-age / memory).exp() / self.weight
     }
 
-    /// Adds the time that an attempt took, in microseconds.
+    /// Adds the time that an attempt took, in microseconds, to the recent busy time.
     pub(crate) fn record_busy_time(
         &mut self,
         time: f64,
@@ -90,7 +98,8 @@
         self.recent_busy_updated = forwarded_count;
     }
 
-    /// Fraction of its capacity, 0 to 1, that it has at the least while it warms up.
+    /// Minimum capacity that it has at present, as a fraction of its full capacity; it rises
+    /// linearly to 1 during slow start.
     pub(crate) fn warm_up(&self, now: Micros, slow_start: &SlowStart) -> f64 {
         let age = now.saturating_sub(self.local_start);
         if self.started_at == 0 || age >= slow_start.duration {
@@ -108,14 +117,14 @@
         self.limit.steps == 0
     }
 
-    /// Whether it has as many requests in flight as its limit allows.
+    /// Whether it has as many requests in flight as its limit, reduced during slow start, allows.
     pub(crate) fn is_full(&self, now: Micros, slow_start: &SlowStart) -> bool {
         let limit = self.limit.total() * self.warm_up(now, slow_start);
         self.in_flight >= (limit + 0.5).max(1.0) as u32
     }
 
-    /// Whether it is listed and no pause, cool-down or slow start excludes it now. `served_count`
-    /// is the number of requests that this balancer has had served.
+    /// Whether it is listed and not excluded at present by a pause, a cool-down or slow start.
+    /// `served_count` is the number of attempts that this balancer has had served.
     fn accepts_requests(&self, now: Micros, served_count: u64, slow_start: &SlowStart) -> bool {
         let is_due = self.slow_start_credit >= 1.0
             || now >= self.slow_start_due_at
@@ -125,12 +134,12 @@
         self.is_listed && now >= self.paused_until && is_due && has_cooled_down
     }
 
-    /// Whether requests may be sent to it within its limit.
+    /// Whether requests may be sent to it as long as its concurrency limit is not reached.
     pub(crate) fn is_usable(&self, now: Micros, served_count: u64, slow_start: &SlowStart) -> bool {
         !self.is_ejected() && self.accepts_requests(now, served_count, slow_start)
     }
 
-    /// Whether it is ejected and a request may be sent to it to find out whether it has recovered.
+    /// Whether it is ejected and may be sent a trial request, to find out whether it has recovered.
     pub(crate) fn is_awaiting_trial(
         &self,
         now: Micros,
@@ -142,8 +151,9 @@
             && self.accepts_requests(now, served_count, slow_start)
     }
 
-    /// Whether enough attempts have ended, or enough time has passed, since its limit was changed
-    /// to tell what the change did.
+    /// Whether the effect of the last change of its limit can be judged: at least as many attempts
+    /// as are in flight have ended since, and either these are enough for the moving average or
+    /// enough time has passed.
     pub(crate) fn is_settled(&self, now: Micros, typical_latency: f64) -> bool {
         let samples = self.samples_since_limit_change;
         let since_change = now.saturating_sub(self.limit_changed_at) as f64;
@@ -152,7 +162,8 @@
                 || since_change >= SETTLING_TYPICAL_LATENCIES * typical_latency)
     }
 
-    /// Starts a new count of samples after its limit was changed.
+    /// Restarts the sample count and the clock for [`Endpoint::is_settled`] after a change of its
+    /// limit.
     pub(crate) fn mark_limit_changed(&mut self, now: Micros) {
         self.samples_since_limit_change = 0;
         self.limit_changed_at = now;
--- a/balancer/src/endpoint_list.rs
+++ b/balancer/src/endpoint_list.rs
@@ -1,21 +1,22 @@
-//! Updates of the endpoint list.
+//! Applies updates of the endpoint list.
 
 use crate::balancer::Balancer;
 use crate::endpoint::Endpoint;
 use crate::{Action, DiscoveryMode, EndpointEntry, EndpointState, ListUpdate, Micros};
 
-/// Resolution of the random slow-start credit that a new endpoint begins with.
+/// Number of distinct values of the random slow-start credit that a new endpoint starts with.
 const INITIAL_CREDIT_STEPS: u64 = 1 << 20;
 
 impl Balancer {
-    /// Opens a watch of the list, where it is polled.
+    /// Subscribes to the endpoint list if this balancer has to poll for it.
     pub(crate) fn subscribe_if_polled(&self, actions: &mut Vec<Action>) {
         if self.settings.discovery.mode == DiscoveryMode::Poll {
             actions.push(Action::Subscribe);
         }
     }
 
-    /// Applies an update of the list, or schedules the next poll if there was none.
+    /// Applies an update of the endpoint list, or schedules the next poll if the watch or a poll
+    /// failed.
     pub(crate) fn update_endpoint_list(
         &mut self,
         now: Micros,
@@ -65,8 +66,8 @@
         let local_start = self.endpoint_starts.local_start(entry.endpoint);
         let mut endpoint = Endpoint::new(entry, local_start, &self.settings);
         endpoint.record_busy_time(self.latencies.longest_typical(), self.forwarded_count, 1.0);
-        // All balancers are notified of a new endpoint together: each waits for a random time
-        // before its first request.
+        // All balancers learn of a new endpoint at about the same time. Random initial credit and a
+        // random delay spread out their first requests to it.
         let credit = self.random_below(INITIAL_CREDIT_STEPS);
         endpoint.slow_start_credit = credit as f64 / INITIAL_CREDIT_STEPS as f64;
         let wait = self.random_below(self.slow_start_interval(now, &endpoint));
@@ -74,7 +75,8 @@
         endpoint
     }
 
-    /// Random delays keep balancers that lost the list together from polling together.
+    /// Schedules the next poll after a random delay, so that balancers that lost their watches at
+    /// the same time don't poll at the same time.
     fn schedule_poll(&mut self, now: Micros, kind: ListUpdate) {
         if self.settings.discovery.mode == DiscoveryMode::Poll {
             let has_many_peers = self.shared_limit.is_some();
@@ -86,9 +88,10 @@
         }
     }
 
-    /// Counts the available endpoints anew after one was listed, unlisted, ejected or readmitted.
-    /// Those of a zone that is out don't count towards the shared limit: else it would fall when
-    /// they leave the list, though the others have been found to bear it.
+    /// Recounts the available endpoints after one was listed, unlisted, ejected or readmitted.
+    /// Endpoints of a zone with an outage don't count towards the shared limit: otherwise the limit
+    /// would drop when they leave the list, although the other endpoints have been shown to sustain
+    /// the load.
     pub(crate) fn refresh_endpoint_counts(&mut self) {
         let available = self.endpoints.refresh_counts(&self.zone_outages);
         if let Some(shared_limit) = &mut self.shared_limit {
--- a/balancer/src/endpoint_starts.rs
+++ b/balancer/src/endpoint_starts.rs
@@ -1,36 +1,39 @@
-//! When endpoints started, by this balancer's clock. The list gives each start by another machine's
-//! clock, and either clock may be off by seconds or an hour. Such a stamp tells two processes
-//! apart; how long ago a process started is bounded by what this balancer knows for certain:
+//! Estimates when endpoints started, by this balancer's clock. The endpoint list gives start times
+//! by another machine's clock, and either clock may be wrong by seconds or by an hour. A listed
+//! start time distinguishes two processes of an endpoint; how long ago a process started is bounded
+//! by what this balancer knows for certain:
 //!
-//! - nothing has started later than now;
-//! - what is new in a list, or has another stamp in it, has started since the list was last known
-//!   to be current, or a little before, as lists arrive late.
+//! - no process has started later than now;
+//! - a process that is new in the list, or has a changed start time in it, has started since the
+//!   list was last known to be current, or shortly before that, as lists arrive late.
 //!
-//! Within these bounds the stamp counts. In a first list some stamps may lie in the future; then
-//! this balancer's clock is behind by at least as much, and all stamps are corrected by that.
+//! Within these bounds the listed start time is used. Start times in the first list may lie in the
+//! future: this balancer's clock is then behind by at least the largest such difference, which is
+//! subtracted from all start times of the list.
 
 use crate::{EndpointEntry, EndpointId, ListUpdate, Micros};
 use std::collections::BTreeMap;
 
-/// How much later than an endpoint's start the list may have it.
+/// Maximum delay between the start of an endpoint and its appearance in the list.
 const MAX_LIST_LAG_US: Micros = 2_000_000;
-/// How long an endpoint that has left the list is remembered: one that returns with its stamp has
-/// not restarted.
+/// How long the start of an endpoint that has left the list is kept: an endpoint that returns with
+/// the same start time has not restarted.
 const ENDPOINT_RETENTION_US: Micros = 600_000_000;
 
-/// The start of an endpoint's present process.
+/// The start of an endpoint's current process.
 #[derive(Clone, Copy, Debug)]
 struct Start {
     stamp: Micros,
     local_start: Micros,
-    /// When it was last in the list.
+    /// When the endpoint was last in the list.
     listed_at: Micros,
 }
 
-/// The starts of all endpoints that are or were recently listed.
+/// The starts of all endpoints that are listed or were listed recently.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointStarts {
-    /// When the list was last known to be current; `None`: there is only a cached one, or none.
+    /// When the list was last known to be current; `None` if no list has arrived, or only a cached
+    /// one.
     current_at: Option<Micros>,
     starts: BTreeMap<EndpointId, Start>,
 }
@@ -41,7 +44,7 @@
         self.current_at = Some(now);
     }
 
-    /// Records the entries of an update.
+    /// Records the start times of the endpoints in a list update.
     pub(crate) fn record_update(
         &mut self,
         now: Micros,
@@ -77,6 +80,7 @@
         }
     }
 
+    /// Converts a listed start time to this balancer's clock, within the bounds that it knows.
     fn bounded_start(&self, now: Micros, stamp: Micros, max_lead: Micros) -> Micros {
         match self.current_at {
             Some(since) => stamp.clamp(since.saturating_sub(MAX_LIST_LAG_US).min(now), now),
@@ -84,14 +88,15 @@
         }
     }
 
-    /// When the present process of an endpoint started; 0 if the endpoint is not known.
+    /// When the current process of an endpoint started, by this balancer's clock; 0 if the endpoint
+    /// is unknown.
     pub(crate) fn local_start(&self, endpoint: EndpointId) -> Micros {
         self.starts
             .get(&endpoint)
             .map_or(0, |start| start.local_start)
     }
 
-    /// Forgets endpoints that have not been listed for long.
+    /// Removes endpoints that have not been listed for [`ENDPOINT_RETENTION_US`].
     pub(crate) fn forget_unlisted(&mut self, now: Micros, is_listed: impl Fn(EndpointId) -> bool) {
         self.starts.retain(|&endpoint, start| {
             if is_listed(endpoint) {
--- a/balancer/src/endpoints.rs
+++ b/balancer/src/endpoints.rs
@@ -1,11 +1,12 @@
-//! The endpoints that this balancer knows, in the order of their ids.
+//! The endpoints that this balancer knows, sorted by id.
 
 use crate::endpoint::Endpoint;
 use crate::zone_outages::ZoneOutages;
 use crate::EndpointId;
 use std::ops::{Index, IndexMut};
 
-/// Endpoints that are listed or have requests in flight. Indices change when the list does.
+/// Endpoints that are listed or have requests in flight. Updates of the endpoint list change their
+/// indices.
 #[derive(Debug, Default)]
 pub(crate) struct Endpoints {
     sorted: Vec<Endpoint>,
@@ -29,7 +30,7 @@
             .ok()
     }
 
-    /// Adds an endpoint, or puts it in the place of the one with its id.
+    /// Inserts an endpoint, replacing the one with the same id if there is one.
     pub(crate) fn insert(&mut self, endpoint: Endpoint) {
         match self
             .sorted
@@ -40,21 +41,21 @@
         }
     }
 
-    /// Marks all as not listed.
+    /// Marks all endpoints as not listed.
     pub(crate) fn unlist_all(&mut self) {
         for endpoint in &mut self.sorted {
             endpoint.is_listed = false;
         }
     }
 
-    /// Removes those that are not listed and have no requests in flight.
+    /// Removes endpoints that are not listed and have no requests in flight.
     pub(crate) fn remove_unused(&mut self) {
         self.sorted
             .retain(|endpoint| endpoint.is_listed || endpoint.in_flight > 0);
     }
 
-    /// Counts the listed and the ejected endpoints anew and returns the number of those available:
-    /// listed, not ejected and not in a zone that is out.
+    /// Recounts the listed and the ejected endpoints. Returns the number of available endpoints:
+    /// those listed, not ejected and not in a zone with an outage.
     pub(crate) fn refresh_counts(&mut self, zone_outages: &ZoneOutages) -> usize {
         self.listed_count = 0;
         self.ejected_count = 0;
@@ -70,8 +71,8 @@
         available
     }
 
-    /// Whether another endpoint may be ejected. More than half of them never are: a fault seen at
-    /// most endpoints is not the endpoints' own.
+    /// Whether another endpoint may be ejected. At most half of the listed endpoints are ever
+    /// ejected: a fault that most endpoints show does not originate in the endpoints.
     pub(crate) fn may_eject_another(&self) -> bool {
         (self.ejected_count + 1) * 2 <= self.listed_count
     }
--- a/balancer/src/feedback.rs
+++ b/balancer/src/feedback.rs
@@ -1,4 +1,5 @@
-//! What an attempt's outcome teaches about its endpoint, its zone and the limits, step by step.
+//! Updates the state of endpoints and zones, and the limits, from the outcomes of attempts and from
+//! load reports.
 
 use crate::attempt::{Attempt, Trial};
 use crate::balancer::Balancer;
@@ -6,16 +7,16 @@
 use crate::latency::LATENCY_SMOOTHING;
 use crate::{Action, LoadReport, Micros, Outcome, RequestId};
 
-/// Factor of the cut after a rejection.
+/// Factor by which a rejection cuts an endpoint's limit.
 const REJECTION_CUT_FACTOR: f64 = 0.8;
-/// Latency pressure beyond which a cut goes below the floor.
+/// Latency pressure above which a cut may go below the floor.
 const DEEP_CUT_LATENCY_PRESSURE: f64 = 1.5;
-/// Reported CPU utilization that counts like a latency pressure of 1: queues grow steeply above it.
+/// Reported CPU utilization that counts as a latency pressure of 1: queues grow steeply above it.
 const FULL_CPU_UTILIZATION: f64 = 0.9;
 
 impl Balancer {
-    /// Records an endpoint's load report: as many requests queued as executed, or nearly all cores
-    /// busy, count like a latency pressure of 1.
+    /// Records an endpoint's load report. As many requests queued as executed, or nearly all cores
+    /// busy, count as a latency pressure of 1.
     pub(crate) fn record_load_report(&mut self, id: RequestId, attempt: u32, load: LoadReport) {
         let request = self.requests.get(&id);
         let Some(attempt) = request.and_then(|request| request.attempts.get(attempt as usize))
@@ -45,8 +46,8 @@
         };
     }
 
-    /// Updates everything that an ended attempt tells of. `took` is its duration as measured by the
-    /// proxy.
+    /// Updates the shared limit, the health of the zone and the state of the endpoint after an
+    /// attempt has ended. `took` is its duration as measured by the proxy.
     pub(crate) fn learn_from_attempt(
         &mut self,
         now: Micros,
@@ -65,7 +66,8 @@
             return;
         };
         if self.endpoints[index].started_at != attempt.started_at {
-            return; // The endpoint has restarted: its last process says nothing of the new one.
+            // Outcomes of an endpoint's previous process don't apply to its current one.
+            return;
         }
         self.release_slot(&ended, index);
         let verdict = self.classify(&ended, index);
@@ -117,7 +119,8 @@
             latency_pressure: (elapsed / limit).min(MAX_LATENCY_PRESSURE),
             shared_latency_pressure: estimate
                 .map_or(0.0, |estimate| estimate.shared_latency_pressure(elapsed)),
-            // Under a shared limit a balancer uses an endpoint so seldom that each timeout counts.
+            // Under a shared limit a balancer sends so few requests to an endpoint that no timeout
+            // can be ignored.
             has_short_deadline: outcome == Outcome::TimedOut
                 && self.shared_limit.is_none()
                 && estimate.is_some_and(|estimate| elapsed < estimate.tail),
@@ -136,7 +139,8 @@
             ..
         } = ended;
         shared_limit.end_attempt(*now, *elapsed, ended.typical_latency);
-        // A rejection says something of one endpoint alone, mostly of one that drains.
+        // Attempts that never ran are left out: a rejection concerns a single endpoint, usually a
+        // draining one, and not the load of all.
         if !outcome.is_neutral() && !outcome.never_ran() {
             let pressure = ended.shared_latency_pressure;
             shared_limit.record_latency(*now, attempt.sent_at, pressure, *elapsed);
@@ -157,7 +161,7 @@
     fn release_slot(&mut self, ended: &EndedAttempt, index: usize) {
         let endpoint = &mut self.endpoints[index];
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-        // Fast errors and rejections must not make an endpoint look idle.
+        // A minimum time keeps an endpoint with fast errors and rejections from looking idle.
         let is_response = matches!(
             ended.outcome,
             Outcome::Served | Outcome::Stale | Outcome::Invalid
@@ -187,7 +191,8 @@
             now,
             ended.initial_backoff,
         );
-        // Late while others were served: the endpoint is slow and should get less, not nothing.
+        // The endpoint served another request since this attempt was sent: it is slow, and should
+        // get fewer requests rather than be ejected.
         let is_only_slow = outcome == Outcome::TimedOut
             && endpoint.last_served_at > attempt.sent_at
             && self.shared_limit.is_none();
@@ -202,20 +207,23 @@
         }
     }
 
-    /// Returns the endpoint's latency pressure from before.
+    /// Updates the endpoint's latency pressure and the latency estimate of the attempt's class.
+    /// Returns the previous latency pressure.
     fn update_latency(&mut self, ended: &EndedAttempt, index: usize, verdict: Verdict) -> f64 {
         let endpoint = &mut self.endpoints[index];
         let previous_pressure = endpoint.latency_pressure;
         let gap = ended.now.saturating_sub(endpoint.last_ended_at) as f64;
         endpoint.last_ended_at = ended.now;
         if verdict == Verdict::Healthy {
-            // A sample weighs more where few arrive: else old ones would count for too long.
+            // Where few samples arrive each gets more weight, as old ones would otherwise count for
+            // too long.
             let age = gap / ended.longest_latency_objective;
             let weight = LATENCY_SMOOTHING.max(1.0 - (-age).exp());
             let pressure = ended.latency_pressure.max(endpoint.reported_load);
             endpoint.latency_pressure += (pressure - previous_pressure) * weight;
             endpoint.samples_since_limit_change += 1;
-            // Timeouts count by their time too: else the mean would be that of quick responses.
+            // Timeouts are recorded as well, as the mean would otherwise be that of fast responses
+            // only.
             if let Some(estimate) = self.latencies.get_mut(ended.attempt.class_id) {
                 estimate.record(ended.now, ended.elapsed);
             }
@@ -227,12 +235,13 @@
         previous_pressure
     }
 
-    /// Cuts the endpoint's limit after a rejection or when its responses take too long.
+    /// Cuts the endpoint's limit after a rejection, or if its responses take too long.
     fn update_concurrency_limit(&mut self, ended: &EndedAttempt, index: usize) {
         let endpoint = &mut self.endpoints[index];
         if ended.outcome == Outcome::Rejected {
             endpoint.limit.cut(REJECTION_CUT_FACTOR, true);
-            // Fast rejections make it look idle: it would attract one request after the other.
+            // Fast rejections make the endpoint look idle: without a pause it would attract one
+            // request after another.
             let pause_end = ended.now + ended.longest_typical_latency as Micros;
             endpoint.paused_until = endpoint.paused_until.max(pause_end);
         } else if endpoint.latency_pressure > 1.0
@@ -240,7 +249,7 @@
         {
             let is_deep = endpoint.latency_pressure > DEEP_CUT_LATENCY_PRESSURE;
             endpoint.limit.cut(1.0 / endpoint.latency_pressure, is_deep);
-            // The cut is expected to relieve a part of it.
+            // The cut is expected to relieve part of the latency pressure.
             endpoint.latency_pressure = endpoint.latency_pressure.sqrt();
             endpoint.mark_limit_changed(ended.now);
         }
--- a/balancer/src/latency.rs
+++ b/balancer/src/latency.rs
@@ -1,58 +1,62 @@
-//! Estimates of how long responses of each class take.
+//! Latency estimates per class of requests.
 
 use crate::{Class, Micros};
 
-/// Weight of a new sample in a moving average of latencies.
+/// Weight of a new sample in an exponential moving average of latencies.
 pub(crate) const LATENCY_SMOOTHING: f64 = 0.1;
-/// Typical latencies that must be left before the objective when a request is hedged, or when one
-/// of high priority is queued.
+/// Time that must remain until the latency objective when a request is hedged, or when a
+/// high-priority request is queued, in typical latencies.
 pub(crate) const SLACK_TYPICAL_LATENCIES: f64 = 2.0;
-/// Estimates before the first response, as fractions of the class's latency objective.
+/// Estimated mean before the first response, as a fraction of the class's latency objective.
 const INITIAL_MEAN_OBJECTIVE_FRACTION: f64 = 0.25;
+/// Estimated tail before the first response, as a fraction of the class's latency objective.
 const INITIAL_TAIL_OBJECTIVE_FRACTION: f64 = 0.5;
-/// Number of first samples that are taken as they are, as quick responses arrive before slow ones.
+/// Number of first samples that are not capped: fast responses arrive first, so the estimate that
+/// the cap is based on is still too low.
 const BIASED_SAMPLES: u32 = 8;
-/// A later sample counts for at most this multiple of the unloaded latency.
+/// Cap on later samples, as a multiple of the unloaded latency.
 const MAX_SAMPLE_BASE_MULTIPLE: f64 = 8.0;
-/// Time over which the unloaded latency may drift up to the present mean.
+/// Time in which the estimate of the unloaded latency may rise to the current mean.
 const BASE_DRIFT_US: f64 = 120e6;
-/// Fraction of a class's responses that arrive before a request counts as late.
+/// Quantile of a class's latencies above which a request counts as late.
 const TAIL_QUANTILE: f64 = 0.95;
 
-/// A response shows latency pressure if it takes longer than this multiple of its class's unloaded
-/// latency or this fraction of its latency objective, whichever is shorter.
+/// A response shows latency pressure (a value above 1) if it takes longer than this multiple of its
+/// class's unloaded latency or this fraction of its latency objective, whichever is shorter.
 const LIMIT_BASE_MULTIPLE: f64 = 3.0;
 const LIMIT_OBJECTIVE_FRACTION: f64 = 0.33;
-/// The same under the shared concurrency limit, as a fraction of the slack: the time that the
-/// objective leaves for waiting. No balancer uses an endpoint often enough to avoid the one that is
-/// overloaded, so all have to stay well below what overloads it.
+/// Replaces [`LIMIT_OBJECTIVE_FRACTION`] under a shared limit, as a fraction of the slack: the
+/// latency objective minus the unloaded latency. No balancer sends an endpoint enough requests to
+/// detect and avoid one that is overloaded, so all of them have to stay well below the load that
+/// overloads it.
 const SHARED_LIMIT_SLACK_FRACTION: f64 = 0.2;
-/// That limit is at least this multiple of the unloaded latency, up to this fraction of the slack:
-/// else tight objectives would make idle endpoints look overloaded.
+/// Minimum of the limit on response times under a shared limit: this multiple of the unloaded
+/// latency, but at most the unloaded latency plus this fraction of the slack. Without it, tight
+/// objectives would make idle endpoints look overloaded.
 const SHARED_MIN_LIMIT_BASE_MULTIPLE: f64 = 1.5;
 const SHARED_MIN_LIMIT_SLACK_FRACTION: f64 = 0.5;
-/// Maximum latency pressure of one response under the shared limit: a few from slow endpoints say
-/// nothing of all.
+/// Maximum latency pressure of one response under a shared limit: a few responses of slow endpoints
+/// must not count as an overload of all endpoints.
 const MAX_SHARED_LATENCY_PRESSURE: f64 = 2.0;
 
-/// Latency of a class without an estimate of its own.
+/// Assumed latency of a class that has no samples, or that the settings don't name.
 fn default_latency(latency_objective: Micros) -> f64 {
     latency_objective as f64 * INITIAL_MEAN_OBJECTIVE_FRACTION
 }
 
-/// Latency of a class's responses: the present mean, and the unloaded latency. In microseconds.
+/// Latency estimates of one class, in microseconds.
 #[derive(Debug, Default)]
 pub(crate) struct LatencyEstimate {
     pub(crate) mean: f64,
-    /// The lowest that the mean has been, which stands for an unloaded endpoint.
+    /// Unloaded latency: the lowest recent value of the mean.
     pub(crate) base: f64,
-    /// An estimate of the quantile [`TAIL_QUANTILE`].
+    /// Estimate of the quantile [`TAIL_QUANTILE`].
     pub(crate) tail: f64,
-    /// Requests of the class that have arrived.
+    /// Number of requests of the class that have arrived.
     pub(crate) request_count: f64,
     sample_count: u32,
     latency_objective: Micros,
-    /// From when on slow responses are among the samples too.
+    /// Time from which the samples include slow responses too.
     unbiased_from: Micros,
     updated_at: Micros,
 }
@@ -69,7 +73,7 @@
         }
     }
 
-    /// How long a response may take without showing pressure at its endpoint.
+    /// How long a response may take without showing latency pressure at its endpoint.
     pub(crate) fn limit(&self) -> f64 {
         let of_objective = self.latency_objective as f64 * LIMIT_OBJECTIVE_FRACTION;
         (self.base * LIMIT_BASE_MULTIPLE)
@@ -77,7 +81,8 @@
             .max(self.base)
     }
 
-    /// A response's time relative to its limit under the shared concurrency limit.
+    /// Latency pressure of a response under a shared limit: its time relative to how long it may
+    /// take.
     pub(crate) fn shared_latency_pressure(&self, elapsed: f64) -> f64 {
         let slack = (self.latency_objective as f64 - self.base).max(0.0);
         let min_limit = (self.base * SHARED_MIN_LIMIT_BASE_MULTIPLE)
@@ -88,7 +93,7 @@
         (elapsed / limit).min(MAX_SHARED_LATENCY_PRESSURE)
     }
 
-    /// Records how long a response took.
+    /// Adds the time of a response to the estimates.
     pub(crate) fn record(&mut self, now: Micros, elapsed: f64) {
         if self.sample_count == 0 {
             self.unbiased_from = now.saturating_add(self.latency_objective);
@@ -144,13 +149,14 @@
         self.by_class.iter()
     }
 
-    /// Mean latency of a class; a fraction of its objective if the settings don't name the class.
+    /// Mean latency of a class, or a fraction of `latency_objective` if the settings don't name the
+    /// class.
     pub(crate) fn typical(&self, class_id: usize, latency_objective: Micros) -> f64 {
         self.get(class_id)
             .map_or(default_latency(latency_objective), |estimate| estimate.mean)
     }
 
-    /// The largest mean latency of all classes.
+    /// The longest mean latency of all classes.
     pub(crate) fn longest_typical(&self) -> f64 {
         self.iter()
             .map(|estimate| estimate.mean)
--- a/balancer/src/list_polling.rs
+++ b/balancer/src/list_polling.rs
@@ -1,21 +1,21 @@
-//! When the endpoint list is polled again after a poll has failed or the watch was lost.
+//! Delays before the endpoint list is polled again after a failed poll or a lost watch.
 
 use crate::{Discovery, ListUpdate, Micros};
 
-/// The longest poll interval divided by this is the mean delay before a lost watch is reopened.
+/// The mean delay before a lost watch is reopened is the maximum poll interval divided by this.
 const WATCH_RESUME_DIVISOR: Micros = 64;
-/// The next poll begins within the notification deadline divided by this. The rest is for noticing
-/// that the watch was lost or that a poll failed, and for one response.
+/// The next poll starts within the notification deadline divided by this. The rest of the time is
+/// for detecting that the watch was lost or that a poll failed, and for one response.
 const POLL_WINDOW_DIVISOR: Micros = 2;
-/// The notification deadline divided by this is left for the response to the last poll.
+/// The notification deadline divided by this is reserved for the response to the last poll.
 const RESPONSE_TIME_DIVISOR: Micros = 12;
-/// Less than the poll window divided by this is too short to spread polls over.
+/// A remaining time below the poll window divided by this is too short to spread polls over.
 const MIN_SPREAD_DIVISOR: Micros = 12;
-/// Backoff of one of a few balancers: the longest poll interval divided by this, at first.
+/// With few balancers the initial backoff is the maximum poll interval divided by this.
 const INITIAL_POLL_BACKOFF_DIVISOR: Micros = 32;
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// A delay is drawn at random from this range.
+/// Range from which a random delay is drawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DelayRange {
     pub(crate) min: Micros,
@@ -23,7 +23,7 @@
 }
 
 impl DelayRange {
-    /// Half more or less than `mean`.
+    /// From half of `mean` to one and a half times `mean`.
     fn around(mean: Micros) -> Self {
         DelayRange {
             min: mean / 2,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Time within which the next poll begins at the latest.
+/// Maximum time until the next poll starts.
 fn poll_window(discovery: &Discovery) -> Micros {
     discovery
         .notification_deadline
@@ -47,14 +47,15 @@
         / POLL_WINDOW_DIVISOR
 }
 
-/// The next poll, and how the last ones ended.
+/// When the next poll is due, and how previous ones ended.
 #[derive(Debug)]
 pub(crate) struct ListPolling {
-    /// When it is due; `Micros::MAX`: it is not.
+    /// When the next poll is due; `Micros::MAX` if none is scheduled.
     pub(crate) due_at: Micros,
-    /// By when the last poll has to begin that brings in time what a lost watch missed.
+    /// Latest start of a poll that still delivers in time what has changed since the watch was
+    /// lost.
     last_poll_by: Micros,
-    /// Polls that failed in a row.
+    /// Number of consecutive failures of polls, or of watches right after they were opened.
     failures: u32,
 }
 
@@ -69,7 +70,7 @@
 }
 
 impl ListPolling {
-    /// Records an update. Unless it is cached it shows that polls succeed again.
+    /// Records that an update arrived. Unless it is cached, it shows that polls succeed again.
     pub(crate) fn record_update(&mut self, kind: ListUpdate) {
         if kind != ListUpdate::Cached {
             self.failures = 0;
@@ -77,8 +78,8 @@
         self.due_at = Micros::MAX;
     }
 
-    /// The range of the delay before the next poll, after one that failed or a watch that was lost.
-    /// `has_many_peers` tells one of very many balancers from one of a few.
+    /// Returns the range of the delay before the next poll after a failed poll or a lost watch.
+    /// `has_many_peers` is true if very many balancers poll the same discovery.
     pub(crate) fn next_delay(
         &mut self,
         now: Micros,
@@ -99,7 +100,8 @@
                 let mean = discovery.max_poll_interval / WATCH_RESUME_DIVISOR;
                 DelayRange::around(mean).at_most(max / 16, max / 8)
             }
-            // Half of the window leaves time for a poll without a response, and for another.
+            // At most half of the window, which leaves time for a poll that gets no response and
+            // for another one.
             (ListUpdate::WatchFlapping, true) => DelayRange {
                 min: window / 4,
                 max: window / 2,
@@ -107,8 +109,8 @@
             (ListUpdate::WatchFlapping, false) => {
                 self.backoff(discovery).at_most(window / 4, window / 2)
             }
-            // Very many balancers that poll again soon keep discovery busy with polls that fail, so
-            // they spread over all the time there is.
+            // If very many balancers polled again soon, they would keep discovery busy with polls
+            // that fail, so they spread their polls over all of the remaining time.
             (_, true) if self.failures == 0 => DelayRange { min: 0, max },
             (_, true) => DelayRange { min: max / 2, max },
             (_, false) => self.backoff(discovery).at_most(max / 2, max),
@@ -119,13 +121,13 @@
         range
     }
 
-    /// Notes by when the last poll has to begin, counted from the loss of a watch.
+    /// Sets the latest start of the last poll when a watch is lost.
     fn set_last_poll(&mut self, now: Micros, discovery: &Discovery, kind: ListUpdate) {
         if kind == ListUpdate::WatchLost {
             self.last_poll_by = now + poll_window(discovery);
             self.failures = 0;
         } else if kind == ListUpdate::WatchFlapping {
-            // The list was current until now: no time has passed in noticing the loss.
+            // The list was current until now: detecting the loss took no time.
             let deadline = discovery.notification_deadline;
             self.last_poll_by = now + deadline - deadline / RESPONSE_TIME_DIVISOR;
         }
--- a/balancer/src/outlier_detection.rs
+++ b/balancer/src/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Ejection and readmission of endpoints that fail or are slow, and which endpoints are avoided.
+//! Ejects endpoints that fail or are slow, and readmits them once they have recovered.
 
 use crate::attempt::Trial;
 use crate::balancer::Balancer;
@@ -8,24 +8,26 @@
 
 /// Weight of a new outcome in an endpoint's failure rate.
 const FAILURE_RATE_SMOOTHING: f64 = 0.2;
-/// Failure rate beyond which an endpoint is ejected.
+/// Failure rate above which an endpoint is ejected.
 pub(crate) const EJECTION_FAILURE_RATE: f64 = 0.3;
-/// Weight of a timeout under a shared limit: one is enough for an ejection. Very many balancers
-/// that each wait for several would keep an overloaded endpoint overloaded.
+/// Weight of a timeout in the failure rate under a shared limit. A single timeout is enough for an
+/// ejection: if very many balancers each waited for several, an overloaded endpoint would stay
+/// overloaded.
 const SHARED_TIMEOUT_SMOOTHING: f64 = 1.2 * EJECTION_FAILURE_RATE;
-/// Latency pressure beyond which an endpoint is ejected under a shared limit: at least this, and
-/// this multiple of the pressure at all endpoints.
+/// Latency pressure above which an endpoint is ejected under a shared limit: this value or
+/// [`EJECTION_SHARED_PRESSURE_MULTIPLE`] times the shared latency pressure, whichever is higher.
 const EJECTION_LATENCY_PRESSURE: f64 = 1.1;
 const EJECTION_SHARED_PRESSURE_MULTIPLE: f64 = 1.3;
-/// Latency pressure that it must have had before the last response, which may be late by chance.
+/// Latency pressure that the endpoint must have exceeded before its last response too, as a single
+/// response may be late by chance.
 const EJECTION_PRIOR_LATENCY_PRESSURE: f64 = 0.8;
-/// Doublings of a cool-down's length, in subset sizes of served requests, beyond those of the
-/// endpoint's backoff.
+/// A cool-down lasts for as many served requests as the subset has endpoints, doubled this many
+/// times and once more for each doubling of the endpoint's backoff.
 const COOL_DOWN_DOUBLINGS: u32 = 2;
 
 impl Balancer {
-    /// Number of listed endpoints that get no requests now: they are ejected and not being tried,
-    /// or in a zone that is avoided.
+    /// Number of listed endpoints that get no requests at present: those that are ejected and
+    /// neither have a trial in flight nor may be sent one, and those in a zone that is avoided.
     pub fn unavailable_count(&self, now: Micros) -> usize {
         let is_avoided = |endpoint: &&Endpoint| {
             let is_tried = endpoint.limit.trial_in_flight
@@ -37,15 +39,15 @@
         self.endpoints.iter().filter(is_avoided).count()
     }
 
-    /// Updates an endpoint's failure rate.
+    /// Adds the verdict on an attempt to the endpoint's failure rate.
     pub(crate) fn update_failure_rate(
         &mut self,
         ended: &EndedAttempt,
         index: usize,
         verdict: Verdict,
     ) {
-        // A timeout says less than an error, as an overloaded endpoint may take that long; so does
-        // one broken connection or response, which happens at any endpoint.
+        // A timeout is weaker evidence of a fault than an error, as an overloaded endpoint may take
+        // that long. So is a single broken connection or response, which happens at any endpoint.
         let weight = match ended.outcome {
             Outcome::TimedOut if self.shared_limit.is_some() => SHARED_TIMEOUT_SMOOTHING,
             Outcome::TimedOut | Outcome::Unknown | Outcome::Reset => FAILURE_RATE_SMOOTHING / 2.0,
@@ -56,9 +58,10 @@
         endpoint.failure_rate += (sample - endpoint.failure_rate) * weight;
     }
 
-    /// Takes a step from the limit of an endpoint whose connection was lost. One lost connection is
-    /// not enough shortly after it served: a step goes when another is lost soon after, the last
-    /// step with the failure rate.
+    /// Removes a step from the limit of an endpoint whose connection was lost. Shortly after the
+    /// endpoint served a request, one lost connection is not enough: a step is only removed if the
+    /// failure rate is high from earlier losses, and the last step only by ejecting the endpoint
+    /// for its failure rate.
     pub(crate) fn update_steps(&mut self, ended: &EndedAttempt, index: usize) {
         let endpoint = &mut self.endpoints[index];
         let since_served = ended.now.saturating_sub(endpoint.last_served_at);
@@ -71,8 +74,8 @@
         }
     }
 
-    /// Raises an endpoint's limit, or backs off, if the attempt was its trial. A trial that is
-    /// served readmits an ejected endpoint unless too many of its recent attempts failed.
+    /// If the attempt was a trial at its endpoint, raises the endpoint's limit or backs off. A
+    /// served trial readmits an ejected endpoint unless too many of its recent attempts failed.
     pub(crate) fn end_endpoint_trial(
         &mut self,
         ended: &EndedAttempt,
@@ -96,7 +99,8 @@
         }
     }
 
-    /// Ejects an endpoint that has no steps left, fails too often, or is much slower than all.
+    /// Ejects an endpoint that has no steps left, fails too often, or is much slower than the
+    /// average.
     pub(crate) fn eject_outlier(
         &mut self,
         ended: &EndedAttempt,
@@ -114,14 +118,15 @@
         }
         if endpoint.is_ejected() {
             endpoint.limit.back_off(ended.now, ended.initial_backoff);
-            // Its pressure from before says nothing of how it will be when it is readmitted.
+            // The latency pressure before the ejection does not predict the one after readmission.
             endpoint.latency_pressure = 1.0;
             actions.push(Action::Log(LogEvent::EndpointEjected(endpoint.id)));
         }
     }
 
-    /// Whether a warm endpoint is much slower than all. Only under a shared limit is it ejected for
-    /// that: it is overloaded by all balancers, and recovers when all leave it alone.
+    /// Whether a warm endpoint is much slower than the average. Slow endpoints are only ejected
+    /// under a shared limit: there the load of all balancers together overloads them, and they
+    /// recover when no balancer sends them requests.
     fn is_slow_outlier(&self, ended: &EndedAttempt, index: usize, previous_pressure: f64) -> bool {
         let Some(shared_limit) = &self.shared_limit else {
             return false;
@@ -134,8 +139,9 @@
             && endpoint.latency_pressure > max_pressure
     }
 
-    /// Under a shared limit an endpoint that rejects or is ejected is left alone for a number of
-    /// served requests: by time alone very many balancers would try it too often together.
+    /// Under a shared limit, excludes an endpoint that rejected a request or is ejected until a
+    /// number of other requests have been served. With a fixed duration instead, very many
+    /// balancers together would send it too many trials.
     pub(crate) fn cool_down(&mut self, ended: &EndedAttempt, index: usize) {
         let endpoint = &mut self.endpoints[index];
         let needs_cool_down = ended.outcome == Outcome::Rejected || endpoint.is_ejected();
--- a/balancer/src/shared_limit.rs
+++ b/balancer/src/shared_limit.rs
@@ -1,50 +1,54 @@
-//! One concurrency limit for all endpoints together, where an endpoint's own would be far below one
-//! request: each of very many balancers meets an endpoint too seldom to learn what it can take.
+//! One concurrency limit for all endpoints together. It is used where a limit per endpoint would be
+//! far below one request: each of very many balancers sends too few requests to an endpoint to
+//! learn its capacity.
 
 use crate::attempt::{Attempt, Trial};
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::latency::LATENCY_SMOOTHING;
 use crate::{Micros, Outcome};
 
-/// Endpoints share a limit if the initial one of each would be less than this many requests.
+/// Endpoints share a limit if the initial limit of each would be below this many requests.
 const MIN_ENDPOINT_CONCURRENCY: f64 = 0.5;
-/// Requests in flight at an endpoint, from all balancers together: initially, and what cuts leave.
+/// Initial limit per endpoint, in requests from all balancers together.
 const SHARED_INITIAL_CONCURRENCY: f64 = 3.0;
+/// Minimum limit per endpoint after a cut, in requests from all balancers together.
 const SHARED_CONCURRENCY_FLOOR: f64 = 0.35;
-/// Requests of typical latency that may be forwarded at once.
+/// Permitted burst above the limit, in requests of typical latency.
 const SHARED_BURST_REQUESTS: f64 = 2.0;
-/// Weight of a new sample in the latency pressure, lower than that of one endpoint: samples are of
-/// fast and slow endpoints and of all classes.
+/// Minimum weight of a new sample in the shared latency pressure. It is lower than for a single
+/// endpoint, as the samples come from fast and slow endpoints and from all classes.
 const MIN_SHARED_PRESSURE_SMOOTHING: f64 = LATENCY_SMOOTHING / 3.0;
-/// Time over which samples make up the latency pressure where they are few.
+/// Time constant of the shared latency pressure where samples are few.
 const SHARED_PRESSURE_MEMORY_US: f64 = 1e6;
-/// Time over which the mean number of requests in flight is taken.
+/// Time constant of the mean number of requests in flight.
 pub(crate) const UTILIZATION_MEMORY_US: f64 = 3e6;
 
-/// The shared concurrency limit. It bounds the mean number of requests in flight: each uses up
-/// request time, which accrues at the limit's rate.
+/// The shared concurrency limit. It bounds the mean number of requests in flight: each request uses
+/// up request time, its duration, and request time accrues at the rate of the limit.
 #[derive(Debug, Default)]
 pub(crate) struct SharedLimit {
-    /// Requests in flight per available endpoint; its trial and backoff are those of all endpoints.
+    /// Limit per available endpoint. Its trial and its backoff apply to all endpoints together.
     pub(crate) limit: ConcurrencyLimit,
     pub(crate) available_endpoints: f64,
-    /// Requests in flight at all endpoints.
+    /// Number of requests in flight at all endpoints.
     pub(crate) in_flight: u32,
-    /// Request time used ahead of the limit, in microseconds.
+    /// Request time used before it accrued, in microseconds.
     debt_us: f64,
     debt_updated_at: Micros,
     /// Mean number of requests in flight.
     pub(crate) mean_in_flight: f64,
-    /// Time of responses relative to their limit; above 1 the limit is cut.
+    /// Moving average of response times relative to what their classes allow; above 1 the limit is
+    /// cut.
     pub(crate) latency_pressure: f64,
-    /// Sum of the samples' weights since the last cut; from 1 on they make up the pressure.
+    /// Sum of the samples' weights since the last cut. From 1 on, the latency pressure reflects the
+    /// current limit.
     sample_weight: f64,
     cut_at: Micros,
     last_sample_at: Micros,
 }
 
 impl SharedLimit {
-    /// `None` if there are so few balancers that each endpoint has a limit of its own.
+    /// Returns `None` if there are so few balancers that each endpoint has a limit of its own.
     pub(crate) fn new(balancer_count: u32) -> Option<Self> {
         if ConcurrencyLimit::new(balancer_count).concurrency >= MIN_ENDPOINT_CONCURRENCY {
             return None;
@@ -60,30 +64,32 @@
         })
     }
 
-    /// The limit at all endpoints together, in requests.
+    /// The limit for all endpoints together, in requests.
     fn total(&self) -> f64 {
         self.limit.total() * self.available_endpoints
     }
 
+    /// Adds used request time to the debt, from which what has accrued since is deducted.
     fn charge(&mut self, now: Micros, request_time: f64) {
         let accrued = self.total() * now.saturating_sub(self.debt_updated_at) as f64;
         self.debt_us = (self.debt_us - accrued).max(0.0) + request_time;
         self.debt_updated_at = now;
     }
 
-    /// Counts an attempt that begins, at a class's typical latency.
+    /// Counts an attempt that starts, and charges the typical latency of its class.
     pub(crate) fn begin_attempt(&mut self, now: Micros, typical_latency: f64) {
         self.in_flight += 1;
         self.charge(now, typical_latency);
     }
 
-    /// Counts an attempt that has ended, at its real time instead of the typical latency.
+    /// Counts an attempt that has ended, and charges its actual duration in place of the typical
+    /// latency.
     pub(crate) fn end_attempt(&mut self, now: Micros, elapsed: f64, typical_latency: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.charge(now, elapsed - typical_latency);
     }
 
-    /// Raises the limit, or backs off, if an attempt was its trial.
+    /// If an attempt was a trial of the shared limit, raises the limit or backs off.
     pub(crate) fn end_trial(
         &mut self,
         now: Micros,
@@ -102,13 +108,13 @@
         }
     }
 
-    /// Whether a further request would exceed the limit.
+    /// Whether another request would exceed the limit.
     pub(crate) fn is_reached(&self, now: Micros, typical_latency: f64) -> bool {
         self.available_endpoints > 0.0 && self.available_at(typical_latency) > now
     }
 
-    /// When the limit allows another request. One of whole requests goes by the number in flight:
-    /// the request time that slow ones have used says nothing of the present load.
+    /// When the limit allows another request. If it has room for one more request in flight, that
+    /// is now: request time that slow requests used earlier does not reflect the current load.
     fn available_at(&self, typical_latency: f64) -> Micros {
         if f64::from(self.in_flight) + 1.0 <= self.total() {
             return self.debt_updated_at;
@@ -118,8 +124,9 @@
         self.debt_updated_at.saturating_add(wait as Micros)
     }
 
-    /// Records a response's latency pressure and cuts the limit when that is high. Attempts sent
-    /// before the last cut tell nothing of the present limit and don't count.
+    /// Records the latency pressure of a response, and cuts the limit if the average is too high.
+    /// Attempts sent before the last cut don't count towards it, as they don't reflect the current
+    /// limit.
     pub(crate) fn record_latency(
         &mut self,
         now: Micros,
@@ -145,9 +152,9 @@
         }
     }
 
-    /// Cuts the limit, from what is in use of it.
+    /// Cuts the limit, starting from the part of it that is in use.
     fn cut(&mut self, now: Micros) {
-        // The mean lags behind the number in flight when load has just begun to rise.
+        // The mean lags behind the number in flight when the load has just started to rise.
         let used = self.mean_in_flight.max(f64::from(self.in_flight))
             / (f64::from(self.limit.steps) * self.available_endpoints.max(1.0));
         self.limit.concurrency = self.limit.concurrency.min(used.max(self.limit.floor));
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -1,31 +1,36 @@
-//! How many requests an endpoint gets while it warms up: one for each unit of credit, which it is
-//! granted with each request that is served, or at times that are safe without any.
+//! Slow start: limits the requests to an endpoint that warms up. Each request that is served grants
+//! the endpoint some credit, and each request sent to it costs one unit. Without credit it gets a
+//! request after an interval that is long enough to be safe.
 
 use crate::balancer::Balancer;
 use crate::endpoint::Endpoint;
 use crate::outlier_detection::EJECTION_FAILURE_RATE;
 use crate::Micros;
 
-/// Fraction of the overload multiple that endpoints are sent while they warm up under a shared
-/// limit: requests and endpoints are uneven, and each endpoint is in the subset of few balancers.
+/// Load that endpoints are sent during slow start under a shared limit, as a fraction of the
+/// overload multiple. It is low because requests and endpoints are uneven, and each endpoint is in
+/// the subsets of only a few balancers.
 const SLOW_START_OVERLOAD_FRACTION: f64 = 0.24;
 
-/// The endpoints within reach of the subset, and the capacity of those in service among them.
+/// The endpoints up to the last one of this balancer's subset, and the capacity of those of them
+/// that are in service.
 #[derive(Debug, Default)]
 struct Reach {
     indices: Vec<usize>,
-    /// Sums over the endpoints in service of weighted warm-up, of warm-up, and of 1.
+    /// Sum of weight times warm-up over the endpoints in service.
     weighted_capacity: f64,
+    /// Sum of warm-up over the endpoints in service.
     capacity: f64,
+    /// Number of endpoints in service.
     in_service: f64,
 }
 
 impl Balancer {
-    /// Grants each endpoint that warms up its part of a request, for one that was served: its
-    /// present capacity as a fraction of that of all in reach. Under a shared limit this is
-    /// multiplied by a part of the overload multiple. Any number of balancers together stay within
-    /// the endpoint's capacity so. Endpoints out of reach get none: they would be sent all of it at
-    /// once later.
+    /// Grants credit to endpoints for one request that was served: to each its current capacity as
+    /// a fraction of the capacity of the whole range. Under a shared limit this is multiplied by a
+    /// part of the overload multiple. In this way any number of balancers together stay within the
+    /// capacity of an endpoint that warms up. Endpoints outside the range get no credit, as
+    /// balancers would later use all of it at the same time.
     pub(crate) fn grant_slow_start_credit(&mut self, now: Micros) {
         let slow_start = &self.settings.slow_start;
         if self
@@ -36,8 +41,8 @@
             return;
         }
         let reach = self.reach(now);
-        // A new endpoint's weight counts up to the mean, as its initial load is low whatever its
-        // size.
+        // The weight of an endpoint counts only up to the mean, as the initial load of a new
+        // endpoint is low whatever its size.
         let (fraction, max_weight) = if self.shared_limit.is_some() {
             let multiple = slow_start.overload_multiple * SLOW_START_OVERLOAD_FRACTION;
             (
@@ -54,8 +59,9 @@
             let endpoint = &mut self.endpoints[index];
             let weight = endpoint.weight.min(max_weight);
             let share = (fraction * weight).min(1.0) * endpoint.warm_up(now, slow_start);
-            // A few balancers count in whole requests: where all endpoints warm up, shares that add
-            // up to less than a request would let none through.
+            // With few balancers the share is rounded up to one over a whole number: if all
+            // endpoints warm up, shares that add up to less than one request would let none
+            // through.
             let credit = if self.shared_limit.is_some() {
                 share
             } else {
@@ -65,7 +71,8 @@
         }
     }
 
-    /// The listed endpoints from this balancer's place on the ring, up to the last of its subset.
+    /// The listed endpoints from this balancer's position on the ring up to the last endpoint of
+    /// its subset.
     fn reach(&self, now: Micros) -> Reach {
         let slow_start = &self.settings.slow_start;
         let mut reach = Reach::default();
@@ -92,15 +99,16 @@
         reach
     }
 
-    /// Whether an endpoint serves a part of the requests. One that was ejected as slow counts too,
-    /// as it is only left alone for a while and others serve more meanwhile.
+    /// Whether an endpoint takes its part of the requests. Under a shared limit an endpoint that
+    /// was ejected for being slow counts too, as it is ejected only for a while, in which the
+    /// others serve more.
     fn is_in_service(&self, endpoint: &Endpoint) -> bool {
         !endpoint.is_ejected()
             || self.shared_limit.is_some() && endpoint.failure_rate < EJECTION_FAILURE_RATE / 2.0
     }
 
-    /// Takes the credit for a request that is forwarded to an endpoint, and sets when the next may
-    /// follow without any.
+    /// Deducts the credit for a request that is forwarded to an endpoint, and sets when the next
+    /// one may follow without credit.
     pub(crate) fn account_for_slow_start(&mut self, now: Micros, index: usize) {
         let interval = self.slow_start_interval(now, &self.endpoints[index]);
         let endpoint = &mut self.endpoints[index];
@@ -108,7 +116,7 @@
         endpoint.slow_start_due_at = now.saturating_add(interval);
     }
 
-    /// The time between requests without credit that leaves less than one in flight from all
+    /// Interval between requests without credit that keeps less than one of them in flight from all
     /// balancers together.
     pub(crate) fn slow_start_interval(&self, now: Micros, endpoint: &Endpoint) -> Micros {
         let warm_up = endpoint.warm_up(now, &self.settings.slow_start);
--- a/balancer/src/zone_outages.rs
+++ b/balancer/src/zone_outages.rs
@@ -1,19 +1,20 @@
-//! Zones whose connections fail. A zone that is cut off fails endpoint by endpoint; after a few
-//! failures in a row all of it is avoided.
+//! Detects outages of whole zones. When a zone becomes unreachable, connections to one of its
+//! endpoints after another fail; after a few consecutive failures the whole zone is avoided.
 
 use crate::backoff::MAX_BACKOFF_DOUBLINGS;
 use crate::{Micros, ZoneId};
 use std::collections::BTreeMap;
 
-/// Number of times that a zone's backoff doubles until it reaches the first one of an endpoint. A
-/// zone with more failures in a row counts as out.
+/// Number of doublings until a zone's backoff reaches the initial backoff of an endpoint. A zone
+/// with more consecutive failures than this counts as having an outage.
 const ZONE_BACKOFF_DOUBLINGS: u32 = 3;
 
+/// Recent connection failures in one zone.
 #[derive(Debug, Default)]
 struct ZoneOutage {
-    /// Connection failures in a row.
+    /// Number of consecutive connection failures.
     failures: u32,
-    /// Nothing is sent to the zone before this time.
+    /// No request is sent to the zone before this time.
     avoided_until: Micros,
 }
 
@@ -37,22 +38,23 @@
         self.by_zone.remove(&zone);
     }
 
-    /// Whether so many connections have failed in a row that all of the zone counts as cut off.
+    /// Whether so many consecutive connections have failed that the whole zone counts as
+    /// unreachable.
     pub(crate) fn is_out(&self, zone: ZoneId) -> bool {
         self.by_zone
             .get(&zone)
             .is_some_and(|outage| outage.failures > ZONE_BACKOFF_DOUBLINGS)
     }
 
-    /// Whether requests may be sent to the zone.
+    /// Whether requests may be sent to the zone at present.
     pub(crate) fn is_reachable(&self, zone: ZoneId, now: Micros) -> bool {
         self.by_zone
             .get(&zone)
             .is_none_or(|outage| now >= outage.avoided_until)
     }
 
-    /// Avoids a zone that is out for `backoff` after a request was sent to it: those sent until its
-    /// connection fails would be late.
+    /// If the zone has an outage, avoids it for `backoff` after a request was sent to it: requests
+    /// sent before the first one's connection fails would be late.
     pub(crate) fn begin_trial(&mut self, zone: ZoneId, now: Micros, backoff: Micros) {
         if self.is_out(zone) {
             if let Some(outage) = self.by_zone.get_mut(&zone) {
