--- a/balancer/tests/concurrency_limit.rs
+++ b/balancer/tests/concurrency_limit.rs
@@ -1,11 +1,12 @@
-//! How an endpoint's concurrency limit grows with trials and falls with rejections and latency.
+//! Tests of an endpoint's concurrency limit: trials raise it, rejections and latency pressure cut
+//! it.
 
 mod common;
 use balancer::*;
 use common::*;
 
-/// Reaches a single endpoint's first limit (one request with seven balancers) and leaves the
-/// request in flight.
+/// Returns a proxy whose only endpoint has reached its initial limit, one request with seven
+/// balancers, and the request that is in flight there.
 fn endpoint_at_its_limit(idempotency: Idempotency) -> (Proxy, RequestId) {
     let mut proxy = Proxy::new(settings(idempotency), 1);
     let (first, actions) = proxy.request();
@@ -19,7 +20,10 @@
     let (trial, actions) = proxy.request();
     assert_eq!(forwarded(&actions), [(trial, EndpointId(1))]);
     let (_, actions) = proxy.request();
-    assert!(forwarded(&actions).is_empty(), "one trial at a time");
+    assert!(
+        forwarded(&actions).is_empty(),
+        "a second trial is sent while the first is in flight"
+    );
 }
 
 #[test]
@@ -31,11 +35,11 @@
     let actions = proxy.end_attempt(trial, 1, Outcome::Served, 50 * MS);
     assert!(
         forwarded(&actions).is_empty(),
-        "an attempt that was never made has no outcome"
+        "the outcome of an attempt that was never made has an effect"
     );
     let actions = proxy.end_attempt(trial, 0, Outcome::Served, 50 * MS);
-    // Two steps of one request each, one in use: the first queued request is forwarded, and no
-    // trial before the step has shown its effect.
+    // The limit is two steps of one request each, one of them in use: the first queued request is
+    // forwarded, and there is no trial before the effect of the new step is known.
     assert_eq!(forwarded(&actions), [(a, EndpointId(1))]);
     proxy.now += 100 * MS;
     proxy.end_attempt(a, 0, Outcome::Served, 100 * MS);
@@ -46,11 +50,12 @@
     let went: Vec<RequestId> = forwarded(&proxy.actions).into_iter().map(|s| s.0).collect();
     assert!(
         went.ends_with(&[b, c, d]) && !went.contains(&e),
-        "then one is the next trial: {went:?}"
+        "expected the limit to be reached again and one more request as a trial: {went:?}"
     );
 }
 
-/// Sends requests until one is forwarded; returns after how long, and which.
+/// Sends a request every 5 ms until one is forwarded. Returns the time that this took, and the
+/// forwarded request.
 fn run_until_trial(proxy: &mut Proxy) -> (Micros, RequestId) {
     let began = proxy.now;
     loop {
@@ -60,7 +65,7 @@
         if let Some(&(request, _)) = forwarded(&actions).first() {
             return (proxy.now - began, request);
         }
-        assert!(proxy.now < began + 5_000 * MS, "no trial");
+        assert!(proxy.now < began + 5_000 * MS, "no trial within 5 s");
     }
 }
 
@@ -97,7 +102,7 @@
     }
     assert_ne!(
         next, trial,
-        "the last that went, at a full limit, is the next trial"
+        "no request was sent as the next trial at the limit"
     );
     proxy.end_attempt(next, 0, Outcome::Error, MS);
     assert!(run_until_trial(&mut proxy).0.abs_diff(125 * MS) <= 10 * MS);
@@ -121,8 +126,8 @@
     assert_eq!(order[..], waiting[..order.len()]);
 }
 
-/// How many requests an endpoint is sent at once, of which the last is a trial, after seven of
-/// which one ended with `outcome` and the others were served.
+/// Returns how many requests an endpoint is sent at the same time, the last of them as a trial,
+/// after seven earlier ones, of which one ended with `outcome` and the others were served.
 fn concurrency_after(outcome: Outcome) -> usize {
     let limits = Limits {
         max_attempts: 1,
@@ -140,7 +145,7 @@
     assert_eq!(
         forwarded(&proxy.actions).len(),
         7,
-        "what one balancer starts with"
+        "the initial limit of a single balancer"
     );
     proxy.now += 5 * MS;
     proxy.end_attempt(requests[0], 0, outcome, 5 * MS);
@@ -159,12 +164,12 @@
     assert_eq!(
         concurrency_after(Outcome::Rejected),
         7,
-        "four fifths of seven, and a trial"
+        "the limit is cut to four fifths of seven; expected six requests and a trial"
     );
 }
 
-/// Sends requests until one is queued, and has all of them served after 40 ms; returns how many
-/// were forwarded at once.
+/// Sends requests until one is queued, and serves those that were forwarded after 40 ms. Returns
+/// how many were forwarded at the same time.
 fn fill(proxy: &mut Proxy) -> usize {
     let mut requests = vec![proxy.request()];
     while !forwarded(&requests[requests.len() - 1].1).is_empty() {
@@ -196,7 +201,7 @@
     let grown: Vec<usize> = (0..30).map(|_| fill(&mut proxy)).collect();
     assert!(
         grown[29] > 13,
-        "at the maximum the concurrency grows instead: {grown:?}"
+        "expected larger steps after the maximum number of steps: {grown:?}"
     );
     for _ in 0..9 {
         let (request, actions) = proxy.request();
@@ -209,7 +214,7 @@
     let left = fill(&mut proxy);
     assert!(
         left <= 3,
-        "one step of ten is left, and a trial: {left} after {grown:?}"
+        "expected one step of ten and a trial to be left: {left} after {grown:?}"
     );
 }
 
@@ -226,12 +231,12 @@
     assert_eq!(forwarded(&proxy.request().1).len(), 1);
     assert!(
         (0..5).all(|_| forwarded(&proxy.request().1).is_empty()),
-        "a second request at once would be a trial"
+        "a trial is sent in spite of latency pressure"
     );
 }
 
-/// Serves requests in 40 ms with the given report, and returns whether a second request at once
-/// exceeds the limit as a trial.
+/// Serves requests in 40 ms with the given load report. Returns whether a second request at the
+/// same time is sent beyond the limit as a trial.
 fn trial_after(load: LoadReport) -> bool {
     let mut proxy = Proxy::new(
         Settings {
@@ -249,7 +254,7 @@
     assert_eq!(
         forwarded(&proxy.request().1).len(),
         1,
-        "the limit's own request"
+        "the limit does not allow one request"
     );
     forwarded(&proxy.request().1).len() == 1
 }
@@ -268,6 +273,12 @@
     assert!(
         trial_after(LoadReport::default()) && trial_after(busy(0.5)) && trial_after(queue(1.0))
     );
-    assert!(!trial_after(busy(1.0)), "cores that are all busy");
-    assert!(!trial_after(queue(5.5)), "more queued than executed");
+    assert!(
+        !trial_after(busy(1.0)),
+        "a trial is sent although all cores are busy"
+    );
+    assert!(
+        !trial_after(queue(5.5)),
+        "a trial is sent although more requests are queued than executed"
+    );
 }
--- a/balancer/tests/endpoint_starts.rs
+++ b/balancer/tests/endpoint_starts.rs
@@ -1,4 +1,5 @@
-//! How long ago an endpoint started, where the proxy's wall clock or the endpoint's is wrong.
+//! Tests of the estimated start of endpoints if the wall clock of the proxy or of an endpoint is
+//! wrong.
 
 mod common;
 use balancer::*;
@@ -8,8 +9,8 @@
 const WARM: u32 = 3;
 const NEW: EndpointId = EndpointId(WARM + 1);
 
-/// A proxy that has forwarded requests to warm endpoints for a while and is then notified of a new
-/// one with this start time.
+/// Returns a proxy that has sent requests to warm endpoints and has then been notified of a new
+/// endpoint with this start time.
 fn with_new_endpoint(started_at: impl Fn(Micros) -> Micros) -> Proxy {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), WARM);
     proxy.now += 2 * HOUR;
@@ -28,7 +29,8 @@
     proxy
 }
 
-/// Fraction of the requests in this time that are forwarded to the new endpoint.
+/// Serves requests for `time`. Returns the fraction of them that were forwarded to the new
+/// endpoint.
 fn fraction_to_new(proxy: &mut Proxy, time: Micros) -> f64 {
     let (end, mut requests, mut to_new) = (proxy.now + time, 0, 0);
     while proxy.now < end {
@@ -38,8 +40,8 @@
     f64::from(to_new) / f64::from(requests)
 }
 
-/// With the proxy's wall clock an hour behind each replaced endpoint seems to start in an hour. It
-/// is warm after the normal time all the same.
+/// If the proxy's wall clock is an hour behind, a new endpoint seems to start in an hour. It must
+/// be warm after the normal duration nevertheless.
 #[test]
 fn an_endpoint_with_a_start_time_in_the_future_warms_up() {
     let duration = Settings::default().slow_start.duration;
@@ -49,13 +51,14 @@
         let fraction = fraction_to_new(&mut proxy, 10 * SECOND);
         assert!(
             fraction > 0.5 / f64::from(WARM + 1),
-            "{fraction} of the requests, {ahead} us ahead"
+            "{fraction} of the requests with a start time {ahead} us ahead"
         );
     }
 }
-/// With the proxy's wall clock an hour ahead an endpoint that has just started seems to have run
-/// for long. It is new in a list that follows another, so it warms up like one whose start time is
-/// right.
+
+/// If the proxy's wall clock is an hour ahead, an endpoint that has just started seems to have run
+/// for an hour. Since it was not in the previous list, it must warm up like an endpoint with the
+/// correct start time.
 #[test]
 fn a_new_endpoint_warms_up_whatever_its_start_time_says() {
     let right = fraction_to_new(&mut with_new_endpoint(|now| now - SECOND), 2 * SECOND);
@@ -63,12 +66,13 @@
         let fraction = fraction_to_new(&mut with_new_endpoint(|now| now - behind), 2 * SECOND);
         assert!(
             fraction <= right + 0.1,
-            "{fraction} of the requests, {behind} us behind, {right} with the right time"
+            "{fraction} of the requests with a start time {behind} us behind, {right} if correct"
         );
     }
 }
 
-/// A start time that changes, also to an earlier one, is that of another process: it warms up.
+/// A changed start time, even an earlier one, means that the endpoint has a new process, which must
+/// warm up.
 #[test]
 fn an_earlier_start_time_is_that_of_another_process() {
     let mut proxy = with_new_endpoint(|now| now - SECOND);
@@ -88,12 +92,12 @@
     let fraction = fraction_to_new(&mut proxy, 5 * SECOND);
     assert!(
         fraction < 0.5 / f64::from(WARM + 1),
-        "{fraction} of the requests"
+        "{fraction} of the requests go to the restarted endpoint"
     );
 }
 
-/// An endpoint that leaves the list for a moment and returns with its start time is as warm as it
-/// was.
+/// An endpoint that leaves the list for a short time and returns with the same start time has not
+/// restarted, and must not warm up again.
 #[test]
 fn an_endpoint_that_returns_to_the_list_with_its_start_time_is_warm() {
     let mut proxy = with_new_endpoint(|now| now - SECOND);
@@ -118,16 +122,16 @@
     let fraction = fraction_to_new(&mut proxy, 10 * SECOND);
     assert!(
         fraction > 0.5 / f64::from(WARM + 1),
-        "{fraction} of the requests"
+        "{fraction} of the requests go to the endpoint that returned"
     );
 }
 
-/// In a first list the start times relative to each other tell which endpoints warm up: with the
-/// clock an hour behind those that started long before the newest are warm all the same.
+/// In the first list the differences between the start times show which endpoints warm up: with the
+/// clock an hour behind, endpoints that started long before the newest one must count as warm.
 #[test]
 fn in_a_first_list_with_the_clock_behind_only_the_newest_warms_up() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
-    // One that has had no list yet.
+    // A balancer that has not received a list yet.
     proxy.balancer = Balancer::new(7, settings(Idempotency::Idempotent));
     proxy.now += 2 * HOUR;
     let seems = |age: Micros| proxy.now + HOUR - age;
@@ -146,10 +150,10 @@
     let fraction = fraction_to_new(&mut proxy, 2 * SECOND);
     assert!(
         fraction < 0.5 / f64::from(WARM + 1),
-        "{fraction} of the requests go to the newest"
+        "{fraction} of the requests go to the newest endpoint"
     );
     assert!(
         !forwarded(&proxy.request().1).is_empty(),
-        "the others are warm"
+        "no request is forwarded although the other endpoints are warm"
     );
 }
--- a/balancer/tests/list_polling.rs
+++ b/balancer/tests/list_polling.rs
@@ -1,7 +1,7 @@
-//! How soon the list is polled again: whatever happens to polls, a change counts as notified 6 s
-//! after discovery had it and could be reached. With very many balancers discovery is modelled: it
-//! has a fixed capacity, polls wait in turn, and one that has waited too long is rejected, which
-//! may take as much of the capacity as a response.
+//! Tests of how soon the endpoint list is polled again: however polls fail, a balancer counts as
+//! notified of a change 6 s after discovery had it and could be reached. The tests with very many
+//! balancers use a model of discovery with a fixed capacity: polls are queued, and one that has
+//! waited too long is rejected, which may cost as much of the capacity as a response.
 
 mod common;
 #[path = "models/discovery.rs"]
@@ -11,8 +11,8 @@
 use common::*;
 use model::*;
 
-/// A proxy alone: the list is lost, then each poll takes the given time to fail. Returns when each
-/// poll began.
+/// Runs one balancer: its watch is lost at `lost`, or it starts with a cached list if that is
+/// `None`; then each poll fails after the given time. Returns when each poll started.
 fn poll_times(balancer: &mut Balancer, lost: Option<Micros>, fails: &[Micros]) -> Vec<Micros> {
     let entries: Vec<_> = (1..=60).map(ready).collect();
     let members = |kind, entries| Event::EndpointList { kind, entries };
@@ -55,11 +55,13 @@
     }
 }
 
-/// Rejected at once, rejected after its time in the queue, or timed out without a response.
+/// A poll is rejected immediately, rejected after it was queued for too long, or times out without
+/// a response.
 const FAILURE_TIMES: [Micros; 3] = [0, QUEUE_TIMEOUT, SILENCE];
 
-/// Wherever discovery could be reached from some moment on, a poll that begins after it brings its
-/// changes. Of a poll in flight then at most SILENCE is left, so this is the sum of all delays.
+/// Discovery may become reachable at any time, and a poll that starts after that delivers its
+/// changes. A poll that is in flight at that time takes at most `SILENCE` to fail, so the sum of
+/// that, the delay of the next poll and its response time must not exceed the deadline.
 #[test]
 fn after_any_failed_polls_the_next_begins_in_time() {
     for (balancer_count, balancer_index) in [
@@ -84,7 +86,8 @@
                     let sum = SILENCE + pause + RESPONSE_TIME;
                     assert!(
                         sum <= NOTIFICATION_DEADLINE,
-                        "{balancer_count}: {sum} us after {request} of {fails:?}, lost {lost:?}"
+                        "{balancer_count} balancers: {sum} us after poll {request} of {fails:?}, \
+                         watch lost at {lost:?}"
                     );
                 }
             }
@@ -92,9 +95,9 @@
     }
 }
 
-/// A watch that fell silent at 0. One poll that times out, one that is rejected after its time in
-/// the queue or any number that are rejected at once leave a poll in time, as they do after a new
-/// configuration.
+/// A watch has been silent since time 0. After one poll that times out, one that is rejected after
+/// it was queued, or any number that are rejected immediately, another poll must still be in time.
+/// The same applies after a new configuration, with its shorter deadline.
 #[test]
 fn what_a_lost_watch_misses_is_polled_in_time() {
     let paths: [&[Micros]; 4] = [&[], &[QUEUE_TIMEOUT], &[SILENCE], &[0; 40]];
@@ -114,23 +117,24 @@
                 let last = began_at
                     .iter()
                     .rfind(|began_at| **began_at + RESPONSE_TIME <= deadline)
-                    .expect("a poll in time");
-                // The last of those that are rejected at once is as late as possible.
+                    .expect("no poll starts in time");
+                // With polls that are rejected immediately, the last one in time starts as late as
+                // possible.
                 assert!(
                     fails.len() < 40 || *last >= lost + 2_750 * MS,
-                    "{balancer_count}: {began_at:?}"
+                    "{balancer_count} balancers: {began_at:?}"
                 );
                 assert!(
                     fails.len() > 1 || began_at.last() == Some(last),
-                    "{balancer_count}, {fails:?}: {began_at:?}"
+                    "{balancer_count} balancers, {fails:?}: {began_at:?}"
                 );
             }
         }
     }
 }
 
-/// Two watches in a row that are reset as soon as they are open, and then one poll of any kind: the
-/// list was current until the second reset, and what it misses from then on is polled in time.
+/// Two watches in a row break right after they were opened, and then one poll may fail in any way.
+/// The list was current until the second watch broke; later changes must be polled in time.
 #[test]
 fn what_two_flapping_watches_miss_is_polled_in_time() {
     for (balancer_count, balancer_index) in
@@ -167,21 +171,23 @@
             }
             assert!(
                 now + RESPONSE_TIME <= broken + NOTIFICATION_DEADLINE,
-                "{balancer_count}, {fail:?}: {} us after",
+                "{balancer_count} balancers, {fail:?}: next poll {} us after the watch broke",
                 now - broken
             );
         }
     }
 }
 
-/// When the next poll begins.
+/// Advances time until the next poll starts, and returns that time.
 fn next_poll(balancer: &mut Balancer, mut now: Micros, actions: &mut Vec<Action>) -> Micros {
     loop {
         let mut timers = actions.iter().filter_map(|action| match action {
             Action::SetTimer { after } => Some(*after),
             _ => None,
         });
-        now += timers.next_back().expect("a timer for the next poll");
+        now += timers
+            .next_back()
+            .expect("no timer is set for the next poll");
         actions.clear();
         balancer.handle(now, Event::Timer, actions);
         if actions.contains(&Action::Subscribe) {
@@ -190,8 +196,8 @@
     }
 }
 
-/// None is late where discovery could answer all in time; where its capacity is far too low, polls
-/// that fail don't keep it from answering.
+/// If discovery has enough capacity to answer all polls in time, all balancers must be notified in
+/// time. If its capacity is far too low, failed polls must not keep it from answering others.
 #[test]
 fn very_many_that_lose_their_watch_at_once_are_all_notified_in_time() {
     for (noticed_at, deadline) in [
@@ -204,22 +210,22 @@
             assert_eq!(
                 fleet.late(0, deadline),
                 0,
-                "found lost at {noticed_at}, a rejection takes {rejection_cost}"
+                "loss noticed at {noticed_at} us, a rejection costs {rejection_cost} of a response"
             );
             let (most, failed) = fleet.load(0);
             assert!(
                 most <= 320 && failed < 0.2,
-                "{most} polls in a second, {failed} failed"
+                "{most} polls in a second, {failed} of all failed"
             );
             let mut fleet = lost_at(noticed_at, 40, rejection_cost);
             fleet.play(21 * SECOND);
             assert_eq!(
                 fleet.late(0, 20 * SECOND),
                 0,
-                "of a third of that capacity, a rejection takes {rejection_cost}"
+                "with a third of the capacity, a rejection costs {rejection_cost} of a response"
             );
             let (_, failed) = fleet.load(0);
-            assert!(failed < 0.6, "{failed} failed");
+            assert!(failed < 0.6, "{failed} of the polls failed");
         }
     }
 }
@@ -236,18 +242,18 @@
             assert_eq!(
                 fleet.late(SECOND, NOTIFICATION_DEADLINE),
                 0,
-                "{capacity} a second, a rejection takes {rejection_cost}"
+                "capacity of {capacity} a second, a rejection costs {rejection_cost} of a response"
             );
             assert!(
                 most <= 320 && failed < 0.4,
-                "{most} polls in a second, {failed} failed"
+                "{most} polls in a second, {failed} of all failed"
             );
         }
     }
 }
 
-/// While discovery is unreachable nobody can be notified; what it has when it returns all have in
-/// time, wherever they are in their backoff.
+/// While discovery is unreachable no balancer can be notified. When it recovers, all must get its
+/// changes in time, whatever the state of their backoff.
 #[test]
 fn very_many_are_notified_in_time_when_discovery_returns() {
     for (availability, rejection_cost) in [
@@ -264,12 +270,12 @@
         assert_eq!(
             fleet.late(8 * SECOND, NOTIFICATION_DEADLINE),
             0,
-            "a rejection takes {rejection_cost}"
+            "a rejection costs {rejection_cost} of a response"
         );
         let (most, failed) = fleet.load(8 * SECOND);
         assert!(
             most <= 150 && failed < 0.1,
-            "{most} polls in a second, {failed} failed"
+            "{most} polls in a second, {failed} of all failed"
         );
     }
 }
--- a/balancer/tests/models/discovery.rs
+++ b/balancer/tests/models/discovery.rs
@@ -1,20 +1,20 @@
-//! A model of discovery, which answers polls in turn, and of the proxies that poll it.
+//! A model of a discovery service that answers polls in order, and of the proxies that poll it.
 
 use crate::common::{polled_discovery, ready, settings, MS, SECOND};
 use balancer::*;
 use std::collections::VecDeque;
 
-/// How long the proxy waits for anything of a watch, or for the head of its response, until it
-/// times out.
+/// Time after which a proxy gives up a watch that sends nothing, or a poll whose response head does
+/// not arrive.
 pub(crate) const SILENCE: Micros = 2_500 * MS;
-/// How long a poll waits for its turn at discovery before it is rejected.
+/// Time that a poll may be queued at discovery before it is rejected.
 pub(crate) const QUEUE_TIMEOUT: Micros = 2 * SECOND;
-/// When a change counts as notified; the drain grace, which is added to it, is left for the
-/// response of an idle discovery.
+/// Time after which a balancer counts as notified of a change. The drain grace, which is added to
+/// it, leaves time for the response of an idle discovery.
 pub(crate) const NOTIFICATION_DEADLINE: Micros = 6 * SECOND;
-/// The same after a new configuration.
+/// Notification deadline after a new configuration.
 pub(crate) const NOTIFICATION_DEADLINE_AFTER_MOVE: Micros = 4 * SECOND;
-/// What a connection, the head and the first object of a response may take together.
+/// Time allowed for a connection, the head and the first object of a response together.
 pub(crate) const RESPONSE_TIME: Micros = 500 * MS;
 pub(crate) const MANY_BALANCERS: u32 = 300;
 
@@ -30,14 +30,14 @@
     )
 }
 
-/// What discovery does with a poll.
+/// How discovery handles polls.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Availability {
-    /// Responds in turn.
+    /// Answers polls in order of arrival.
     Up,
     /// Refuses connections.
     RefusesConnections,
-    /// Sends nothing.
+    /// Sends no response.
     Silent,
 }
 
@@ -45,30 +45,33 @@
 pub(crate) struct Fleet {
     now: Micros,
     pub(crate) availability: Availability,
-    /// Polls per second, and what a rejection takes of one.
+    /// Polls that discovery can answer per second.
     capacity: u64,
+    /// Cost of a rejection, as a fraction of that of a response.
     rejection_cost: f64,
-    /// Who waits, and since when.
+    /// Queued polls: which proxy, and since when.
     queue: VecDeque<(usize, Micros)>,
+    /// When discovery has finished the work of the last answer.
     free_at: Micros,
     proxies: Vec<PollingProxy>,
-    /// When each poll was sent, and whether it brought a list.
+    /// When each poll was sent, and whether it was answered with an update.
     requests: Vec<(Micros, bool)>,
 }
 
-/// A proxy without a watch.
+/// A proxy that polls because its watch was lost.
 struct PollingProxy {
     balancer: Balancer,
     timer_at: Micros,
-    /// When its poll was sent.
+    /// When its poll in flight was sent.
     request: Option<Micros>,
-    /// When it notices that its watch is lost.
+    /// When it detects that its watch is lost.
     loss_noticed_at: Micros,
     notified_at: Option<Micros>,
 }
 
 impl Fleet {
-    /// All watches are open; `loss_noticed_at` gives when each is found to be lost.
+    /// Creates proxies with open watches; `loss_noticed_at` returns when each one detects that its
+    /// watch is lost.
     fn new(
         count: u32,
         capacity: u64,
@@ -172,7 +175,7 @@
         }
     }
 
-    /// Runs up to `until`.
+    /// Runs the model up to time `until`.
     pub(crate) fn play(&mut self, until: Micros) {
         while self.now < until {
             self.now += MS;
@@ -203,7 +206,7 @@
         }
     }
 
-    /// All proxies are killed and restart with an old list.
+    /// Kills all proxies and restarts them with a cached list.
     pub(crate) fn restart(&mut self) {
         for (who, balancer_index) in (0..).zip(0..self.proxies.len() as u32) {
             self.proxies[who].balancer =
@@ -220,7 +223,7 @@
         }
     }
 
-    /// How many were not notified within `span` from `from` on.
+    /// Number of proxies that were not notified within `span` after `from`.
     pub(crate) fn late(&self, from: Micros, span: Micros) -> usize {
         self.proxies
             .iter()
@@ -228,7 +231,8 @@
             .count()
     }
 
-    /// Most polls in a second from `from` on, and the fraction of all that failed.
+    /// Maximum number of polls in one second since `from`, and the fraction of all polls since then
+    /// that failed.
     pub(crate) fn load(&self, from: Micros) -> (usize, f64) {
         let requests: Vec<_> = self
             .requests
@@ -251,7 +255,7 @@
     }
 }
 
-/// Very many, all of whose watches are lost at the same instant.
+/// Creates very many proxies that all detect at the same time that their watches are lost.
 pub(crate) fn lost_at(loss_noticed_at: Micros, capacity: u64, rejection_cost: f64) -> Fleet {
     Fleet::new(MANY_BALANCERS, capacity, rejection_cost, |_| {
         loss_noticed_at
--- a/balancer/tests/models/outage/attempts.rs
+++ b/balancer/tests/models/outage/attempts.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, attempts of the balancers, and the work of the endpoints.
+//! The model's client requests, attempts of balancers, and work of endpoints.
 
 use super::*;
 
@@ -17,7 +17,7 @@
             self.at(self.now + MS, Step::Arrival(attempt));
             self.at(until, Step::Deadline(attempt));
         } else if is_connected {
-            // Open connections fall silent.
+            // The peer of an open connection becomes unreachable: the attempt gets no response.
             self.connections.remove(&(balancer, endpoint));
             self.at(until, Step::Deadline(attempt));
         } else {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The end of a client's attempt: it is served, or retries.
+    /// Ends a client's attempt: unless it was served, the client may retry.
     pub(super) fn end(&mut self, balancer: usize, id: u64, served: bool) {
         let Some(request) = self.requests.remove(&(balancer, id)) else {
             return;
@@ -69,7 +69,7 @@
         );
     }
 
-    /// Whether an attempt is the last of its request, which has not ended.
+    /// Whether an attempt is in flight: its request has not ended and has no later attempt.
     pub(super) fn is_out(&self, (balancer, request, attempt): AttemptKey) -> bool {
         self.requests
             .get(&(balancer, request))
@@ -127,7 +127,7 @@
             request.to[attempt.2 as usize],
             self.user_requests[request.user_request].class,
         );
-        // From nothing to twice the mean, mostly near it.
+        // From 0 to twice the mean, mostly close to the mean.
         let work = WORK[class] * (0..4).map(|_| self.unit()).sum::<f64>() / 2.0;
         if !self.reaches(attempt.0, endpoint) {
             return;
@@ -146,7 +146,7 @@
         self.start_queued_work(endpoint);
     }
 
-    /// Starts queued work, up to four requests per core, and sets when the next is done.
+    /// Starts queued work, up to four requests per core, and schedules the next completion.
     pub(super) fn start_queued_work(&mut self, place: usize) {
         let (now, endpoint) = (self.now, &mut self.endpoints[place]);
         while (endpoint.work.len() as f64) < 4.0 * endpoint.cores {
@@ -163,13 +163,14 @@
             .map(|work| work.0)
             .min_by(f64::total_cmp)
         {
-            // Its rate changes as it warms up.
+            // The wait is bounded because the rate changes while the endpoint warms up.
             let wait = ((least / rate).max(0.0) as Micros + 1).min(100 * MS);
             self.at(now + wait, Step::Work(place, turn));
         }
     }
 
-    /// Ends the attempts whose work is done. It is done for clients that have disconnected as well.
+    /// Completes the attempts whose work is done. Work is executed to its end even if the client
+    /// has disconnected.
     pub(super) fn finish_work(&mut self, place: usize) {
         let now = self.now;
         let endpoint = &mut self.endpoints[place];
--- a/balancer/tests/models/outage/endpoint.rs
+++ b/balancer/tests/models/outage/endpoint.rs
@@ -1,4 +1,5 @@
-//! An endpoint of the model: it queues, and slows down when it was overloaded for some time.
+//! An endpoint of the model: it queues requests, and slows down after it was overloaded for some
+//! time.
 
 use super::*;
 use std::collections::VecDeque;
@@ -14,10 +15,13 @@
     pub(super) slow: bool,
     pub(super) overloaded_since: Option<Micros>,
     pub(super) calm_since: Option<Micros>,
-    /// Work that is left of each attempt, in execution and queued.
+    /// Remaining work of each attempt that is being executed.
     pub(super) work: Vec<(f64, AttemptKey)>,
+    /// Work of each queued attempt.
     pub(super) waiting: VecDeque<(f64, AttemptKey)>,
+    /// When the remaining work was last updated.
     pub(super) at: Micros,
+    /// Number of the latest scheduled completion; earlier ones are obsolete.
     pub(super) turn: u64,
 }
 
@@ -26,6 +30,7 @@
         self.work.len() + self.waiting.len()
     }
 
+    /// Work that each attempt in execution gets done per microsecond.
     pub(super) fn rate(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.started_at);
         let warms_up = self.started_at != 0 && age < SLOW_START_DURATION;
@@ -36,6 +41,7 @@
         speed * (self.cores / self.work.len().max(1) as f64).min(1.0)
     }
 
+    /// Executes the work up to `now`, and updates whether the endpoint is slowed down.
     pub(super) fn advance(&mut self, now: Micros) {
         let done = (now - self.at) as f64 * self.rate(self.at);
         self.at = now;
--- a/balancer/tests/models/outage/mod.rs
+++ b/balancer/tests/models/outage/mod.rs
@@ -1,4 +1,4 @@
-//! A model of many balancers and of endpoints that queue, reject and slow down, in virtual time.
+//! A model in virtual time of many balancers and of endpoints that queue, reject and slow down.
 
 mod attempts;
 mod endpoint;
@@ -14,9 +14,9 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 const LOAD_START: Micros = 100 * SECOND;
-/// The zone that is partitioned from `PARTITION_AT` to `RETURN_AT`, and the one that is lost from
-/// `LOSS_AT` to `RETURN_AT`.
+/// Zone that is partitioned from the others from `PARTITION_AT` to `RETURN_AT`.
 const PARTITIONED_ZONE: u32 = 2;
+/// Zone whose endpoints are down from `LOSS_AT` to `RETURN_AT`.
 const LOST_ZONE: u32 = 1;
 const ZONES: u32 = 4;
 const PARTITION_AT: Micros = LOAD_START + 4_500 * MS;
@@ -24,38 +24,42 @@
 const REMOVAL_LISTED_AT: Micros = LOAD_START + 7 * SECOND;
 const RETURN_AT: Micros = LOAD_START + 11 * SECOND;
 const LOAD_END: Micros = LOAD_START + 22 * SECOND;
-/// Endpoints that warm up: their capacity at first, and until they are warm.
+/// Capacity of an endpoint that has just started, as a fraction of its full capacity.
 const INITIAL_CAPACITY: f64 = 0.4;
+/// Time until an endpoint that has started has its full capacity.
 const SLOW_START_DURATION: Micros = 6 * SECOND;
-/// By class: objective, deadline, and mean work at a core of speed 1, in microseconds.
+/// Latency objective and deadline by class.
 const LATENCY_OBJECTIVE: [Micros; 2] = [500 * MS, 1_000 * MS];
 const DEADLINE: [Micros; 2] = [1_200 * MS, 5_000 * MS];
+/// Mean work of a request by class, in microseconds on a core of speed 1.
 const WORK: [f64; 2] = [80e3, 130e3];
 const MAX_CLIENT_ATTEMPTS: u32 = 4;
 const CONNECT_TIMEOUT: Micros = 250 * MS;
-/// An endpoint slows down after so many requests per core for so long, by this factor, until it has
-/// had so few for some time.
+/// An endpoint becomes slower by `SLOWDOWN_FACTOR` after it had more than `OVERLOAD_PER_CORE`
+/// requests per core for `OVERLOAD_DURATION`, until it had fewer than `RECOVERY_PER_CORE` for
+/// `RECOVERY_DURATION`.
 const OVERLOAD_PER_CORE: f64 = 2.5;
 const OVERLOAD_DURATION: Micros = 1_700 * MS;
 const SLOWDOWN_FACTOR: f64 = 3.0;
 const RECOVERY_PER_CORE: f64 = 0.3 * OVERLOAD_PER_CORE;
 const RECOVERY_DURATION: Micros = 4 * SECOND;
 
-/// An attempt: of which balancer, which request, and its number.
+/// Identifies an attempt by its balancer, its request and its number.
 type AttemptKey = (usize, u64, u32);
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     /// A client sends a request or retries.
     ClientRequest(usize),
-    /// An attempt reaches its endpoint, ends with an outcome, or has lasted for as long as its
-    /// client waits.
+    /// An attempt reaches its endpoint.
     Arrival(AttemptKey),
+    /// An attempt ends with an outcome.
     Response(AttemptKey, Outcome),
+    /// The client of an attempt stops waiting.
     Deadline(AttemptKey),
-    /// Work may be done at an endpoint; a balancer's timer fires. Both only if nothing newer was
-    /// set.
+    /// Work may be done at an endpoint. Ignored unless it is the latest one scheduled there.
     Work(usize, u64),
+    /// A balancer's timer fires. Ignored unless it is the latest one that the balancer set.
     Timer(usize, u64),
     Partition(bool),
     LoseZone,
@@ -73,9 +77,9 @@
 
 struct Request {
     user_request: usize,
-    /// Until when its client waits.
+    /// When its client stops waiting.
     until: Micros,
-    /// Where its attempts were sent.
+    /// Endpoints that its attempts were sent to.
     to: Vec<usize>,
 }
 
@@ -89,15 +93,15 @@
     timers: Vec<u64>,
     user_requests: Vec<UserRequest>,
     requests: HashMap<(usize, u64), Request>,
-    /// Open connections: of which balancer, to which endpoint.
+    /// Open connections, by balancer and endpoint.
     connections: HashSet<(usize, usize)>,
     is_partitioned: bool,
-    /// By second: requests, those served in time, and connections opened.
+    /// Counts per second: requests, requests served within their objective, and connections opened.
     pub(crate) seconds: Vec<[u32; 3]>,
 }
 
 impl Fleet {
-    /// From 0 to 1.
+    /// A random number from 0 to below 1.
     fn unit(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
@@ -111,6 +115,7 @@
         self.seconds[((at - LOAD_START) / SECOND) as usize][what] += 1;
     }
 
+    /// Whether a balancer can connect to an endpoint.
     fn reaches(&self, balancer: usize, endpoint: usize) -> bool {
         let (from, to) = (balancer as u32 % ZONES, self.endpoints[endpoint].zone);
         let crosses = from != to && (from == PARTITIONED_ZONE || to == PARTITIONED_ZONE);
@@ -239,7 +244,7 @@
         self
     }
 
-    /// The fraction of the requests of some seconds that were served in time.
+    /// Fraction of the requests of a range of seconds that were served within their objective.
     pub(crate) fn in_time(&self, from: usize, to: usize) -> f64 {
         let sum = |what: usize| {
             self.seconds[from..to]
--- a/balancer/tests/models/outage/setup.rs
+++ b/balancer/tests/models/outage/setup.rs
@@ -1,4 +1,4 @@
-//! The model's endpoints, balancers, load and faults, as drawn from the seed.
+//! Creates the model's endpoints, balancers, load and faults, at random from the seed.
 
 use super::*;
 use rand_core::SeedableRng;
@@ -30,7 +30,7 @@
         fleet
     }
 
-    /// Returns the capacity that the endpoint has unless it is bad.
+    /// Adds an endpoint and returns its capacity, without the reduction of a faulty one.
     fn add_endpoint(&mut self, index: usize) -> f64 {
         let (cores, base) = if self.unit() < 0.55 {
             (3.0, 1.5)
@@ -38,7 +38,8 @@
             (2.0, 0.97)
         };
         let speed = base * (0.8 + 0.4 * self.unit());
-        // One of eight is bad: it fails half of its requests at once, or is five times as slow.
+        // One of eight is faulty: it fails half of its requests immediately, or is five times
+        // slower.
         let is_bad = index % 8 == 3;
         let is_failing = is_bad && self.unit() < 0.4;
         let present_speed = if is_bad && !is_failing {
@@ -104,8 +105,9 @@
         }
     }
 
-    /// Some balancers get several times the mean; all get a third less in the end. `capacity` is
-    /// the part of the endpoints' that is used at first.
+    /// Schedules the client requests. Some balancers get several times the mean load; the load of
+    /// all falls by a third until the end. `capacity` is the part of the endpoints' capacity that
+    /// is used at the start.
     fn add_load(&mut self, balancers: usize, capacity: f64) {
         let shares: Vec<f64> = (0..balancers).map(|_| 0.3 - self.unit().ln()).collect();
         let per_second = capacity * 2e6 / (WORK[0] + WORK[1]) / shares.iter().sum::<f64>();
--- a/balancer/tests/models/slow_start_fleet/faults.rs
+++ b/balancer/tests/models/slow_start_fleet/faults.rs
@@ -1,14 +1,15 @@
-//! New endpoints, and restarts of balancers meanwhile.
+//! Starts new endpoints, and restarts balancers during their slow start.
 
 use super::*;
 
 impl Fleet {
+    /// Starts the new endpoints, and schedules when balancers are notified of them or restarted.
     pub(super) fn start(&mut self) {
         let scenario = self.scenario;
         for id in 0..scenario.warming {
             let old = self.at.get(&id).copied();
             self.boot(id, self.now);
-            // What the old process had queued is reset.
+            // Attempts that were queued at the previous process end with a reset.
             if let Some(old) = old {
                 let open: Vec<AttemptEnd> =
                     self.processes[old].queued.drain(..).map(|w| w.1).collect();
--- a/balancer/tests/models/slow_start_fleet/load.rs
+++ b/balancer/tests/models/slow_start_fleet/load.rs
@@ -1,10 +1,11 @@
-//! What new endpoints were sent.
+//! Evaluates the load that new endpoints were sent.
 
 use super::*;
 
 impl Fleet {
-    /// The most that one new endpoint was sent by balancers that had been notified, over what
-    /// overloads it; and what all new endpoints were sent, over what they could do.
+    /// Returns two ratios for the load from balancers that had been notified of the new endpoints:
+    /// the highest load of one new endpoint in any window relative to the load that overloads it,
+    /// and the load of all new endpoints relative to their capacity.
     pub(crate) fn load_and_use(&self) -> (f64, f64) {
         let (mut worst, mut given, mut could) = (0.0_f64, 0.0, 0.0);
         let rate = CORES as f64 / MEAN_WORK_US * self.scenario.speed;
@@ -18,7 +19,7 @@
                     sum -= sent[first].1;
                     first += 1;
                 }
-                // The least that it can do within the window.
+                // Its capacity at the start of the window, where it is lowest.
                 let present = warm_up(
                     process.started_at,
                     at.saturating_sub(OVERLOAD_WINDOW).max(process.started_at),
--- a/balancer/tests/models/slow_start_fleet/mod.rs
+++ b/balancer/tests/models/slow_start_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A model of many balancers and their endpoints, some of which warm up, in virtual time.
+//! A model in virtual time of many balancers and their endpoints, some of which warm up.
 
 mod faults;
 mod load;
@@ -11,54 +11,61 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// Requests arrive from here on, and new endpoints start.
+/// Time of the first request.
 const BEGIN: Micros = 100 * SECOND;
+/// Time at which new endpoints start.
 pub(crate) const START: Micros = BEGIN + 2 * SECOND;
 pub(crate) const SLOW_START_DURATION: Micros = 8 * SECOND;
 const INITIAL_CAPACITY: f64 = 0.1;
 const OVERLOAD_MULTIPLE: f64 = 4.0;
-/// Time in which an overloaded new endpoint fails.
+/// Time after which an overloaded new endpoint fails.
 const OVERLOAD_WINDOW: Micros = 2 * SECOND;
-/// Work of the mean request on one warm core of an endpoint of mean speed; cores.
+/// Time of a request of mean work on one core of a warm endpoint of mean speed.
 const MEAN_WORK_US: f64 = 50_000.0;
+/// Cores of an endpoint.
 const CORES: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Restart {
     No,
-    /// Killed twice during slow start; the next process knows only the list.
+    /// Each balancer is killed twice during slow start; its next process knows nothing but the
+    /// endpoint list.
     Killed,
-    /// The old process takes requests beside the new one for two seconds.
+    /// The old process of each balancer takes requests together with the new one for two seconds.
     Upgraded,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Scenario {
     pub(crate) balancer_count: u32,
+    /// Number of warm endpoints.
     pub(crate) warm: u32,
+    /// Number of new endpoints.
     pub(crate) warming: u32,
-    /// Returning under ids that had been warm.
+    /// New endpoints have ids of endpoints that were warm before.
     pub(crate) returning: bool,
-    /// Notified by a full list, new endpoints first.
+    /// Balancers are notified by a full list, with new endpoints first, instead of a delta.
     pub(crate) full_list: bool,
-    /// Requests during slow start, as a multiple of before.
+    /// Rate of requests during slow start, as a multiple of the rate before.
     pub(crate) burst: f64,
+    /// Balancers get different shares of the requests.
     pub(crate) uneven: bool,
     pub(crate) restart: Restart,
-    /// Over how long the list reaches the balancers.
+    /// Time over which the balancers are notified of new endpoints.
     pub(crate) spread: Micros,
-    /// Fraction of the warm endpoints' capacity that is used before.
+    /// Fraction of the warm endpoints' capacity that is used before new ones start.
     pub(crate) utilization: f64,
-    /// Of new endpoints when they are warm, relative to the mean; until when the model runs.
+    /// Speed of new endpoints once they are warm, relative to the mean.
     pub(crate) speed: f64,
+    /// When the model stops.
     pub(crate) until: Micros,
-    /// Weight of the warm ones in the list, relative to that of new ones.
+    /// Weight of warm endpoints in the endpoint list; that of new ones is 1.
     pub(crate) weight: f64,
-    /// How many requests may be queued at an endpoint; it rejects others.
+    /// Maximum number of requests queued at an endpoint, which rejects further ones.
     pub(crate) queued: usize,
 }
 
-/// An endpoint joins while requests arrive three times as often.
+/// One endpoint joins while the rate of requests triples.
 pub(crate) const BURST: Scenario = Scenario {
     balancer_count: 1,
     warm: 100,
@@ -76,7 +83,7 @@
     queued: 3,
 };
 
-/// An attempt, and how it ends.
+/// An attempt and its outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptEnd {
     node: usize,
@@ -90,34 +97,37 @@
 enum Step {
     RequestArrives,
     Timer(usize),
-    /// A process has done the work of an attempt.
+    /// An endpoint has done the work of an attempt.
     WorkDone(usize, AttemptEnd),
     Ended(AttemptEnd),
     /// New endpoints start.
     Start,
-    /// A balancer is notified of them.
+    /// A balancer is notified of the new endpoints.
     Notify(usize),
-    /// A balancer is restarted; its old process ends.
+    /// A balancer gets a new process.
     Replace(usize),
+    /// The old process of a balancer takes no more requests.
     Retire(usize),
 }
 
+/// A process of an endpoint.
 struct Process {
     started_at: Micros,
     speed: f64,
     busy: usize,
     queued: VecDeque<(f64, AttemptEnd)>,
-    /// When each request arrived, how much of the mean request's work it is, and whether its sender
-    /// had been notified of the start.
+    /// For each request: when it arrived, its work relative to the mean, and whether its sender had
+    /// been notified of the new endpoints.
     sent: Vec<(Micros, f64, bool)>,
     served: f64,
 }
 
+/// A process of a balancer.
 struct Node {
     balancer: Balancer,
     is_notified: bool,
     alive: bool,
-    /// Until when a client waits for each request, its work and its attempts.
+    /// For each request: when its client stops waiting, its work, and the number of its attempts.
     requests: BTreeMap<u64, (Micros, f64, u32)>,
 }
 
@@ -128,15 +138,18 @@
     next: BinaryHeap<Reverse<(Micros, u64, Step)>>,
     number: u64,
     processes: Vec<Process>,
-    /// By endpoint id.
+    /// Index of the current process by endpoint id.
     at: BTreeMap<u32, usize>,
     nodes: Vec<Node>,
-    /// The processes of each balancer that take requests.
+    /// For each balancer, the processes that take requests.
     slots: Vec<Vec<usize>>,
+    /// Relative rate of requests of each balancer.
     weights: Vec<f64>,
+    /// Whether the new endpoints have started.
     begun: bool,
 }
 
+/// Capacity of an endpoint as a fraction of its full capacity.
 fn warm_up(started_at: Micros, now: Micros) -> f64 {
     if started_at == 0 || now >= started_at + SLOW_START_DURATION {
         return 1.0;
@@ -147,10 +160,12 @@
 }
 
 impl Fleet {
+    /// A random number from 0 to below 1.
     fn unit(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / 4_294_967_296.0
     }
 
+    /// A random time from 0 to below `span`.
     fn within(&mut self, span: Micros) -> Micros {
         (self.unit() * span as f64) as Micros
     }
@@ -197,7 +212,7 @@
         let open = self.nodes[node]
             .requests
             .get_mut(&request)
-            .expect("a request in flight");
+            .expect("an attempt is only sent for a request in flight");
         let (deadline, work, attempt) = (open.0, open.1, open.2);
         open.2 += 1;
         let (process, sent) = (self.at[&endpoint], self.now);
@@ -230,7 +245,7 @@
         }
     }
 
-    /// Idle cores take queued work.
+    /// Starts queued work on idle cores.
     fn work(&mut self, process: usize) {
         let now = self.now;
         let at = &mut self.processes[process];
@@ -273,7 +288,7 @@
         );
     }
 
-    /// The time to the next request of all, at the present rate.
+    /// Random time until the next request of all balancers, at the current rate.
     fn gap(&mut self) -> Micros {
         let scenario = self.scenario;
         let there = scenario.warm
@@ -301,7 +316,8 @@
         });
         let taking = &self.slots[slot.unwrap_or(0)];
         let node = taking[self.number as usize % taking.len()];
-        // One request in five is nine times the work of another: 0.385 and 3.46 of the mean.
+        // One request in five needs nine times the work of the others: 3.46 and 0.385 times the
+        // mean.
         let work = if self.unit() < 0.2 { 3.46 } else { 0.385 };
         self.number += 1;
         let request = self.number;
@@ -346,7 +362,7 @@
                 Step::Notify(node) => self.notify(node),
                 Step::Replace(slot) => self.replace(slot),
                 Step::Retire(slot) => {
-                    // The last of its requests end by themselves.
+                    // Its remaining requests still run to their end.
                     self.slots[slot].remove(0);
                 }
             }
--- a/balancer/tests/models/slow_start_fleet/setup.rs
+++ b/balancer/tests/models/slow_start_fleet/setup.rs
@@ -1,4 +1,4 @@
-//! Endpoints and balancers of the model.
+//! Creates the model's endpoints and balancers.
 
 use super::*;
 use crate::common::{ready, settings};
@@ -49,6 +49,7 @@
         fleet
     }
 
+    /// Starts a process of an endpoint.
     pub(super) fn boot(&mut self, id: u32, started_at: Micros) {
         let speed = if started_at > 0 {
             self.scenario.speed
@@ -84,7 +85,7 @@
         self.at.iter().map(entry).collect()
     }
 
-    /// A new process of a balancer, which knows the list of this moment.
+    /// Starts a process of a balancer with the current endpoint list, and returns its index.
     pub(super) fn node(&mut self, slot: usize) -> usize {
         let settings = Settings {
             balancer_count: self.scenario.balancer_count,
--- a/balancer/tests/outage_recovery.rs
+++ b/balancer/tests/outage_recovery.rs
@@ -1,15 +1,17 @@
-//! Many balancers and endpoints in virtual time, fixed by a seed. Endpoints queue, reject when they
-//! are full and slow down for long when they were overloaded for some seconds. A zone is lost and
-//! returns warming up while another is partitioned; clients retry when they were rejected. What
-//! counts is who was served in time.
+//! Tests of the recovery from outages with a model of many balancers and endpoints in virtual time,
+//! reproducible by its seed. Endpoints queue requests, reject them when they are full, and stay
+//! slow for long after they were overloaded for some seconds. One zone is lost and its endpoints
+//! return with a slow start, while another zone is partitioned; clients retry requests that were
+//! not served. The tests measure the fraction of requests that are served within their objective.
 
 #[path = "models/outage/mod.rs"]
 mod model;
 
 use model::Fleet;
 
-/// Overloaded by requests that arrive too late at endpoints that are slow because they are
-/// overloaded, a fleet could stay down long after its endpoints have returned.
+/// Overloaded endpoints are slow, so that their requests time out and are retried, which keeps the
+/// endpoints overloaded. A fleet in this state could fail requests long after the lost endpoints
+/// have returned.
 #[test]
 fn a_fleet_recovers_soon_after_a_lost_zone_returns() {
     let fleets: Vec<Fleet> = (1..=3)
@@ -28,11 +30,23 @@
         .flat_map(|fleet| &fleet.seconds)
         .map(|second| second[2])
         .sum();
-    println!("in time {before:.3}, apart {apart:.3}, back {soon:.3}, later {later:.3}");
-    println!("{opened} connections");
-    assert!(before >= 0.85, "before the faults: {before:.3}");
-    assert!(soon >= 0.68, "within 5 s of the return: {soon:.3}");
-    assert!(later >= 0.8, "later: {later:.3}");
+    println!(
+        "served in time: before the faults {before:.3}, during them {apart:.3}, \
+         within 5 s of the return {soon:.3}, later {later:.3}"
+    );
+    println!("{opened} connections opened");
+    assert!(
+        before >= 0.85,
+        "served in time before the faults: {before:.3}"
+    );
+    assert!(
+        soon >= 0.68,
+        "served in time within 5 s of the zone's return: {soon:.3}"
+    );
+    assert!(
+        later >= 0.8,
+        "served in time more than 5 s after the zone's return: {later:.3}"
+    );
 }
 
 #[test]
--- a/balancer/tests/outlier_detection.rs
+++ b/balancer/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Which endpoints are ejected and when they are readmitted.
+//! Tests of the ejection and readmission of endpoints.
 
 mod common;
 use balancer::*;
@@ -15,27 +15,39 @@
     proxy.now += MS;
     proxy.end_attempt(request, 1, Outcome::Served, MS);
     for _ in 0..5 {
-        assert_eq!(proxy.serve_request(MS), Some(other), "skipped in backoff");
+        assert_eq!(
+            proxy.serve_request(MS),
+            Some(other),
+            "an ejected endpoint gets a request during its backoff"
+        );
     }
     proxy.now += 200 * MS;
     let (trial, actions) = proxy.request();
     assert_eq!(forwarded(&actions), [(trial, broken)]);
     let (second, actions) = proxy.request();
-    assert_eq!(forwarded(&actions)[0].1, other, "one request only");
+    assert_eq!(
+        forwarded(&actions)[0].1,
+        other,
+        "a second request is sent to the ejected endpoint during its trial"
+    );
     proxy.end_attempt(second, 0, Outcome::Served, MS);
     proxy.now += MS;
     proxy.end_attempt(trial, 0, Outcome::Served, MS);
     let mut used: Vec<EndpointId> = (0..12).filter_map(|_| proxy.serve_request(MS)).collect();
     used.sort();
     used.dedup();
-    assert_eq!(used.len(), 2, "readmitted");
+    assert_eq!(
+        used.len(),
+        2,
+        "the ejected endpoint is not readmitted after a served trial"
+    );
 }
 
 #[test]
 fn with_every_endpoint_ejected_requests_are_rejected_with_retry_after() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
-    // A reset takes a step each; at most half of two may be ejected, so the list is cut to the
-    // broken one.
+    // A reset removes the only step of the endpoint's limit and ejects it. At most one of two
+    // endpoints may be ejected, so the list is reduced to the ejected one.
     let (request, actions) = proxy.request();
     let broken = forwarded(&actions)[0].1;
     proxy.now += MS;
@@ -50,11 +62,14 @@
         } if *id == request => Some(*retry_after),
         _ => None,
     });
-    assert!(retry_after.is_some_and(|a| a > 0), "{actions:?}");
+    assert!(
+        retry_after.is_some_and(|a| a > 0),
+        "expected a rejection with a retry-after time: {actions:?}"
+    );
 }
 
-/// Operators see the number of endpoints that get nothing now: one that is ejected, until its
-/// backoff is over.
+/// The number of unavailable endpoints, which operators see, must include an ejected endpoint until
+/// its backoff has ended.
 #[test]
 fn an_ejected_endpoint_is_avoided_until_it_may_be_tried() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
@@ -95,11 +110,11 @@
             2 * MS,
         );
     }
-    assert!(errors <= 4, "{errors}");
+    assert!(errors <= 4, "{errors} of 200 requests failed");
 }
 
-/// Requests that any endpoint finds invalid say nothing of the endpoints: a bad client must not
-/// have good ones ejected.
+/// Any endpoint answers an invalid request with an error: a faulty client must not cause the
+/// ejection of healthy endpoints.
 #[test]
 fn invalid_requests_eject_no_endpoint_and_are_not_retried() {
     for idempotency in [Idempotency::NonIdempotent, Idempotency::Idempotent] {
@@ -111,16 +126,19 @@
             let actions = proxy.end_attempt(request, 0, Outcome::Invalid, 2 * MS);
             assert!(
                 failed(&actions, request) && forwarded(&actions).is_empty(),
-                "{actions:?}"
+                "expected the request to fail without a retry: {actions:?}"
             );
         }
-        assert!(!proxy.actions.iter().any(is_ejection));
+        assert!(
+            !proxy.actions.iter().any(is_ejection),
+            "an endpoint was ejected for {idempotency:?} requests that are invalid"
+        );
     }
 }
 
-/// Connections break now and then at any endpoint. One that breaks must not eject an endpoint that
-/// serves others, and an idle connection that was closed earlier says nothing of its endpoint at
-/// all.
+/// Connections break occasionally at any endpoint. One broken connection must not eject an endpoint
+/// that serves other requests, and an idle connection that the endpoint had closed must not count
+/// as a failure at all.
 #[test]
 fn connections_that_break_now_and_then_eject_no_endpoint() {
     for (outcome, every) in [(Outcome::Reset, 12), (Outcome::Stale, 3)] {
@@ -140,15 +158,18 @@
             assert_eq!(
                 failed(&actions, request),
                 end == outcome,
-                "it may have been executed: it is not retried"
+                "a request that may have been executed must fail without a retry"
             );
         }
-        assert!(!proxy.actions.iter().any(is_ejection), "{outcome:?}");
+        assert!(
+            !proxy.actions.iter().any(is_ejection),
+            "an endpoint was ejected for occasional {outcome:?}"
+        );
     }
 }
 
-/// Malformed responses occur at any endpoint now and then: two in a row are no reason to eject it,
-/// but an endpoint whose responses mostly are must not attract requests by being fast.
+/// Malformed responses occur occasionally at any endpoint, and two in a row must not eject it. An
+/// endpoint whose responses are mostly malformed must not attract requests by being fast.
 #[test]
 fn an_endpoint_is_ejected_for_many_malformed_responses_not_for_two() {
     for (every, least, most) in [(10, 8, 400), (1, 1, 8)] {
@@ -159,7 +180,7 @@
             let mut end = Outcome::Served;
             if forwarded(&actions)[0].1 == EndpointId(1) {
                 at += 1;
-                // Two in a row, and then good ones.
+                // Two in a row, and then valid ones.
                 if at % (2 * every) < 2 {
                     (malformed, end) = (malformed + 1, Outcome::Unknown);
                 }
@@ -169,7 +190,7 @@
         }
         assert!(
             (least..=most).contains(&malformed),
-            "every {every}: {malformed} of {at}"
+            "one in {every}: {malformed} of {at} responses were malformed"
         );
     }
 }
@@ -194,7 +215,7 @@
     }
     assert!(
         to_failing <= 40,
-        "a healthy one would get 100 or more: {to_failing}"
+        "{to_failing} attempts at the failing endpoint; a healthy one would get 100 or more"
     );
 }
 
@@ -206,7 +227,7 @@
         assert_eq!(
             forwarded(&actions).len(),
             1,
-            "half of the fleet still takes requests"
+            "no endpoint takes requests although at most half of them may be ejected"
         );
         proxy.now += 2 * MS;
         proxy.end_attempt(request, 0, Outcome::Error, 2 * MS);
@@ -221,7 +242,7 @@
     }
     let mut to_full = 0;
     for _ in 0..20 {
-        // Two ms a round: 40 ms in all, one typical latency.
+        // 20 requests of 2 ms each take 40 ms, one typical latency.
         let (request, actions) = proxy.request();
         proxy.now += 2 * MS;
         proxy.end_attempts(request, &actions, 2 * MS, 0, |endpoint| {
@@ -234,7 +255,7 @@
             }
         });
     }
-    assert!(to_full <= 2, "{to_full}");
+    assert!(to_full <= 2, "{to_full} attempts at the rejecting endpoint");
 }
 
 #[test]
@@ -260,14 +281,14 @@
     }
     assert!(
         !proxy.actions.iter().any(is_ejection),
-        "the new process has failed nothing"
+        "an endpoint was ejected for failures of its previous process"
     );
 }
 
 #[test]
 fn a_failing_endpoint_is_tried_by_a_part_of_its_requests_however_slowly_they_arrive() {
-    // A request per second, so that most arrive after a backoff by time: a thousand such balancers
-    // would never leave it alone.
+    // One request arrives per second, so a backoff of fixed duration would have ended before most
+    // of them, and a thousand such balancers would keep sending requests to the endpoint.
     let limits = Limits {
         max_attempts: 1,
         ..Settings::default().limits
@@ -301,11 +322,13 @@
             20 * MS,
         );
     }
-    assert!(tried < 25, "an eighth of 200 is its normal part: {tried}");
+    assert!(
+        tried < 25,
+        "{tried} of 200 requests went to the rejecting endpoint, whose normal part is an eighth"
+    );
 }
 
-/// An endpoint may reject one class and serve the others. It is not full then, and must not be
-/// ejected for all.
+/// An endpoint that rejects one class and serves the others is not full, and must not be ejected.
 #[test]
 fn an_endpoint_that_rejects_one_class_keeps_serving_the_others() {
     let mut config = settings(Idempotency::Idempotent);
@@ -327,10 +350,11 @@
     }
     assert_eq!(
         proxy.actions.iter().find(|action| is_ejection(action)),
-        None
+        None,
+        "an endpoint was ejected for rejecting one class"
     );
     assert!(
         count[0] >= 25 && count[1] <= 10,
-        "of 200 requests each: {count:?}"
+        "attempts at the endpoint by class, of 200 requests each: {count:?}"
     );
 }
--- a/balancer/tests/poll_delays.rs
+++ b/balancer/tests/poll_delays.rs
@@ -1,11 +1,11 @@
-//! Delays between polls of one balancer.
+//! Tests of the delays between polls of a balancer.
 
 mod common;
 use balancer::*;
 use common::*;
 
-/// A watch that was open shows that polls succeed, also where nothing had changed: the backoff
-/// begins anew.
+/// A watch that was open shows that polls succeed, even if it delivered no change: the backoff must
+/// be reset.
 #[test]
 fn after_an_open_watch_poll_delays_are_short_again() {
     let mut proxy = Proxy::new(
@@ -27,9 +27,12 @@
     let grown = (0..5)
         .map(|_| wait(&[ListUpdate::PollFailed]))
         .max()
-        .expect("five");
+        .expect("five delays");
     let anew = wait(&[ListUpdate::WatchLost, ListUpdate::PollFailed]);
-    assert!(grown >= SECOND && anew <= 480 * MS, "{grown} and {anew}");
+    assert!(
+        grown >= SECOND && anew <= 480 * MS,
+        "{grown} us after five failed polls, {anew} us after the watch"
+    );
 }
 
 #[test]
@@ -41,28 +44,34 @@
         },
         2,
     );
-    assert!(proxy.actions.contains(&Action::Subscribe), "at the start");
+    assert!(
+        proxy.actions.contains(&Action::Subscribe),
+        "the list is not polled at the start"
+    );
     let actions = proxy.update_list(ListUpdate::PollFailed, vec![]);
-    assert!(!actions.contains(&Action::Subscribe), "not at once");
+    assert!(
+        !actions.contains(&Action::Subscribe),
+        "a failed poll is repeated without a delay"
+    );
     let after = timer_after(&actions);
     assert!(proxy
-        .advance(after.expect("a timer"))
+        .advance(after.expect("no timer is set for the next poll"))
         .contains(&Action::Subscribe));
     assert_eq!(
         proxy.serve_request(MS).map(|s| s.0 <= 2),
         Some(true),
-        "the old list is used"
+        "the previous list is not used after a failed poll"
     );
     let mut push = Proxy::new(settings(Idempotency::Idempotent), 1);
     push.update_list(ListUpdate::PollFailed, vec![]);
     push.advance(60_000 * MS);
     assert!(
         !push.actions.contains(&Action::Subscribe),
-        "only where the list is polled"
+        "a list that is pushed is polled"
     );
 }
 
-/// Delays of one of so many balancers before it polls again, each time that a poll has failed.
+/// Returns the delays of a balancer before it polls again after each of four failed polls.
 fn poll_delays(balancer_count: u32, balancer_index: u32) -> Vec<Micros> {
     let settings = Settings {
         balancer_count,
@@ -76,16 +85,16 @@
         proxy.update_list(ListUpdate::PollFailed, Vec::new());
         let failed = proxy.now;
         while !proxy.advance(10 * MS).contains(&Action::Subscribe) {
-            assert!(proxy.now < failed + 40_000 * MS, "it never polls again");
+            assert!(proxy.now < failed + 40_000 * MS, "no poll within 40 s");
         }
         proxy.now - failed
     });
     waits.collect()
 }
 
-/// They spread their polls over all the time until a change counts as notified: half of it, as the
-/// other half passes until a poll times out and in its response. The load of discovery is modelled
-/// in `models/discovery.rs`.
+/// Very many balancers must spread their polls over the available time. This is half of the
+/// notification deadline, as the other half is for detecting that a poll timed out and for a
+/// response. The load of discovery is modelled in `models/discovery.rs`.
 #[test]
 fn very_many_balancers_spread_their_polls() {
     let discovery = settings(Idempotency::Idempotent).discovery;
@@ -95,38 +104,46 @@
         .collect();
     assert!(
         many.iter().flatten().all(|wait| *wait <= most + 10 * MS),
-        "past the time: {many:?}"
+        "a delay is longer than half of the notification deadline: {many:?}"
     );
     let mean = |number: usize| many.iter().map(|waits| waits[number]).sum::<Micros>() / 100;
-    assert!(mean(0) >= most * 2 / 5, "the first: {}", mean(0));
+    assert!(
+        mean(0) >= most * 2 / 5,
+        "mean delay after the first failed poll: {} us",
+        mean(0)
+    );
     for tenth in 0..10 {
         let part = most * tenth / 10..most * (tenth + 1) / 10;
         let first = many.iter().filter(|waits| part.contains(&waits[0])).count();
         assert!(
             first <= 20,
-            "{first} of 100 at once, {part:?} after the first poll that failed"
+            "{first} of 100 balancers poll {part:?} us after their first failed poll"
         );
     }
     for number in 1..4 {
         assert!(
             many.iter().all(|waits| waits[number] >= most / 2),
-            "{many:?}"
+            "a delay after a repeated failure is too short: {many:?}"
+        );
+        assert!(
+            mean(number) >= most * 7 / 10,
+            "mean delay after failed poll {number}: {} us",
+            mean(number)
         );
-        assert!(mean(number) >= most * 7 / 10, "{}", mean(number));
     }
     let few = poll_delays(5, 0);
     assert!(
         few[0] < discovery.max_poll_interval / 16,
-        "a few do not overload it: {few:?}"
+        "few balancers don't overload discovery and must poll again soon: {few:?}"
     );
     assert!(
         few.iter().all(|wait| *wait <= most + 10 * MS),
-        "past the time: {few:?}"
+        "a delay is longer than half of the notification deadline: {few:?}"
     );
 }
 
-/// What a silent watch misses counts as notified 6 s after that, 2.5 s of which pass until the
-/// silence is noticed.
+/// A balancer counts as notified of a change 6 s after it, of which 2.5 s pass before a silent
+/// watch is detected.
 #[test]
 fn a_watch_that_was_open_is_reopened_soon() {
     for balancer_count in [5, 100] {
@@ -144,9 +161,15 @@
         for _ in 0..10 {
             let lost = proxy.now;
             let actions = proxy.update_list(ListUpdate::WatchLost, Vec::new());
-            assert!(!actions.contains(&Action::Subscribe), "not all at once");
+            assert!(
+                !actions.contains(&Action::Subscribe),
+                "the watch is reopened without a delay"
+            );
             while !proxy.advance(10 * MS).contains(&Action::Subscribe) {
-                assert!(proxy.now < lost + every / 32, "{balancer_count} balancers");
+                assert!(
+                    proxy.now < lost + every / 32,
+                    "{balancer_count} balancers: the watch is not reopened soon"
+                );
             }
             proxy.update_list(ListUpdate::Full, (1..=60).map(ready).collect());
         }
--- a/balancer/tests/shared_limit.rs
+++ b/balancer/tests/shared_limit.rs
@@ -1,5 +1,5 @@
-//! The concurrency limit that all endpoints share for one of very many balancers: most forward few
-//! requests, a few forward many.
+//! Tests of the concurrency limit that all endpoints share if there are very many balancers, most
+//! of which forward few requests and some many.
 
 mod common;
 use balancer::*;
@@ -13,19 +13,19 @@
     let before = out.len();
     assert!(
         before >= 30,
-        "a busy balancer grows to what it needs: {before}"
+        "the limit of a busy balancer does not grow to its load: {before} requests"
     );
     serve_forwarded(&mut proxy, out, 400 * MS);
     proxy.advance(300 * MS);
     let left = request_burst(&mut proxy, 40).len();
     assert!(
         (before / 2 - 2..before).contains(&left),
-        "{left} of {before} after one overload"
+        "{left} of {before} requests are forwarded after one overload"
     );
 }
 
-/// A request arrives every 5 ms for `steps` of them; each is served after `time` of its number.
-/// Returns how many were forwarded.
+/// Sends `steps` requests, one every 5 ms, and serves each after the `time` for its id. Returns how
+/// many were forwarded.
 fn serve_stream(proxy: &mut Proxy, steps: u64, time: impl Fn(u64) -> Micros) -> usize {
     let mut due = std::collections::BTreeMap::new();
     let mut went = 0;
@@ -50,7 +50,7 @@
 #[test]
 fn quick_first_responses_do_not_make_typical_ones_look_late() {
     let mut proxy = one_of_many();
-    // Every second request takes twenty times as long: a response in that time is typical.
+    // Every second request takes twenty times longer, so a response after that time is typical.
     let time = |request: u64| {
         if request.is_multiple_of(2) {
             10 * MS
@@ -62,7 +62,7 @@
     let went = serve_stream(&mut proxy, 1_000, time);
     assert!(
         went > 900,
-        "nothing is late, yet only {went} of 1000 were forwarded"
+        "only {went} of 1000 requests were forwarded although no response is late"
     );
 }
 
@@ -70,7 +70,7 @@
 fn endpoints_that_reject_do_not_lower_the_shared_limit() {
     let mut proxy = one_of_many();
     raise_shared_limit(&mut proxy);
-    // Half of the endpoints drain and the list does not say so yet.
+    // Half of the endpoints drain, which the endpoint list does not show yet.
     let out: Vec<(RequestId, EndpointId)> = (0..40)
         .flat_map(|_| forwarded(&proxy.request().1))
         .collect();
@@ -96,7 +96,7 @@
     let left = request_burst(&mut proxy, 40).len();
     assert!(
         left + 4 >= before,
-        "{left} of {before} after rejections, though no response was late"
+        "{left} of {before} requests are forwarded after rejections although no response was late"
     );
 }
 
@@ -112,12 +112,12 @@
     let left = request_burst(&mut proxy, 40).len();
     assert!(
         left >= before.len(),
-        "{left} of {} after six late responses",
+        "{left} of {} requests are forwarded after six late responses",
         before.len()
     );
 }
 
-/// One of three hundred with two hundred endpoints, whose requests are all of one class with this
+/// Returns one of 300 balancers with 200 endpoints, whose requests are all of one class with this
 /// latency objective.
 fn one_of_hundreds(latency_objective: Micros) -> Proxy {
     let mut settings = Settings {
@@ -128,13 +128,16 @@
     Proxy::new(settings, 200)
 }
 
-/// During a release most balancers may start at once.
+/// During a release most balancers may start at the same time, so each must start with a low limit.
 #[test]
 fn a_new_balancer_begins_with_a_request_per_core_and_soon_takes_more() {
     let mut proxy = one_of_hundreds(500 * MS);
     let out = request_burst(&mut proxy, 40);
     let first = out.len();
-    assert!((2..=4).contains(&first), "{first} at once");
+    assert!(
+        (2..=4).contains(&first),
+        "{first} requests are forwarded at the same time"
+    );
     serve_forwarded(&mut proxy, out, 40 * MS);
     for _ in 0..10 {
         let out = request_burst(&mut proxy, 40);
@@ -144,12 +147,12 @@
     let then = request_burst(&mut proxy, 40).len();
     assert!(
         then >= 2 * first,
-        "{then} after two seconds, {first} at first"
+        "{then} requests at the same time after two seconds, {first} at first"
     );
 }
 
-/// Thirty responses of its own would take it four seconds, in an overload that all others cause as
-/// well.
+/// Most balancers cause such an overload together, and each receives few responses. Waiting for
+/// thirty of them would take this balancer four seconds, which is too slow.
 #[test]
 fn a_balancer_of_few_requests_reacts_to_overload_within_two_seconds() {
     let mut proxy = one_of_hundreds(500 * MS);
@@ -163,7 +166,7 @@
         out.extend(request_burst(&mut proxy, 1));
         proxy.now += 100 * MS;
         if out.len() == 2 {
-            let oldest = out.pop_front().expect("two are in flight");
+            let oldest = out.pop_front().expect("two requests are in flight");
             proxy.end_attempt(oldest, 0, Outcome::Served, 200 * MS);
         }
     }
@@ -172,12 +175,12 @@
     let left = request_burst(&mut proxy, 40).len();
     assert!(
         4 * left <= 3 * before,
-        "{left} of {before} after two seconds of late responses"
+        "{left} of {before} requests are forwarded after two seconds of late responses"
     );
 }
 
-/// Endpoints of two cores that are nearly three fifths busy take half as long again: with a tight
-/// objective that is no overload.
+/// Endpoints with two cores that are nearly 60 % busy take half as long again as idle ones. With a
+/// tight objective this must not count as an overload.
 #[test]
 fn a_tight_objective_does_not_make_a_busy_fleet_look_overloaded() {
     let mut proxy = one_of_hundreds(100 * MS);
@@ -185,10 +188,10 @@
     serve_stream(&mut proxy, 1_000, alone);
     let busy = |request: u64| (50 + 5 * (request % 5)) * MS;
     let went = serve_stream(&mut proxy, 1_000, busy);
-    assert!(went > 900, "{went} of 1000 were forwarded");
+    assert!(went > 900, "only {went} of 1000 requests were forwarded");
 }
 
-/// A handful of requests to silent endpoints say nothing of the others.
+/// A few timeouts concern single endpoints that send no response, and not the load of the others.
 #[test]
 fn a_few_timeouts_do_not_cut_the_shared_limit() {
     let mut proxy = one_of_many();
@@ -205,12 +208,12 @@
     let left = request_burst(&mut proxy, 40).len();
     assert!(
         left >= before,
-        "{left} of {before} after four requests without a response"
+        "{left} of {before} requests are forwarded after four timeouts"
     );
 }
 
-/// A proxy of a thousand, whose endpoints share one limit, of which a burst of three and the trial
-/// are in flight.
+/// Returns one of a thousand balancers, and its requests in flight: a burst of three, which reaches
+/// the shared limit, and one trial.
 fn one_of_a_thousand() -> (Proxy, Vec<RequestId>) {
     let mut proxy = Proxy::new(
         Settings {
@@ -223,7 +226,7 @@
     assert_eq!(
         forwarded(&proxy.actions).len(),
         4,
-        "three at once, and one as the trial"
+        "expected a burst of three requests and one trial"
     );
     (proxy, out)
 }
@@ -234,14 +237,14 @@
     let (queued, actions) = proxy.request();
     assert!(
         forwarded(&actions).is_empty(),
-        "sixteen endpoints are idle, but the limit is used and the trial in flight"
+        "a request to an idle endpoint exceeds the shared limit while a trial is in flight"
     );
     proxy.now += 50 * MS;
     let actions = proxy.end_attempt(out[3], 0, Outcome::Served, 50 * MS);
     assert_eq!(
         forwarded(&actions).first().map(|s| s.0),
         Some(queued),
-        "the trial was served: the next may be forwarded"
+        "the queued request is not forwarded after the trial was served"
     );
 }
 
@@ -252,11 +255,11 @@
     let actions = proxy.end_attempt(out[3], 0, Outcome::TimedOut, 400 * MS);
     assert!(
         forwarded(&actions).iter().all(|s| s.0 == out[3]),
-        "no request of another client is forwarded"
+        "a request other than the trial's own retry is forwarded"
     );
     assert!(
         forwarded(&proxy.request().1).is_empty(),
-        "the backoff holds back requests to every endpoint"
+        "a request is forwarded during the backoff of the shared limit"
     );
 }
 
@@ -282,6 +285,6 @@
     };
     assert!(
         requests(40 * MS) > requests(450 * MS),
-        "slow responses of several endpoints hold requests back"
+        "slow responses of several endpoints don't cut the shared limit"
     );
 }
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -1,11 +1,12 @@
-//! How many requests an endpoint gets while it warms up.
+//! Tests of how many requests an endpoint gets during slow start.
 
 mod common;
 use balancer::*;
 use common::*;
 
-/// Requests within six seconds to an endpoint beside two or three warm ones, when it has just
-/// started and ends attempts with `outcome`.
+/// Returns how many of 600 requests in six seconds are sent to an endpoint that has just started,
+/// next to two or three warm ones. It ends its attempts with `outcome`. If `restart`, it is one of
+/// three warm endpoints that has restarted.
 fn requests_to_new_endpoint(outcome: Outcome, restart: bool) -> usize {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 3);
     for _ in 0..200 {
@@ -46,15 +47,18 @@
     ] {
         for restart in [false, true] {
             let count = requests_to_new_endpoint(outcome, restart);
-            // A warm endpoint's part of 600 requests is 150 to 200; this one has a tenth to a third
-            // of its capacity.
-            assert!((1..=60).contains(&count), "{outcome:?} {restart}: {count}");
+            // A warm endpoint gets 150 to 200 of 600 requests; the new one has a tenth to a third
+            // of a warm one's capacity.
+            assert!(
+                (1..=60).contains(&count),
+                "{count} requests with outcome {outcome:?}, restart: {restart}"
+            );
         }
     }
 }
 
-/// How often a new endpoint is used for 200 requests, beside one warm endpoint and `leaving` ones
-/// that drain.
+/// Returns how many of 200 requests are sent to a new endpoint, next to one warm endpoint and
+/// `leaving` draining ones.
 fn requests_to_new_endpoint_beside(leaving: u32) -> usize {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 1 + leaving);
     let out: Vec<(RequestId, EndpointId)> = (0..=leaving)
@@ -80,8 +84,8 @@
         .count()
 }
 
-/// Endpoints that drain serve few requests, and then none: if they counted among those in service,
-/// new ones would stay idle while the warm ones are full.
+/// Draining endpoints serve few requests and then none. If they counted as in service, new
+/// endpoints would stay idle while the warm ones are full.
 #[test]
 fn slow_start_credit_is_relative_to_the_endpoints_in_service() {
     let (alone, beside) = (
@@ -90,12 +94,12 @@
     );
     assert!(
         alone >= 5 && beside * 2 >= alone,
-        "{alone} alone, {beside} beside nine that drain"
+        "{alone} requests without draining endpoints, {beside} with nine"
     );
 }
 
-/// How many requests of a thousand balancers together a new endpoint gets per request of the warm
-/// ones.
+/// Each balancer limits its own requests to a new endpoint; a thousand of them together must not
+/// exceed its capacity.
 #[test]
 fn a_thousand_balancers_together_stay_within_a_new_endpoints_capacity() {
     let (mut to_new, mut all) = (0, 0);
@@ -116,19 +120,23 @@
             to_new += usize::from(proxy.serve_request(40 * MS) == Some(EndpointId(21)));
         }
     }
-    // Two seconds after its start it has a tenth to a fifth of its capacity; each warm one serves a
-    // twentieth.
-    assert!(to_new * 20 <= all / 5, "{to_new} of {all}");
+    // In the first two seconds a new endpoint has a tenth to a fifth of its capacity; each warm one
+    // serves a twentieth of the requests.
+    assert!(
+        to_new * 20 <= all / 5,
+        "{to_new} of {all} requests go to the new endpoint"
+    );
 }
 
-/// Six in ten endpoints have just been replaced: with credit by their number alone they would stay
-/// idle while the others are full.
+/// Six in ten endpoints have just been replaced. If credit depended only on the number of
+/// endpoints, the new ones would stay idle while the others are full.
 #[test]
 fn new_endpoints_serve_their_part_where_most_are_new() {
     let (mut to_new, mut all) = (0, 0);
     for balancer_index in 0..100 {
         let mut proxy = balancer_of(100, balancer_index, 60);
-        // At least a third of the way through slow start: four tenths of its capacity.
+        // A third of slow start has passed: the new endpoints have at least four tenths of their
+        // capacity.
         let started_at = proxy.now;
         proxy.now += 6_667 * MS;
         let replaced = (1..=60).map(|id| EndpointEntry {
@@ -142,6 +150,10 @@
             to_new += usize::from(proxy.serve_request(MS).is_some_and(|s| s.0 % 5 < 3));
         }
     }
-    // Of the work that all can do, 24 parts warm and 36 x 0.4 warming up, a third is theirs.
-    assert!((all / 5..all / 2).contains(&to_new), "{to_new} of {all}");
+    // 24 warm endpoints and 36 with 0.4 of their capacity: the new ones have a third of the total
+    // capacity.
+    assert!(
+        (all / 5..all / 2).contains(&to_new),
+        "{to_new} of {all} requests go to the new endpoints"
+    );
 }
--- a/balancer/tests/slow_start_fleet.rs
+++ b/balancer/tests/slow_start_fleet.rs
@@ -1,5 +1,5 @@
-//! What all balancers together send to an endpoint that warms up, in virtual time and fixed by a
-//! seed, against the load at which it fails.
+//! Tests that all balancers together don't overload an endpoint during slow start, with a model in
+//! virtual time that is reproducible by its seed.
 
 mod common;
 #[path = "models/slow_start_fleet/mod.rs"]
@@ -8,8 +8,8 @@
 use common::SECOND;
 use model::*;
 
-/// Plays a scenario with few and with many balancers: no new endpoint is sent what overloads it in
-/// any window, and yet they are used.
+/// Runs a scenario with few and with many balancers, and asserts that no new endpoint is overloaded
+/// in any window, and that new endpoints are used.
 fn assert_safe_slow_start(scenario: Scenario) {
     for (balancer_count, warm, seeds) in [
         (1, 9, 1..=1),
@@ -29,14 +29,17 @@
             )
             .run()
             .load_and_use();
-            println!("{balancer_count} balancers, seed {seed}: load {most:.2}, {used:.2} used");
+            println!(
+                "{balancer_count} balancers, seed {seed}: load {most:.2}, {used:.2} of capacity"
+            );
             assert!(
                 most <= 1.0,
-                "{balancer_count} balancers, seed {seed}: {most:.2} of a new endpoint's capacity"
+                "{balancer_count} balancers, seed {seed}: \
+                 {most:.2} of the load that overloads a new endpoint"
             );
             assert!(
                 used >= 0.2,
-                "{balancer_count} balancers, seed {seed}: {used:.2} of what they can do"
+                "{balancer_count} balancers, seed {seed}: {used:.2} of new endpoints' capacity used"
             );
         }
     }
@@ -139,9 +142,9 @@
     });
 }
 
-/// Under a shared limit a balancer reaches few endpoints, and many more when its requests arrive
-/// faster: the credit of all for a new endpoint out of their reach must not be used together, nor
-/// what they are granted by the share of a few endpoints.
+/// Under a shared limit a balancer's subset is small, and grows when its requests arrive faster. If
+/// balancers collected credit for a new endpoint outside their subsets, or credit based on the few
+/// endpoints inside, they would all use it on that endpoint at the same time.
 #[test]
 fn balancers_that_reach_more_endpoints_in_a_burst_overload_no_slow_new_one() {
     for (seed, weight, queued) in [
@@ -167,14 +170,18 @@
             ..wide
         };
         let (most, used) = Fleet::new(slow, seed).run().load_and_use();
-        println!("weight {weight}, queue of {queued}, seed {seed}: load {most:.2}, {used:.2} used");
+        println!(
+            "weight {weight}, queue {queued}, seed {seed}: load {most:.2}, {used:.2} of capacity"
+        );
         assert!(
             most <= 1.0,
-            "weight {weight}, seed {seed}: {most:.2} of a new endpoint's capacity"
+            "weight {weight}, queue of {queued}, seed {seed}: \
+             {most:.2} of the load that overloads a new endpoint"
         );
         assert!(
             used >= 0.3,
-            "weight {weight}, seed {seed}: {used:.2} of what new endpoints can do"
+            "weight {weight}, queue of {queued}, seed {seed}: \
+             only {used:.2} of the new endpoints' capacity used"
         );
     }
 }
--- a/balancer/tests/zone_outages.rs
+++ b/balancer/tests/zone_outages.rs
@@ -1,4 +1,4 @@
-//! Zones whose connections fail.
+//! Tests of zones whose connections fail.
 
 mod common;
 use balancer::*;
@@ -41,12 +41,12 @@
     }
     assert!(
         lost < 16,
-        "twenty endpoints out of reach must not each be found out: {lost}"
+        "{lost} connections failed before the zone with 20 endpoints was avoided as a whole"
     );
 }
 
-/// A busy one of a hundred; every second of the sixty endpoints is in a zone whose connections now
-/// fail. That zone is avoided after the first few.
+/// Returns one of 100 balancers, with a raised limit. Half of its sixty endpoints are in a zone
+/// whose connections have started to fail, and that is avoided after the first failures.
 fn after_a_zone_is_lost() -> Proxy {
     let mut proxy = one_of_many();
     proxy.update_list(
@@ -64,7 +64,7 @@
         .map(|(request, to)| (request, 0, to))
         .collect();
     proxy.now += 40 * MS;
-    // The lost zone's attempts end last.
+    // Attempts end in reverse order, so that a retry ends right after the attempt before it.
     while let Some((request, attempt, to)) = out.pop() {
         let outcome = if to.0 % 2 == 0 {
             Outcome::Served
@@ -94,7 +94,7 @@
     let after = request_burst(&mut proxy, 30).len();
     assert!(
         after >= before && before > 8,
-        "{after} of {before}, though no endpoint that served has gone"
+        "{after} of {before} requests are forwarded although no serving endpoint has left"
     );
 }
 
@@ -109,14 +109,14 @@
             if endpoint.0 % 2 == 0 {
                 proxy.end_attempt(request, 0, Outcome::Served, MS);
             } else {
-                // Its connections take as long as they may.
+                // Connections to the zone are not refused but time out.
                 tries.push(proxy.now);
             }
         }
     }
-    assert!(!tries.is_empty(), "it is never tried again");
+    assert!(!tries.is_empty(), "the zone is never tried again");
     assert!(
         tries.windows(2).all(|pair| pair[1] - pair[0] >= 100 * MS),
-        "{tries:?}"
+        "trials of the zone less than 100 ms apart: {tries:?}"
     );
 }
