--- a/balancer/src/class_rejections.rs
+++ b/balancer/src/class_rejections.rs
@@ -5,13 +5,13 @@
 
 /// Recent rejections of the requests of one class by an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-struct ClassRejection {
+struct ClassState {
     /// Number of rejections since a request of the class was last served.
-    consecutive: u32,
+    consecutive_rejections: u32,
     /// When the first of these rejected requests was sent.
-    first_sent_at: Micros,
+    first_rejected_sent_at: Micros,
     /// When the request of the class that was served last was sent.
-    served_sent_at: Micros,
+    last_served_sent_at: Micros,
     /// Until this time, requests of the class prefer other endpoints.
     avoided_until: Micros,
 }
@@ -19,13 +19,13 @@
 /// An endpoint's rejections by class.
 #[derive(Debug, Default)]
 pub(crate) struct ClassRejections {
-    by_class: Vec<ClassRejection>,
+    by_class: Vec<ClassState>,
 }
 
 impl ClassRejections {
     pub(crate) fn new(class_count: usize) -> Self {
         ClassRejections {
-            by_class: vec![ClassRejection::default(); class_count],
+            by_class: vec![ClassState::default(); class_count],
         }
     }
 
@@ -49,29 +49,29 @@
         now: Micros,
         initial_backoff: Micros,
     ) -> bool {
-        let others = self
+        let other_classes = self
             .by_class
             .iter()
             .enumerate()
             .filter(|(class, _)| *class != class_id);
-        let others_served = others
-            .map(|(_, class)| class.served_sent_at)
+        let others_last_served_sent_at = other_classes
+            .map(|(_, class)| class.last_served_sent_at)
             .max()
             .unwrap_or(0);
         let Some(class) = self.by_class.get_mut(class_id) else {
             return false;
         };
         if outcome == Outcome::Served {
-            *class = ClassRejection {
-                served_sent_at: sent_at,
-                ..ClassRejection::default()
+            *class = ClassState {
+                last_served_sent_at: sent_at,
+                ..ClassState::default()
             };
         } else if outcome == Outcome::Rejected {
-            class.consecutive = class.consecutive.saturating_add(1);
-            if class.consecutive == 1 {
-                class.first_sent_at = sent_at;
-            } else if others_served > class.first_sent_at {
-                let doublings = (class.consecutive - 2).min(MAX_BACKOFF_DOUBLINGS);
+            class.consecutive_rejections = class.consecutive_rejections.saturating_add(1);
+            if class.consecutive_rejections == 1 {
+                class.first_rejected_sent_at = sent_at;
+            } else if others_last_served_sent_at > class.first_rejected_sent_at {
+                let doublings = (class.consecutive_rejections - 2).min(MAX_BACKOFF_DOUBLINGS);
                 class.avoided_until = now + (initial_backoff << doublings);
                 return true;
             }
--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -4,19 +4,19 @@
 use crate::class_rejections::ClassRejections;
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::latency::LATENCY_SMOOTHING;
-use crate::shared_limit::UTILIZATION_MEMORY_US;
+use crate::shared_limit::UTILIZATION_TIME_CONSTANT_US;
 use crate::{CellId, EndpointEntry, EndpointId, Micros, Settings, SlowStart, ZoneId};
 
 /// Number of requests forwarded per endpoint over which an endpoint's recent load decays by a
 /// factor of e. It spans many requests because requests differ far more in work than endpoints do
 /// in speed.
-const RECENT_LOAD_MEMORY_ROUNDS: f64 = 16.0;
+const RECENT_LOAD_DECAY_REQUESTS: f64 = 16.0;
 /// Time after which the effect of a changed limit can be judged from few attempts, in typical
 /// latencies.
 const SETTLING_TYPICAL_LATENCIES: f64 = 2.0;
 /// A cool-down ends at the latest this long after the last attempt ended, however few requests have
 /// been served since.
-const MAX_COOL_DOWN_US: f64 = 3.0 * UTILIZATION_MEMORY_US;
+const MAX_COOL_DOWN_US: f64 = 3.0 * UTILIZATION_TIME_CONSTANT_US;
 
 /// What this balancer knows of one endpoint.
 #[derive(Debug, Default)]
@@ -37,7 +37,7 @@
     /// Exponentially decaying sum of the time that its attempts took, in microseconds.
     recent_busy_us: f64,
     /// Value of the balancer's `forwarded_count` when `recent_busy_us` was last updated.
-    recent_busy_updated: u64,
+    recent_busy_updated_at_count: u64,
     /// Moving average of response times relative to what their classes allow; above 1 its limit is
     /// cut.
     pub(crate) latency_pressure: f64,
@@ -54,7 +54,7 @@
     pub(crate) paused_until: Micros,
     /// No request is sent to it until the balancer's `served_count` reaches this, or its cool-down
     /// times out.
-    pub(crate) cool_down_until_served: u64,
+    pub(crate) cool_down_until_served_count: u64,
     /// During slow start a request may be sent to it for one unit of credit, or without credit from
     /// `slow_start_due_at` on.
     pub(crate) slow_start_credit: f64,
@@ -81,26 +81,26 @@
     /// attempts that this balancer has forwarded, and `endpoint_count` the number of endpoints that
     /// it spreads them over.
     pub(crate) fn recent_load(&self, forwarded_count: f64, endpoint_count: f64) -> f64 {
-        let age = forwarded_count - self.recent_busy_updated as f64;
-        let memory = endpoint_count * RECENT_LOAD_MEMORY_ROUNDS;
-        self.recent_busy_us * (-age / memory).exp() / self.weight
+        let age = forwarded_count - self.recent_busy_updated_at_count as f64;
+        let decay_requests = endpoint_count * RECENT_LOAD_DECAY_REQUESTS;
+        self.recent_busy_us * (-age / decay_requests).exp() / self.weight
     }
 
     /// Adds the time that an attempt took, in microseconds, to the recent busy time.
     pub(crate) fn record_busy_time(
         &mut self,
-        time: f64,
+        busy_time: f64,
         forwarded_count: u64,
         endpoint_count: f64,
     ) {
-        let recent = self.recent_load(forwarded_count as f64, endpoint_count) * self.weight;
-        self.recent_busy_us = recent + time;
-        self.recent_busy_updated = forwarded_count;
+        let recent_busy = self.recent_load(forwarded_count as f64, endpoint_count) * self.weight;
+        self.recent_busy_us = recent_busy + busy_time;
+        self.recent_busy_updated_at_count = forwarded_count;
     }
 
     /// Minimum capacity that it has at present, as a fraction of its full capacity; it rises
     /// linearly to 1 during slow start.
-    pub(crate) fn warm_up(&self, now: Micros, slow_start: &SlowStart) -> f64 {
+    pub(crate) fn warm_up_fraction(&self, now: Micros, slow_start: &SlowStart) -> f64 {
         let age = now.saturating_sub(self.local_start);
         if self.started_at == 0 || age >= slow_start.duration {
             return 1.0;
@@ -110,7 +110,7 @@
     }
 
     pub(crate) fn is_warm(&self, now: Micros, slow_start: &SlowStart) -> bool {
-        self.warm_up(now, slow_start) >= 1.0
+        self.warm_up_fraction(now, slow_start) >= 1.0
     }
 
     pub(crate) fn is_ejected(&self) -> bool {
@@ -119,7 +119,7 @@
 
     /// Whether it has as many requests in flight as its limit, reduced during slow start, allows.
     pub(crate) fn is_full(&self, now: Micros, slow_start: &SlowStart) -> bool {
-        let limit = self.limit.total() * self.warm_up(now, slow_start);
+        let limit = self.limit.total() * self.warm_up_fraction(now, slow_start);
         self.in_flight >= (limit + 0.5).max(1.0) as u32
     }
 
@@ -129,7 +129,7 @@
         let is_due = self.slow_start_credit >= 1.0
             || now >= self.slow_start_due_at
             || self.is_warm(now, slow_start);
-        let has_cooled_down = served_count >= self.cool_down_until_served
+        let has_cooled_down = served_count >= self.cool_down_until_served_count
             || now.saturating_sub(self.last_ended_at) as f64 >= MAX_COOL_DOWN_US;
         self.is_listed && now >= self.paused_until && is_due && has_cooled_down
     }
--- a/balancer/src/endpoint_list.rs
+++ b/balancer/src/endpoint_list.rs
@@ -5,7 +5,7 @@
 use crate::{Action, DiscoveryMode, EndpointEntry, EndpointState, ListUpdate, Micros};
 
 /// Number of distinct values of the random slow-start credit that a new endpoint starts with.
-const INITIAL_CREDIT_STEPS: u64 = 1 << 20;
+const INITIAL_CREDIT_RESOLUTION: u64 = 1 << 20;
 
 impl Balancer {
     /// Subscribes to the endpoint list if this balancer has to poll for it.
@@ -58,8 +58,8 @@
         endpoint.is_listed = entry.state == EndpointState::Ready;
         endpoint.zone = entry.zone;
         endpoint.cell = entry.cell;
-        let is_valid = entry.weight.is_finite() && entry.weight > 0.0;
-        endpoint.weight = if is_valid { entry.weight } else { 1.0 };
+        let is_valid_weight = entry.weight.is_finite() && entry.weight > 0.0;
+        endpoint.weight = if is_valid_weight { entry.weight } else { 1.0 };
     }
 
     fn new_endpoint(&mut self, now: Micros, entry: &EndpointEntry) -> Endpoint {
@@ -68,10 +68,10 @@
         endpoint.record_busy_time(self.latencies.longest_typical(), self.forwarded_count, 1.0);
         // All balancers learn of a new endpoint at about the same time. Random initial credit and a
         // random delay spread out their first requests to it.
-        let credit = self.random_below(INITIAL_CREDIT_STEPS);
-        endpoint.slow_start_credit = credit as f64 / INITIAL_CREDIT_STEPS as f64;
-        let wait = self.random_below(self.slow_start_interval(now, &endpoint));
-        endpoint.slow_start_due_at = now.saturating_add(wait);
+        let credit = self.random_below(INITIAL_CREDIT_RESOLUTION);
+        endpoint.slow_start_credit = credit as f64 / INITIAL_CREDIT_RESOLUTION as f64;
+        let first_request_delay = self.random_below(self.slow_start_interval(now, &endpoint));
+        endpoint.slow_start_due_at = now.saturating_add(first_request_delay);
         endpoint
     }
 
@@ -93,9 +93,9 @@
     /// would drop when they leave the list, although the other endpoints have been shown to sustain
     /// the load.
     pub(crate) fn refresh_endpoint_counts(&mut self) {
-        let available = self.endpoints.refresh_counts(&self.zone_outages);
+        let available_count = self.endpoints.refresh_counts(&self.zone_outages);
         if let Some(shared_limit) = &mut self.shared_limit {
-            shared_limit.available_endpoints = available as f64;
+            shared_limit.available_endpoints = available_count as f64;
         }
     }
 }
--- a/balancer/src/endpoint_starts.rs
+++ b/balancer/src/endpoint_starts.rs
@@ -23,7 +23,7 @@
 /// The start of an endpoint's current process.
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    stamp: Micros,
+    listed_start: Micros,
     local_start: Micros,
     /// When the endpoint was last in the list.
     listed_at: Micros,
@@ -51,24 +51,24 @@
         kind: ListUpdate,
         entries: &[EndpointEntry],
     ) {
-        let leads = entries
+        let clock_leads = entries
             .iter()
             .map(|entry| entry.started_at.saturating_sub(now));
-        let max_lead = leads.max().unwrap_or(0);
+        let max_clock_lead = clock_leads.max().unwrap_or(0);
         for entry in entries {
             let known = self
                 .starts
                 .get_mut(&entry.endpoint)
-                .filter(|start| entry.started_at == 0 || entry.started_at == start.stamp);
+                .filter(|start| entry.started_at == 0 || entry.started_at == start.listed_start);
             if let Some(start) = known {
                 start.listed_at = now;
             } else {
-                let stamp = entry.started_at;
-                let local_start = self.bounded_start(now, stamp, max_lead);
+                let listed_start = entry.started_at;
+                let local_start = self.bounded_start(now, listed_start, max_clock_lead);
                 self.starts.insert(
                     entry.endpoint,
                     Start {
-                        stamp,
+                        listed_start,
                         local_start,
                         listed_at: now,
                     },
@@ -81,10 +81,12 @@
     }
 
     /// Converts a listed start time to this balancer's clock, within the bounds that it knows.
-    fn bounded_start(&self, now: Micros, stamp: Micros, max_lead: Micros) -> Micros {
+    fn bounded_start(&self, now: Micros, listed_start: Micros, max_clock_lead: Micros) -> Micros {
         match self.current_at {
-            Some(since) => stamp.clamp(since.saturating_sub(MAX_LIST_LAG_US).min(now), now),
-            None => stamp.saturating_sub(max_lead),
+            Some(current_at) => {
+                listed_start.clamp(current_at.saturating_sub(MAX_LIST_LAG_US).min(now), now)
+            }
+            None => listed_start.saturating_sub(max_clock_lead),
         }
     }
 
--- a/balancer/src/endpoints.rs
+++ b/balancer/src/endpoints.rs
@@ -59,16 +59,16 @@
     pub(crate) fn refresh_counts(&mut self, zone_outages: &ZoneOutages) -> usize {
         self.listed_count = 0;
         self.ejected_count = 0;
-        let mut available = 0;
+        let mut available_count = 0;
         for endpoint in self.sorted.iter().filter(|endpoint| endpoint.is_listed) {
             self.listed_count += 1;
             if endpoint.is_ejected() {
                 self.ejected_count += 1;
-            } else if !zone_outages.is_out(endpoint.zone) {
-                available += 1;
+            } else if !zone_outages.has_outage(endpoint.zone) {
+                available_count += 1;
             }
         }
-        available
+        available_count
     }
 
     /// Whether another endpoint may be ejected. At most half of the listed endpoints are ever
--- a/balancer/src/feedback.rs
+++ b/balancer/src/feedback.rs
@@ -33,9 +33,9 @@
                 ..
             } => queued / (in_flight - queued).max(1.0),
             LoadReport {
-                cpu_utilization: Some(busy),
+                cpu_utilization: Some(utilization),
                 ..
-            } => busy / FULL_CPU_UTILIZATION,
+            } => utilization / FULL_CPU_UTILIZATION,
             _ => return,
         };
         let is_valid = pressure.is_finite();
@@ -47,19 +47,19 @@
     }
 
     /// Updates the shared limit, the health of the zone and the state of the endpoint after an
-    /// attempt has ended. `took` is its duration as measured by the proxy.
+    /// attempt has ended. `reported_elapsed` is its duration as measured by the proxy.
     pub(crate) fn learn_from_attempt(
         &mut self,
         now: Micros,
         attempt: Attempt,
         outcome: Outcome,
-        took: Micros,
+        reported_elapsed: Micros,
         actions: &mut Vec<Action>,
     ) {
         if attempt.is_uploading {
             self.begin_work(now, &attempt);
         }
-        let ended = self.ended_attempt(now, attempt, outcome, took);
+        let ended = self.ended_attempt(now, attempt, outcome, reported_elapsed);
         self.update_shared_limit(&ended);
         self.update_zone_health(&ended);
         let Some(index) = self.endpoints.index_of(attempt.endpoint) else {
@@ -69,7 +69,7 @@
             // Outcomes of an endpoint's previous process don't apply to its current one.
             return;
         }
-        self.release_slot(&ended, index);
+        self.end_work(&ended, index);
         let verdict = self.classify(&ended, index);
         if verdict == Verdict::Neutral {
             self.endpoints[index].limit.trial_in_flight &= attempt.trial != Trial::Endpoint;
@@ -79,12 +79,12 @@
         let previous_pressure = self.update_latency(&ended, index, verdict);
         self.update_concurrency_limit(&ended, index);
         let was_ejected = self.endpoints[index].is_ejected();
-        self.update_steps(&ended, index);
+        self.remove_step_if_connection_lost(&ended, index);
         self.end_endpoint_trial(&ended, index, was_ejected, actions);
         if !was_ejected {
             self.eject_outlier(&ended, index, verdict, previous_pressure, actions);
         }
-        self.cool_down(&ended, index);
+        self.start_cool_down(&ended, index);
         if ended.is_served() {
             self.grant_slow_start_credit(now);
         }
@@ -96,13 +96,13 @@
         now: Micros,
         attempt: Attempt,
         outcome: Outcome,
-        took: Micros,
+        reported_elapsed: Micros,
     ) -> EndedAttempt {
         let since_sent = now.saturating_sub(attempt.sent_at);
         let elapsed = if attempt.is_uploading {
             0.0
         } else {
-            took.max(since_sent) as f64
+            reported_elapsed.max(since_sent) as f64
         };
         let estimate = self.latencies.get(attempt.class_id);
         let limit = estimate.map_or(f64::MAX, |estimate| estimate.limit());
@@ -158,7 +158,7 @@
         }
     }
 
-    fn release_slot(&mut self, ended: &EndedAttempt, index: usize) {
+    fn end_work(&mut self, ended: &EndedAttempt, index: usize) {
         let endpoint = &mut self.endpoints[index];
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         // A minimum time keeps an endpoint with fast errors and rejections from looking idle.
@@ -166,12 +166,12 @@
             ended.outcome,
             Outcome::Served | Outcome::Stale | Outcome::Invalid
         );
-        let min_time = if is_response {
+        let min_busy_time = if is_response {
             0.0
         } else {
             ended.longest_latency_objective
         };
-        let busy_time = min_time.max(ended.elapsed);
+        let busy_time = min_busy_time.max(ended.elapsed);
         endpoint.record_busy_time(busy_time, self.forwarded_count, ended.subset_size as f64);
     }
 
--- a/balancer/src/latency.rs
+++ b/balancer/src/latency.rs
@@ -75,9 +75,9 @@
 
     /// How long a response may take without showing latency pressure at its endpoint.
     pub(crate) fn limit(&self) -> f64 {
-        let of_objective = self.latency_objective as f64 * LIMIT_OBJECTIVE_FRACTION;
+        let objective_limit = self.latency_objective as f64 * LIMIT_OBJECTIVE_FRACTION;
         (self.base * LIMIT_BASE_MULTIPLE)
-            .min(of_objective)
+            .min(objective_limit)
             .max(self.base)
     }
 
--- a/balancer/src/list_polling.rs
+++ b/balancer/src/list_polling.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    fn at_most(self, min: Micros, max: Micros) -> Self {
+    fn capped(self, min: Micros, max: Micros) -> Self {
         DelayRange {
             min: self.min.min(min),
             max: self.max.min(max),
@@ -54,17 +54,17 @@
     pub(crate) due_at: Micros,
     /// Latest start of a poll that still delivers in time what has changed since the watch was
     /// lost.
-    last_poll_by: Micros,
+    last_poll_deadline: Micros,
     /// Number of consecutive failures of polls, or of watches right after they were opened.
-    failures: u32,
+    consecutive_failures: u32,
 }
 
 impl Default for ListPolling {
     fn default() -> Self {
         ListPolling {
             due_at: Micros::MAX,
-            last_poll_by: 0,
-            failures: 0,
+            last_poll_deadline: 0,
+            consecutive_failures: 0,
         }
     }
 }
@@ -73,7 +73,7 @@
     /// Records that an update arrived. Unless it is cached, it shows that polls succeed again.
     pub(crate) fn record_update(&mut self, kind: ListUpdate) {
         if kind != ListUpdate::Cached {
-            self.failures = 0;
+            self.consecutive_failures = 0;
         }
         self.due_at = Micros::MAX;
     }
@@ -88,17 +88,17 @@
         kind: ListUpdate,
     ) -> DelayRange {
         let window = poll_window(discovery);
-        self.set_last_poll(now, discovery, kind);
-        let left = self.last_poll_by.saturating_sub(now);
-        let max = if left * MIN_SPREAD_DIVISOR < window {
+        self.set_last_poll_deadline(now, discovery, kind);
+        let remaining = self.last_poll_deadline.saturating_sub(now);
+        let max = if remaining * MIN_SPREAD_DIVISOR < window {
             window
         } else {
-            left.min(window)
+            remaining.min(window)
         };
         let range = match (kind, has_many_peers) {
             (ListUpdate::WatchLost, _) => {
                 let mean = discovery.max_poll_interval / WATCH_RESUME_DIVISOR;
-                DelayRange::around(mean).at_most(max / 16, max / 8)
+                DelayRange::around(mean).capped(max / 16, max / 8)
             }
             // At most half of the window, which leaves time for a poll that gets no response and
             // for another one.
@@ -107,34 +107,34 @@
                 max: window / 2,
             },
             (ListUpdate::WatchFlapping, false) => {
-                self.backoff(discovery).at_most(window / 4, window / 2)
+                self.backoff(discovery).capped(window / 4, window / 2)
             }
             // If very many balancers polled again soon, they would keep discovery busy with polls
             // that fail, so they spread their polls over all of the remaining time.
-            (_, true) if self.failures == 0 => DelayRange { min: 0, max },
+            (_, true) if self.consecutive_failures == 0 => DelayRange { min: 0, max },
             (_, true) => DelayRange { min: max / 2, max },
-            (_, false) => self.backoff(discovery).at_most(max / 2, max),
+            (_, false) => self.backoff(discovery).capped(max / 2, max),
         };
         if kind != ListUpdate::WatchLost {
-            self.failures += 1;
+            self.consecutive_failures += 1;
         }
         range
     }
 
     /// Sets the latest start of the last poll when a watch is lost.
-    fn set_last_poll(&mut self, now: Micros, discovery: &Discovery, kind: ListUpdate) {
+    fn set_last_poll_deadline(&mut self, now: Micros, discovery: &Discovery, kind: ListUpdate) {
         if kind == ListUpdate::WatchLost {
-            self.last_poll_by = now + poll_window(discovery);
-            self.failures = 0;
+            self.last_poll_deadline = now + poll_window(discovery);
+            self.consecutive_failures = 0;
         } else if kind == ListUpdate::WatchFlapping {
             // The list was current until now: detecting the loss took no time.
             let deadline = discovery.notification_deadline;
-            self.last_poll_by = now + deadline - deadline / RESPONSE_TIME_DIVISOR;
+            self.last_poll_deadline = now + deadline - deadline / RESPONSE_TIME_DIVISOR;
         }
     }
 
     fn backoff(&self, discovery: &Discovery) -> DelayRange {
-        let doublings = self.failures.min(MAX_POLL_BACKOFF_DOUBLINGS);
+        let doublings = self.consecutive_failures.min(MAX_POLL_BACKOFF_DOUBLINGS);
         DelayRange::around(
             (discovery.max_poll_interval / INITIAL_POLL_BACKOFF_DIVISOR) << doublings,
         )
--- a/balancer/src/outlier_detection.rs
+++ b/balancer/src/outlier_detection.rs
@@ -62,7 +62,7 @@
     /// endpoint served a request, one lost connection is not enough: a step is only removed if the
     /// failure rate is high from earlier losses, and the last step only by ejecting the endpoint
     /// for its failure rate.
-    pub(crate) fn update_steps(&mut self, ended: &EndedAttempt, index: usize) {
+    pub(crate) fn remove_step_if_connection_lost(&mut self, ended: &EndedAttempt, index: usize) {
         let endpoint = &mut self.endpoints[index];
         let since_served = ended.now.saturating_sub(endpoint.last_served_at);
         let served_recently = endpoint.last_served_at > 0 && since_served <= ended.initial_backoff;
@@ -142,13 +142,13 @@
     /// Under a shared limit, excludes an endpoint that rejected a request or is ejected until a
     /// number of other requests have been served. With a fixed duration instead, very many
     /// balancers together would send it too many trials.
-    pub(crate) fn cool_down(&mut self, ended: &EndedAttempt, index: usize) {
+    pub(crate) fn start_cool_down(&mut self, ended: &EndedAttempt, index: usize) {
         let endpoint = &mut self.endpoints[index];
         let needs_cool_down = ended.outcome == Outcome::Rejected || endpoint.is_ejected();
         if self.shared_limit.is_some() && needs_cool_down {
             let doublings = COOL_DOWN_DOUBLINGS + endpoint.limit.backoff_doublings;
             let served_requests = (ended.subset_size as u64) << doublings;
-            endpoint.cool_down_until_served = self.served_count + served_requests;
+            endpoint.cool_down_until_served_count = self.served_count + served_requests;
         }
     }
 }
--- a/balancer/src/shared_limit.rs
+++ b/balancer/src/shared_limit.rs
@@ -19,9 +19,9 @@
 /// endpoint, as the samples come from fast and slow endpoints and from all classes.
 const MIN_SHARED_PRESSURE_SMOOTHING: f64 = LATENCY_SMOOTHING / 3.0;
 /// Time constant of the shared latency pressure where samples are few.
-const SHARED_PRESSURE_MEMORY_US: f64 = 1e6;
+const SHARED_PRESSURE_TIME_CONSTANT_US: f64 = 1e6;
 /// Time constant of the mean number of requests in flight.
-pub(crate) const UTILIZATION_MEMORY_US: f64 = 3e6;
+pub(crate) const UTILIZATION_TIME_CONSTANT_US: f64 = 3e6;
 
 /// The shared concurrency limit. It bounds the mean number of requests in flight: each request uses
 /// up request time, its duration, and request time accrues at the rate of the limit.
@@ -70,7 +70,7 @@
     }
 
     /// Adds used request time to the debt, from which what has accrued since is deducted.
-    fn charge(&mut self, now: Micros, request_time: f64) {
+    fn charge_request_time(&mut self, now: Micros, request_time: f64) {
         let accrued = self.total() * now.saturating_sub(self.debt_updated_at) as f64;
         self.debt_us = (self.debt_us - accrued).max(0.0) + request_time;
         self.debt_updated_at = now;
@@ -79,14 +79,14 @@
     /// Counts an attempt that starts, and charges the typical latency of its class.
     pub(crate) fn begin_attempt(&mut self, now: Micros, typical_latency: f64) {
         self.in_flight += 1;
-        self.charge(now, typical_latency);
+        self.charge_request_time(now, typical_latency);
     }
 
     /// Counts an attempt that has ended, and charges its actual duration in place of the typical
     /// latency.
     pub(crate) fn end_attempt(&mut self, now: Micros, elapsed: f64, typical_latency: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.charge(now, elapsed - typical_latency);
+        self.charge_request_time(now, elapsed - typical_latency);
     }
 
     /// If an attempt was a trial of the shared limit, raises the limit or backs off.
@@ -136,15 +136,15 @@
     ) {
         let gap = now.saturating_sub(self.last_sample_at) as f64;
         self.last_sample_at = now;
-        self.mean_in_flight = self.mean_in_flight * (-gap / UTILIZATION_MEMORY_US).exp()
-            + elapsed / UTILIZATION_MEMORY_US;
+        self.mean_in_flight = self.mean_in_flight * (-gap / UTILIZATION_TIME_CONSTANT_US).exp()
+            + elapsed / UTILIZATION_TIME_CONSTANT_US;
         if sent_at < self.cut_at {
             return;
         }
-        let weight_of_gap = |memory: f64| 1.0 - (-gap / memory).exp();
-        let weight = weight_of_gap(SHARED_PRESSURE_MEMORY_US)
+        let weight_of_gap = |time_constant: f64| 1.0 - (-gap / time_constant).exp();
+        let weight = weight_of_gap(SHARED_PRESSURE_TIME_CONSTANT_US)
             .clamp(MIN_SHARED_PRESSURE_SMOOTHING, LATENCY_SMOOTHING)
-            .max(weight_of_gap(UTILIZATION_MEMORY_US));
+            .max(weight_of_gap(UTILIZATION_TIME_CONSTANT_US));
         self.latency_pressure += (latency_pressure - self.latency_pressure) * weight;
         self.sample_weight += weight;
         if self.latency_pressure > 1.0 && self.sample_weight >= 1.0 {
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -15,14 +15,14 @@
 /// The endpoints up to the last one of this balancer's subset, and the capacity of those of them
 /// that are in service.
 #[derive(Debug, Default)]
-struct Reach {
+struct SubsetRange {
     indices: Vec<usize>,
     /// Sum of weight times warm-up over the endpoints in service.
     weighted_capacity: f64,
     /// Sum of warm-up over the endpoints in service.
     capacity: f64,
     /// Number of endpoints in service.
-    in_service: f64,
+    in_service_count: f64,
 }
 
 impl Balancer {
@@ -36,29 +36,29 @@
         if self
             .endpoints
             .iter()
-            .all(|e| !e.is_listed || e.is_warm(now, slow_start))
+            .all(|endpoint| !endpoint.is_listed || endpoint.is_warm(now, slow_start))
         {
             return;
         }
-        let reach = self.reach(now);
+        let subset_range = self.subset_range(now);
         // The weight of an endpoint counts only up to the mean, as the initial load of a new
         // endpoint is low whatever its size.
         let (fraction, max_weight) = if self.shared_limit.is_some() {
             let multiple = slow_start.overload_multiple * SLOW_START_OVERLOAD_FRACTION;
             (
-                multiple / reach.weighted_capacity,
-                reach.weighted_capacity / reach.capacity,
+                multiple / subset_range.weighted_capacity,
+                subset_range.weighted_capacity / subset_range.capacity,
             )
         } else {
             (
-                1.0 / reach.weighted_capacity,
-                reach.weighted_capacity / reach.in_service,
+                1.0 / subset_range.weighted_capacity,
+                subset_range.weighted_capacity / subset_range.in_service_count,
             )
         };
-        for index in reach.indices {
+        for index in subset_range.indices {
             let endpoint = &mut self.endpoints[index];
             let weight = endpoint.weight.min(max_weight);
-            let share = (fraction * weight).min(1.0) * endpoint.warm_up(now, slow_start);
+            let share = (fraction * weight).min(1.0) * endpoint.warm_up_fraction(now, slow_start);
             // With few balancers the share is rounded up to one over a whole number: if all
             // endpoints warm up, shares that add up to less than one request would let none
             // through.
@@ -73,30 +73,30 @@
 
     /// The listed endpoints from this balancer's position on the ring up to the last endpoint of
     /// its subset.
-    fn reach(&self, now: Micros) -> Reach {
+    fn subset_range(&self, now: Micros) -> SubsetRange {
         let slow_start = &self.settings.slow_start;
-        let mut reach = Reach::default();
-        let mut left = self.subset_size();
+        let mut subset_range = SubsetRange::default();
+        let mut remaining = self.subset_size();
         for index in self.subset_ring() {
-            if left == 0 {
+            if remaining == 0 {
                 break;
             }
             let endpoint = &self.endpoints[index];
             if !endpoint.is_listed {
                 continue;
             }
-            reach.indices.push(index);
+            subset_range.indices.push(index);
             if self.is_in_service(endpoint) {
-                let warm_up = endpoint.warm_up(now, slow_start);
-                reach.weighted_capacity += endpoint.weight * warm_up;
-                reach.capacity += warm_up;
-                reach.in_service += 1.0;
+                let warm_up_fraction = endpoint.warm_up_fraction(now, slow_start);
+                subset_range.weighted_capacity += endpoint.weight * warm_up_fraction;
+                subset_range.capacity += warm_up_fraction;
+                subset_range.in_service_count += 1.0;
             }
             if endpoint.is_usable(now, self.served_count, slow_start) {
-                left -= 1;
+                remaining -= 1;
             }
         }
-        reach
+        subset_range
     }
 
     /// Whether an endpoint takes its part of the requests. Under a shared limit an endpoint that
@@ -119,8 +119,8 @@
     /// Interval between requests without credit that keeps less than one of them in flight from all
     /// balancers together.
     pub(crate) fn slow_start_interval(&self, now: Micros, endpoint: &Endpoint) -> Micros {
-        let warm_up = endpoint.warm_up(now, &self.settings.slow_start);
+        let warm_up_fraction = endpoint.warm_up_fraction(now, &self.settings.slow_start);
         let balancers = f64::from(self.settings.balancer_count);
-        (self.settings.longest_latency_objective() * balancers / warm_up) as Micros
+        (self.settings.longest_latency_objective() * balancers / warm_up_fraction) as Micros
     }
 }
--- a/balancer/src/zone_outages.rs
+++ b/balancer/src/zone_outages.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 struct ZoneOutage {
     /// Number of consecutive connection failures.
-    failures: u32,
+    consecutive_failures: u32,
     /// No request is sent to the zone before this time.
     avoided_until: Micros,
 }
@@ -28,9 +28,9 @@
     pub(crate) fn record_failure(&mut self, zone: ZoneId, now: Micros, initial_backoff: Micros) {
         let outage = self.by_zone.entry(zone).or_default();
         let doublings = outage
-            .failures
+            .consecutive_failures
             .min(MAX_BACKOFF_DOUBLINGS + ZONE_BACKOFF_DOUBLINGS);
-        outage.failures = outage.failures.saturating_add(1);
+        outage.consecutive_failures = outage.consecutive_failures.saturating_add(1);
         outage.avoided_until = now + ((initial_backoff << doublings) >> ZONE_BACKOFF_DOUBLINGS);
     }
 
@@ -40,10 +40,10 @@
 
     /// Whether so many consecutive connections have failed that the whole zone counts as
     /// unreachable.
-    pub(crate) fn is_out(&self, zone: ZoneId) -> bool {
+    pub(crate) fn has_outage(&self, zone: ZoneId) -> bool {
         self.by_zone
             .get(&zone)
-            .is_some_and(|outage| outage.failures > ZONE_BACKOFF_DOUBLINGS)
+            .is_some_and(|outage| outage.consecutive_failures > ZONE_BACKOFF_DOUBLINGS)
     }
 
     /// Whether requests may be sent to the zone at present.
@@ -56,7 +56,7 @@
     /// If the zone has an outage, avoids it for `backoff` after a request was sent to it: requests
     /// sent before the first one's connection fails would be late.
     pub(crate) fn begin_trial(&mut self, zone: ZoneId, now: Micros, backoff: Micros) {
-        if self.is_out(zone) {
+        if self.has_outage(zone) {
             if let Some(outage) = self.by_zone.get_mut(&zone) {
                 outage.avoided_until = now + backoff;
             }
