--- a/balancer/tests/concurrency_limit.rs
+++ b/balancer/tests/concurrency_limit.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_request_at_a_full_endpoint_is_the_one_trial_and_the_next_is_queued() {
+fn only_one_request_exceeds_the_limit_as_a_trial_and_the_next_is_queued() {
     let (mut proxy, _) = endpoint_at_its_limit(Idempotency::NonIdempotent);
     let (trial, actions) = proxy.request();
     assert_eq!(forwarded(&actions), [(trial, EndpointId(1))]);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_served_trial_adds_one_step() {
+fn a_served_trial_raises_the_limit_by_one_step() {
     let (mut proxy, _) = endpoint_at_its_limit(Idempotency::NonIdempotent);
     let (trial, _) = proxy.request();
     let (a, b) = (proxy.request().0, proxy.request().0);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_failed_trial_doubles_the_backoff_up_to_a_cap_and_a_served_one_resets_it() {
+fn failed_trials_double_the_backoff_up_to_a_maximum_and_a_served_trial_resets_it() {
     let (mut proxy, _) = endpoint_at_its_limit(Idempotency::NonIdempotent);
     let mut trial = proxy.request().0;
     let mut spans = Vec::new();
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_rejection_lowers_the_concurrency() {
+fn a_rejection_cuts_the_limit_of_the_endpoint() {
     assert_eq!(concurrency_after(Outcome::Served), 8);
     assert_eq!(
         concurrency_after(Outcome::Rejected),
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn steps_end_at_their_maximum_so_that_as_many_connection_failures_take_them() {
+fn steps_are_limited_to_ten_so_that_nine_connection_failures_leave_one() {
     let limits = Limits {
         max_attempts: 1,
         ..Settings::default().limits
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn reported_queues_and_busy_cores_count_as_pressure_while_responses_are_fast() {
+fn reported_queues_and_busy_cores_prevent_trials_even_if_responses_are_fast() {
     let busy = |b| LoadReport {
         cpu_utilization: Some(b),
         ..LoadReport::default()
--- a/balancer/tests/endpoint_starts.rs
+++ b/balancer/tests/endpoint_starts.rs
@@ -43,7 +43,7 @@
 /// If the proxy's wall clock is an hour behind, a new endpoint seems to start in an hour. It must
 /// be warm after the normal duration nevertheless.
 #[test]
-fn an_endpoint_with_a_start_time_in_the_future_warms_up() {
+fn an_endpoint_with_a_start_time_in_the_future_is_warm_after_the_normal_duration() {
     let duration = Settings::default().slow_start.duration;
     for ahead in [0, SECOND, HOUR] {
         let mut proxy = with_new_endpoint(|now| now + ahead);
@@ -60,7 +60,7 @@
 /// for an hour. Since it was not in the previous list, it must warm up like an endpoint with the
 /// correct start time.
 #[test]
-fn a_new_endpoint_warms_up_whatever_its_start_time_says() {
+fn a_new_endpoint_with_a_start_time_long_ago_is_not_treated_as_warm() {
     let right = fraction_to_new(&mut with_new_endpoint(|now| now - SECOND), 2 * SECOND);
     for behind in [10 * SECOND, 60 * SECOND, HOUR] {
         let fraction = fraction_to_new(&mut with_new_endpoint(|now| now - behind), 2 * SECOND);
@@ -74,7 +74,7 @@
 /// A changed start time, even an earlier one, means that the endpoint has a new process, which must
 /// warm up.
 #[test]
-fn an_earlier_start_time_is_that_of_another_process() {
+fn an_endpoint_whose_start_time_changes_to_an_earlier_one_warms_up_again() {
     let mut proxy = with_new_endpoint(|now| now - SECOND);
     fraction_to_new(
         &mut proxy,
@@ -99,7 +99,7 @@
 /// An endpoint that leaves the list for a short time and returns with the same start time has not
 /// restarted, and must not warm up again.
 #[test]
-fn an_endpoint_that_returns_to_the_list_with_its_start_time_is_warm() {
+fn an_endpoint_that_returns_to_the_list_with_the_same_start_time_stays_warm() {
     let mut proxy = with_new_endpoint(|now| now - SECOND);
     let started_at = proxy.now - SECOND;
     fraction_to_new(&mut proxy, Settings::default().slow_start.duration);
@@ -129,7 +129,7 @@
 /// In the first list the differences between the start times show which endpoints warm up: with the
 /// clock an hour behind, endpoints that started long before the newest one must count as warm.
 #[test]
-fn in_a_first_list_with_the_clock_behind_only_the_newest_warms_up() {
+fn with_the_clock_behind_only_the_newest_endpoint_of_the_first_list_warms_up() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
     // A balancer that has not received a list yet.
     proxy.balancer = Balancer::new(7, settings(Idempotency::Idempotent));
--- a/balancer/tests/list_polling.rs
+++ b/balancer/tests/list_polling.rs
@@ -63,7 +63,7 @@
 /// changes. A poll that is in flight at that time takes at most `SILENCE` to fail, so the sum of
 /// that, the delay of the next poll and its response time must not exceed the deadline.
 #[test]
-fn after_any_failed_polls_the_next_begins_in_time() {
+fn after_any_sequence_of_failed_polls_the_next_poll_starts_in_time() {
     for (balancer_count, balancer_index) in [
         (5, 0),
         (5, 3),
@@ -99,7 +99,7 @@
 /// it was queued, or any number that are rejected immediately, another poll must still be in time.
 /// The same applies after a new configuration, with its shorter deadline.
 #[test]
-fn what_a_lost_watch_misses_is_polled_in_time() {
+fn changes_since_a_watch_was_lost_are_polled_before_the_notification_deadline() {
     let paths: [&[Micros]; 4] = [&[], &[QUEUE_TIMEOUT], &[SILENCE], &[0; 40]];
     for (balancer_count, balancer_index) in
         (0..40).flat_map(|balancer_index| [(5, balancer_index), (MANY_BALANCERS, balancer_index)])
@@ -136,7 +136,7 @@
 /// Two watches in a row break right after they were opened, and then one poll may fail in any way.
 /// The list was current until the second watch broke; later changes must be polled in time.
 #[test]
-fn what_two_flapping_watches_miss_is_polled_in_time() {
+fn changes_since_two_flapping_watches_are_polled_before_the_notification_deadline() {
     for (balancer_count, balancer_index) in
         (0..40).flat_map(|balancer_index| [(5, balancer_index), (MANY_BALANCERS, balancer_index)])
     {
@@ -199,7 +199,7 @@
 /// If discovery has enough capacity to answer all polls in time, all balancers must be notified in
 /// time. If its capacity is far too low, failed polls must not keep it from answering others.
 #[test]
-fn very_many_that_lose_their_watch_at_once_are_all_notified_in_time() {
+fn all_of_very_many_balancers_that_lose_their_watches_together_are_notified_in_time() {
     for (noticed_at, deadline) in [
         (SILENCE, NOTIFICATION_DEADLINE),
         (MS, NOTIFICATION_DEADLINE_AFTER_MOVE),
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn very_many_that_restart_at_once_are_all_notified_in_time() {
+fn all_of_very_many_balancers_that_restart_together_are_notified_in_time() {
     for rejection_cost in [0.0, 1.0] {
         for capacity in [120, 60] {
             let mut fleet = lost_at(Micros::MAX, capacity, rejection_cost);
@@ -255,7 +255,7 @@
 /// While discovery is unreachable no balancer can be notified. When it recovers, all must get its
 /// changes in time, whatever the state of their backoff.
 #[test]
-fn very_many_are_notified_in_time_when_discovery_returns() {
+fn all_of_very_many_balancers_are_notified_in_time_after_discovery_recovers() {
     for (availability, rejection_cost) in [
         (Availability::RefusesConnections, 0.0),
         (Availability::RefusesConnections, 1.0),
--- a/balancer/tests/outage_recovery.rs
+++ b/balancer/tests/outage_recovery.rs
@@ -13,7 +13,7 @@
 /// endpoints overloaded. A fleet in this state could fail requests long after the lost endpoints
 /// have returned.
 #[test]
-fn a_fleet_recovers_soon_after_a_lost_zone_returns() {
+fn most_requests_are_served_in_time_again_within_seconds_of_the_return_of_a_lost_zone() {
     let fleets: Vec<Fleet> = (1..=3)
         .map(|seed| Fleet::new(seed, 100, 60, 0.85).run())
         .collect();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run() {
+fn the_same_seed_reproduces_the_same_run() {
     let seconds = || Fleet::new(1, 30, 20, 0.85).run().seconds;
     assert_eq!(seconds(), seconds());
 }
--- a/balancer/tests/outlier_detection.rs
+++ b/balancer/tests/outlier_detection.rs
@@ -5,7 +5,7 @@
 use common::*;
 
 #[test]
-fn connection_failures_eject_an_endpoint_until_one_request_tries_it_after_its_backoff() {
+fn a_connection_failure_ejects_an_endpoint_until_a_single_trial_after_its_backoff_is_served() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     let (request, actions) = proxy.request();
     let broken = forwarded(&actions)[0].1;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn with_every_endpoint_ejected_requests_are_rejected_with_retry_after() {
+fn requests_are_rejected_with_a_retry_after_time_if_every_endpoint_is_ejected() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     // A reset removes the only step of the endpoint's limit and ejects it. At most one of two
     // endpoints may be ejected, so the list is reduced to the ejected one.
@@ -71,7 +71,7 @@
 /// The number of unavailable endpoints, which operators see, must include an ejected endpoint until
 /// its backoff has ended.
 #[test]
-fn an_ejected_endpoint_is_avoided_until_it_may_be_tried() {
+fn an_ejected_endpoint_counts_as_unavailable_until_a_trial_is_allowed() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     assert_eq!(proxy.balancer.unavailable_count(proxy.now), 0);
     for _ in 0..60 {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn fast_errors_eject_an_endpoint_though_it_looks_idle() {
+fn an_endpoint_with_fast_errors_is_ejected_although_it_looks_idle() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
     let mut errors = 0;
     for _ in 0..200 {
@@ -140,7 +140,7 @@
 /// that serves other requests, and an idle connection that the endpoint had closed must not count
 /// as a failure at all.
 #[test]
-fn connections_that_break_now_and_then_eject_no_endpoint() {
+fn occasional_broken_or_stale_connections_eject_no_endpoint() {
     for (outcome, every) in [(Outcome::Reset, 12), (Outcome::Stale, 3)] {
         let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
         let mut counts = [0; 5];
@@ -171,7 +171,7 @@
 /// Malformed responses occur occasionally at any endpoint, and two in a row must not eject it. An
 /// endpoint whose responses are mostly malformed must not attract requests by being fast.
 #[test]
-fn an_endpoint_is_ejected_for_many_malformed_responses_not_for_two() {
+fn an_endpoint_is_ejected_for_many_malformed_responses_but_not_for_two_in_a_row() {
     for (every, least, most) in [(10, 8, 400), (1, 1, 8)] {
         let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
         let (mut malformed, mut at) = (0, 0);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn one_success_does_not_readmit_an_endpoint_that_fails_most() {
+fn one_served_trial_does_not_readmit_an_endpoint_that_fails_most_requests() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
     let mut to_failing = 0;
     for round in 0..400 {
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn most_of_the_fleet_is_never_ejected() {
+fn at_most_half_of_the_endpoints_are_ejected() {
     let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 6);
     for _ in 0..100 {
         let (request, actions) = proxy.request();
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn an_endpoint_that_rejects_is_left_alone_for_a_typical_latency() {
+fn an_endpoint_that_rejects_gets_no_requests_for_a_typical_latency() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     for _ in 0..30 {
         proxy.serve_request(40 * MS);
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn a_restarted_endpoint_is_not_judged_by_its_last_process() {
+fn a_restarted_endpoint_is_not_ejected_for_failures_of_its_previous_process() {
     let mut proxy = Proxy::new(
         Settings {
             balancer_count: 1,
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_failing_endpoint_is_tried_by_a_part_of_its_requests_however_slowly_they_arrive() {
+fn a_rejecting_endpoint_gets_few_requests_even_if_they_arrive_slower_than_backoffs_end() {
     // One request arrives per second, so a backoff of fixed duration would have ended before most
     // of them, and a thousand such balancers would keep sending requests to the endpoint.
     let limits = Limits {
--- a/balancer/tests/poll_delays.rs
+++ b/balancer/tests/poll_delays.rs
@@ -7,7 +7,7 @@
 /// A watch that was open shows that polls succeed, even if it delivered no change: the backoff must
 /// be reset.
 #[test]
-fn after_an_open_watch_poll_delays_are_short_again() {
+fn a_watch_that_was_open_resets_the_poll_backoff() {
     let mut proxy = Proxy::new(
         Settings {
             balancer_count: 5,
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_failed_poll_is_repeated_after_a_delay() {
+fn a_failed_poll_is_repeated_after_a_delay_unless_the_list_is_pushed() {
     let mut proxy = Proxy::new(
         Settings {
             discovery: polled_discovery(),
@@ -96,7 +96,7 @@
 /// notification deadline, as the other half is for detecting that a poll timed out and for a
 /// response. The load of discovery is modelled in `models/discovery.rs`.
 #[test]
-fn very_many_balancers_spread_their_polls() {
+fn very_many_balancers_spread_their_polls_over_the_available_time() {
     let discovery = settings(Idempotency::Idempotent).discovery;
     let most = discovery.notification_deadline / 2;
     let many: Vec<_> = (0..100)
@@ -145,7 +145,7 @@
 /// A balancer counts as notified of a change 6 s after it, of which 2.5 s pass before a silent
 /// watch is detected.
 #[test]
-fn a_watch_that_was_open_is_reopened_soon() {
+fn a_lost_watch_is_reopened_soon_but_not_immediately() {
     for balancer_count in [5, 100] {
         let mut proxy = Proxy::new(
             Settings {
--- a/balancer/tests/shared_limit.rs
+++ b/balancer/tests/shared_limit.rs
@@ -6,7 +6,7 @@
 use common::*;
 
 #[test]
-fn one_overload_cuts_the_shared_limit_by_half_at_most() {
+fn one_overload_at_most_halves_the_shared_limit() {
     let mut proxy = one_of_many();
     raise_shared_limit(&mut proxy);
     let out = request_burst(&mut proxy, 40);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn quick_first_responses_do_not_make_typical_ones_look_late() {
+fn fast_first_responses_do_not_make_typical_responses_look_late() {
     let mut proxy = one_of_many();
     // Every second request takes twenty times longer, so a response after that time is typical.
     let time = |request: u64| {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn endpoints_that_reject_do_not_lower_the_shared_limit() {
+fn rejections_by_draining_endpoints_do_not_cut_the_shared_limit() {
     let mut proxy = one_of_many();
     raise_shared_limit(&mut proxy);
     // Half of the endpoints drain, which the endpoint list does not show yet.
@@ -130,7 +130,7 @@
 
 /// During a release most balancers may start at the same time, so each must start with a low limit.
 #[test]
-fn a_new_balancer_begins_with_a_request_per_core_and_soon_takes_more() {
+fn a_new_balancer_starts_with_a_small_burst_and_doubles_it_within_two_seconds() {
     let mut proxy = one_of_hundreds(500 * MS);
     let out = request_burst(&mut proxy, 40);
     let first = out.len();
@@ -154,7 +154,7 @@
 /// Most balancers cause such an overload together, and each receives few responses. Waiting for
 /// thirty of them would take this balancer four seconds, which is too slow.
 #[test]
-fn a_balancer_of_few_requests_reacts_to_overload_within_two_seconds() {
+fn a_balancer_with_few_requests_cuts_its_limit_within_two_seconds_of_an_overload() {
     let mut proxy = one_of_hundreds(500 * MS);
     raise_shared_limit(&mut proxy);
     let out = request_burst(&mut proxy, 40);
@@ -182,7 +182,7 @@
 /// Endpoints with two cores that are nearly 60 % busy take half as long again as idle ones. With a
 /// tight objective this must not count as an overload.
 #[test]
-fn a_tight_objective_does_not_make_a_busy_fleet_look_overloaded() {
+fn a_tight_latency_objective_does_not_make_busy_endpoints_look_overloaded() {
     let mut proxy = one_of_hundreds(100 * MS);
     let alone = |request: u64| (35 + 5 * (request % 5)) * MS;
     serve_stream(&mut proxy, 1_000, alone);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn one_of_a_thousand_has_one_limit_for_all_endpoints_and_one_trial_at_a_time() {
+fn a_shared_limit_bounds_requests_to_all_endpoints_and_allows_one_trial_at_a_time() {
     let (mut proxy, out) = one_of_a_thousand();
     let (queued, actions) = proxy.request();
     assert!(
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn latency_pressure_at_any_endpoint_lowers_the_shared_limit() {
+fn slow_responses_of_several_endpoints_cut_the_shared_limit() {
     let requests = |elapsed: Micros| {
         let mut proxy = Proxy::new(
             Settings {
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_new_endpoint_gets_its_part_also_when_it_rejects_or_fails_fast_and_after_a_restart() {
+fn a_new_or_restarted_endpoint_gets_a_limited_part_of_requests_whatever_their_outcome() {
     for outcome in [
         Outcome::Served,
         Outcome::Rejected,
@@ -87,7 +87,7 @@
 /// Draining endpoints serve few requests and then none. If they counted as in service, new
 /// endpoints would stay idle while the warm ones are full.
 #[test]
-fn slow_start_credit_is_relative_to_the_endpoints_in_service() {
+fn draining_endpoints_do_not_reduce_the_slow_start_credit_of_a_new_endpoint() {
     let (alone, beside) = (
         requests_to_new_endpoint_beside(0),
         requests_to_new_endpoint_beside(9),
@@ -131,7 +131,7 @@
 /// Six in ten endpoints have just been replaced. If credit depended only on the number of
 /// endpoints, the new ones would stay idle while the others are full.
 #[test]
-fn new_endpoints_serve_their_part_where_most_are_new() {
+fn new_endpoints_serve_their_part_if_most_endpoints_are_new() {
     let (mut to_new, mut all) = (0, 0);
     for balancer_index in 0..100 {
         let mut proxy = balancer_of(100, balancer_index, 60);
--- a/balancer/tests/slow_start_fleet.rs
+++ b/balancer/tests/slow_start_fleet.rs
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn an_endpoint_that_joins_under_a_burst_is_not_overloaded_by_all_balancers_together() {
+fn a_new_endpoint_that_joins_during_a_burst_is_not_overloaded_by_all_balancers_together() {
     assert_safe_slow_start(BURST);
 }
 
 #[test]
-fn an_endpoint_that_is_the_first_of_a_full_list_is_not_overloaded() {
+fn a_new_endpoint_that_is_first_in_a_full_list_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
         full_list: true,
         ..BURST
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_endpoint_of_which_all_are_notified_at_once_is_not_overloaded() {
+fn a_new_endpoint_that_all_balancers_learn_of_at_the_same_time_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
         full_list: true,
         spread: 1,
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn an_endpoint_of_which_balancers_are_notified_one_after_another_is_not_overloaded() {
+fn a_new_endpoint_that_balancers_learn_of_over_two_seconds_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
         spread: 2 * SECOND,
         ..BURST
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_endpoint_that_returns_is_not_overloaded() {
+fn an_endpoint_that_returns_with_its_previous_id_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
         returning: true,
         ..BURST
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn uneven_traffic_overloads_no_new_endpoint() {
+fn balancers_with_uneven_traffic_overload_no_new_endpoint() {
     assert_safe_slow_start(Scenario {
         uneven: true,
         ..BURST
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn balancers_killed_during_slow_start_overload_no_endpoint() {
+fn balancers_killed_during_slow_start_overload_no_new_endpoint() {
     assert_safe_slow_start(Scenario {
         restart: Restart::Killed,
         ..BURST
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn both_processes_of_an_upgrade_overload_no_new_endpoint() {
+fn overlapping_processes_of_upgraded_balancers_overload_no_new_endpoint() {
     assert_safe_slow_start(Scenario {
         restart: Restart::Upgraded,
         ..BURST
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn all_of_it_together_overloads_no_new_endpoint() {
+fn killed_balancers_with_uneven_traffic_do_not_overload_a_returning_endpoint() {
     assert_safe_slow_start(Scenario {
         returning: true,
         full_list: true,
@@ -146,7 +146,7 @@
 /// balancers collected credit for a new endpoint outside their subsets, or credit based on the few
 /// endpoints inside, they would all use it on that endpoint at the same time.
 #[test]
-fn balancers_that_reach_more_endpoints_in_a_burst_overload_no_slow_new_one() {
+fn balancers_whose_subsets_grow_in_a_burst_overload_no_slow_new_endpoint() {
     for (seed, weight, queued) in [
         (1, 1.0, 40),
         (2, 1.0, 40),
--- a/balancer/tests/zone_outages.rs
+++ b/balancer/tests/zone_outages.rs
@@ -5,7 +5,7 @@
 use common::*;
 
 #[test]
-fn a_partitioned_zone_is_avoided_as_a_whole() {
+fn a_partitioned_zone_is_avoided_before_each_of_its_endpoints_has_failed() {
     let zoned = |i| EndpointEntry {
         zone: ZoneId(i % 2),
         ..ready(i)
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn endpoints_of_a_lost_zone_leave_the_list_without_a_cut_for_the_others() {
+fn removing_the_endpoints_of_a_lost_zone_from_the_list_does_not_cut_the_shared_limit() {
     let mut proxy = after_a_zone_is_lost();
     let out = request_burst(&mut proxy, 30);
     let before = out.len();
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_lost_zone_is_tried_by_one_request_at_a_time() {
+fn a_lost_zone_gets_one_trial_request_at_a_time() {
     let mut proxy = after_a_zone_is_lost();
     let mut tries = Vec::new();
     for _ in 0..600 {
