--- a/balancer/tests/concurrency_limit.rs
+++ b/balancer/tests/concurrency_limit.rs
@@ -7,7 +7,7 @@
 
 /// Returns a proxy whose only endpoint has reached its initial limit, one request with seven
 /// balancers, and the request that is in flight there.
-fn endpoint_at_its_limit(idempotency: Idempotency) -> (Proxy, RequestId) {
+fn proxy_at_its_limit(idempotency: Idempotency) -> (Proxy, RequestId) {
     let mut proxy = Proxy::new(settings(idempotency), 1);
     let (first, actions) = proxy.request();
     assert_eq!(forwarded(&actions).len(), 1);
@@ -16,7 +16,7 @@
 
 #[test]
 fn only_one_request_exceeds_the_limit_as_a_trial_and_the_next_is_queued() {
-    let (mut proxy, _) = endpoint_at_its_limit(Idempotency::NonIdempotent);
+    let (mut proxy, _) = proxy_at_its_limit(Idempotency::NonIdempotent);
     let (trial, actions) = proxy.request();
     assert_eq!(forwarded(&actions), [(trial, EndpointId(1))]);
     let (_, actions) = proxy.request();
@@ -28,9 +28,9 @@
 
 #[test]
 fn a_served_trial_raises_the_limit_by_one_step() {
-    let (mut proxy, _) = endpoint_at_its_limit(Idempotency::NonIdempotent);
+    let (mut proxy, _) = proxy_at_its_limit(Idempotency::NonIdempotent);
     let (trial, _) = proxy.request();
-    let (a, b) = (proxy.request().0, proxy.request().0);
+    let (first_queued, second_queued) = (proxy.request().0, proxy.request().0);
     proxy.now += 50 * MS;
     let actions = proxy.end_attempt(trial, 1, Outcome::Served, 50 * MS);
     assert!(
@@ -40,52 +40,56 @@
     let actions = proxy.end_attempt(trial, 0, Outcome::Served, 50 * MS);
     // The limit is two steps of one request each, one of them in use: the first queued request is
     // forwarded, and there is no trial before the effect of the new step is known.
-    assert_eq!(forwarded(&actions), [(a, EndpointId(1))]);
+    assert_eq!(forwarded(&actions), [(first_queued, EndpointId(1))]);
     proxy.now += 100 * MS;
-    proxy.end_attempt(a, 0, Outcome::Served, 100 * MS);
+    proxy.end_attempt(first_queued, 0, Outcome::Served, 100 * MS);
     proxy.now += 100 * MS;
-    proxy.end_attempt(b, 0, Outcome::Served, 100 * MS);
+    proxy.end_attempt(second_queued, 0, Outcome::Served, 100 * MS);
     proxy.advance(300 * MS);
-    let (c, d, e) = (proxy.request().0, proxy.request().0, proxy.request().0);
-    let went: Vec<RequestId> = forwarded(&proxy.actions).into_iter().map(|s| s.0).collect();
+    let (within_limit, next_trial, last_queued) =
+        (proxy.request().0, proxy.request().0, proxy.request().0);
+    let sent: Vec<RequestId> = forwarded(&proxy.actions)
+        .into_iter()
+        .map(|(request, _)| request)
+        .collect();
     assert!(
-        went.ends_with(&[b, c, d]) && !went.contains(&e),
-        "expected the limit to be reached again and one more request as a trial: {went:?}"
+        sent.ends_with(&[second_queued, within_limit, next_trial]) && !sent.contains(&last_queued),
+        "expected the limit to be reached again and one more request as a trial: {sent:?}"
     );
 }
 
 /// Sends a request every 5 ms until one is forwarded. Returns the time that this took, and the
 /// forwarded request.
-fn run_until_trial(proxy: &mut Proxy) -> (Micros, RequestId) {
-    let began = proxy.now;
+fn run_until_forwarded(proxy: &mut Proxy) -> (Micros, RequestId) {
+    let started_at = proxy.now;
     loop {
         proxy.now += 5 * MS;
         let mut actions = proxy.handle(Event::Timer);
         actions.extend(proxy.request().1);
         if let Some(&(request, _)) = forwarded(&actions).first() {
-            return (proxy.now - began, request);
+            return (proxy.now - started_at, request);
         }
-        assert!(proxy.now < began + 5_000 * MS, "no trial within 5 s");
+        assert!(proxy.now < started_at + 5_000 * MS, "no trial within 5 s");
     }
 }
 
 #[test]
 fn failed_trials_double_the_backoff_up_to_a_maximum_and_a_served_trial_resets_it() {
-    let (mut proxy, _) = endpoint_at_its_limit(Idempotency::NonIdempotent);
+    let (mut proxy, _) = proxy_at_its_limit(Idempotency::NonIdempotent);
     let mut trial = proxy.request().0;
-    let mut spans = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..6 {
         proxy.end_attempt(trial, 0, Outcome::Error, MS);
-        let (span, next) = run_until_trial(&mut proxy);
-        spans.push(span / MS);
+        let (backoff, next) = run_until_forwarded(&mut proxy);
+        backoffs.push(backoff / MS);
         trial = next;
     }
-    for (span, wanted) in spans.iter().zip([125, 250, 500, 1_000, 2_000, 2_000]) {
-        assert!(span.abs_diff(wanted) <= 10, "{spans:?}");
+    for (backoff, expected) in backoffs.iter().zip([125, 250, 500, 1_000, 2_000, 2_000]) {
+        assert!(backoff.abs_diff(expected) <= 10, "{backoffs:?}");
     }
-    let mut out = forwarded(&proxy.end_attempt(trial, 0, Outcome::Served, MS));
-    while let Some((request, _)) = out.pop() {
-        out.extend(forwarded(&proxy.end_attempt(
+    let mut in_flight = forwarded(&proxy.end_attempt(trial, 0, Outcome::Served, MS));
+    while let Some((request, _)) = in_flight.pop() {
+        in_flight.extend(forwarded(&proxy.end_attempt(
             request,
             0,
             Outcome::Served,
@@ -105,30 +109,30 @@
         "no request was sent as the next trial at the limit"
     );
     proxy.end_attempt(next, 0, Outcome::Error, MS);
-    assert!(run_until_trial(&mut proxy).0.abs_diff(125 * MS) <= 10 * MS);
+    assert!(run_until_forwarded(&mut proxy).0.abs_diff(125 * MS) <= 10 * MS);
 }
 
 #[test]
 fn queued_requests_are_forwarded_in_order_of_arrival() {
-    let (mut proxy, first) = endpoint_at_its_limit(Idempotency::NonIdempotent);
+    let (mut proxy, first) = proxy_at_its_limit(Idempotency::NonIdempotent);
     let trial = proxy.request().0;
-    let waiting: Vec<RequestId> = (0..4).map(|_| proxy.request().0).collect();
+    let queued: Vec<RequestId> = (0..4).map(|_| proxy.request().0).collect();
     let mut order = Vec::new();
     for request in [first, trial] {
         proxy.now += 20 * MS;
         order.extend(
             forwarded(&proxy.end_attempt(request, 0, Outcome::Served, 20 * MS))
                 .into_iter()
-                .map(|s| s.0),
+                .map(|(request, _)| request),
         );
     }
     assert!(order.len() >= 2);
-    assert_eq!(order[..], waiting[..order.len()]);
+    assert_eq!(order[..], queued[..order.len()]);
 }
 
 /// Returns how many requests an endpoint is sent at the same time, the last of them as a trial,
 /// after seven earlier ones, of which one ended with `outcome` and the others were served.
-fn concurrency_after(outcome: Outcome) -> usize {
+fn requests_sent_after(outcome: Outcome) -> usize {
     let limits = Limits {
         max_attempts: 1,
         ..Settings::default().limits
@@ -160,9 +164,9 @@
 
 #[test]
 fn a_rejection_cuts_the_limit_of_the_endpoint() {
-    assert_eq!(concurrency_after(Outcome::Served), 8);
+    assert_eq!(requests_sent_after(Outcome::Served), 8);
     assert_eq!(
-        concurrency_after(Outcome::Rejected),
+        requests_sent_after(Outcome::Rejected),
         7,
         "the limit is cut to four fifths of seven; expected six requests and a trial"
     );
@@ -170,7 +174,7 @@
 
 /// Sends requests until one is queued, and serves those that were forwarded after 40 ms. Returns
 /// how many were forwarded at the same time.
-fn fill(proxy: &mut Proxy) -> usize {
+fn fill_limit(proxy: &mut Proxy) -> usize {
     let mut requests = vec![proxy.request()];
     while !forwarded(&requests[requests.len() - 1].1).is_empty() {
         requests.push(proxy.request());
@@ -179,8 +183,8 @@
     for (request, _) in &requests {
         proxy.end_attempt(*request, 0, Outcome::Served, 40 * MS);
     }
-    let (waiting, _) = requests[requests.len() - 1];
-    proxy.handle(Event::RequestCancelled { request: waiting });
+    let (queued, _) = requests[requests.len() - 1];
+    proxy.handle(Event::RequestCancelled { request: queued });
     proxy.advance(300 * MS);
     requests.len() - 1
 }
@@ -198,10 +202,10 @@
         },
         1,
     );
-    let grown: Vec<usize> = (0..30).map(|_| fill(&mut proxy)).collect();
+    let limits: Vec<usize> = (0..30).map(|_| fill_limit(&mut proxy)).collect();
     assert!(
-        grown[29] > 13,
-        "expected larger steps after the maximum number of steps: {grown:?}"
+        limits[29] > 13,
+        "expected larger steps after the maximum number of steps: {limits:?}"
     );
     for _ in 0..9 {
         let (request, actions) = proxy.request();
@@ -211,10 +215,10 @@
             proxy.serve_request(40 * MS);
         }
     }
-    let left = fill(&mut proxy);
+    let limit_left = fill_limit(&mut proxy);
     assert!(
-        left <= 3,
-        "expected one step of ten and a trial to be left: {left} after {grown:?}"
+        limit_left <= 3,
+        "expected one step of ten and a trial to be left: {limit_left} after {limits:?}"
     );
 }
 
@@ -237,7 +241,7 @@
 
 /// Serves requests in 40 ms with the given load report. Returns whether a second request at the
 /// same time is sent beyond the limit as a trial.
-fn trial_after(load: LoadReport) -> bool {
+fn trial_follows(load: LoadReport) -> bool {
     let mut proxy = Proxy::new(
         Settings {
             balancer_count: 12,
@@ -261,24 +265,26 @@
 
 #[test]
 fn reported_queues_and_busy_cores_prevent_trials_even_if_responses_are_fast() {
-    let busy = |b| LoadReport {
-        cpu_utilization: Some(b),
+    let busy_cores = |utilization| LoadReport {
+        cpu_utilization: Some(utilization),
         ..LoadReport::default()
     };
-    let queue = |w| LoadReport {
+    let queued_requests = |queued| LoadReport {
         in_flight: Some(10.0),
-        queued: Some(w),
+        queued: Some(queued),
         ..LoadReport::default()
     };
     assert!(
-        trial_after(LoadReport::default()) && trial_after(busy(0.5)) && trial_after(queue(1.0))
+        trial_follows(LoadReport::default())
+            && trial_follows(busy_cores(0.5))
+            && trial_follows(queued_requests(1.0))
     );
     assert!(
-        !trial_after(busy(1.0)),
+        !trial_follows(busy_cores(1.0)),
         "a trial is sent although all cores are busy"
     );
     assert!(
-        !trial_after(queue(5.5)),
+        !trial_follows(queued_requests(5.5)),
         "a trial is sent although more requests are queued than executed"
     );
 }
--- a/balancer/tests/endpoint_starts.rs
+++ b/balancer/tests/endpoint_starts.rs
@@ -6,15 +6,15 @@
 use common::*;
 
 const HOUR: Micros = 3_600 * SECOND;
-const WARM: u32 = 3;
-const NEW: EndpointId = EndpointId(WARM + 1);
+const WARM_COUNT: u32 = 3;
+const NEW: EndpointId = EndpointId(WARM_COUNT + 1);
 
 /// Returns a proxy that has sent requests to warm endpoints and has then been notified of a new
 /// endpoint with this start time.
-fn with_new_endpoint(started_at: impl Fn(Micros) -> Micros) -> Proxy {
-    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), WARM);
+fn proxy_with_new_endpoint(started_at: impl Fn(Micros) -> Micros) -> Proxy {
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), WARM_COUNT);
     proxy.now += 2 * HOUR;
-    proxy.update_list(ListUpdate::Full, (1..=WARM).map(ready).collect());
+    proxy.update_list(ListUpdate::Full, (1..=WARM_COUNT).map(ready).collect());
     for _ in 0..40 {
         proxy.serve_request(50 * MS);
     }
@@ -46,11 +46,11 @@
 fn an_endpoint_with_a_start_time_in_the_future_is_warm_after_the_normal_duration() {
     let duration = Settings::default().slow_start.duration;
     for ahead in [0, SECOND, HOUR] {
-        let mut proxy = with_new_endpoint(|now| now + ahead);
+        let mut proxy = proxy_with_new_endpoint(|now| now + ahead);
         fraction_to_new(&mut proxy, duration);
         let fraction = fraction_to_new(&mut proxy, 10 * SECOND);
         assert!(
-            fraction > 0.5 / f64::from(WARM + 1),
+            fraction > 0.5 / f64::from(WARM_COUNT + 1),
             "{fraction} of the requests with a start time {ahead} us ahead"
         );
     }
@@ -61,12 +61,15 @@
 /// correct start time.
 #[test]
 fn a_new_endpoint_with_a_start_time_long_ago_is_not_treated_as_warm() {
-    let right = fraction_to_new(&mut with_new_endpoint(|now| now - SECOND), 2 * SECOND);
+    let expected_fraction =
+        fraction_to_new(&mut proxy_with_new_endpoint(|now| now - SECOND), 2 * SECOND);
     for behind in [10 * SECOND, 60 * SECOND, HOUR] {
-        let fraction = fraction_to_new(&mut with_new_endpoint(|now| now - behind), 2 * SECOND);
+        let fraction =
+            fraction_to_new(&mut proxy_with_new_endpoint(|now| now - behind), 2 * SECOND);
         assert!(
-            fraction <= right + 0.1,
-            "{fraction} of the requests with a start time {behind} us behind, {right} if correct"
+            fraction <= expected_fraction + 0.1,
+            "{fraction} of the requests with a start time {behind} us behind, \
+             {expected_fraction} with the correct one"
         );
     }
 }
@@ -75,7 +78,7 @@
 /// warm up.
 #[test]
 fn an_endpoint_whose_start_time_changes_to_an_earlier_one_warms_up_again() {
-    let mut proxy = with_new_endpoint(|now| now - SECOND);
+    let mut proxy = proxy_with_new_endpoint(|now| now - SECOND);
     fraction_to_new(
         &mut proxy,
         Settings::default().slow_start.duration + 10 * SECOND,
@@ -91,7 +94,7 @@
     );
     let fraction = fraction_to_new(&mut proxy, 5 * SECOND);
     assert!(
-        fraction < 0.5 / f64::from(WARM + 1),
+        fraction < 0.5 / f64::from(WARM_COUNT + 1),
         "{fraction} of the requests go to the restarted endpoint"
     );
 }
@@ -100,7 +103,7 @@
 /// restarted, and must not warm up again.
 #[test]
 fn an_endpoint_that_returns_to_the_list_with_the_same_start_time_stays_warm() {
-    let mut proxy = with_new_endpoint(|now| now - SECOND);
+    let mut proxy = proxy_with_new_endpoint(|now| now - SECOND);
     let started_at = proxy.now - SECOND;
     fraction_to_new(&mut proxy, Settings::default().slow_start.duration);
     proxy.update_list(
@@ -121,7 +124,7 @@
     );
     let fraction = fraction_to_new(&mut proxy, 10 * SECOND);
     assert!(
-        fraction > 0.5 / f64::from(WARM + 1),
+        fraction > 0.5 / f64::from(WARM_COUNT + 1),
         "{fraction} of the requests go to the endpoint that returned"
     );
 }
@@ -134,22 +137,22 @@
     // A balancer that has not received a list yet.
     proxy.balancer = Balancer::new(7, settings(Idempotency::Idempotent));
     proxy.now += 2 * HOUR;
-    let seems = |age: Micros| proxy.now + HOUR - age;
+    let listed_start = |age: Micros| proxy.now + HOUR - age;
     let old = |endpoint| EndpointEntry {
-        started_at: seems(600 * SECOND),
+        started_at: listed_start(600 * SECOND),
         ..ready(endpoint)
     };
     let newest = EndpointEntry {
-        started_at: seems(SECOND),
+        started_at: listed_start(SECOND),
         ..ready(NEW.0)
     };
     proxy.update_list(
         ListUpdate::Full,
-        (1..=WARM).map(old).chain([newest]).collect(),
+        (1..=WARM_COUNT).map(old).chain([newest]).collect(),
     );
     let fraction = fraction_to_new(&mut proxy, 2 * SECOND);
     assert!(
-        fraction < 0.5 / f64::from(WARM + 1),
+        fraction < 0.5 / f64::from(WARM_COUNT + 1),
         "{fraction} of the requests go to the newest endpoint"
     );
     assert!(
--- a/balancer/tests/list_polling.rs
+++ b/balancer/tests/list_polling.rs
@@ -13,43 +13,47 @@
 
 /// Runs one balancer: its watch is lost at `lost`, or it starts with a cached list if that is
 /// `None`; then each poll fails after the given time. Returns when each poll started.
-fn poll_times(balancer: &mut Balancer, lost: Option<Micros>, fails: &[Micros]) -> Vec<Micros> {
+fn poll_start_times(
+    balancer: &mut Balancer,
+    watch_lost_at: Option<Micros>,
+    failure_times: &[Micros],
+) -> Vec<Micros> {
     let entries: Vec<_> = (1..=60).map(ready).collect();
-    let members = |kind, entries| Event::EndpointList { kind, entries };
+    let list_event = |kind, entries| Event::EndpointList { kind, entries };
     let mut actions = Vec::new();
     balancer.handle(0, Event::Start, &mut actions);
-    let mut began_at = Vec::new();
-    let mut now = match lost {
-        Some(lost) => {
-            balancer.handle(0, members(ListUpdate::Full, entries), &mut actions);
+    let mut started_at = Vec::new();
+    let mut now = match watch_lost_at {
+        Some(watch_lost_at) => {
+            balancer.handle(0, list_event(ListUpdate::Full, entries), &mut actions);
             balancer.handle(
-                lost,
-                members(ListUpdate::WatchLost, Vec::new()),
+                watch_lost_at,
+                list_event(ListUpdate::WatchLost, Vec::new()),
                 &mut actions,
             );
-            lost
+            watch_lost_at
         }
         None => {
-            balancer.handle(0, members(ListUpdate::Cached, entries), &mut actions);
-            began_at.push(0);
+            balancer.handle(0, list_event(ListUpdate::Cached, entries), &mut actions);
+            started_at.push(0);
             balancer.handle(
-                fails[0],
-                members(ListUpdate::PollFailed, Vec::new()),
+                failure_times[0],
+                list_event(ListUpdate::PollFailed, Vec::new()),
                 &mut actions,
             );
-            fails[0]
+            failure_times[0]
         }
     };
     loop {
         now = next_poll(balancer, now, &mut actions);
-        began_at.push(now);
-        let Some(fail) = fails.get(began_at.len() - 1) else {
-            return began_at;
+        started_at.push(now);
+        let Some(failure_time) = failure_times.get(started_at.len() - 1) else {
+            return started_at;
         };
-        now += fail;
+        now += failure_time;
         balancer.handle(
             now,
-            members(ListUpdate::PollFailed, Vec::new()),
+            list_event(ListUpdate::PollFailed, Vec::new()),
             &mut actions,
         );
     }
@@ -72,22 +76,23 @@
         (MANY_BALANCERS, 299),
     ] {
         for path in 0..3_usize.pow(5) {
-            let fails: Vec<_> = (0..5)
-                .map(|n| FAILURE_TIMES[path / 3_usize.pow(n) % 3])
+            let failure_times: Vec<_> = (0..5)
+                .map(|position| FAILURE_TIMES[path / 3_usize.pow(position) % 3])
                 .collect();
-            for lost in [None, Some(0), Some(SILENCE)] {
-                let began_at = poll_times(
+            for watch_lost_at in [None, Some(0), Some(SILENCE)] {
+                let started_at = poll_start_times(
                     &mut polling_balancer(balancer_count, balancer_index),
-                    lost,
-                    &fails,
+                    watch_lost_at,
+                    &failure_times,
                 );
-                for (request, fail) in fails.iter().enumerate() {
-                    let pause = began_at[request + 1] - (began_at[request] + fail);
-                    let sum = SILENCE + pause + RESPONSE_TIME;
+                for (request, failure_time) in failure_times.iter().enumerate() {
+                    let delay = started_at[request + 1] - (started_at[request] + failure_time);
+                    let sum = SILENCE + delay + RESPONSE_TIME;
                     assert!(
                         sum <= NOTIFICATION_DEADLINE,
-                        "{balancer_count} balancers: {sum} us after poll {request} of {fails:?}, \
-                         watch lost at {lost:?}"
+                        "{balancer_count} balancers: {sum} us after poll {request} \
+                         of {failure_times:?}, \
+                         watch lost at {watch_lost_at:?}"
                     );
                 }
             }
@@ -104,29 +109,29 @@
     for (balancer_count, balancer_index) in
         (0..40).flat_map(|balancer_index| [(5, balancer_index), (MANY_BALANCERS, balancer_index)])
     {
-        for (lost, deadline) in [
+        for (watch_lost_at, deadline) in [
             (SILENCE, NOTIFICATION_DEADLINE),
             (0, NOTIFICATION_DEADLINE_AFTER_MOVE),
         ] {
-            for fails in paths {
-                let began_at = poll_times(
+            for failure_times in paths {
+                let started_at = poll_start_times(
                     &mut polling_balancer(balancer_count, balancer_index),
-                    Some(lost),
-                    fails,
+                    Some(watch_lost_at),
+                    failure_times,
                 );
-                let last = began_at
+                let last = started_at
                     .iter()
-                    .rfind(|began_at| **began_at + RESPONSE_TIME <= deadline)
+                    .rfind(|started_at| **started_at + RESPONSE_TIME <= deadline)
                     .expect("no poll starts in time");
                 // With polls that are rejected immediately, the last one in time starts as late as
                 // possible.
                 assert!(
-                    fails.len() < 40 || *last >= lost + 2_750 * MS,
-                    "{balancer_count} balancers: {began_at:?}"
+                    failure_times.len() < 40 || *last >= watch_lost_at + 2_750 * MS,
+                    "{balancer_count} balancers: {started_at:?}"
                 );
                 assert!(
-                    fails.len() > 1 || began_at.last() == Some(last),
-                    "{balancer_count} balancers, {fails:?}: {began_at:?}"
+                    failure_times.len() > 1 || started_at.last() == Some(last),
+                    "{balancer_count} balancers, {failure_times:?}: {started_at:?}"
                 );
             }
         }
@@ -140,39 +145,48 @@
     for (balancer_count, balancer_index) in
         (0..40).flat_map(|balancer_index| [(5, balancer_index), (MANY_BALANCERS, balancer_index)])
     {
-        for fail in [None, Some(0), Some(QUEUE_TIMEOUT), Some(SILENCE)] {
+        for failure_time in [None, Some(0), Some(QUEUE_TIMEOUT), Some(SILENCE)] {
             let mut balancer = polling_balancer(balancer_count, balancer_index);
-            let members = |kind, entries| Event::EndpointList { kind, entries };
+            let list_event = |kind, entries| Event::EndpointList { kind, entries };
             let (mut actions, mut now) = (Vec::new(), 0);
             balancer.handle(now, Event::Start, &mut actions);
-            balancer.handle(now, members(ListUpdate::Full, vec![ready(1)]), &mut actions);
             balancer.handle(
                 now,
-                members(ListUpdate::WatchLost, Vec::new()),
+                list_event(ListUpdate::Full, vec![ready(1)]),
+                &mut actions,
+            );
+            balancer.handle(
+                now,
+                list_event(ListUpdate::WatchLost, Vec::new()),
                 &mut actions,
             );
             now = next_poll(&mut balancer, now, &mut actions);
-            balancer.handle(now, members(ListUpdate::Full, vec![ready(1)]), &mut actions);
-            let broken = now + 900 * MS;
             balancer.handle(
-                broken,
-                members(ListUpdate::WatchFlapping, Vec::new()),
+                now,
+                list_event(ListUpdate::Full, vec![ready(1)]),
+                &mut actions,
+            );
+            let broken_at = now + 900 * MS;
+            balancer.handle(
+                broken_at,
+                list_event(ListUpdate::WatchFlapping, Vec::new()),
                 &mut actions,
             );
-            now = next_poll(&mut balancer, broken, &mut actions);
-            if let Some(fail) = fail {
-                now += fail;
+            now = next_poll(&mut balancer, broken_at, &mut actions);
+            if let Some(failure_time) = failure_time {
+                now += failure_time;
                 balancer.handle(
                     now,
-                    members(ListUpdate::PollFailed, Vec::new()),
+                    list_event(ListUpdate::PollFailed, Vec::new()),
                     &mut actions,
                 );
                 now = next_poll(&mut balancer, now, &mut actions);
             }
             assert!(
-                now + RESPONSE_TIME <= broken + NOTIFICATION_DEADLINE,
-                "{balancer_count} balancers, {fail:?}: next poll {} us after the watch broke",
-                now - broken
+                now + RESPONSE_TIME <= broken_at + NOTIFICATION_DEADLINE,
+                "{balancer_count} balancers, {failure_time:?}: \
+                 next poll {} us after the watch broke",
+                now - broken_at
             );
         }
     }
@@ -212,10 +226,10 @@
                 0,
                 "loss noticed at {noticed_at} us, a rejection costs {rejection_cost} of a response"
             );
-            let (most, failed) = fleet.load(0);
+            let (max_per_second, failed_fraction) = fleet.load(0);
             assert!(
-                most <= 320 && failed < 0.2,
-                "{most} polls in a second, {failed} of all failed"
+                max_per_second <= 320 && failed_fraction < 0.2,
+                "{max_per_second} polls in a second, {failed_fraction} of all failed"
             );
             let mut fleet = lost_at(noticed_at, 40, rejection_cost);
             fleet.play(21 * SECOND);
@@ -224,8 +238,11 @@
                 0,
                 "with a third of the capacity, a rejection costs {rejection_cost} of a response"
             );
-            let (_, failed) = fleet.load(0);
-            assert!(failed < 0.6, "{failed} of the polls failed");
+            let (_, failed_fraction) = fleet.load(0);
+            assert!(
+                failed_fraction < 0.6,
+                "{failed_fraction} of the polls failed"
+            );
         }
     }
 }
@@ -238,15 +255,15 @@
             fleet.play(SECOND);
             fleet.restart();
             fleet.play(10 * SECOND);
-            let (most, failed) = fleet.load(SECOND);
+            let (max_per_second, failed_fraction) = fleet.load(SECOND);
             assert_eq!(
                 fleet.late(SECOND, NOTIFICATION_DEADLINE),
                 0,
                 "capacity of {capacity} a second, a rejection costs {rejection_cost} of a response"
             );
             assert!(
-                most <= 320 && failed < 0.4,
-                "{most} polls in a second, {failed} of all failed"
+                max_per_second <= 320 && failed_fraction < 0.4,
+                "{max_per_second} polls in a second, {failed_fraction} of all failed"
             );
         }
     }
@@ -272,10 +289,10 @@
             0,
             "a rejection costs {rejection_cost} of a response"
         );
-        let (most, failed) = fleet.load(8 * SECOND);
+        let (max_per_second, failed_fraction) = fleet.load(8 * SECOND);
         assert!(
-            most <= 150 && failed < 0.1,
-            "{most} polls in a second, {failed} of all failed"
+            max_per_second <= 150 && failed_fraction < 0.1,
+            "{max_per_second} polls in a second, {failed_fraction} of all failed"
         );
     }
 }
--- a/balancer/tests/outage_recovery.rs
+++ b/balancer/tests/outage_recovery.rs
@@ -24,28 +24,29 @@
             .sum::<f64>()
             / 3.0
     };
-    let (before, apart, soon, later) = (mean(0, 4), mean(5, 11), mean(12, 16), mean(16, 22));
-    let opened: u32 = fleets
+    let (before, during, soon_after, long_after) =
+        (mean(0, 4), mean(5, 11), mean(12, 16), mean(16, 22));
+    let opened_connections: u32 = fleets
         .iter()
         .flat_map(|fleet| &fleet.seconds)
         .map(|second| second[2])
         .sum();
     println!(
-        "served in time: before the faults {before:.3}, during them {apart:.3}, \
-         within 5 s of the return {soon:.3}, later {later:.3}"
+        "served in time: before the faults {before:.3}, during them {during:.3}, \
+         within 5 s of the return {soon_after:.3}, later {long_after:.3}"
     );
-    println!("{opened} connections opened");
+    println!("{opened_connections} connections opened");
     assert!(
         before >= 0.85,
         "served in time before the faults: {before:.3}"
     );
     assert!(
-        soon >= 0.68,
-        "served in time within 5 s of the zone's return: {soon:.3}"
+        soon_after >= 0.68,
+        "served in time within 5 s of the zone's return: {soon_after:.3}"
     );
     assert!(
-        later >= 0.8,
-        "served in time more than 5 s after the zone's return: {later:.3}"
+        long_after >= 0.8,
+        "served in time more than 5 s after the zone's return: {long_after:.3}"
     );
 }
 
--- a/balancer/tests/outlier_detection.rs
+++ b/balancer/tests/outlier_detection.rs
@@ -8,10 +8,10 @@
 fn a_connection_failure_ejects_an_endpoint_until_a_single_trial_after_its_backoff_is_served() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     let (request, actions) = proxy.request();
-    let broken = forwarded(&actions)[0].1;
+    let ejected = forwarded(&actions)[0].1;
     proxy.now += MS;
     let other = forwarded(&proxy.end_attempt(request, 0, Outcome::ConnectFailed, MS))[0].1;
-    assert_ne!(broken, other);
+    assert_ne!(ejected, other);
     proxy.now += MS;
     proxy.end_attempt(request, 1, Outcome::Served, MS);
     for _ in 0..5 {
@@ -23,7 +23,7 @@
     }
     proxy.now += 200 * MS;
     let (trial, actions) = proxy.request();
-    assert_eq!(forwarded(&actions), [(trial, broken)]);
+    assert_eq!(forwarded(&actions), [(trial, ejected)]);
     let (second, actions) = proxy.request();
     assert_eq!(
         forwarded(&actions)[0].1,
@@ -33,11 +33,12 @@
     proxy.end_attempt(second, 0, Outcome::Served, MS);
     proxy.now += MS;
     proxy.end_attempt(trial, 0, Outcome::Served, MS);
-    let mut used: Vec<EndpointId> = (0..12).filter_map(|_| proxy.serve_request(MS)).collect();
-    used.sort();
-    used.dedup();
+    let mut used_endpoints: Vec<EndpointId> =
+        (0..12).filter_map(|_| proxy.serve_request(MS)).collect();
+    used_endpoints.sort();
+    used_endpoints.dedup();
     assert_eq!(
-        used.len(),
+        used_endpoints.len(),
         2,
         "the ejected endpoint is not readmitted after a served trial"
     );
@@ -49,12 +50,12 @@
     // A reset removes the only step of the endpoint's limit and ejects it. At most one of two
     // endpoints may be ejected, so the list is reduced to the ejected one.
     let (request, actions) = proxy.request();
-    let broken = forwarded(&actions)[0].1;
+    let ejected = forwarded(&actions)[0].1;
     proxy.now += MS;
     proxy.end_attempt(request, 0, Outcome::Reset, MS);
-    proxy.update_list(ListUpdate::Full, vec![ready(broken.0)]);
+    proxy.update_list(ListUpdate::Full, vec![ready(ejected.0)]);
     let (request, actions) = proxy.request();
-    let retry_after = actions.iter().find_map(|a| match a {
+    let retry_after = actions.iter().find_map(|action| match action {
         Action::Reject {
             request: id,
             retry_after,
@@ -63,7 +64,7 @@
         _ => None,
     });
     assert!(
-        retry_after.is_some_and(|a| a > 0),
+        retry_after.is_some_and(|after| after > 0),
         "expected a rejection with a retry-after time: {actions:?}"
     );
 }
@@ -100,13 +101,17 @@
     let mut errors = 0;
     for _ in 0..200 {
         let (request, actions) = proxy.request();
-        let bad = forwarded(&actions)[0].1 == EndpointId(1);
-        errors += usize::from(bad);
+        let is_failing = forwarded(&actions)[0].1 == EndpointId(1);
+        errors += usize::from(is_failing);
         proxy.now += 2 * MS;
         proxy.end_attempt(
             request,
             0,
-            if bad { Outcome::Error } else { Outcome::Served },
+            if is_failing {
+                Outcome::Error
+            } else {
+                Outcome::Served
+            },
             2 * MS,
         );
     }
@@ -148,16 +153,16 @@
             let (request, actions) = proxy.request();
             let count = &mut counts[forwarded(&actions)[0].1 .0 as usize];
             *count += 1;
-            let end = if *count % every == 0 {
+            let attempt_outcome = if *count % every == 0 {
                 outcome
             } else {
                 Outcome::Served
             };
             proxy.now += 2 * MS;
-            let actions = proxy.end_attempt(request, 0, end, 2 * MS);
+            let actions = proxy.end_attempt(request, 0, attempt_outcome, 2 * MS);
             assert_eq!(
                 failed(&actions, request),
-                end == outcome,
+                attempt_outcome == outcome,
                 "a request that may have been executed must fail without a retry"
             );
         }
@@ -172,25 +177,25 @@
 /// endpoint whose responses are mostly malformed must not attract requests by being fast.
 #[test]
 fn an_endpoint_is_ejected_for_many_malformed_responses_but_not_for_two_in_a_row() {
-    for (every, least, most) in [(10, 8, 400), (1, 1, 8)] {
+    for (every, min_malformed, max_malformed) in [(10, 8, 400), (1, 1, 8)] {
         let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
-        let (mut malformed, mut at) = (0, 0);
+        let (mut malformed_count, mut response_count) = (0, 0);
         for _ in 0..400 {
             let (request, actions) = proxy.request();
-            let mut end = Outcome::Served;
+            let mut attempt_outcome = Outcome::Served;
             if forwarded(&actions)[0].1 == EndpointId(1) {
-                at += 1;
+                response_count += 1;
                 // Two in a row, and then valid ones.
-                if at % (2 * every) < 2 {
-                    (malformed, end) = (malformed + 1, Outcome::Unknown);
+                if response_count % (2 * every) < 2 {
+                    (malformed_count, attempt_outcome) = (malformed_count + 1, Outcome::Unknown);
                 }
             }
             proxy.now += 2 * MS;
-            proxy.end_attempt(request, 0, end, 2 * MS);
+            proxy.end_attempt(request, 0, attempt_outcome, 2 * MS);
         }
         assert!(
-            (least..=most).contains(&malformed),
-            "one in {every}: {malformed} of {at} responses were malformed"
+            (min_malformed..=max_malformed).contains(&malformed_count),
+            "one in {every}: {malformed_count} of {response_count} responses were malformed"
         );
     }
 }
@@ -198,14 +203,14 @@
 #[test]
 fn one_served_trial_does_not_readmit_an_endpoint_that_fails_most_requests() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 4);
-    let mut to_failing = 0;
+    let mut attempts_at_failing = 0;
     for round in 0..400 {
         let (request, actions) = proxy.request();
         proxy.now += 5 * MS;
         proxy.end_attempts(request, &actions, 5 * MS, 0, |endpoint| {
             let is_failing = endpoint == EndpointId(1);
-            to_failing += usize::from(is_failing);
-            if is_failing && to_failing % 3 != 0 {
+            attempts_at_failing += usize::from(is_failing);
+            if is_failing && attempts_at_failing % 3 != 0 {
                 Outcome::Error
             } else {
                 Outcome::Served
@@ -214,8 +219,9 @@
         assert!(round < 400);
     }
     assert!(
-        to_failing <= 40,
-        "{to_failing} attempts at the failing endpoint; a healthy one would get 100 or more"
+        attempts_at_failing <= 40,
+        "{attempts_at_failing} attempts at the failing endpoint; \
+         a healthy one would get 100 or more"
     );
 }
 
@@ -240,22 +246,25 @@
     for _ in 0..30 {
         proxy.serve_request(40 * MS);
     }
-    let mut to_full = 0;
+    let mut attempts_at_rejecting = 0;
     for _ in 0..20 {
         // 20 requests of 2 ms each take 40 ms, one typical latency.
         let (request, actions) = proxy.request();
         proxy.now += 2 * MS;
         proxy.end_attempts(request, &actions, 2 * MS, 0, |endpoint| {
-            let is_full = endpoint == EndpointId(1);
-            to_full += usize::from(is_full);
-            if is_full {
+            let is_rejecting = endpoint == EndpointId(1);
+            attempts_at_rejecting += usize::from(is_rejecting);
+            if is_rejecting {
                 Outcome::Rejected
             } else {
                 Outcome::Served
             }
         });
     }
-    assert!(to_full <= 2, "{to_full} attempts at the rejecting endpoint");
+    assert!(
+        attempts_at_rejecting <= 2,
+        "{attempts_at_rejecting} attempts at the rejecting endpoint"
+    );
 }
 
 #[test]
@@ -301,20 +310,20 @@
         },
         8,
     );
-    let mut tried = 0;
+    let mut attempts_at_rejecting = 0;
     for _ in 0..200 {
         proxy.now += 1_000 * MS;
         let (request, actions) = proxy.request();
         let Some(&(_, endpoint)) = forwarded(&actions).first() else {
             continue;
         };
-        let bad = endpoint == EndpointId(1);
-        tried += u32::from(bad);
+        let is_failing = endpoint == EndpointId(1);
+        attempts_at_rejecting += u32::from(is_failing);
         proxy.now += 20 * MS;
         proxy.end_attempt(
             request,
             0,
-            if bad {
+            if is_failing {
                 Outcome::Rejected
             } else {
                 Outcome::Served
@@ -323,8 +332,9 @@
         );
     }
     assert!(
-        tried < 25,
-        "{tried} of 200 requests went to the rejecting endpoint, whose normal part is an eighth"
+        attempts_at_rejecting < 25,
+        "{attempts_at_rejecting} of 200 requests went to the rejecting endpoint, \
+         whose normal part is an eighth"
     );
 }
 
@@ -335,8 +345,8 @@
     config.classes = vec![config.classes[0]; 2];
     let mut proxy = Proxy::new(config, 4);
     let mut count = [0, 0];
-    for turn in 0..400 {
-        let class = turn % 2;
+    for number in 0..400 {
+        let class = number % 2;
         let (request, actions) = proxy.request_of_class(class);
         proxy.end_attempts(request, &actions, 10 * MS, 10 * MS, |endpoint| {
             let rejects_one_class = endpoint == EndpointId(1);
--- a/balancer/tests/poll_delays.rs
+++ b/balancer/tests/poll_delays.rs
@@ -16,22 +16,22 @@
         },
         60,
     );
-    let mut wait = |kinds: &[ListUpdate]| {
+    let mut delay_after = |kinds: &[ListUpdate]| {
         kinds
             .iter()
             .for_each(|kind| drop(proxy.update_list(*kind, Vec::new())));
-        let failed = proxy.now;
+        let failed_at = proxy.now;
         while !proxy.advance(10 * MS).contains(&Action::Subscribe) {}
-        proxy.now - failed
+        proxy.now - failed_at
     };
-    let grown = (0..5)
-        .map(|_| wait(&[ListUpdate::PollFailed]))
+    let longest_after_failures = (0..5)
+        .map(|_| delay_after(&[ListUpdate::PollFailed]))
         .max()
         .expect("five delays");
-    let anew = wait(&[ListUpdate::WatchLost, ListUpdate::PollFailed]);
+    let after_watch = delay_after(&[ListUpdate::WatchLost, ListUpdate::PollFailed]);
     assert!(
-        grown >= SECOND && anew <= 480 * MS,
-        "{grown} us after five failed polls, {anew} us after the watch"
+        longest_after_failures >= SECOND && after_watch <= 480 * MS,
+        "{longest_after_failures} us after five failed polls, {after_watch} us after the watch"
     );
 }
 
@@ -53,20 +53,20 @@
         !actions.contains(&Action::Subscribe),
         "a failed poll is repeated without a delay"
     );
-    let after = timer_after(&actions);
+    let delay = timer_after(&actions);
     assert!(proxy
-        .advance(after.expect("no timer is set for the next poll"))
+        .advance(delay.expect("no timer is set for the next poll"))
         .contains(&Action::Subscribe));
     assert_eq!(
-        proxy.serve_request(MS).map(|s| s.0 <= 2),
+        proxy.serve_request(MS).map(|endpoint| endpoint.0 <= 2),
         Some(true),
         "the previous list is not used after a failed poll"
     );
-    let mut push = Proxy::new(settings(Idempotency::Idempotent), 1);
-    push.update_list(ListUpdate::PollFailed, vec![]);
-    push.advance(60_000 * MS);
+    let mut push_proxy = Proxy::new(settings(Idempotency::Idempotent), 1);
+    push_proxy.update_list(ListUpdate::PollFailed, vec![]);
+    push_proxy.advance(60_000 * MS);
     assert!(
-        !push.actions.contains(&Action::Subscribe),
+        !push_proxy.actions.contains(&Action::Subscribe),
         "a list that is pushed is polled"
     );
 }
@@ -81,15 +81,15 @@
     };
     let mut proxy = one_of_many();
     proxy.balancer = Balancer::new(u64::from(balancer_index), settings);
-    let waits = (0..4).map(|_| {
+    let delays = (0..4).map(|_| {
         proxy.update_list(ListUpdate::PollFailed, Vec::new());
-        let failed = proxy.now;
+        let failed_at = proxy.now;
         while !proxy.advance(10 * MS).contains(&Action::Subscribe) {
-            assert!(proxy.now < failed + 40_000 * MS, "no poll within 40 s");
+            assert!(proxy.now < failed_at + 40_000 * MS, "no poll within 40 s");
         }
-        proxy.now - failed
+        proxy.now - failed_at
     });
-    waits.collect()
+    delays.collect()
 }
 
 /// Very many balancers must spread their polls over the available time. This is half of the
@@ -98,47 +98,64 @@
 #[test]
 fn very_many_balancers_spread_their_polls_over_the_available_time() {
     let discovery = settings(Idempotency::Idempotent).discovery;
-    let most = discovery.notification_deadline / 2;
-    let many: Vec<_> = (0..100)
+    let max_delay = discovery.notification_deadline / 2;
+    let delays_of_many: Vec<_> = (0..100)
         .map(|balancer_index| poll_delays(100, balancer_index))
         .collect();
     assert!(
-        many.iter().flatten().all(|wait| *wait <= most + 10 * MS),
-        "a delay is longer than half of the notification deadline: {many:?}"
+        delays_of_many
+            .iter()
+            .flatten()
+            .all(|delay| *delay <= max_delay + 10 * MS),
+        "a delay is longer than half of the notification deadline: {delays_of_many:?}"
     );
-    let mean = |number: usize| many.iter().map(|waits| waits[number]).sum::<Micros>() / 100;
+    let mean = |number: usize| {
+        delays_of_many
+            .iter()
+            .map(|delays| delays[number])
+            .sum::<Micros>()
+            / 100
+    };
     assert!(
-        mean(0) >= most * 2 / 5,
+        mean(0) >= max_delay * 2 / 5,
         "mean delay after the first failed poll: {} us",
         mean(0)
     );
     for tenth in 0..10 {
-        let part = most * tenth / 10..most * (tenth + 1) / 10;
-        let first = many.iter().filter(|waits| part.contains(&waits[0])).count();
+        let interval = max_delay * tenth / 10..max_delay * (tenth + 1) / 10;
+        let balancers_in_interval = delays_of_many
+            .iter()
+            .filter(|delays| interval.contains(&delays[0]))
+            .count();
         assert!(
-            first <= 20,
-            "{first} of 100 balancers poll {part:?} us after their first failed poll"
+            balancers_in_interval <= 20,
+            "{balancers_in_interval} of 100 balancers poll {interval:?} us \
+             after their first failed poll"
         );
     }
     for number in 1..4 {
         assert!(
-            many.iter().all(|waits| waits[number] >= most / 2),
-            "a delay after a repeated failure is too short: {many:?}"
+            delays_of_many
+                .iter()
+                .all(|delays| delays[number] >= max_delay / 2),
+            "a delay after a repeated failure is too short: {delays_of_many:?}"
         );
         assert!(
-            mean(number) >= most * 7 / 10,
+            mean(number) >= max_delay * 7 / 10,
             "mean delay after failed poll {number}: {} us",
             mean(number)
         );
     }
-    let few = poll_delays(5, 0);
+    let delays_of_few = poll_delays(5, 0);
     assert!(
-        few[0] < discovery.max_poll_interval / 16,
-        "few balancers don't overload discovery and must poll again soon: {few:?}"
+        delays_of_few[0] < discovery.max_poll_interval / 16,
+        "few balancers don't overload discovery and must poll again soon: {delays_of_few:?}"
     );
     assert!(
-        few.iter().all(|wait| *wait <= most + 10 * MS),
-        "a delay is longer than half of the notification deadline: {few:?}"
+        delays_of_few
+            .iter()
+            .all(|delay| *delay <= max_delay + 10 * MS),
+        "a delay is longer than half of the notification deadline: {delays_of_few:?}"
     );
 }
 
@@ -155,11 +172,11 @@
             },
             60,
         );
-        let every = settings(Idempotency::Idempotent)
+        let max_poll_interval = settings(Idempotency::Idempotent)
             .discovery
             .max_poll_interval;
         for _ in 0..10 {
-            let lost = proxy.now;
+            let lost_at = proxy.now;
             let actions = proxy.update_list(ListUpdate::WatchLost, Vec::new());
             assert!(
                 !actions.contains(&Action::Subscribe),
@@ -167,7 +184,7 @@
             );
             while !proxy.advance(10 * MS).contains(&Action::Subscribe) {
                 assert!(
-                    proxy.now < lost + every / 32,
+                    proxy.now < lost_at + max_poll_interval / 32,
                     "{balancer_count} balancers: the watch is not reopened soon"
                 );
             }
--- a/balancer/tests/shared_limit.rs
+++ b/balancer/tests/shared_limit.rs
@@ -17,52 +17,55 @@
     );
     serve_forwarded(&mut proxy, out, 400 * MS);
     proxy.advance(300 * MS);
-    let left = request_burst(&mut proxy, 40).len();
+    let after = request_burst(&mut proxy, 40).len();
     assert!(
-        (before / 2 - 2..before).contains(&left),
-        "{left} of {before} requests are forwarded after one overload"
+        (before / 2 - 2..before).contains(&after),
+        "{after} of {before} requests are forwarded after one overload"
     );
 }
 
 /// Sends `steps` requests, one every 5 ms, and serves each after the `time` for its id. Returns how
 /// many were forwarded.
-fn serve_stream(proxy: &mut Proxy, steps: u64, time: impl Fn(u64) -> Micros) -> usize {
-    let mut due = std::collections::BTreeMap::new();
-    let mut went = 0;
+fn serve_stream(proxy: &mut Proxy, steps: u64, response_time: impl Fn(u64) -> Micros) -> usize {
+    let mut responses_due = std::collections::BTreeMap::new();
+    let mut forwarded_count = 0;
     for step in 0..steps + 200 {
         proxy.now += 5 * MS;
         let mut actions = proxy.handle(Event::Timer);
-        let late = due.split_off(&(proxy.now, RequestId(u64::MAX)));
-        for ((_, request), elapsed) in std::mem::replace(&mut due, late) {
+        let late = responses_due.split_off(&(proxy.now, RequestId(u64::MAX)));
+        for ((_, request), elapsed) in std::mem::replace(&mut responses_due, late) {
             actions.extend(proxy.end_attempt(request, 0, Outcome::Served, elapsed));
         }
         if step < steps {
             actions.extend(proxy.request().1);
         }
         for (request, _) in forwarded(&actions) {
-            went += 1;
-            due.insert((proxy.now + time(request.0), request), time(request.0));
+            forwarded_count += 1;
+            responses_due.insert(
+                (proxy.now + response_time(request.0), request),
+                response_time(request.0),
+            );
         }
     }
-    went
+    forwarded_count
 }
 
 #[test]
 fn fast_first_responses_do_not_make_typical_responses_look_late() {
     let mut proxy = one_of_many();
     // Every second request takes twenty times longer, so a response after that time is typical.
-    let time = |request: u64| {
+    let response_time = |request: u64| {
         if request.is_multiple_of(2) {
             10 * MS
         } else {
             200 * MS
         }
     };
-    serve_stream(&mut proxy, 1_000, time);
-    let went = serve_stream(&mut proxy, 1_000, time);
+    serve_stream(&mut proxy, 1_000, response_time);
+    let forwarded_count = serve_stream(&mut proxy, 1_000, response_time);
     assert!(
-        went > 900,
-        "only {went} of 1000 requests were forwarded although no response is late"
+        forwarded_count > 900,
+        "only {forwarded_count} of 1000 requests were forwarded although no response is late"
     );
 }
 
@@ -93,10 +96,10 @@
         );
     }
     proxy.advance(3_000 * MS);
-    let left = request_burst(&mut proxy, 40).len();
+    let after = request_burst(&mut proxy, 40).len();
     assert!(
-        left + 4 >= before,
-        "{left} of {before} requests are forwarded after rejections although no response was late"
+        after + 4 >= before,
+        "{after} of {before} requests are forwarded after rejections although no response was late"
     );
 }
 
@@ -109,17 +112,17 @@
     serve_forwarded(&mut proxy, rest.to_vec(), 40 * MS);
     serve_forwarded(&mut proxy, late.to_vec(), 300 * MS);
     proxy.advance(300 * MS);
-    let left = request_burst(&mut proxy, 40).len();
+    let after = request_burst(&mut proxy, 40).len();
     assert!(
-        left >= before.len(),
-        "{left} of {} requests are forwarded after six late responses",
+        after >= before.len(),
+        "{after} of {} requests are forwarded after six late responses",
         before.len()
     );
 }
 
 /// Returns one of 300 balancers with 200 endpoints, whose requests are all of one class with this
 /// latency objective.
-fn one_of_hundreds(latency_objective: Micros) -> Proxy {
+fn one_of_300_balancers(latency_objective: Micros) -> Proxy {
     let mut settings = Settings {
         balancer_count: 300,
         ..settings(Idempotency::Idempotent)
@@ -131,7 +134,7 @@
 /// During a release most balancers may start at the same time, so each must start with a low limit.
 #[test]
 fn a_new_balancer_starts_with_a_small_burst_and_doubles_it_within_two_seconds() {
-    let mut proxy = one_of_hundreds(500 * MS);
+    let mut proxy = one_of_300_balancers(500 * MS);
     let out = request_burst(&mut proxy, 40);
     let first = out.len();
     assert!(
@@ -144,10 +147,10 @@
         serve_forwarded(&mut proxy, out, 40 * MS);
         proxy.advance(100 * MS);
     }
-    let then = request_burst(&mut proxy, 40).len();
+    let later = request_burst(&mut proxy, 40).len();
     assert!(
-        then >= 2 * first,
-        "{then} requests at the same time after two seconds, {first} at first"
+        later >= 2 * first,
+        "{later} requests at the same time after two seconds, {first} at first"
     );
 }
 
@@ -155,7 +158,7 @@
 /// thirty of them would take this balancer four seconds, which is too slow.
 #[test]
 fn a_balancer_with_few_requests_cuts_its_limit_within_two_seconds_of_an_overload() {
-    let mut proxy = one_of_hundreds(500 * MS);
+    let mut proxy = one_of_300_balancers(500 * MS);
     raise_shared_limit(&mut proxy);
     let out = request_burst(&mut proxy, 40);
     let before = out.len();
@@ -172,10 +175,10 @@
     }
     serve_forwarded(&mut proxy, out.into(), 100 * MS);
     proxy.advance(300 * MS);
-    let left = request_burst(&mut proxy, 40).len();
+    let after = request_burst(&mut proxy, 40).len();
     assert!(
-        4 * left <= 3 * before,
-        "{left} of {before} requests are forwarded after two seconds of late responses"
+        4 * after <= 3 * before,
+        "{after} of {before} requests are forwarded after two seconds of late responses"
     );
 }
 
@@ -183,12 +186,15 @@
 /// tight objective this must not count as an overload.
 #[test]
 fn a_tight_latency_objective_does_not_make_busy_endpoints_look_overloaded() {
-    let mut proxy = one_of_hundreds(100 * MS);
+    let mut proxy = one_of_300_balancers(100 * MS);
     let alone = |request: u64| (35 + 5 * (request % 5)) * MS;
     serve_stream(&mut proxy, 1_000, alone);
     let busy = |request: u64| (50 + 5 * (request % 5)) * MS;
-    let went = serve_stream(&mut proxy, 1_000, busy);
-    assert!(went > 900, "only {went} of 1000 requests were forwarded");
+    let forwarded_count = serve_stream(&mut proxy, 1_000, busy);
+    assert!(
+        forwarded_count > 900,
+        "only {forwarded_count} of 1000 requests were forwarded"
+    );
 }
 
 /// A few timeouts concern single endpoints that send no response, and not the load of the others.
@@ -205,16 +211,16 @@
         proxy.end_attempt(request, 0, Outcome::TimedOut, 1_140 * MS);
     }
     proxy.advance(300 * MS);
-    let left = request_burst(&mut proxy, 40).len();
+    let after = request_burst(&mut proxy, 40).len();
     assert!(
-        left >= before,
-        "{left} of {before} requests are forwarded after four timeouts"
+        after >= before,
+        "{after} of {before} requests are forwarded after four timeouts"
     );
 }
 
 /// Returns one of a thousand balancers, and its requests in flight: a burst of three, which reaches
 /// the shared limit, and one trial.
-fn one_of_a_thousand() -> (Proxy, Vec<RequestId>) {
+fn one_of_1000_balancers() -> (Proxy, Vec<RequestId>) {
     let mut proxy = Proxy::new(
         Settings {
             balancer_count: 1_000,
@@ -233,7 +239,7 @@
 
 #[test]
 fn a_shared_limit_bounds_requests_to_all_endpoints_and_allows_one_trial_at_a_time() {
-    let (mut proxy, out) = one_of_a_thousand();
+    let (mut proxy, out) = one_of_1000_balancers();
     let (queued, actions) = proxy.request();
     assert!(
         forwarded(&actions).is_empty(),
@@ -242,7 +248,7 @@
     proxy.now += 50 * MS;
     let actions = proxy.end_attempt(out[3], 0, Outcome::Served, 50 * MS);
     assert_eq!(
-        forwarded(&actions).first().map(|s| s.0),
+        forwarded(&actions).first().map(|&(request, _)| request),
         Some(queued),
         "the queued request is not forwarded after the trial was served"
     );
@@ -250,11 +256,13 @@
 
 #[test]
 fn a_failed_trial_of_the_shared_limit_backs_off_from_all_endpoints() {
-    let (mut proxy, out) = one_of_a_thousand();
+    let (mut proxy, out) = one_of_1000_balancers();
     proxy.now += 400 * MS;
     let actions = proxy.end_attempt(out[3], 0, Outcome::TimedOut, 400 * MS);
     assert!(
-        forwarded(&actions).iter().all(|s| s.0 == out[3]),
+        forwarded(&actions)
+            .iter()
+            .all(|(request, _)| *request == out[3]),
         "a request other than the trial's own retry is forwarded"
     );
     assert!(
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -59,17 +59,23 @@
 
 /// Returns how many of 200 requests are sent to a new endpoint, next to one warm endpoint and
 /// `leaving` draining ones.
-fn requests_to_new_endpoint_beside(leaving: u32) -> usize {
-    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 1 + leaving);
-    let out: Vec<(RequestId, EndpointId)> = (0..=leaving)
+fn requests_to_new_endpoint_beside(draining_count: u32) -> usize {
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 1 + draining_count);
+    let in_flight: Vec<(RequestId, EndpointId)> = (0..=draining_count)
         .flat_map(|_| forwarded(&proxy.request().1))
         .collect();
-    let drain = |s: u32| EndpointEntry {
+    let draining = |id: u32| EndpointEntry {
         state: EndpointState::Draining,
-        ..ready(s)
+        ..ready(id)
     };
-    proxy.update_list(ListUpdate::Delta, (2..=1 + leaving).map(drain).collect());
-    for (request, _) in out.iter().filter(|request| request.1 == EndpointId(1)) {
+    proxy.update_list(
+        ListUpdate::Delta,
+        (2..=1 + draining_count).map(draining).collect(),
+    );
+    for (request, _) in in_flight
+        .iter()
+        .filter(|request| request.1 == EndpointId(1))
+    {
         proxy.end_attempt(*request, 0, Outcome::Served, 10 * MS);
     }
     proxy.update_list(
@@ -88,13 +94,13 @@
 /// endpoints would stay idle while the warm ones are full.
 #[test]
 fn draining_endpoints_do_not_reduce_the_slow_start_credit_of_a_new_endpoint() {
-    let (alone, beside) = (
+    let (without_draining, with_draining) = (
         requests_to_new_endpoint_beside(0),
         requests_to_new_endpoint_beside(9),
     );
     assert!(
-        alone >= 5 && beside * 2 >= alone,
-        "{alone} requests without draining endpoints, {beside} with nine"
+        without_draining >= 5 && with_draining * 2 >= without_draining,
+        "{without_draining} requests without draining endpoints, {with_draining} with nine"
     );
 }
 
@@ -102,7 +108,7 @@
 /// exceed its capacity.
 #[test]
 fn a_thousand_balancers_together_stay_within_a_new_endpoints_capacity() {
-    let (mut to_new, mut all) = (0, 0);
+    let (mut to_new, mut total) = (0, 0);
     for balancer_index in 0..1_000 {
         let mut proxy = balancer_of(1_000, balancer_index, 20);
         (0..3).for_each(|_| drop((proxy.advance(500 * MS), proxy.serve_request(40 * MS))));
@@ -116,15 +122,15 @@
         );
         for _ in 0..4 {
             proxy.advance(500 * MS);
-            all += 1;
+            total += 1;
             to_new += usize::from(proxy.serve_request(40 * MS) == Some(EndpointId(21)));
         }
     }
     // In the first two seconds a new endpoint has a tenth to a fifth of its capacity; each warm one
     // serves a twentieth of the requests.
     assert!(
-        to_new * 20 <= all / 5,
-        "{to_new} of {all} requests go to the new endpoint"
+        to_new * 20 <= total / 5,
+        "{to_new} of {total} requests go to the new endpoint"
     );
 }
 
@@ -132,7 +138,7 @@
 /// endpoints, the new ones would stay idle while the others are full.
 #[test]
 fn new_endpoints_serve_their_part_if_most_endpoints_are_new() {
-    let (mut to_new, mut all) = (0, 0);
+    let (mut to_new, mut total) = (0, 0);
     for balancer_index in 0..100 {
         let mut proxy = balancer_of(100, balancer_index, 60);
         // A third of slow start has passed: the new endpoints have at least four tenths of their
@@ -146,14 +152,18 @@
         proxy.update_list(ListUpdate::Full, replaced.collect());
         for _ in 0..400 {
             proxy.now += MS;
-            all += 1;
-            to_new += usize::from(proxy.serve_request(MS).is_some_and(|s| s.0 % 5 < 3));
+            total += 1;
+            to_new += usize::from(
+                proxy
+                    .serve_request(MS)
+                    .is_some_and(|endpoint| endpoint.0 % 5 < 3),
+            );
         }
     }
     // 24 warm endpoints and 36 with 0.4 of their capacity: the new ones have a third of the total
     // capacity.
     assert!(
-        (all / 5..all / 2).contains(&to_new),
-        "{to_new} of {all} requests go to the new endpoints"
+        (total / 5..total / 2).contains(&to_new),
+        "{to_new} of {total} requests go to the new endpoints"
     );
 }
--- a/balancer/tests/slow_start_fleet.rs
+++ b/balancer/tests/slow_start_fleet.rs
@@ -19,7 +19,7 @@
     ] {
         let warm = scenario.warm.min(warm);
         for seed in seeds {
-            let (most, used) = Fleet::new(
+            let (peak_load, utilization) = Fleet::new(
                 Scenario {
                     balancer_count,
                     warm,
@@ -30,16 +30,18 @@
             .run()
             .load_and_use();
             println!(
-                "{balancer_count} balancers, seed {seed}: load {most:.2}, {used:.2} of capacity"
+                "{balancer_count} balancers, seed {seed}: \
+                 load {peak_load:.2}, {utilization:.2} of capacity"
             );
             assert!(
-                most <= 1.0,
+                peak_load <= 1.0,
                 "{balancer_count} balancers, seed {seed}: \
-                 {most:.2} of the load that overloads a new endpoint"
+                 {peak_load:.2} of the load that overloads a new endpoint"
             );
             assert!(
-                used >= 0.2,
-                "{balancer_count} balancers, seed {seed}: {used:.2} of new endpoints' capacity used"
+                utilization >= 0.2,
+                "{balancer_count} balancers, seed {seed}: \
+                 only {utilization:.2} of the new endpoints' capacity used"
             );
         }
     }
@@ -155,7 +157,7 @@
         (1, 0.3, 40),
         (1, 0.3, 3),
     ] {
-        let wide = Scenario {
+        let many_endpoints = Scenario {
             balancer_count: 100,
             warm: 54,
             warming: 6,
@@ -164,24 +166,25 @@
             queued,
             ..BURST
         };
-        let slow = Scenario {
+        let slow_endpoints = Scenario {
             speed: 0.7,
             until: START + 4 * SECOND,
-            ..wide
+            ..many_endpoints
         };
-        let (most, used) = Fleet::new(slow, seed).run().load_and_use();
+        let (peak_load, utilization) = Fleet::new(slow_endpoints, seed).run().load_and_use();
         println!(
-            "weight {weight}, queue {queued}, seed {seed}: load {most:.2}, {used:.2} of capacity"
+            "weight {weight}, queue of {queued}, seed {seed}: \
+             load {peak_load:.2}, {utilization:.2} of capacity"
         );
         assert!(
-            most <= 1.0,
+            peak_load <= 1.0,
             "weight {weight}, queue of {queued}, seed {seed}: \
-             {most:.2} of the load that overloads a new endpoint"
+             {peak_load:.2} of the load that overloads a new endpoint"
         );
         assert!(
-            used >= 0.3,
+            utilization >= 0.3,
             "weight {weight}, queue of {queued}, seed {seed}: \
-             only {used:.2} of the new endpoints' capacity used"
+             only {utilization:.2} of the new endpoints' capacity used"
         );
     }
 }
--- a/balancer/tests/zone_outages.rs
+++ b/balancer/tests/zone_outages.rs
@@ -18,36 +18,36 @@
         0,
     );
     proxy.update_list(ListUpdate::Full, (1..=40).map(zoned).collect());
-    let mut lost = 0;
+    let mut failed_connections = 0;
     for _ in 0..40 {
         proxy.now += 100 * MS;
         let (request, actions) = proxy.request();
-        let mut at = forwarded(&actions).first().map(|s| s.1);
+        let mut target = forwarded(&actions).first().map(|&(_, endpoint)| endpoint);
         for attempt in 0..5 {
-            let Some(endpoint) = at else { break };
-            let cut = endpoint.0 % 2 == 1;
-            lost += u32::from(cut);
+            let Some(endpoint) = target else { break };
+            let is_partitioned = endpoint.0 % 2 == 1;
+            failed_connections += u32::from(is_partitioned);
             proxy.now += 20 * MS;
-            let end = if cut {
+            let outcome = if is_partitioned {
                 Outcome::ConnectFailed
             } else {
                 Outcome::Served
             };
-            at = forwarded(&proxy.end_attempt(request, attempt, end, 20 * MS))
+            target = forwarded(&proxy.end_attempt(request, attempt, outcome, 20 * MS))
                 .iter()
-                .find(|s| s.0 == request)
-                .map(|s| s.1);
+                .find(|(forwarded, _)| *forwarded == request)
+                .map(|&(_, endpoint)| endpoint);
         }
     }
     assert!(
-        lost < 16,
-        "{lost} connections failed before the zone with 20 endpoints was avoided as a whole"
+        failed_connections < 16,
+        "{failed_connections} connections failed before the zone with 20 endpoints was avoided"
     );
 }
 
 /// Returns one of 100 balancers, with a raised limit. Half of its sixty endpoints are in a zone
 /// whose connections have started to fail, and that is avoided after the first failures.
-fn after_a_zone_is_lost() -> Proxy {
+fn proxy_after_losing_a_zone() -> Proxy {
     let mut proxy = one_of_many();
     proxy.update_list(
         ListUpdate::Full,
@@ -59,22 +59,23 @@
             .collect(),
     );
     raise_shared_limit(&mut proxy);
-    let mut out: Vec<(RequestId, u32, EndpointId)> = (0..40)
+    let mut in_flight: Vec<(RequestId, u32, EndpointId)> = (0..40)
         .flat_map(|_| forwarded(&proxy.request().1))
-        .map(|(request, to)| (request, 0, to))
+        .map(|(request, endpoint)| (request, 0, endpoint))
         .collect();
     proxy.now += 40 * MS;
     // Attempts end in reverse order, so that a retry ends right after the attempt before it.
-    while let Some((request, attempt, to)) = out.pop() {
-        let outcome = if to.0 % 2 == 0 {
+    while let Some((request, attempt, endpoint)) = in_flight.pop() {
+        let outcome = if endpoint.0 % 2 == 0 {
             Outcome::Served
         } else {
             Outcome::ConnectFailed
         };
         let next = forwarded(&proxy.end_attempt(request, attempt, outcome, 40 * MS));
-        out.extend(
-            next.iter()
-                .map(|(id, to)| (*id, if *id == request { attempt + 1 } else { 0 }, *to)),
+        in_flight.extend(
+            next.iter().map(|(id, endpoint)| {
+                (*id, if *id == request { attempt + 1 } else { 0 }, *endpoint)
+            }),
         );
     }
     proxy
@@ -82,15 +83,15 @@
 
 #[test]
 fn removing_the_endpoints_of_a_lost_zone_from_the_list_does_not_cut_the_shared_limit() {
-    let mut proxy = after_a_zone_is_lost();
-    let out = request_burst(&mut proxy, 30);
-    let before = out.len();
-    serve_forwarded(&mut proxy, out, 40 * MS);
-    let left = (1..=30).map(|id| EndpointEntry {
+    let mut proxy = proxy_after_losing_a_zone();
+    let in_flight = request_burst(&mut proxy, 30);
+    let before = in_flight.len();
+    serve_forwarded(&mut proxy, in_flight, 40 * MS);
+    let remaining = (1..=30).map(|id| EndpointEntry {
         zone: ZoneId(0),
         ..ready(2 * id)
     });
-    proxy.update_list(ListUpdate::Full, left.collect());
+    proxy.update_list(ListUpdate::Full, remaining.collect());
     let after = request_burst(&mut proxy, 30).len();
     assert!(
         after >= before && before > 8,
@@ -100,8 +101,8 @@
 
 #[test]
 fn a_lost_zone_gets_one_trial_request_at_a_time() {
-    let mut proxy = after_a_zone_is_lost();
-    let mut tries = Vec::new();
+    let mut proxy = proxy_after_losing_a_zone();
+    let mut trial_times = Vec::new();
     for _ in 0..600 {
         proxy.now += 10 * MS;
         let (request, actions) = proxy.request();
@@ -110,13 +111,15 @@
                 proxy.end_attempt(request, 0, Outcome::Served, MS);
             } else {
                 // Connections to the zone are not refused but time out.
-                tries.push(proxy.now);
+                trial_times.push(proxy.now);
             }
         }
     }
-    assert!(!tries.is_empty(), "the zone is never tried again");
+    assert!(!trial_times.is_empty(), "the zone is never tried again");
     assert!(
-        tries.windows(2).all(|pair| pair[1] - pair[0] >= 100 * MS),
-        "trials of the zone less than 100 ms apart: {tries:?}"
+        trial_times
+            .windows(2)
+            .all(|pair| pair[1] - pair[0] >= 100 * MS),
+        "trials of the zone less than 100 ms apart: {trial_times:?}"
     );
 }
