--- a/balancer/tests/list_polling.rs
+++ b/balancer/tests/list_polling.rs
@@ -61,11 +61,11 @@
 
 /// A poll is rejected immediately, rejected after it was queued for too long, or times out without
 /// a response.
-const FAILURE_TIMES: [Micros; 3] = [0, QUEUE_TIMEOUT, SILENCE];
+const FAILURE_TIMES: [Micros; 3] = [0, QUEUE_TIMEOUT, RESPONSE_TIMEOUT];
 
 /// Discovery may become reachable at any time, and a poll that starts after that delivers its
-/// changes. A poll that is in flight at that time takes at most `SILENCE` to fail, so the sum of
-/// that, the delay of the next poll and its response time must not exceed the deadline.
+/// changes. A poll that is in flight at that time takes at most `RESPONSE_TIMEOUT` to fail, so the
+/// sum of that, the delay of the next poll and its response time must not exceed the deadline.
 #[test]
 fn after_any_sequence_of_failed_polls_the_next_poll_starts_in_time() {
     for (balancer_count, balancer_index) in [
@@ -79,7 +79,7 @@
             let failure_times: Vec<_> = (0..5)
                 .map(|position| FAILURE_TIMES[path / 3_usize.pow(position) % 3])
                 .collect();
-            for watch_lost_at in [None, Some(0), Some(SILENCE)] {
+            for watch_lost_at in [None, Some(0), Some(RESPONSE_TIMEOUT)] {
                 let started_at = poll_start_times(
                     &mut polling_balancer(balancer_count, balancer_index),
                     watch_lost_at,
@@ -87,7 +87,7 @@
                 );
                 for (request, failure_time) in failure_times.iter().enumerate() {
                     let delay = started_at[request + 1] - (started_at[request] + failure_time);
-                    let sum = SILENCE + delay + RESPONSE_TIME;
+                    let sum = RESPONSE_TIMEOUT + delay + RESPONSE_TIME;
                     assert!(
                         sum <= NOTIFICATION_DEADLINE,
                         "{balancer_count} balancers: {sum} us after poll {request} \
@@ -105,13 +105,13 @@
 /// The same applies after a new configuration, with its shorter deadline.
 #[test]
 fn changes_since_a_watch_was_lost_are_polled_before_the_notification_deadline() {
-    let paths: [&[Micros]; 4] = [&[], &[QUEUE_TIMEOUT], &[SILENCE], &[0; 40]];
+    let paths: [&[Micros]; 4] = [&[], &[QUEUE_TIMEOUT], &[RESPONSE_TIMEOUT], &[0; 40]];
     for (balancer_count, balancer_index) in
         (0..40).flat_map(|balancer_index| [(5, balancer_index), (MANY_BALANCERS, balancer_index)])
     {
         for (watch_lost_at, deadline) in [
-            (SILENCE, NOTIFICATION_DEADLINE),
-            (0, NOTIFICATION_DEADLINE_AFTER_MOVE),
+            (RESPONSE_TIMEOUT, NOTIFICATION_DEADLINE),
+            (0, NOTIFICATION_DEADLINE_AFTER_RECONFIGURATION),
         ] {
             for failure_times in paths {
                 let started_at = poll_start_times(
@@ -145,7 +145,7 @@
     for (balancer_count, balancer_index) in
         (0..40).flat_map(|balancer_index| [(5, balancer_index), (MANY_BALANCERS, balancer_index)])
     {
-        for failure_time in [None, Some(0), Some(QUEUE_TIMEOUT), Some(SILENCE)] {
+        for failure_time in [None, Some(0), Some(QUEUE_TIMEOUT), Some(RESPONSE_TIMEOUT)] {
             let mut balancer = polling_balancer(balancer_count, balancer_index);
             let list_event = |kind, entries| Event::EndpointList { kind, entries };
             let (mut actions, mut now) = (Vec::new(), 0);
@@ -215,30 +215,30 @@
 #[test]
 fn all_of_very_many_balancers_that_lose_their_watches_together_are_notified_in_time() {
     for (noticed_at, deadline) in [
-        (SILENCE, NOTIFICATION_DEADLINE),
-        (MS, NOTIFICATION_DEADLINE_AFTER_MOVE),
+        (RESPONSE_TIMEOUT, NOTIFICATION_DEADLINE),
+        (MS, NOTIFICATION_DEADLINE_AFTER_RECONFIGURATION),
     ] {
         for rejection_cost in [0.0, 1.0] {
-            let mut fleet = lost_at(noticed_at, 120, rejection_cost);
-            fleet.play(10 * SECOND);
+            let mut fleet = fleet_losing_watches_at(noticed_at, 120, rejection_cost);
+            fleet.run_until(10 * SECOND);
             assert_eq!(
-                fleet.late(0, deadline),
+                fleet.late_count(0, deadline),
                 0,
                 "loss noticed at {noticed_at} us, a rejection costs {rejection_cost} of a response"
             );
-            let (max_per_second, failed_fraction) = fleet.load(0);
+            let (max_per_second, failed_fraction) = fleet.poll_load(0);
             assert!(
                 max_per_second <= 320 && failed_fraction < 0.2,
                 "{max_per_second} polls in a second, {failed_fraction} of all failed"
             );
-            let mut fleet = lost_at(noticed_at, 40, rejection_cost);
-            fleet.play(21 * SECOND);
+            let mut fleet = fleet_losing_watches_at(noticed_at, 40, rejection_cost);
+            fleet.run_until(21 * SECOND);
             assert_eq!(
-                fleet.late(0, 20 * SECOND),
+                fleet.late_count(0, 20 * SECOND),
                 0,
                 "with a third of the capacity, a rejection costs {rejection_cost} of a response"
             );
-            let (_, failed_fraction) = fleet.load(0);
+            let (_, failed_fraction) = fleet.poll_load(0);
             assert!(
                 failed_fraction < 0.6,
                 "{failed_fraction} of the polls failed"
@@ -251,13 +251,13 @@
 fn all_of_very_many_balancers_that_restart_together_are_notified_in_time() {
     for rejection_cost in [0.0, 1.0] {
         for capacity in [120, 60] {
-            let mut fleet = lost_at(Micros::MAX, capacity, rejection_cost);
-            fleet.play(SECOND);
+            let mut fleet = fleet_losing_watches_at(Micros::MAX, capacity, rejection_cost);
+            fleet.run_until(SECOND);
             fleet.restart();
-            fleet.play(10 * SECOND);
-            let (max_per_second, failed_fraction) = fleet.load(SECOND);
+            fleet.run_until(10 * SECOND);
+            let (max_per_second, failed_fraction) = fleet.poll_load(SECOND);
             assert_eq!(
-                fleet.late(SECOND, NOTIFICATION_DEADLINE),
+                fleet.late_count(SECOND, NOTIFICATION_DEADLINE),
                 0,
                 "capacity of {capacity} a second, a rejection costs {rejection_cost} of a response"
             );
@@ -279,17 +279,17 @@
         (Availability::Silent, 0.0),
         (Availability::Silent, 1.0),
     ] {
-        let mut fleet = lost_at(MS, 100, rejection_cost);
+        let mut fleet = fleet_losing_watches_at(MS, 100, rejection_cost);
         fleet.availability = availability;
-        fleet.play(8 * SECOND);
+        fleet.run_until(8 * SECOND);
         fleet.availability = Availability::Up;
-        fleet.play(20 * SECOND);
+        fleet.run_until(20 * SECOND);
         assert_eq!(
-            fleet.late(8 * SECOND, NOTIFICATION_DEADLINE),
+            fleet.late_count(8 * SECOND, NOTIFICATION_DEADLINE),
             0,
             "a rejection costs {rejection_cost} of a response"
         );
-        let (max_per_second, failed_fraction) = fleet.load(8 * SECOND);
+        let (max_per_second, failed_fraction) = fleet.poll_load(8 * SECOND);
         assert!(
             max_per_second <= 150 && failed_fraction < 0.1,
             "{max_per_second} polls in a second, {failed_fraction} of all failed"
--- a/balancer/tests/models/discovery.rs
+++ b/balancer/tests/models/discovery.rs
@@ -6,14 +6,14 @@
 
 /// Time after which a proxy gives up a watch that sends nothing, or a poll whose response head does
 /// not arrive.
-pub(crate) const SILENCE: Micros = 2_500 * MS;
+pub(crate) const RESPONSE_TIMEOUT: Micros = 2_500 * MS;
 /// Time that a poll may be queued at discovery before it is rejected.
 pub(crate) const QUEUE_TIMEOUT: Micros = 2 * SECOND;
 /// Time after which a balancer counts as notified of a change. The drain grace, which is added to
 /// it, leaves time for the response of an idle discovery.
 pub(crate) const NOTIFICATION_DEADLINE: Micros = 6 * SECOND;
 /// Notification deadline after a new configuration.
-pub(crate) const NOTIFICATION_DEADLINE_AFTER_MOVE: Micros = 4 * SECOND;
+pub(crate) const NOTIFICATION_DEADLINE_AFTER_RECONFIGURATION: Micros = 4 * SECOND;
 /// Time allowed for a connection, the head and the first object of a response together.
 pub(crate) const RESPONSE_TIME: Micros = 500 * MS;
 pub(crate) const MANY_BALANCERS: u32 = 300;
@@ -52,10 +52,10 @@
     /// Queued polls: which proxy, and since when.
     queue: VecDeque<(usize, Micros)>,
     /// When discovery has finished the work of the last answer.
-    free_at: Micros,
+    idle_at: Micros,
     proxies: Vec<PollingProxy>,
     /// When each poll was sent, and whether it was answered with an update.
-    requests: Vec<(Micros, bool)>,
+    polls: Vec<(Micros, bool)>,
 }
 
 /// A proxy that polls because its watch was lost.
@@ -63,7 +63,7 @@
     balancer: Balancer,
     timer_at: Micros,
     /// When its poll in flight was sent.
-    request: Option<Micros>,
+    poll_sent_at: Option<Micros>,
     /// When it detects that its watch is lost.
     loss_noticed_at: Micros,
     notified_at: Option<Micros>,
@@ -94,37 +94,37 @@
             PollingProxy {
                 balancer,
                 timer_at: Micros::MAX,
-                request: None,
+                poll_sent_at: None,
                 loss_noticed_at,
                 notified_at: None,
             }
         };
         let proxies = (0..count).map(proxy).collect();
-        let (queue, requests) = Default::default();
+        let (queue, polls) = Default::default();
         Fleet {
             now: 0,
             availability: Availability::Up,
             capacity,
             rejection_cost,
             queue,
-            free_at: 0,
+            idle_at: 0,
             proxies,
-            requests,
+            polls,
         }
     }
 
-    fn event(&mut self, who: usize, event: Event) {
+    fn handle_event(&mut self, proxy_index: usize, event: Event) {
         let mut actions = Vec::new();
-        let proxy = &mut self.proxies[who];
+        let proxy = &mut self.proxies[proxy_index];
         proxy.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::SetTimer { after } => proxy.timer_at = self.now + after,
                 Action::Subscribe => {
-                    proxy.request = Some(self.now);
-                    self.requests.push((self.now, false));
+                    proxy.poll_sent_at = Some(self.now);
+                    self.polls.push((self.now, false));
                     if self.availability == Availability::Up {
-                        self.queue.push_back((who, self.now));
+                        self.queue.push_back((proxy_index, self.now));
                     }
                 }
                 _ => {}
@@ -132,9 +132,9 @@
         }
     }
 
-    fn list(&mut self, who: usize, kind: ListUpdate) {
-        self.event(
-            who,
+    fn update_list(&mut self, proxy_index: usize, kind: ListUpdate) {
+        self.handle_event(
+            proxy_index,
             Event::EndpointList {
                 kind,
                 entries: Vec::new(),
@@ -142,65 +142,65 @@
         );
     }
 
-    fn fail(&mut self, who: usize) {
-        self.proxies[who].request = None;
-        self.list(who, ListUpdate::PollFailed);
+    fn fail_poll(&mut self, proxy_index: usize) {
+        self.proxies[proxy_index].poll_sent_at = None;
+        self.update_list(proxy_index, ListUpdate::PollFailed);
     }
 
-    fn answer(&mut self) {
-        while self.free_at <= self.now {
-            let Some((who, since)) = self.queue.pop_front() else {
+    fn answer_polls(&mut self) {
+        while self.idle_at <= self.now {
+            let Some((proxy_index, sent_at)) = self.queue.pop_front() else {
                 return;
             };
             // A proxy whose poll has timed out has closed its connection.
-            if self.proxies[who].request != Some(since) {
+            if self.proxies[proxy_index].poll_sent_at != Some(sent_at) {
                 continue;
             }
-            let served = self.now - since <= QUEUE_TIMEOUT;
-            let takes = if served { 1.0 } else { self.rejection_cost };
-            self.free_at = self.free_at.max(self.now - MS)
-                + (takes * SECOND as f64 / self.capacity as f64) as Micros;
+            let served = self.now - sent_at <= QUEUE_TIMEOUT;
+            let cost = if served { 1.0 } else { self.rejection_cost };
+            self.idle_at = self.idle_at.max(self.now - MS)
+                + (cost * SECOND as f64 / self.capacity as f64) as Micros;
             if served {
-                self.proxies[who].request = None;
-                self.proxies[who].notified_at = Some(self.now);
-                self.requests
+                self.proxies[proxy_index].poll_sent_at = None;
+                self.proxies[proxy_index].notified_at = Some(self.now);
+                self.polls
                     .iter_mut()
-                    .filter(|request| **request == (since, false))
+                    .filter(|poll| **poll == (sent_at, false))
                     .take(1)
-                    .for_each(|request| request.1 = true);
-                self.list(who, ListUpdate::Delta);
+                    .for_each(|poll| poll.1 = true);
+                self.update_list(proxy_index, ListUpdate::Delta);
             } else {
-                self.fail(who);
+                self.fail_poll(proxy_index);
             }
         }
     }
 
     /// Runs the model up to time `until`.
-    pub(crate) fn play(&mut self, until: Micros) {
+    pub(crate) fn run_until(&mut self, until: Micros) {
         while self.now < until {
             self.now += MS;
             if self.availability == Availability::Up {
-                self.answer();
+                self.answer_polls();
             }
-            for who in 0..self.proxies.len() {
+            for proxy_index in 0..self.proxies.len() {
                 let PollingProxy {
                     timer_at,
-                    request,
+                    poll_sent_at,
                     loss_noticed_at,
                     ..
-                } = self.proxies[who];
-                let over = match self.availability {
+                } = self.proxies[proxy_index];
+                let timeout = match self.availability {
                     Availability::RefusesConnections => 0,
-                    Availability::Up | Availability::Silent => SILENCE,
+                    Availability::Up | Availability::Silent => RESPONSE_TIMEOUT,
                 };
                 if loss_noticed_at <= self.now {
-                    self.proxies[who].loss_noticed_at = Micros::MAX;
-                    self.list(who, ListUpdate::WatchLost);
-                } else if request.is_some_and(|since| self.now >= since + over) {
-                    self.fail(who);
+                    self.proxies[proxy_index].loss_noticed_at = Micros::MAX;
+                    self.update_list(proxy_index, ListUpdate::WatchLost);
+                } else if poll_sent_at.is_some_and(|sent_at| self.now >= sent_at + timeout) {
+                    self.fail_poll(proxy_index);
                 } else if timer_at <= self.now {
-                    self.proxies[who].timer_at = Micros::MAX;
-                    self.event(who, Event::Timer);
+                    self.proxies[proxy_index].timer_at = Micros::MAX;
+                    self.handle_event(proxy_index, Event::Timer);
                 }
             }
         }
@@ -208,13 +208,13 @@
 
     /// Kills all proxies and restarts them with a cached list.
     pub(crate) fn restart(&mut self) {
-        for (who, balancer_index) in (0..).zip(0..self.proxies.len() as u32) {
-            self.proxies[who].balancer =
+        for (proxy_index, balancer_index) in (0..).zip(0..self.proxies.len() as u32) {
+            self.proxies[proxy_index].balancer =
                 polling_balancer(MANY_BALANCERS, balancer_index + MANY_BALANCERS);
-            self.event(who, Event::Start);
+            self.handle_event(proxy_index, Event::Start);
             let entries = (1..=60).map(ready).collect();
-            self.event(
-                who,
+            self.handle_event(
+                proxy_index,
                 Event::EndpointList {
                     kind: ListUpdate::Cached,
                     entries,
@@ -223,40 +223,40 @@
         }
     }
 
-    /// Number of proxies that were not notified within `span` after `from`.
-    pub(crate) fn late(&self, from: Micros, span: Micros) -> usize {
+    /// Number of proxies that were not notified within `deadline` after `from`.
+    pub(crate) fn late_count(&self, from: Micros, deadline: Micros) -> usize {
         self.proxies
             .iter()
-            .filter(|p| p.notified_at.is_none_or(|at| at > from + span))
+            .filter(|proxy| proxy.notified_at.is_none_or(|at| at > from + deadline))
             .count()
     }
 
     /// Maximum number of polls in one second since `from`, and the fraction of all polls since then
     /// that failed.
-    pub(crate) fn load(&self, from: Micros) -> (usize, f64) {
-        let requests: Vec<_> = self
-            .requests
-            .iter()
-            .filter(|request| request.0 >= from)
-            .collect();
-        let most = (0..30)
-            .map(|s| {
-                requests
+    pub(crate) fn poll_load(&self, from: Micros) -> (usize, f64) {
+        let polls: Vec<_> = self.polls.iter().filter(|poll| poll.0 >= from).collect();
+        let max_per_second = (0..30)
+            .map(|second| {
+                polls
                     .iter()
-                    .filter(|request| (request.0 - from) / SECOND == s)
+                    .filter(|poll| (poll.0 - from) / SECOND == second)
                     .count()
             })
             .max();
-        let failed = requests.iter().filter(|request| !request.1).count();
+        let failed_count = polls.iter().filter(|poll| !poll.1).count();
         (
-            most.unwrap_or(0),
-            failed as f64 / requests.len().max(1) as f64,
+            max_per_second.unwrap_or(0),
+            failed_count as f64 / polls.len().max(1) as f64,
         )
     }
 }
 
 /// Creates very many proxies that all detect at the same time that their watches are lost.
-pub(crate) fn lost_at(loss_noticed_at: Micros, capacity: u64, rejection_cost: f64) -> Fleet {
+pub(crate) fn fleet_losing_watches_at(
+    loss_noticed_at: Micros,
+    capacity: u64,
+    rejection_cost: f64,
+) -> Fleet {
     Fleet::new(MANY_BALANCERS, capacity, rejection_cost, |_| {
         loss_noticed_at
     })
--- a/balancer/tests/models/outage/mod.rs
+++ b/balancer/tests/models/outage/mod.rs
@@ -44,11 +44,18 @@
 const RECOVERY_PER_CORE: f64 = 0.3 * OVERLOAD_PER_CORE;
 const RECOVERY_DURATION: Micros = 4 * SECOND;
 
+/// Index of the number of requests in the counts of a second.
+const REQUESTS: usize = 0;
+/// Index of the number of requests served within their latency objective.
+const SERVED_IN_TIME: usize = 1;
+/// Index of the number of connections opened.
+pub(crate) const CONNECTIONS_OPENED: usize = 2;
+
 /// Identifies an attempt by its balancer, its request and its number.
 type AttemptKey = (usize, u64, u32);
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
+enum ModelEvent {
     /// A client sends a request or retries.
     ClientRequest(usize),
     /// An attempt reaches its endpoint.
@@ -70,23 +77,23 @@
 struct UserRequest {
     balancer: usize,
     class: usize,
-    began: Micros,
+    sent_at: Micros,
     attempts: u32,
-    ended: bool,
+    has_ended: bool,
 }
 
 struct Request {
     user_request: usize,
     /// When its client stops waiting.
-    until: Micros,
+    deadline: Micros,
     /// Endpoints that its attempts were sent to.
-    to: Vec<usize>,
+    endpoints: Vec<usize>,
 }
 
 pub(crate) struct Fleet {
     now: Micros,
-    next: BinaryHeap<Reverse<(Micros, u64, Step)>>,
-    number: u64,
+    events: BinaryHeap<Reverse<(Micros, u64, ModelEvent)>>,
+    sequence_number: u64,
     random: Pcg32,
     endpoints: Vec<Endpoint>,
     balancers: Vec<Balancer>,
@@ -96,36 +103,40 @@
     /// Open connections, by balancer and endpoint.
     connections: HashSet<(usize, usize)>,
     is_partitioned: bool,
-    /// Counts per second: requests, requests served within their objective, and connections opened.
-    pub(crate) seconds: Vec<[u32; 3]>,
+    /// For each second, the counts at [`REQUESTS`], [`SERVED_IN_TIME`] and [`CONNECTIONS_OPENED`].
+    pub(crate) counts_per_second: Vec<[u32; 3]>,
 }
 
 impl Fleet {
     /// A random number from 0 to below 1.
-    fn unit(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
-    fn at(&mut self, when: Micros, what: Step) {
-        self.number += 1;
-        self.next.push(Reverse((when, self.number, what)));
+    fn schedule(&mut self, at: Micros, event: ModelEvent) {
+        self.sequence_number += 1;
+        self.events.push(Reverse((at, self.sequence_number, event)));
     }
 
-    fn count(&mut self, at: Micros, what: usize) {
-        self.seconds[((at - LOAD_START) / SECOND) as usize][what] += 1;
+    fn count(&mut self, at: Micros, counter: usize) {
+        self.counts_per_second[((at - LOAD_START) / SECOND) as usize][counter] += 1;
     }
 
     /// Whether a balancer can connect to an endpoint.
-    fn reaches(&self, balancer: usize, endpoint: usize) -> bool {
+    fn can_connect(&self, balancer: usize, endpoint: usize) -> bool {
         let (from, to) = (balancer as u32 % ZONES, self.endpoints[endpoint].zone);
         let crosses = from != to && (from == PARTITIONED_ZONE || to == PARTITIONED_ZONE);
-        self.endpoints[endpoint].up && !(self.is_partitioned && crosses)
+        self.endpoints[endpoint].is_up && !(self.is_partitioned && crosses)
     }
 
-    fn list(&self, which: impl Fn(&Endpoint) -> bool, state: EndpointState) -> Vec<EndpointEntry> {
+    fn list_entries(
+        &self,
+        filter: impl Fn(&Endpoint) -> bool,
+        state: EndpointState,
+    ) -> Vec<EndpointEntry> {
         let all = (1..)
             .zip(&self.endpoints)
-            .filter(|(_, endpoint)| which(endpoint));
+            .filter(|(_, endpoint)| filter(endpoint));
         let entry = |(id, endpoint): (u32, &Endpoint)| EndpointEntry {
             endpoint: EndpointId(id),
             state,
@@ -136,11 +147,11 @@
         all.map(entry).collect()
     }
 
-    fn notify_all(&mut self, state: EndpointState) {
-        let entries = self.list(|endpoint| endpoint.zone == LOST_ZONE, state);
+    fn notify_all_of_lost_zone(&mut self, state: EndpointState) {
+        let entries = self.list_entries(|endpoint| endpoint.zone == LOST_ZONE, state);
         for balancer in 0..self.balancers.len() {
             let entries = entries.clone();
-            self.notify(
+            self.handle_event(
                 balancer,
                 Event::EndpointList {
                     kind: ListUpdate::Delta,
@@ -150,22 +161,22 @@
         }
     }
 
-    fn notify(&mut self, balancer: usize, event: Event) {
+    fn handle_event(&mut self, balancer: usize, event: Event) {
         let mut actions = Vec::new();
         self.balancers[balancer].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Forward {
                     request, endpoint, ..
-                } => self.send(balancer, request.0, endpoint.0 as usize - 1),
+                } => self.send_attempt(balancer, request.0, endpoint.0 as usize - 1),
                 Action::Reject { request, .. } | Action::Fail { request, .. } => {
-                    self.end(balancer, request.0, false)
+                    self.end_client_attempt(balancer, request.0, false)
                 }
                 Action::SetTimer { after } => {
                     self.timers[balancer] += 1;
-                    self.at(
+                    self.schedule(
                         self.now + after,
-                        Step::Timer(balancer, self.timers[balancer]),
+                        ModelEvent::Timer(balancer, self.timers[balancer]),
                     );
                 }
                 _ => {}
@@ -173,37 +184,38 @@
         }
     }
 
-    fn step(&mut self, what: Step) {
-        match what {
-            Step::ClientRequest(place) if !self.user_requests[place].ended => {
-                self.send_client_request(place)
+    fn process(&mut self, event: ModelEvent) {
+        match event {
+            ModelEvent::ClientRequest(index) if !self.user_requests[index].has_ended => {
+                self.send_client_request(index)
             }
-            Step::ClientRequest(_) => {}
-            Step::Arrival(attempt) => self.arrive(attempt),
-            Step::Response(attempt, outcome) if self.is_out(attempt) => {
+            ModelEvent::ClientRequest(_) => {}
+            ModelEvent::Arrival(attempt) => self.arrive_at_endpoint(attempt),
+            ModelEvent::Response(attempt, outcome) if self.is_in_flight(attempt) => {
                 if outcome == Outcome::Served {
-                    self.end(attempt.0, attempt.1, true);
+                    self.end_client_attempt(attempt.0, attempt.1, true);
                 }
-                self.outcome(attempt, outcome, outcome == Outcome::Served);
+                self.report_outcome(attempt, outcome, outcome == Outcome::Served);
             }
-            Step::Deadline(attempt) if self.is_out(attempt) => {
-                self.end(attempt.0, attempt.1, false);
-                self.outcome(attempt, Outcome::TimedOut, true);
+            ModelEvent::Deadline(attempt) if self.is_in_flight(attempt) => {
+                self.end_client_attempt(attempt.0, attempt.1, false);
+                self.report_outcome(attempt, Outcome::TimedOut, true);
             }
-            Step::Response(..) | Step::Deadline(_) => {}
-            Step::Work(place, turn)
-                if self.endpoints[place].turn == turn && self.endpoints[place].up =>
+            ModelEvent::Response(..) | ModelEvent::Deadline(_) => {}
+            ModelEvent::Work(index, completion_number)
+                if self.endpoints[index].completion_number == completion_number
+                    && self.endpoints[index].is_up =>
             {
-                self.finish_work(place);
+                self.finish_work(index);
             }
-            Step::Timer(balancer, number) if self.timers[balancer] == number => {
-                self.notify(balancer, Event::Timer);
+            ModelEvent::Timer(balancer, number) if self.timers[balancer] == number => {
+                self.handle_event(balancer, Event::Timer);
             }
-            Step::Work(..) | Step::Timer(..) => {}
-            Step::Partition(is_partitioned) => self.is_partitioned = is_partitioned,
-            Step::LoseZone => self.lose_zone(),
-            Step::ListRemoval => self.notify_all(EndpointState::Removed),
-            Step::ZoneReturns => self.return_zone(),
+            ModelEvent::Work(..) | ModelEvent::Timer(..) => {}
+            ModelEvent::Partition(is_partitioned) => self.is_partitioned = is_partitioned,
+            ModelEvent::LoseZone => self.lose_zone(),
+            ModelEvent::ListRemoval => self.notify_all_of_lost_zone(EndpointState::Removed),
+            ModelEvent::ZoneReturns => self.return_zone(),
         }
     }
 
@@ -213,9 +225,9 @@
             .iter_mut()
             .filter(|endpoint| endpoint.zone == LOST_ZONE)
         {
-            endpoint.up = false;
-            endpoint.work.clear();
-            endpoint.waiting.clear();
+            endpoint.is_up = false;
+            endpoint.executing.clear();
+            endpoint.queued.clear();
         }
     }
 
@@ -225,33 +237,33 @@
             .iter_mut()
             .filter(|endpoint| endpoint.zone == LOST_ZONE)
         {
-            endpoint.up = true;
+            endpoint.is_up = true;
             endpoint.started_at = self.now;
-            endpoint.at = self.now;
-            endpoint.slow = false;
+            endpoint.updated_at = self.now;
+            endpoint.is_slow = false;
         }
-        self.notify_all(EndpointState::Ready);
+        self.notify_all_of_lost_zone(EndpointState::Ready);
     }
 
     pub(crate) fn run(mut self) -> Fleet {
-        while let Some(Reverse((when, _, what))) = self.next.pop() {
-            if when >= LOAD_END + SECOND {
+        while let Some(Reverse((at, _, event))) = self.events.pop() {
+            if at >= LOAD_END + SECOND {
                 break;
             }
-            self.now = when;
-            self.step(what);
+            self.now = at;
+            self.process(event);
         }
         self
     }
 
     /// Fraction of the requests of a range of seconds that were served within their objective.
-    pub(crate) fn in_time(&self, from: usize, to: usize) -> f64 {
-        let sum = |what: usize| {
-            self.seconds[from..to]
+    pub(crate) fn fraction_in_time(&self, from: usize, to: usize) -> f64 {
+        let sum = |counter: usize| {
+            self.counts_per_second[from..to]
                 .iter()
-                .map(|second| second[what])
+                .map(|counts| counts[counter])
                 .sum::<u32>()
         };
-        f64::from(sum(1)) / f64::from(sum(0))
+        f64::from(sum(SERVED_IN_TIME)) / f64::from(sum(REQUESTS))
     }
 }
--- a/balancer/tests/models/outage/setup.rs
+++ b/balancer/tests/models/outage/setup.rs
@@ -8,8 +8,8 @@
     pub(crate) fn new(seed: u64, balancers: usize, endpoints: usize, load: f64) -> Fleet {
         let mut fleet = Fleet {
             now: LOAD_START,
-            next: BinaryHeap::new(),
-            number: 0,
+            events: BinaryHeap::new(),
+            sequence_number: 0,
             random: Pcg32::seed_from_u64(seed),
             endpoints: Vec::new(),
             balancers: Vec::new(),
@@ -18,7 +18,7 @@
             requests: HashMap::new(),
             connections: HashSet::new(),
             is_partitioned: false,
-            seconds: vec![[0; 3]; ((LOAD_END - LOAD_START) / SECOND) as usize + 3],
+            counts_per_second: vec![[0; 3]; ((LOAD_END - LOAD_START) / SECOND) as usize + 3],
         };
         let mut capacity = 0.0;
         for index in 0..endpoints {
@@ -32,38 +32,38 @@
 
     /// Adds an endpoint and returns its capacity, without the reduction of a faulty one.
     fn add_endpoint(&mut self, index: usize) -> f64 {
-        let (cores, base) = if self.unit() < 0.55 {
+        let (cores, base) = if self.random_unit() < 0.55 {
             (3.0, 1.5)
         } else {
             (2.0, 0.97)
         };
-        let speed = base * (0.8 + 0.4 * self.unit());
+        let speed = base * (0.8 + 0.4 * self.random_unit());
         // One of eight is faulty: it fails half of its requests immediately, or is five times
         // slower.
-        let is_bad = index % 8 == 3;
-        let is_failing = is_bad && self.unit() < 0.4;
-        let present_speed = if is_bad && !is_failing {
+        let is_faulty = index % 8 == 3;
+        let is_failing = is_faulty && self.random_unit() < 0.4;
+        let present_speed = if is_faulty && !is_failing {
             speed / 5.0
         } else {
             speed
         };
-        let zone = (self.unit() * f64::from(ZONES)) as u32;
-        let slows_down = self.unit() < 0.6;
+        let zone = (self.random_unit() * f64::from(ZONES)) as u32;
+        let slows_down = self.random_unit() < 0.6;
         self.endpoints.push(Endpoint {
             cores,
             speed: present_speed,
             zone,
-            up: true,
+            is_up: true,
             started_at: 0,
             is_failing,
             slows_down,
-            slow: false,
+            is_slow: false,
             overloaded_since: None,
-            calm_since: None,
-            work: Vec::new(),
-            waiting: VecDeque::new(),
-            at: LOAD_START,
-            turn: 0,
+            low_load_since: None,
+            executing: Vec::new(),
+            queued: VecDeque::new(),
+            updated_at: LOAD_START,
+            completion_number: 0,
         });
         cores * speed
     }
@@ -93,9 +93,9 @@
             };
             self.balancers
                 .push(Balancer::new(seed * 1_000 + index as u64, settings));
-            self.notify(index, Event::Start);
-            let entries = self.list(|_| true, EndpointState::Ready);
-            self.notify(
+            self.handle_event(index, Event::Start);
+            let entries = self.list_entries(|_| true, EndpointState::Ready);
+            self.handle_event(
                 index,
                 Event::EndpointList {
                     kind: ListUpdate::Full,
@@ -109,26 +109,29 @@
     /// all falls by a third until the end. `capacity` is the part of the endpoints' capacity that
     /// is used at the start.
     fn add_load(&mut self, balancers: usize, capacity: f64) {
-        let shares: Vec<f64> = (0..balancers).map(|_| 0.3 - self.unit().ln()).collect();
+        let shares: Vec<f64> = (0..balancers)
+            .map(|_| 0.3 - self.random_unit().ln())
+            .collect();
         let per_second = capacity * 2e6 / (WORK[0] + WORK[1]) / shares.iter().sum::<f64>();
         for (balancer, share) in shares.iter().enumerate() {
-            let mut began = LOAD_START as f64;
+            let mut sent_at = LOAD_START as f64;
             loop {
-                let falling =
-                    1.0 - 0.33 * (began - LOAD_START as f64) / (LOAD_END - LOAD_START) as f64;
-                began -= self.unit().max(1e-9).ln() * 1e6 / (per_second * share * falling);
-                if began >= LOAD_END as f64 {
+                let load_factor =
+                    1.0 - 0.33 * (sent_at - LOAD_START as f64) / (LOAD_END - LOAD_START) as f64;
+                sent_at -=
+                    self.random_unit().max(1e-9).ln() * 1e6 / (per_second * share * load_factor);
+                if sent_at >= LOAD_END as f64 {
                     break;
                 }
-                let class = usize::from(self.unit() < 0.5);
-                let began = began as Micros;
-                self.at(began, Step::ClientRequest(self.user_requests.len()));
+                let class = usize::from(self.random_unit() < 0.5);
+                let sent_at = sent_at as Micros;
+                self.schedule(sent_at, ModelEvent::ClientRequest(self.user_requests.len()));
                 let request = UserRequest {
                     balancer,
                     class,
-                    began,
+                    sent_at,
                     attempts: 0,
-                    ended: false,
+                    has_ended: false,
                 };
                 self.user_requests.push(request);
             }
@@ -136,10 +139,10 @@
     }
 
     fn schedule_faults(&mut self) {
-        self.at(PARTITION_AT, Step::Partition(true));
-        self.at(LOSS_AT, Step::LoseZone);
-        self.at(REMOVAL_LISTED_AT, Step::ListRemoval);
-        self.at(RETURN_AT, Step::Partition(false));
-        self.at(RETURN_AT, Step::ZoneReturns);
+        self.schedule(PARTITION_AT, ModelEvent::Partition(true));
+        self.schedule(LOSS_AT, ModelEvent::LoseZone);
+        self.schedule(REMOVAL_LISTED_AT, ModelEvent::ListRemoval);
+        self.schedule(RETURN_AT, ModelEvent::Partition(false));
+        self.schedule(RETURN_AT, ModelEvent::ZoneReturns);
     }
 }
--- a/balancer/tests/models/slow_start_fleet/faults.rs
+++ b/balancer/tests/models/slow_start_fleet/faults.rs
@@ -4,20 +4,23 @@
 
 impl Fleet {
     /// Starts the new endpoints, and schedules when balancers are notified of them or restarted.
-    pub(super) fn start(&mut self) {
+    pub(super) fn start_new_endpoints(&mut self) {
         let scenario = self.scenario;
-        for id in 0..scenario.warming {
-            let old = self.at.get(&id).copied();
-            self.boot(id, self.now);
+        for id in 0..scenario.new_count {
+            let old = self.process_by_endpoint.get(&id).copied();
+            self.start_endpoint(id, self.now);
             // Attempts that were queued at the previous process end with a reset.
             if let Some(old) = old {
-                let open: Vec<AttemptEnd> =
-                    self.processes[old].queued.drain(..).map(|w| w.1).collect();
+                let in_flight: Vec<AttemptEnd> = self.endpoint_processes[old]
+                    .queued
+                    .drain(..)
+                    .map(|(_, end)| end)
+                    .collect();
                 let sent = self.now;
-                open.into_iter().for_each(|end| {
-                    self.later(
+                in_flight.into_iter().for_each(|end| {
+                    self.schedule(
                         sent,
-                        Step::Ended(AttemptEnd {
+                        ModelEvent::Ended(AttemptEnd {
                             outcome: Outcome::Reset,
                             ..end
                         }),
@@ -25,45 +28,45 @@
                 });
             }
         }
-        self.begun = true;
-        for slot in 0..self.slots.len() {
-            let node = self.slots[slot][0];
-            let at = self.now + self.within(scenario.spread);
-            self.later(at, Step::Notify(node));
-            for part in 0..2 {
-                let at = self.now + part * 2 * SECOND + self.within(2 * SECOND);
+        self.new_endpoints_started = true;
+        for balancer_index in 0..self.active_processes.len() {
+            let balancer_process = self.active_processes[balancer_index][0];
+            let at = self.now + self.random_duration(scenario.notification_spread);
+            self.schedule(at, ModelEvent::Notify(balancer_process));
+            for round in 0..2 {
+                let at = self.now + round * 2 * SECOND + self.random_duration(2 * SECOND);
                 if scenario.restart == Restart::Killed
-                    || (scenario.restart == Restart::Upgraded && part == 0)
+                    || (scenario.restart == Restart::Upgraded && round == 0)
                 {
-                    self.later(at, Step::Replace(slot));
+                    self.schedule(at, ModelEvent::Replace(balancer_index));
                 }
             }
         }
     }
 
-    pub(super) fn notify(&mut self, node: usize) {
-        if self.nodes[node].is_notified {
+    pub(super) fn notify_of_new_endpoints(&mut self, balancer_process: usize) {
+        if self.balancer_processes[balancer_process].is_notified {
             return;
         }
-        self.nodes[node].is_notified = true;
-        let mut entries = self.entries();
+        self.balancer_processes[balancer_process].is_notified = true;
+        let mut entries = self.list_entries();
         let mut kind = ListUpdate::Full;
-        if !self.scenario.full_list {
+        if !self.scenario.notified_by_full_list {
             kind = ListUpdate::Delta;
-            entries.retain(|e| e.started_at > 0);
+            entries.retain(|entry| entry.started_at > 0);
         }
-        self.event(node, Event::EndpointList { kind, entries });
+        self.handle_event(balancer_process, Event::EndpointList { kind, entries });
     }
 
-    pub(super) fn replace(&mut self, slot: usize) {
-        let old = self.slots[slot][0];
-        let new = self.node(slot);
+    pub(super) fn replace_balancer(&mut self, balancer_index: usize) {
+        let old = self.active_processes[balancer_index][0];
+        let new = self.start_balancer(balancer_index);
         if self.scenario.restart == Restart::Killed {
-            self.nodes[old].alive = false;
-            self.slots[slot] = vec![new];
+            self.balancer_processes[old].is_alive = false;
+            self.active_processes[balancer_index] = vec![new];
         } else {
-            self.slots[slot] = vec![old, new];
-            self.later(self.now + 2 * SECOND, Step::Retire(slot));
+            self.active_processes[balancer_index] = vec![old, new];
+            self.schedule(self.now + 2 * SECOND, ModelEvent::Retire(balancer_index));
         }
     }
 }
--- a/balancer/tests/models/slow_start_fleet/mod.rs
+++ b/balancer/tests/models/slow_start_fleet/mod.rs
@@ -12,9 +12,9 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
 /// Time of the first request.
-const BEGIN: Micros = 100 * SECOND;
+const LOAD_START: Micros = 100 * SECOND;
 /// Time at which new endpoints start.
-pub(crate) const START: Micros = BEGIN + 2 * SECOND;
+pub(crate) const NEW_ENDPOINTS_START: Micros = LOAD_START + 2 * SECOND;
 pub(crate) const SLOW_START_DURATION: Micros = 8 * SECOND;
 const INITIAL_CAPACITY: f64 = 0.1;
 const OVERLOAD_MULTIPLE: f64 = 4.0;
@@ -39,26 +39,26 @@
 pub(crate) struct Scenario {
     pub(crate) balancer_count: u32,
     /// Number of warm endpoints.
-    pub(crate) warm: u32,
+    pub(crate) warm_count: u32,
     /// Number of new endpoints.
-    pub(crate) warming: u32,
+    pub(crate) new_count: u32,
     /// New endpoints have ids of endpoints that were warm before.
-    pub(crate) returning: bool,
+    pub(crate) reuses_ids: bool,
     /// Balancers are notified by a full list, with new endpoints first, instead of a delta.
-    pub(crate) full_list: bool,
+    pub(crate) notified_by_full_list: bool,
     /// Rate of requests during slow start, as a multiple of the rate before.
-    pub(crate) burst: f64,
+    pub(crate) burst_factor: f64,
     /// Balancers get different shares of the requests.
-    pub(crate) uneven: bool,
+    pub(crate) is_load_uneven: bool,
     pub(crate) restart: Restart,
     /// Time over which the balancers are notified of new endpoints.
-    pub(crate) spread: Micros,
+    pub(crate) notification_spread: Micros,
     /// Fraction of the warm endpoints' capacity that is used before new ones start.
     pub(crate) utilization: f64,
     /// Speed of new endpoints once they are warm, relative to the mean.
     pub(crate) speed: f64,
     /// When the model stops.
-    pub(crate) until: Micros,
+    pub(crate) end_at: Micros,
     /// Weight of warm endpoints in the endpoint list; that of new ones is 1.
     pub(crate) weight: f64,
     /// Maximum number of requests queued at an endpoint, which rejects further ones.
@@ -68,17 +68,17 @@
 /// One endpoint joins while the rate of requests triples.
 pub(crate) const BURST: Scenario = Scenario {
     balancer_count: 1,
-    warm: 100,
-    warming: 1,
-    returning: false,
-    full_list: false,
-    burst: 3.0,
-    uneven: false,
+    warm_count: 100,
+    new_count: 1,
+    reuses_ids: false,
+    notified_by_full_list: false,
+    burst_factor: 3.0,
+    is_load_uneven: false,
     restart: Restart::No,
-    spread: 500 * MS,
+    notification_spread: 500 * MS,
     utilization: 0.5,
     speed: 1.0,
-    until: START + SLOW_START_DURATION,
+    end_at: NEW_ENDPOINTS_START + SLOW_START_DURATION,
     weight: 1.0,
     queued: 3,
 };
@@ -86,7 +86,7 @@
 /// An attempt and its outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptEnd {
-    node: usize,
+    balancer_process: usize,
     request: u64,
     attempt: u32,
     outcome: Outcome,
@@ -94,7 +94,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
+enum ModelEvent {
     RequestArrives,
     Timer(usize),
     /// An endpoint has done the work of an attempt.
@@ -111,7 +111,7 @@
 }
 
 /// A process of an endpoint.
-struct Process {
+struct EndpointProcess {
     started_at: Micros,
     speed: f64,
     busy: usize,
@@ -123,10 +123,10 @@
 }
 
 /// A process of a balancer.
-struct Node {
+struct BalancerProcess {
     balancer: Balancer,
     is_notified: bool,
-    alive: bool,
+    is_alive: bool,
     /// For each request: when its client stops waiting, its work, and the number of its attempts.
     requests: BTreeMap<u64, (Micros, f64, u32)>,
 }
@@ -135,18 +135,18 @@
     scenario: Scenario,
     random: Pcg32,
     now: Micros,
-    next: BinaryHeap<Reverse<(Micros, u64, Step)>>,
-    number: u64,
-    processes: Vec<Process>,
+    events: BinaryHeap<Reverse<(Micros, u64, ModelEvent)>>,
+    sequence_number: u64,
+    endpoint_processes: Vec<EndpointProcess>,
     /// Index of the current process by endpoint id.
-    at: BTreeMap<u32, usize>,
-    nodes: Vec<Node>,
+    process_by_endpoint: BTreeMap<u32, usize>,
+    balancer_processes: Vec<BalancerProcess>,
     /// For each balancer, the processes that take requests.
-    slots: Vec<Vec<usize>>,
+    active_processes: Vec<Vec<usize>>,
     /// Relative rate of requests of each balancer.
     weights: Vec<f64>,
     /// Whether the new endpoints have started.
-    begun: bool,
+    new_endpoints_started: bool,
 }
 
 /// Capacity of an endpoint as a fraction of its full capacity.
@@ -161,40 +161,44 @@
 
 impl Fleet {
     /// A random number from 0 to below 1.
-    fn unit(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / 4_294_967_296.0
     }
 
     /// A random time from 0 to below `span`.
-    fn within(&mut self, span: Micros) -> Micros {
-        (self.unit() * span as f64) as Micros
+    fn random_duration(&mut self, span: Micros) -> Micros {
+        (self.random_unit() * span as f64) as Micros
     }
 
-    fn later(&mut self, at: Micros, what: Step) {
-        self.number += 1;
-        self.next.push(Reverse((at, self.number, what)));
+    fn schedule(&mut self, at: Micros, event: ModelEvent) {
+        self.sequence_number += 1;
+        self.events.push(Reverse((at, self.sequence_number, event)));
     }
 
-    fn event(&mut self, node: usize, event: Event) {
+    fn handle_event(&mut self, balancer_process: usize, event: Event) {
         let mut actions = Vec::new();
-        self.nodes[node]
+        self.balancer_processes[balancer_process]
             .balancer
             .handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Forward {
                     request, endpoint, ..
-                } => self.send(node, request.0, endpoint.0),
-                Action::SetTimer { after } => self.later(self.now + after, Step::Timer(node)),
+                } => self.send(balancer_process, request.0, endpoint.0),
+                Action::SetTimer { after } => {
+                    self.schedule(self.now + after, ModelEvent::Timer(balancer_process))
+                }
                 Action::Reject { request, .. } | Action::Fail { request, .. } => {
-                    self.nodes[node].requests.remove(&request.0);
+                    self.balancer_processes[balancer_process]
+                        .requests
+                        .remove(&request.0);
                 }
                 Action::CancelAttempt { request, attempt } => {
                     let (request, sent, outcome) = (request.0, self.now, Outcome::Cancelled);
-                    self.later(
+                    self.schedule(
                         sent,
-                        Step::Ended(AttemptEnd {
-                            node,
+                        ModelEvent::Ended(AttemptEnd {
+                            balancer_process,
                             request,
                             attempt,
                             outcome,
@@ -207,37 +211,41 @@
         }
     }
 
-    fn send(&mut self, node: usize, request: u64, endpoint: u32) {
-        let is_notified = self.nodes[node].is_notified;
-        let open = self.nodes[node]
+    fn send(&mut self, balancer_process: usize, request: u64, endpoint: u32) {
+        let is_notified = self.balancer_processes[balancer_process].is_notified;
+        let request_state = self.balancer_processes[balancer_process]
             .requests
             .get_mut(&request)
             .expect("an attempt is only sent for a request in flight");
-        let (deadline, work, attempt) = (open.0, open.1, open.2);
-        open.2 += 1;
-        let (process, sent) = (self.at[&endpoint], self.now);
+        let (deadline, work, attempt) = (request_state.0, request_state.1, request_state.2);
+        request_state.2 += 1;
+        let (process, sent) = (self.process_by_endpoint[&endpoint], self.now);
         let end = AttemptEnd {
-            node,
+            balancer_process,
             request,
             attempt,
             outcome: Outcome::Served,
             sent,
         };
-        self.later(
+        self.schedule(
             deadline,
-            Step::Ended(AttemptEnd {
+            ModelEvent::Ended(AttemptEnd {
                 outcome: Outcome::TimedOut,
                 ..end
             }),
         );
-        self.processes[process].sent.push((sent, work, is_notified));
-        if self.processes[process].queued.len() < self.scenario.queued {
-            self.processes[process].queued.push_back((work, end));
-            self.work(process);
+        self.endpoint_processes[process]
+            .sent
+            .push((sent, work, is_notified));
+        if self.endpoint_processes[process].queued.len() < self.scenario.queued {
+            self.endpoint_processes[process]
+                .queued
+                .push_back((work, end));
+            self.start_queued_work(process);
         } else {
-            self.later(
+            self.schedule(
                 sent + MS,
-                Step::Ended(AttemptEnd {
+                ModelEvent::Ended(AttemptEnd {
                     outcome: Outcome::Rejected,
                     ..end
                 }),
@@ -246,37 +254,39 @@
     }
 
     /// Starts queued work on idle cores.
-    fn work(&mut self, process: usize) {
+    fn start_queued_work(&mut self, process: usize) {
         let now = self.now;
-        let at = &mut self.processes[process];
-        while at.busy < CORES {
-            let Some((work, end)) = at.queued.pop_front() else {
+        let endpoint = &mut self.endpoint_processes[process];
+        while endpoint.busy < CORES {
+            let Some((work, end)) = endpoint.queued.pop_front() else {
                 return;
             };
-            at.busy += 1;
-            at.served += work;
-            let time = work * MEAN_WORK_US / at.speed / warm_up(at.started_at, now);
-            self.number += 1;
-            self.next.push(Reverse((
+            endpoint.busy += 1;
+            endpoint.served += work;
+            let time = work * MEAN_WORK_US / endpoint.speed / warm_up(endpoint.started_at, now);
+            self.sequence_number += 1;
+            self.events.push(Reverse((
                 now + time as Micros,
-                self.number,
-                Step::WorkDone(process, end),
+                self.sequence_number,
+                ModelEvent::WorkDone(process, end),
             )));
         }
     }
 
-    fn ended(&mut self, end: AttemptEnd) {
-        if !self.nodes[end.node].alive {
+    fn end_attempt(&mut self, end: AttemptEnd) {
+        if !self.balancer_processes[end.balancer_process].is_alive {
             return;
         }
         let (request, attempt, outcome) = (RequestId(end.request), end.attempt, end.outcome);
         let (elapsed, request_finished) = (self.now - end.sent, outcome == Outcome::Served);
         if request_finished {
-            self.nodes[end.node].requests.remove(&end.request);
+            self.balancer_processes[end.balancer_process]
+                .requests
+                .remove(&end.request);
         }
         let load = LoadReport::default();
-        self.event(
-            end.node,
+        self.handle_event(
+            end.balancer_process,
             Event::AttemptEnded {
                 request,
                 attempt,
@@ -289,45 +299,50 @@
     }
 
     /// Random time until the next request of all balancers, at the current rate.
-    fn gap(&mut self) -> Micros {
+    fn time_to_next_request(&mut self) -> Micros {
         let scenario = self.scenario;
-        let there = scenario.warm
-            + if scenario.returning {
-                scenario.warming
+        let endpoint_count = scenario.warm_count
+            + if scenario.reuses_ids {
+                scenario.new_count
             } else {
                 0
             };
-        let burst = if self.now >= START {
-            scenario.burst
+        let burst_factor = if self.now >= NEW_ENDPOINTS_START {
+            scenario.burst_factor
         } else {
             1.0
         };
-        let rate = scenario.utilization * burst * f64::from(there) * CORES as f64 / MEAN_WORK_US;
-        (-(1.0 - self.unit()).ln() / rate) as Micros
+        let rate = scenario.utilization * burst_factor * f64::from(endpoint_count) * CORES as f64
+            / MEAN_WORK_US;
+        (-(1.0 - self.random_unit()).ln() / rate) as Micros
     }
 
     fn receive_request(&mut self) {
-        let gap = self.gap();
-        self.later(self.now + gap, Step::RequestArrives);
-        let mut place = self.unit() * self.weights.iter().sum::<f64>();
-        let slot = self.weights.iter().position(|w| {
-            place -= w;
-            place < 0.0
+        let gap = self.time_to_next_request();
+        self.schedule(self.now + gap, ModelEvent::RequestArrives);
+        let mut draw = self.random_unit() * self.weights.iter().sum::<f64>();
+        let balancer_index = self.weights.iter().position(|weight| {
+            draw -= weight;
+            draw < 0.0
         });
-        let taking = &self.slots[slot.unwrap_or(0)];
-        let node = taking[self.number as usize % taking.len()];
+        let processes = &self.active_processes[balancer_index.unwrap_or(0)];
+        let balancer_process = processes[self.sequence_number as usize % processes.len()];
         // One request in five needs nine times the work of the others: 3.46 and 0.385 times the
         // mean.
-        let work = if self.unit() < 0.2 { 3.46 } else { 0.385 };
-        self.number += 1;
-        let request = self.number;
-        self.nodes[node]
+        let work = if self.random_unit() < 0.2 {
+            3.46
+        } else {
+            0.385
+        };
+        self.sequence_number += 1;
+        let request = self.sequence_number;
+        self.balancer_processes[balancer_process]
             .requests
             .insert(request, (self.now + 1_200 * MS, work, 0));
         let (class, time_left) = (ClassId(0), 1_200 * MS);
         let request = RequestId(request);
-        self.event(
-            node,
+        self.handle_event(
+            balancer_process,
             Event::RequestReceived {
                 request,
                 class,
@@ -340,30 +355,36 @@
     }
 
     pub(crate) fn run(mut self) -> Fleet {
-        let gap = self.gap();
-        self.later(self.now + gap, Step::RequestArrives);
-        self.later(START, Step::Start);
-        while let Some(Reverse((at, _, what))) = self.next.pop() {
-            if at >= self.scenario.until {
+        let gap = self.time_to_next_request();
+        self.schedule(self.now + gap, ModelEvent::RequestArrives);
+        self.schedule(NEW_ENDPOINTS_START, ModelEvent::Start);
+        while let Some(Reverse((at, _, event))) = self.events.pop() {
+            if at >= self.scenario.end_at {
                 break;
             }
             self.now = at;
-            match what {
-                Step::RequestArrives => self.receive_request(),
-                Step::Timer(node) if self.nodes[node].alive => self.event(node, Event::Timer),
-                Step::Timer(_) => {}
-                Step::WorkDone(process, end) => {
-                    self.processes[process].busy -= 1;
-                    self.work(process);
-                    self.ended(end);
+            match event {
+                ModelEvent::RequestArrives => self.receive_request(),
+                ModelEvent::Timer(balancer_process)
+                    if self.balancer_processes[balancer_process].is_alive =>
+                {
+                    self.handle_event(balancer_process, Event::Timer)
+                }
+                ModelEvent::Timer(_) => {}
+                ModelEvent::WorkDone(process, end) => {
+                    self.endpoint_processes[process].busy -= 1;
+                    self.start_queued_work(process);
+                    self.end_attempt(end);
+                }
+                ModelEvent::Ended(end) => self.end_attempt(end),
+                ModelEvent::Start => self.start_new_endpoints(),
+                ModelEvent::Notify(balancer_process) => {
+                    self.notify_of_new_endpoints(balancer_process)
                 }
-                Step::Ended(end) => self.ended(end),
-                Step::Start => self.start(),
-                Step::Notify(node) => self.notify(node),
-                Step::Replace(slot) => self.replace(slot),
-                Step::Retire(slot) => {
+                ModelEvent::Replace(balancer_index) => self.replace_balancer(balancer_index),
+                ModelEvent::Retire(balancer_index) => {
                     // Its remaining requests still run to their end.
-                    self.slots[slot].remove(0);
+                    self.active_processes[balancer_index].remove(0);
                 }
             }
         }
--- a/balancer/tests/models/slow_start_fleet/setup.rs
+++ b/balancer/tests/models/slow_start_fleet/setup.rs
@@ -9,55 +9,55 @@
         let mut fleet = Fleet {
             scenario,
             random: Pcg32::seed_from_u64(seed),
-            now: BEGIN,
-            next: BinaryHeap::new(),
-            number: 0,
-            processes: Vec::new(),
-            at: BTreeMap::new(),
-            nodes: Vec::new(),
-            slots: Vec::new(),
+            now: LOAD_START,
+            events: BinaryHeap::new(),
+            sequence_number: 0,
+            endpoint_processes: Vec::new(),
+            process_by_endpoint: BTreeMap::new(),
+            balancer_processes: Vec::new(),
+            active_processes: Vec::new(),
             weights: Vec::new(),
-            begun: false,
+            new_endpoints_started: false,
         };
-        let there = if scenario.returning {
-            scenario.warming + scenario.warm
+        let endpoint_count = if scenario.reuses_ids {
+            scenario.new_count + scenario.warm_count
         } else {
-            scenario.warm
+            scenario.warm_count
         };
-        for id in 0..there {
+        for id in 0..endpoint_count {
             // New endpoints have the lowest ids.
-            fleet.boot(
-                if scenario.returning {
+            fleet.start_endpoint(
+                if scenario.reuses_ids {
                     id
                 } else {
-                    id + scenario.warming
+                    id + scenario.new_count
                 },
                 0,
             );
         }
-        for slot in 0..scenario.balancer_count as usize {
-            let weight = match slot % 6 {
-                _ if !scenario.uneven => 1.0,
+        for balancer_index in 0..scenario.balancer_count as usize {
+            let weight = match balancer_index % 6 {
+                _ if !scenario.is_load_uneven => 1.0,
                 0 => 4.0,
                 1..=3 => 0.05,
                 _ => 1.0,
             };
             fleet.weights.push(weight);
-            let node = fleet.node(slot);
-            fleet.slots.push(vec![node]);
+            let balancer_process = fleet.start_balancer(balancer_index);
+            fleet.active_processes.push(vec![balancer_process]);
         }
         fleet
     }
 
     /// Starts a process of an endpoint.
-    pub(super) fn boot(&mut self, id: u32, started_at: Micros) {
+    pub(super) fn start_endpoint(&mut self, id: u32, started_at: Micros) {
         let speed = if started_at > 0 {
             self.scenario.speed
         } else {
-            0.7 + 0.6 * self.unit()
+            0.7 + 0.6 * self.random_unit()
         };
         let (busy, queued, sent) = (0, VecDeque::new(), Vec::new());
-        self.processes.push(Process {
+        self.endpoint_processes.push(EndpointProcess {
             started_at,
             speed,
             busy,
@@ -65,12 +65,13 @@
             sent,
             served: 0.0,
         });
-        self.at.insert(id, self.processes.len() - 1);
+        self.process_by_endpoint
+            .insert(id, self.endpoint_processes.len() - 1);
     }
 
-    pub(super) fn entries(&self) -> Vec<EndpointEntry> {
+    pub(super) fn list_entries(&self) -> Vec<EndpointEntry> {
         let entry = |(&id, &process): (&u32, &usize)| {
-            let started_at = self.processes[process].started_at;
+            let started_at = self.endpoint_processes[process].started_at;
             let weight = if started_at > 0 {
                 1.0
             } else {
@@ -82,14 +83,14 @@
                 ..ready(id)
             }
         };
-        self.at.iter().map(entry).collect()
+        self.process_by_endpoint.iter().map(entry).collect()
     }
 
     /// Starts a process of a balancer with the current endpoint list, and returns its index.
-    pub(super) fn node(&mut self, slot: usize) -> usize {
+    pub(super) fn start_balancer(&mut self, balancer_index: usize) -> usize {
         let settings = Settings {
             balancer_count: self.scenario.balancer_count,
-            balancer_index: slot as u32,
+            balancer_index: balancer_index as u32,
             slow_start: SlowStart {
                 initial_capacity: INITIAL_CAPACITY,
                 duration: SLOW_START_DURATION,
@@ -98,22 +99,22 @@
             ..settings(Idempotency::Idempotent)
         };
         let balancer = Balancer::new(self.random.next_u64(), settings);
-        self.nodes.push(Node {
+        self.balancer_processes.push(BalancerProcess {
             balancer,
-            is_notified: self.begun,
-            alive: true,
+            is_notified: self.new_endpoints_started,
+            is_alive: true,
             requests: BTreeMap::new(),
         });
-        let node = self.nodes.len() - 1;
-        self.event(node, Event::Start);
-        let entries = self.entries();
-        self.event(
-            node,
+        let balancer_process = self.balancer_processes.len() - 1;
+        self.handle_event(balancer_process, Event::Start);
+        let entries = self.list_entries();
+        self.handle_event(
+            balancer_process,
             Event::EndpointList {
                 kind: ListUpdate::Full,
                 entries,
             },
         );
-        node
+        balancer_process
     }
 }
--- a/balancer/tests/outage_recovery.rs
+++ b/balancer/tests/outage_recovery.rs
@@ -7,7 +7,7 @@
 #[path = "models/outage/mod.rs"]
 mod model;
 
-use model::Fleet;
+use model::{Fleet, CONNECTIONS_OPENED};
 
 /// Overloaded endpoints are slow, so that their requests time out and are retried, which keeps the
 /// endpoints overloaded. A fleet in this state could fail requests long after the lost endpoints
@@ -20,7 +20,7 @@
     let mean = |from, to| {
         fleets
             .iter()
-            .map(|fleet| fleet.in_time(from, to))
+            .map(|fleet| fleet.fraction_in_time(from, to))
             .sum::<f64>()
             / 3.0
     };
@@ -28,8 +28,8 @@
         (mean(0, 4), mean(5, 11), mean(12, 16), mean(16, 22));
     let opened_connections: u32 = fleets
         .iter()
-        .flat_map(|fleet| &fleet.seconds)
-        .map(|second| second[2])
+        .flat_map(|fleet| &fleet.counts_per_second)
+        .map(|counts| counts[CONNECTIONS_OPENED])
         .sum();
     println!(
         "served in time: before the faults {before:.3}, during them {during:.3}, \
@@ -52,6 +52,6 @@
 
 #[test]
 fn the_same_seed_reproduces_the_same_run() {
-    let seconds = || Fleet::new(1, 30, 20, 0.85).run().seconds;
-    assert_eq!(seconds(), seconds());
+    let counts = || Fleet::new(1, 30, 20, 0.85).run().counts_per_second;
+    assert_eq!(counts(), counts());
 }
--- a/balancer/tests/slow_start_fleet.rs
+++ b/balancer/tests/slow_start_fleet.rs
@@ -11,24 +11,24 @@
 /// Runs a scenario with few and with many balancers, and asserts that no new endpoint is overloaded
 /// in any window, and that new endpoints are used.
 fn assert_safe_slow_start(scenario: Scenario) {
-    for (balancer_count, warm, seeds) in [
+    for (balancer_count, max_warm_count, seeds) in [
         (1, 9, 1..=1),
         (6, 9, 1..=2),
         (30, 9, 1..=2),
         (300, 29, 1..=1),
     ] {
-        let warm = scenario.warm.min(warm);
+        let warm_count = scenario.warm_count.min(max_warm_count);
         for seed in seeds {
             let (peak_load, utilization) = Fleet::new(
                 Scenario {
                     balancer_count,
-                    warm,
+                    warm_count,
                     ..scenario
                 },
                 seed,
             )
             .run()
-            .load_and_use();
+            .peak_load_and_utilization();
             println!(
                 "{balancer_count} balancers, seed {seed}: \
                  load {peak_load:.2}, {utilization:.2} of capacity"
@@ -55,7 +55,7 @@
 #[test]
 fn a_new_endpoint_that_is_first_in_a_full_list_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
-        full_list: true,
+        notified_by_full_list: true,
         ..BURST
     });
 }
@@ -63,9 +63,9 @@
 #[test]
 fn a_new_endpoint_that_all_balancers_learn_of_at_the_same_time_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
-        full_list: true,
-        spread: 1,
-        burst: 2.0,
+        notified_by_full_list: true,
+        notification_spread: 1,
+        burst_factor: 2.0,
         ..BURST
     });
 }
@@ -73,7 +73,7 @@
 #[test]
 fn a_new_endpoint_that_balancers_learn_of_over_two_seconds_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
-        spread: 2 * SECOND,
+        notification_spread: 2 * SECOND,
         ..BURST
     });
 }
@@ -81,12 +81,12 @@
 #[test]
 fn an_endpoint_that_returns_with_its_previous_id_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
-        returning: true,
+        reuses_ids: true,
         ..BURST
     });
     assert_safe_slow_start(Scenario {
-        returning: true,
-        full_list: true,
+        reuses_ids: true,
+        notified_by_full_list: true,
         ..BURST
     });
 }
@@ -94,7 +94,7 @@
 #[test]
 fn balancers_with_uneven_traffic_overload_no_new_endpoint() {
     assert_safe_slow_start(Scenario {
-        uneven: true,
+        is_load_uneven: true,
         ..BURST
     });
 }
@@ -118,8 +118,8 @@
 #[test]
 fn several_new_endpoints_among_few_warm_ones_are_not_overloaded() {
     assert_safe_slow_start(Scenario {
-        warming: 6,
-        warm: 3,
+        new_count: 6,
+        warm_count: 3,
         utilization: 0.9,
         ..BURST
     });
@@ -136,9 +136,9 @@
 #[test]
 fn killed_balancers_with_uneven_traffic_do_not_overload_a_returning_endpoint() {
     assert_safe_slow_start(Scenario {
-        returning: true,
-        full_list: true,
-        uneven: true,
+        reuses_ids: true,
+        notified_by_full_list: true,
+        is_load_uneven: true,
         restart: Restart::Killed,
         ..BURST
     });
@@ -159,19 +159,21 @@
     ] {
         let many_endpoints = Scenario {
             balancer_count: 100,
-            warm: 54,
-            warming: 6,
-            returning: true,
+            warm_count: 54,
+            new_count: 6,
+            reuses_ids: true,
             weight,
             queued,
             ..BURST
         };
         let slow_endpoints = Scenario {
             speed: 0.7,
-            until: START + 4 * SECOND,
+            end_at: NEW_ENDPOINTS_START + 4 * SECOND,
             ..many_endpoints
         };
-        let (peak_load, utilization) = Fleet::new(slow_endpoints, seed).run().load_and_use();
+        let (peak_load, utilization) = Fleet::new(slow_endpoints, seed)
+            .run()
+            .peak_load_and_utilization();
         println!(
             "weight {weight}, queue of {queued}, seed {seed}: \
              load {peak_load:.2}, {utilization:.2} of capacity"
