--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -26,10 +26,10 @@
 }
 
 impl Balancer {
-    /// Grants credit to endpoints for one request that was served: to each its current capacity as
-    /// a fraction of the capacity of the whole range. Under a shared limit this is multiplied by a
-    /// part of the overload multiple. In this way any number of balancers together stay within the
-    /// capacity of an endpoint that warms up. Endpoints outside the range get no credit, as
+    /// Grants credit for one served request to the endpoints of the subset range: to each its
+    /// current capacity as a fraction of the capacity of the range, multiplied under a shared limit
+    /// by a part of the overload multiple. In this way any number of balancers together stay within
+    /// the capacity of an endpoint that warms up. Endpoints outside the range get no credit, as
     /// balancers would later use all of it at the same time.
     pub(crate) fn grant_slow_start_credit(&mut self, now: Micros) {
         let slow_start = &self.settings.slow_start;
--- a/balancer/src/zone_outages.rs
+++ b/balancer/src/zone_outages.rs
@@ -1,5 +1,5 @@
-//! Detects outages of whole zones. When a zone becomes unreachable, connections to one of its
-//! endpoints after another fail; after a few consecutive failures the whole zone is avoided.
+//! Detects outages of whole zones. An unreachable zone shows as connection failures at each of its
+//! endpoints; after a few consecutive failures the whole zone is avoided.
 
 use crate::backoff::MAX_BACKOFF_DOUBLINGS;
 use crate::{Micros, ZoneId};
