--- a/balancer/src/class_rejections.rs
+++ b/balancer/src/class_rejections.rs
@@ -1,43 +1,46 @@
-//! Whether an endpoint rejects the requests of some classes alone.
+//! Detects that an endpoint rejects the requests of some classes while it serves others.
 
 use crate::backoff::MAX_BACKOFF_DOUBLINGS;
 use crate::{Micros, Outcome};
 
-/// What an endpoint did with the requests of one class.
+/// Recent rejections of the requests of one class by an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-struct ClassRejection {
-    /// Rejections since the last request that was served.
-    consecutive: u32,
-    /// When the first of those was sent.
-    first_sent_at: Micros,
-    /// When the last request that was served had been sent.
-    served_sent_at: Micros,
-    /// Requests of the class prefer other endpoints before this time.
+struct ClassState {
+    /// Number of rejections since a request of the class was last served.
+    consecutive_rejections: u32,
+    /// When the first of these rejected requests was sent.
+    first_rejected_sent_at: Micros,
+    /// When the request of the class that was served last was sent.
+    last_served_sent_at: Micros,
+    /// Until this time, requests of the class prefer other endpoints.
     avoided_until: Micros,
 }
 
 /// An endpoint's rejections by class.
 #[derive(Debug, Default)]
 pub(crate) struct ClassRejections {
-    by_class: Vec<ClassRejection>,
+    by_class: Vec<ClassState>,
 }
 
 impl ClassRejections {
     pub(crate) fn new(class_count: usize) -> Self {
         ClassRejections {
-            by_class: vec![ClassRejection::default(); class_count],
+            by_class: vec![ClassState::default(); class_count],
         }
     }
 
-    /// Whether requests of a class may be sent to the endpoint.
+    /// Whether requests of a class may be sent to the endpoint; otherwise they prefer other
+    /// endpoints.
     pub(crate) fn accepts(&self, class_id: usize, now: Micros) -> bool {
         self.by_class
             .get(class_id)
             .is_none_or(|class| now >= class.avoided_until)
     }
 
-    /// Records the outcome of an attempt and returns whether the endpoint rejects that class alone:
-    /// more than one was rejected, while others that were sent after the first were served.
+    /// Records the outcome of an attempt. Returns true if the endpoint rejects only this class: it
+    /// has rejected at least two consecutive requests of the class, and served a request of another
+    /// class that was sent after the first of them. Requests of the class then avoid the endpoint
+    /// for an exponential backoff.
     pub(crate) fn record(
         &mut self,
         class_id: usize,
@@ -46,29 +49,29 @@
         now: Micros,
         initial_backoff: Micros,
     ) -> bool {
-        let others = self
+        let other_classes = self
             .by_class
             .iter()
             .enumerate()
             .filter(|(class, _)| *class != class_id);
-        let others_served = others
-            .map(|(_, class)| class.served_sent_at)
+        let others_last_served_sent_at = other_classes
+            .map(|(_, class)| class.last_served_sent_at)
             .max()
             .unwrap_or(0);
         let Some(class) = self.by_class.get_mut(class_id) else {
             return false;
         };
         if outcome == Outcome::Served {
-            *class = ClassRejection {
-                served_sent_at: sent_at,
-                ..ClassRejection::default()
+            *class = ClassState {
+                last_served_sent_at: sent_at,
+                ..ClassState::default()
             };
         } else if outcome == Outcome::Rejected {
-            class.consecutive = class.consecutive.saturating_add(1);
-            if class.consecutive == 1 {
-                class.first_sent_at = sent_at;
-            } else if others_served > class.first_sent_at {
-                let doublings = (class.consecutive - 2).min(MAX_BACKOFF_DOUBLINGS);
+            class.consecutive_rejections = class.consecutive_rejections.saturating_add(1);
+            if class.consecutive_rejections == 1 {
+                class.first_rejected_sent_at = sent_at;
+            } else if others_last_served_sent_at > class.first_rejected_sent_at {
+                let doublings = (class.consecutive_rejections - 2).min(MAX_BACKOFF_DOUBLINGS);
                 class.avoided_until = now + (initial_backoff << doublings);
                 return true;
             }
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -1,61 +1,67 @@
-//! How many requests an endpoint gets while it warms up: one for each unit of credit, which it is
-//! granted with each request that is served, or at times that are safe without any.
+//! Slow start: limits the requests to an endpoint that warms up. Each request that is served grants
+//! the endpoint some credit, and each request sent to it costs one unit. Without credit it gets a
+//! request after an interval that is long enough to be safe.
 
 use crate::balancer::Balancer;
 use crate::endpoint::Endpoint;
 use crate::outlier_detection::EJECTION_FAILURE_RATE;
 use crate::Micros;
 
-/// Fraction of the overload multiple that endpoints are sent while they warm up under a shared
-/// limit: requests and endpoints are uneven, and each endpoint is in the subset of few balancers.
+/// Load that endpoints are sent during slow start under a shared limit, as a fraction of the
+/// overload multiple. It is low because requests and endpoints are uneven, and each endpoint is in
+/// the subsets of only a few balancers.
 const SLOW_START_OVERLOAD_FRACTION: f64 = 0.24;
 
-/// The endpoints within reach of the subset, and the capacity of those in service among them.
+/// The endpoints up to the last one of this balancer's subset, and the capacity of those of them
+/// that are in service.
 #[derive(Debug, Default)]
-struct Reach {
+struct SubsetRange {
     indices: Vec<usize>,
-    /// Sums over the endpoints in service of weighted warm-up, of warm-up, and of 1.
+    /// Sum of weight times warm-up over the endpoints in service.
     weighted_capacity: f64,
+    /// Sum of warm-up over the endpoints in service.
     capacity: f64,
-    in_service: f64,
+    /// Number of endpoints in service.
+    in_service_count: f64,
 }
 
 impl Balancer {
-    /// Grants each endpoint that warms up its part of a request, for one that was served: its
-    /// present capacity as a fraction of that of all in reach. Under a shared limit this is
-    /// multiplied by a part of the overload multiple. Any number of balancers together stay within
-    /// the endpoint's capacity so. Endpoints out of reach get none: they would be sent all of it at
-    /// once later.
+    /// Grants credit for one served request to the endpoints of the subset range: to each its
+    /// current capacity as a fraction of the capacity of the range, multiplied under a shared limit
+    /// by a part of the overload multiple. In this way any number of balancers together stay within
+    /// the capacity of an endpoint that warms up. Endpoints outside the range get no credit, as
+    /// balancers would later use all of it at the same time.
     pub(crate) fn grant_slow_start_credit(&mut self, now: Micros) {
         let slow_start = &self.settings.slow_start;
         if self
             .endpoints
             .iter()
-            .all(|e| !e.is_listed || e.is_warm(now, slow_start))
+            .all(|endpoint| !endpoint.is_listed || endpoint.is_warm(now, slow_start))
         {
             return;
         }
-        let reach = self.reach(now);
-        // A new endpoint's weight counts up to the mean, as its initial load is low whatever its
-        // size.
+        let subset_range = self.subset_range(now);
+        // The weight of an endpoint counts only up to the mean, as the initial load of a new
+        // endpoint is low whatever its size.
         let (fraction, max_weight) = if self.shared_limit.is_some() {
             let multiple = slow_start.overload_multiple * SLOW_START_OVERLOAD_FRACTION;
             (
-                multiple / reach.weighted_capacity,
-                reach.weighted_capacity / reach.capacity,
+                multiple / subset_range.weighted_capacity,
+                subset_range.weighted_capacity / subset_range.capacity,
             )
         } else {
             (
-                1.0 / reach.weighted_capacity,
-                reach.weighted_capacity / reach.in_service,
+                1.0 / subset_range.weighted_capacity,
+                subset_range.weighted_capacity / subset_range.in_service_count,
             )
         };
-        for index in reach.indices {
+        for index in subset_range.indices {
             let endpoint = &mut self.endpoints[index];
             let weight = endpoint.weight.min(max_weight);
-            let share = (fraction * weight).min(1.0) * endpoint.warm_up(now, slow_start);
-            // A few balancers count in whole requests: where all endpoints warm up, shares that add
-            // up to less than a request would let none through.
+            let share = (fraction * weight).min(1.0) * endpoint.warm_up_fraction(now, slow_start);
+            // With few balancers the share is rounded up to one over a whole number: if all
+            // endpoints warm up, shares that add up to less than one request would let none
+            // through.
             let credit = if self.shared_limit.is_some() {
                 share
             } else {
@@ -65,42 +71,44 @@
         }
     }
 
-    /// The listed endpoints from this balancer's place on the ring, up to the last of its subset.
-    fn reach(&self, now: Micros) -> Reach {
+    /// The listed endpoints from this balancer's position on the ring up to the last endpoint of
+    /// its subset.
+    fn subset_range(&self, now: Micros) -> SubsetRange {
         let slow_start = &self.settings.slow_start;
-        let mut reach = Reach::default();
-        let mut left = self.subset_size();
+        let mut subset_range = SubsetRange::default();
+        let mut remaining = self.subset_size();
         for index in self.subset_ring() {
-            if left == 0 {
+            if remaining == 0 {
                 break;
             }
             let endpoint = &self.endpoints[index];
             if !endpoint.is_listed {
                 continue;
             }
-            reach.indices.push(index);
+            subset_range.indices.push(index);
             if self.is_in_service(endpoint) {
-                let warm_up = endpoint.warm_up(now, slow_start);
-                reach.weighted_capacity += endpoint.weight * warm_up;
-                reach.capacity += warm_up;
-                reach.in_service += 1.0;
+                let warm_up_fraction = endpoint.warm_up_fraction(now, slow_start);
+                subset_range.weighted_capacity += endpoint.weight * warm_up_fraction;
+                subset_range.capacity += warm_up_fraction;
+                subset_range.in_service_count += 1.0;
             }
             if endpoint.is_usable(now, self.served_count, slow_start) {
-                left -= 1;
+                remaining -= 1;
             }
         }
-        reach
+        subset_range
     }
 
-    /// Whether an endpoint serves a part of the requests. One that was ejected as slow counts too,
-    /// as it is only left alone for a while and others serve more meanwhile.
+    /// Whether an endpoint takes its part of the requests. Under a shared limit an endpoint that
+    /// was ejected for being slow counts too, as it is ejected only for a while, in which the
+    /// others serve more.
     fn is_in_service(&self, endpoint: &Endpoint) -> bool {
         !endpoint.is_ejected()
             || self.shared_limit.is_some() && endpoint.failure_rate < EJECTION_FAILURE_RATE / 2.0
     }
 
-    /// Takes the credit for a request that is forwarded to an endpoint, and sets when the next may
-    /// follow without any.
+    /// Deducts the credit for a request that is forwarded to an endpoint, and sets when the next
+    /// one may follow without credit.
     pub(crate) fn account_for_slow_start(&mut self, now: Micros, index: usize) {
         let interval = self.slow_start_interval(now, &self.endpoints[index]);
         let endpoint = &mut self.endpoints[index];
@@ -108,11 +116,11 @@
         endpoint.slow_start_due_at = now.saturating_add(interval);
     }
 
-    /// The time between requests without credit that leaves less than one in flight from all
+    /// Interval between requests without credit that keeps less than one of them in flight from all
     /// balancers together.
     pub(crate) fn slow_start_interval(&self, now: Micros, endpoint: &Endpoint) -> Micros {
-        let warm_up = endpoint.warm_up(now, &self.settings.slow_start);
+        let warm_up_fraction = endpoint.warm_up_fraction(now, &self.settings.slow_start);
         let balancers = f64::from(self.settings.balancer_count);
-        (self.settings.longest_latency_objective() * balancers / warm_up) as Micros
+        (self.settings.longest_latency_objective() * balancers / warm_up_fraction) as Micros
     }
 }
--- a/balancer/tests/concurrency_limit.rs
+++ b/balancer/tests/concurrency_limit.rs
@@ -1,12 +1,13 @@
-//! How an endpoint's concurrency limit grows with trials and falls with rejections and latency.
+//! Tests of an endpoint's concurrency limit: trials raise it, rejections and latency pressure cut
+//! it.
 
 mod common;
 use balancer::*;
 use common::*;
 
-/// Reaches a single endpoint's first limit (one request with seven balancers) and leaves the
-/// request in flight.
-fn endpoint_at_its_limit(idempotency: Idempotency) -> (Proxy, RequestId) {
+/// Returns a proxy whose only endpoint has reached its initial limit, one request with seven
+/// balancers, and the request that is in flight there.
+fn proxy_at_its_limit(idempotency: Idempotency) -> (Proxy, RequestId) {
     let mut proxy = Proxy::new(settings(idempotency), 1);
     let (first, actions) = proxy.request();
     assert_eq!(forwarded(&actions).len(), 1);
@@ -14,73 +15,81 @@
 }
 
 #[test]
-fn a_request_at_a_full_endpoint_is_the_one_trial_and_the_next_is_queued() {
-    let (mut proxy, _) = endpoint_at_its_limit(Idempotency::NonIdempotent);
+fn only_one_request_exceeds_the_limit_as_a_trial_and_the_next_is_queued() {
+    let (mut proxy, _) = proxy_at_its_limit(Idempotency::NonIdempotent);
     let (trial, actions) = proxy.request();
     assert_eq!(forwarded(&actions), [(trial, EndpointId(1))]);
     let (_, actions) = proxy.request();
-    assert!(forwarded(&actions).is_empty(), "one trial at a time");
+    assert!(
+        forwarded(&actions).is_empty(),
+        "a second trial is sent while the first is in flight"
+    );
 }
 
 #[test]
-fn a_served_trial_adds_one_step() {
-    let (mut proxy, _) = endpoint_at_its_limit(Idempotency::NonIdempotent);
+fn a_served_trial_raises_the_limit_by_one_step() {
+    let (mut proxy, _) = proxy_at_its_limit(Idempotency::NonIdempotent);
     let (trial, _) = proxy.request();
-    let (a, b) = (proxy.request().0, proxy.request().0);
+    let (first_queued, second_queued) = (proxy.request().0, proxy.request().0);
     proxy.now += 50 * MS;
     let actions = proxy.end_attempt(trial, 1, Outcome::Served, 50 * MS);
     assert!(
         forwarded(&actions).is_empty(),
-        "an attempt that was never made has no outcome"
+        "the outcome of an attempt that was never made has an effect"
     );
     let actions = proxy.end_attempt(trial, 0, Outcome::Served, 50 * MS);
-    // Two steps of one request each, one in use: the first queued request is forwarded, and no
-    // trial before the step has shown its effect.
-    assert_eq!(forwarded(&actions), [(a, EndpointId(1))]);
+    // The limit is two steps of one request each, one of them in use: the first queued request is
+    // forwarded, and there is no trial before the effect of the new step is known.
+    assert_eq!(forwarded(&actions), [(first_queued, EndpointId(1))]);
     proxy.now += 100 * MS;
-    proxy.end_attempt(a, 0, Outcome::Served, 100 * MS);
+    proxy.end_attempt(first_queued, 0, Outcome::Served, 100 * MS);
     proxy.now += 100 * MS;
-    proxy.end_attempt(b, 0, Outcome::Served, 100 * MS);
+    proxy.end_attempt(second_queued, 0, Outcome::Served, 100 * MS);
     proxy.advance(300 * MS);
-    let (c, d, e) = (proxy.request().0, proxy.request().0, proxy.request().0);
-    let went: Vec<RequestId> = forwarded(&proxy.actions).into_iter().map(|s| s.0).collect();
+    let (within_limit, next_trial, last_queued) =
+        (proxy.request().0, proxy.request().0, proxy.request().0);
+    let sent: Vec<RequestId> = forwarded(&proxy.actions)
+        .into_iter()
+        .map(|(request, _)| request)
+        .collect();
     assert!(
-        went.ends_with(&[b, c, d]) && !went.contains(&e),
-        "then one is the next trial: {went:?}"
+        sent.ends_with(&[second_queued, within_limit, next_trial]) && !sent.contains(&last_queued),
+        "expected the limit to be reached again and one more request as a trial: {sent:?}"
     );
 }
 
-/// Sends requests until one is forwarded; returns after how long, and which.
-fn run_until_trial(proxy: &mut Proxy) -> (Micros, RequestId) {
-    let began = proxy.now;
+/// Sends a request every 5 ms until one is forwarded. Returns the time that this took, and the
+/// forwarded request.
+fn run_until_forwarded(proxy: &mut Proxy) -> (Micros, RequestId) {
+    let started_at = proxy.now;
     loop {
         proxy.now += 5 * MS;
         let mut actions = proxy.handle(Event::Timer);
         actions.extend(proxy.request().1);
         if let Some(&(request, _)) = forwarded(&actions).first() {
-            return (proxy.now - began, request);
+            return (proxy.now - started_at, request);
         }
-        assert!(proxy.now < began + 5_000 * MS, "no trial");
+        assert!(proxy.now < started_at + 5_000 * MS, "no trial within 5 s");
     }
 }
 
 #[test]
-fn a_failed_trial_doubles_the_backoff_up_to_a_cap_and_a_served_one_resets_it() {
-    let (mut proxy, _) = endpoint_at_its_limit(Idempotency::NonIdempotent);
+fn failed_trials_double_the_backoff_up_to_a_maximum_and_a_served_trial_resets_it() {
+    let (mut proxy, _) = proxy_at_its_limit(Idempotency::NonIdempotent);
     let mut trial = proxy.request().0;
-    let mut spans = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..6 {
         proxy.end_attempt(trial, 0, Outcome::Error, MS);
-        let (span, next) = run_until_trial(&mut proxy);
-        spans.push(span / MS);
+        let (backoff, next) = run_until_forwarded(&mut proxy);
+        backoffs.push(backoff / MS);
         trial = next;
     }
-    for (span, wanted) in spans.iter().zip([125, 250, 500, 1_000, 2_000, 2_000]) {
-        assert!(span.abs_diff(wanted) <= 10, "{spans:?}");
+    for (backoff, expected) in backoffs.iter().zip([125, 250, 500, 1_000, 2_000, 2_000]) {
+        assert!(backoff.abs_diff(expected) <= 10, "{backoffs:?}");
     }
-    let mut out = forwarded(&proxy.end_attempt(trial, 0, Outcome::Served, MS));
-    while let Some((request, _)) = out.pop() {
-        out.extend(forwarded(&proxy.end_attempt(
+    let mut in_flight = forwarded(&proxy.end_attempt(trial, 0, Outcome::Served, MS));
+    while let Some((request, _)) = in_flight.pop() {
+        in_flight.extend(forwarded(&proxy.end_attempt(
             request,
             0,
             Outcome::Served,
@@ -97,33 +106,33 @@
     }
     assert_ne!(
         next, trial,
-        "the last that went, at a full limit, is the next trial"
+        "no request was sent as the next trial at the limit"
     );
     proxy.end_attempt(next, 0, Outcome::Error, MS);
-    assert!(run_until_trial(&mut proxy).0.abs_diff(125 * MS) <= 10 * MS);
+    assert!(run_until_forwarded(&mut proxy).0.abs_diff(125 * MS) <= 10 * MS);
 }
 
 #[test]
 fn queued_requests_are_forwarded_in_order_of_arrival() {
-    let (mut proxy, first) = endpoint_at_its_limit(Idempotency::NonIdempotent);
+    let (mut proxy, first) = proxy_at_its_limit(Idempotency::NonIdempotent);
     let trial = proxy.request().0;
-    let waiting: Vec<RequestId> = (0..4).map(|_| proxy.request().0).collect();
+    let queued: Vec<RequestId> = (0..4).map(|_| proxy.request().0).collect();
     let mut order = Vec::new();
     for request in [first, trial] {
         proxy.now += 20 * MS;
         order.extend(
             forwarded(&proxy.end_attempt(request, 0, Outcome::Served, 20 * MS))
                 .into_iter()
-                .map(|s| s.0),
+                .map(|(request, _)| request),
         );
     }
     assert!(order.len() >= 2);
-    assert_eq!(order[..], waiting[..order.len()]);
+    assert_eq!(order[..], queued[..order.len()]);
 }
 
-/// How many requests an endpoint is sent at once, of which the last is a trial, after seven of
-/// which one ended with `outcome` and the others were served.
-fn concurrency_after(outcome: Outcome) -> usize {
+/// Returns how many requests an endpoint is sent at the same time, the last of them as a trial,
+/// after seven earlier ones, of which one ended with `outcome` and the others were served.
+fn requests_sent_after(outcome: Outcome) -> usize {
     let limits = Limits {
         max_attempts: 1,
         ..Settings::default().limits
@@ -140,7 +149,7 @@
     assert_eq!(
         forwarded(&proxy.actions).len(),
         7,
-        "what one balancer starts with"
+        "the initial limit of a single balancer"
     );
     proxy.now += 5 * MS;
     proxy.end_attempt(requests[0], 0, outcome, 5 * MS);
@@ -154,18 +163,18 @@
 }
 
 #[test]
-fn a_rejection_lowers_the_concurrency() {
-    assert_eq!(concurrency_after(Outcome::Served), 8);
+fn a_rejection_cuts_the_limit_of_the_endpoint() {
+    assert_eq!(requests_sent_after(Outcome::Served), 8);
     assert_eq!(
-        concurrency_after(Outcome::Rejected),
+        requests_sent_after(Outcome::Rejected),
         7,
-        "four fifths of seven, and a trial"
+        "the limit is cut to four fifths of seven; expected six requests and a trial"
     );
 }
 
-/// Sends requests until one is queued, and has all of them served after 40 ms; returns how many
-/// were forwarded at once.
-fn fill(proxy: &mut Proxy) -> usize {
+/// Sends requests until one is queued, and serves those that were forwarded after 40 ms. Returns
+/// how many were forwarded at the same time.
+fn fill_limit(proxy: &mut Proxy) -> usize {
     let mut requests = vec![proxy.request()];
     while !forwarded(&requests[requests.len() - 1].1).is_empty() {
         requests.push(proxy.request());
@@ -174,14 +183,14 @@
     for (request, _) in &requests {
         proxy.end_attempt(*request, 0, Outcome::Served, 40 * MS);
     }
-    let (waiting, _) = requests[requests.len() - 1];
-    proxy.handle(Event::RequestCancelled { request: waiting });
+    let (queued, _) = requests[requests.len() - 1];
+    proxy.handle(Event::RequestCancelled { request: queued });
     proxy.advance(300 * MS);
     requests.len() - 1
 }
 
 #[test]
-fn steps_end_at_their_maximum_so_that_as_many_connection_failures_take_them() {
+fn steps_are_limited_to_ten_so_that_nine_connection_failures_leave_one() {
     let limits = Limits {
         max_attempts: 1,
         ..Settings::default().limits
@@ -193,10 +202,10 @@
         },
         1,
     );
-    let grown: Vec<usize> = (0..30).map(|_| fill(&mut proxy)).collect();
+    let limits: Vec<usize> = (0..30).map(|_| fill_limit(&mut proxy)).collect();
     assert!(
-        grown[29] > 13,
-        "at the maximum the concurrency grows instead: {grown:?}"
+        limits[29] > 13,
+        "expected larger steps after the maximum number of steps: {limits:?}"
     );
     for _ in 0..9 {
         let (request, actions) = proxy.request();
@@ -206,10 +215,10 @@
             proxy.serve_request(40 * MS);
         }
     }
-    let left = fill(&mut proxy);
+    let limit_left = fill_limit(&mut proxy);
     assert!(
-        left <= 3,
-        "one step of ten is left, and a trial: {left} after {grown:?}"
+        limit_left <= 3,
+        "expected one step of ten and a trial to be left: {limit_left} after {limits:?}"
     );
 }
 
@@ -226,13 +235,13 @@
     assert_eq!(forwarded(&proxy.request().1).len(), 1);
     assert!(
         (0..5).all(|_| forwarded(&proxy.request().1).is_empty()),
-        "a second request at once would be a trial"
+        "a trial is sent in spite of latency pressure"
     );
 }
 
-/// Serves requests in 40 ms with the given report, and returns whether a second request at once
-/// exceeds the limit as a trial.
-fn trial_after(load: LoadReport) -> bool {
+/// Serves requests in 40 ms with the given load report. Returns whether a second request at the
+/// same time is sent beyond the limit as a trial.
+fn trial_follows(load: LoadReport) -> bool {
     let mut proxy = Proxy::new(
         Settings {
             balancer_count: 12,
@@ -249,25 +258,33 @@
     assert_eq!(
         forwarded(&proxy.request().1).len(),
         1,
-        "the limit's own request"
+        "the limit does not allow one request"
     );
     forwarded(&proxy.request().1).len() == 1
 }
 
 #[test]
-fn reported_queues_and_busy_cores_count_as_pressure_while_responses_are_fast() {
-    let busy = |b| LoadReport {
-        cpu_utilization: Some(b),
+fn reported_queues_and_busy_cores_prevent_trials_even_if_responses_are_fast() {
+    let busy_cores = |utilization| LoadReport {
+        cpu_utilization: Some(utilization),
         ..LoadReport::default()
     };
-    let queue = |w| LoadReport {
+    let queued_requests = |queued| LoadReport {
         in_flight: Some(10.0),
-        queued: Some(w),
+        queued: Some(queued),
         ..LoadReport::default()
     };
     assert!(
-        trial_after(LoadReport::default()) && trial_after(busy(0.5)) && trial_after(queue(1.0))
+        trial_follows(LoadReport::default())
+            && trial_follows(busy_cores(0.5))
+            && trial_follows(queued_requests(1.0))
+    );
+    assert!(
+        !trial_follows(busy_cores(1.0)),
+        "a trial is sent although all cores are busy"
+    );
+    assert!(
+        !trial_follows(queued_requests(5.5)),
+        "a trial is sent although more requests are queued than executed"
     );
-    assert!(!trial_after(busy(1.0)), "cores that are all busy");
-    assert!(!trial_after(queue(5.5)), "more queued than executed");
 }
--- a/balancer/tests/endpoint_starts.rs
+++ b/balancer/tests/endpoint_starts.rs
@@ -1,19 +1,20 @@
-//! How long ago an endpoint started, where the proxy's wall clock or the endpoint's is wrong.
+//! Tests of the estimated start of endpoints if the wall clock of the proxy or of an endpoint is
+//! wrong.
 
 mod common;
 use balancer::*;
 use common::*;
 
 const HOUR: Micros = 3_600 * SECOND;
-const WARM: u32 = 3;
-const NEW: EndpointId = EndpointId(WARM + 1);
+const WARM_COUNT: u32 = 3;
+const NEW: EndpointId = EndpointId(WARM_COUNT + 1);
 
-/// A proxy that has forwarded requests to warm endpoints for a while and is then notified of a new
-/// one with this start time.
-fn with_new_endpoint(started_at: impl Fn(Micros) -> Micros) -> Proxy {
-    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), WARM);
+/// Returns a proxy that has sent requests to warm endpoints and has then been notified of a new
+/// endpoint with this start time.
+fn proxy_with_new_endpoint(started_at: impl Fn(Micros) -> Micros) -> Proxy {
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), WARM_COUNT);
     proxy.now += 2 * HOUR;
-    proxy.update_list(ListUpdate::Full, (1..=WARM).map(ready).collect());
+    proxy.update_list(ListUpdate::Full, (1..=WARM_COUNT).map(ready).collect());
     for _ in 0..40 {
         proxy.serve_request(50 * MS);
     }
@@ -28,7 +29,8 @@
     proxy
 }
 
-/// Fraction of the requests in this time that are forwarded to the new endpoint.
+/// Serves requests for `time`. Returns the fraction of them that were forwarded to the new
+/// endpoint.
 fn fraction_to_new(proxy: &mut Proxy, time: Micros) -> f64 {
     let (end, mut requests, mut to_new) = (proxy.now + time, 0, 0);
     while proxy.now < end {
@@ -38,40 +40,45 @@
     f64::from(to_new) / f64::from(requests)
 }
 
-/// With the proxy's wall clock an hour behind each replaced endpoint seems to start in an hour. It
-/// is warm after the normal time all the same.
+/// If the proxy's wall clock is an hour behind, a new endpoint seems to start in an hour. It must
+/// be warm after the normal duration nevertheless.
 #[test]
-fn an_endpoint_with_a_start_time_in_the_future_warms_up() {
+fn an_endpoint_with_a_start_time_in_the_future_is_warm_after_the_normal_duration() {
     let duration = Settings::default().slow_start.duration;
     for ahead in [0, SECOND, HOUR] {
-        let mut proxy = with_new_endpoint(|now| now + ahead);
+        let mut proxy = proxy_with_new_endpoint(|now| now + ahead);
         fraction_to_new(&mut proxy, duration);
         let fraction = fraction_to_new(&mut proxy, 10 * SECOND);
         assert!(
-            fraction > 0.5 / f64::from(WARM + 1),
-            "{fraction} of the requests, {ahead} us ahead"
+            fraction > 0.5 / f64::from(WARM_COUNT + 1),
+            "{fraction} of the requests with a start time {ahead} us ahead"
         );
     }
 }
-/// With the proxy's wall clock an hour ahead an endpoint that has just started seems to have run
-/// for long. It is new in a list that follows another, so it warms up like one whose start time is
-/// right.
+
+/// If the proxy's wall clock is an hour ahead, an endpoint that has just started seems to have run
+/// for an hour. Since it was not in the previous list, it must warm up like an endpoint with the
+/// correct start time.
 #[test]
-fn a_new_endpoint_warms_up_whatever_its_start_time_says() {
-    let right = fraction_to_new(&mut with_new_endpoint(|now| now - SECOND), 2 * SECOND);
+fn a_new_endpoint_with_a_start_time_long_ago_is_not_treated_as_warm() {
+    let expected_fraction =
+        fraction_to_new(&mut proxy_with_new_endpoint(|now| now - SECOND), 2 * SECOND);
     for behind in [10 * SECOND, 60 * SECOND, HOUR] {
-        let fraction = fraction_to_new(&mut with_new_endpoint(|now| now - behind), 2 * SECOND);
+        let fraction =
+            fraction_to_new(&mut proxy_with_new_endpoint(|now| now - behind), 2 * SECOND);
         assert!(
-            fraction <= right + 0.1,
-            "{fraction} of the requests, {behind} us behind, {right} with the right time"
+            fraction <= expected_fraction + 0.1,
+            "{fraction} of the requests with a start time {behind} us behind, \
+             {expected_fraction} with the correct one"
         );
     }
 }
 
-/// A start time that changes, also to an earlier one, is that of another process: it warms up.
+/// A changed start time, even an earlier one, means that the endpoint has a new process, which must
+/// warm up.
 #[test]
-fn an_earlier_start_time_is_that_of_another_process() {
-    let mut proxy = with_new_endpoint(|now| now - SECOND);
+fn an_endpoint_whose_start_time_changes_to_an_earlier_one_warms_up_again() {
+    let mut proxy = proxy_with_new_endpoint(|now| now - SECOND);
     fraction_to_new(
         &mut proxy,
         Settings::default().slow_start.duration + 10 * SECOND,
@@ -87,16 +94,16 @@
     );
     let fraction = fraction_to_new(&mut proxy, 5 * SECOND);
     assert!(
-        fraction < 0.5 / f64::from(WARM + 1),
-        "{fraction} of the requests"
+        fraction < 0.5 / f64::from(WARM_COUNT + 1),
+        "{fraction} of the requests go to the restarted endpoint"
     );
 }
 
-/// An endpoint that leaves the list for a moment and returns with its start time is as warm as it
-/// was.
+/// An endpoint that leaves the list for a short time and returns with the same start time has not
+/// restarted, and must not warm up again.
 #[test]
-fn an_endpoint_that_returns_to_the_list_with_its_start_time_is_warm() {
-    let mut proxy = with_new_endpoint(|now| now - SECOND);
+fn an_endpoint_that_returns_to_the_list_with_the_same_start_time_stays_warm() {
+    let mut proxy = proxy_with_new_endpoint(|now| now - SECOND);
     let started_at = proxy.now - SECOND;
     fraction_to_new(&mut proxy, Settings::default().slow_start.duration);
     proxy.update_list(
@@ -117,39 +124,39 @@
     );
     let fraction = fraction_to_new(&mut proxy, 10 * SECOND);
     assert!(
-        fraction > 0.5 / f64::from(WARM + 1),
-        "{fraction} of the requests"
+        fraction > 0.5 / f64::from(WARM_COUNT + 1),
+        "{fraction} of the requests go to the endpoint that returned"
     );
 }
 
-/// In a first list the start times relative to each other tell which endpoints warm up: with the
-/// clock an hour behind those that started long before the newest are warm all the same.
+/// In the first list the differences between the start times show which endpoints warm up: with the
+/// clock an hour behind, endpoints that started long before the newest one must count as warm.
 #[test]
-fn in_a_first_list_with_the_clock_behind_only_the_newest_warms_up() {
+fn with_the_clock_behind_only_the_newest_endpoint_of_the_first_list_warms_up() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
-    // One that has had no list yet.
+    // A balancer that has not received a list yet.
     proxy.balancer = Balancer::new(7, settings(Idempotency::Idempotent));
     proxy.now += 2 * HOUR;
-    let seems = |age: Micros| proxy.now + HOUR - age;
+    let listed_start = |age: Micros| proxy.now + HOUR - age;
     let old = |endpoint| EndpointEntry {
-        started_at: seems(600 * SECOND),
+        started_at: listed_start(600 * SECOND),
         ..ready(endpoint)
     };
     let newest = EndpointEntry {
-        started_at: seems(SECOND),
+        started_at: listed_start(SECOND),
         ..ready(NEW.0)
     };
     proxy.update_list(
         ListUpdate::Full,
-        (1..=WARM).map(old).chain([newest]).collect(),
+        (1..=WARM_COUNT).map(old).chain([newest]).collect(),
     );
     let fraction = fraction_to_new(&mut proxy, 2 * SECOND);
     assert!(
-        fraction < 0.5 / f64::from(WARM + 1),
-        "{fraction} of the requests go to the newest"
+        fraction < 0.5 / f64::from(WARM_COUNT + 1),
+        "{fraction} of the requests go to the newest endpoint"
     );
     assert!(
         !forwarded(&proxy.request().1).is_empty(),
-        "the others are warm"
+        "no request is forwarded although the other endpoints are warm"
     );
 }
--- a/balancer/tests/list_polling.rs
+++ b/balancer/tests/list_polling.rs
@@ -1,7 +1,7 @@
-//! How soon the list is polled again: whatever happens to polls, a change counts as notified 6 s
-//! after discovery had it and could be reached. With very many balancers discovery is modelled: it
-//! has a fixed capacity, polls wait in turn, and one that has waited too long is rejected, which
-//! may take as much of the capacity as a response.
+//! Tests of how soon the endpoint list is polled again: however polls fail, a balancer counts as
+//! notified of a change 6 s after discovery had it and could be reached. The tests with very many
+//! balancers use a model of discovery with a fixed capacity: polls are queued, and one that has
+//! waited too long is rejected, which may cost as much of the capacity as a response.
 
 mod common;
 #[path = "models/discovery.rs"]
@@ -11,57 +11,63 @@
 use common::*;
 use model::*;
 
-/// A proxy alone: the list is lost, then each poll takes the given time to fail. Returns when each
-/// poll began.
-fn poll_times(balancer: &mut Balancer, lost: Option<Micros>, fails: &[Micros]) -> Vec<Micros> {
+/// Runs one balancer: its watch is lost at `lost`, or it starts with a cached list if that is
+/// `None`; then each poll fails after the given time. Returns when each poll started.
+fn poll_start_times(
+    balancer: &mut Balancer,
+    watch_lost_at: Option<Micros>,
+    failure_times: &[Micros],
+) -> Vec<Micros> {
     let entries: Vec<_> = (1..=60).map(ready).collect();
-    let members = |kind, entries| Event::EndpointList { kind, entries };
+    let list_event = |kind, entries| Event::EndpointList { kind, entries };
     let mut actions = Vec::new();
     balancer.handle(0, Event::Start, &mut actions);
-    let mut began_at = Vec::new();
-    let mut now = match lost {
-        Some(lost) => {
-            balancer.handle(0, members(ListUpdate::Full, entries), &mut actions);
+    let mut started_at = Vec::new();
+    let mut now = match watch_lost_at {
+        Some(watch_lost_at) => {
+            balancer.handle(0, list_event(ListUpdate::Full, entries), &mut actions);
             balancer.handle(
-                lost,
-                members(ListUpdate::WatchLost, Vec::new()),
+                watch_lost_at,
+                list_event(ListUpdate::WatchLost, Vec::new()),
                 &mut actions,
             );
-            lost
+            watch_lost_at
         }
         None => {
-            balancer.handle(0, members(ListUpdate::Cached, entries), &mut actions);
-            began_at.push(0);
+            balancer.handle(0, list_event(ListUpdate::Cached, entries), &mut actions);
+            started_at.push(0);
             balancer.handle(
-                fails[0],
-                members(ListUpdate::PollFailed, Vec::new()),
+                failure_times[0],
+                list_event(ListUpdate::PollFailed, Vec::new()),
                 &mut actions,
             );
-            fails[0]
+            failure_times[0]
         }
     };
     loop {
         now = next_poll(balancer, now, &mut actions);
-        began_at.push(now);
-        let Some(fail) = fails.get(began_at.len() - 1) else {
-            return began_at;
+        started_at.push(now);
+        let Some(failure_time) = failure_times.get(started_at.len() - 1) else {
+            return started_at;
         };
-        now += fail;
+        now += failure_time;
         balancer.handle(
             now,
-            members(ListUpdate::PollFailed, Vec::new()),
+            list_event(ListUpdate::PollFailed, Vec::new()),
             &mut actions,
         );
     }
 }
 
-/// Rejected at once, rejected after its time in the queue, or timed out without a response.
-const FAILURE_TIMES: [Micros; 3] = [0, QUEUE_TIMEOUT, SILENCE];
+/// A poll is rejected immediately, rejected after it was queued for too long, or times out without
+/// a response.
+const FAILURE_TIMES: [Micros; 3] = [0, QUEUE_TIMEOUT, RESPONSE_TIMEOUT];
 
-/// Wherever discovery could be reached from some moment on, a poll that begins after it brings its
-/// changes. Of a poll in flight then at most SILENCE is left, so this is the sum of all delays.
+/// Discovery may become reachable at any time, and a poll that starts after that delivers its
+/// changes. A poll that is in flight at that time takes at most `RESPONSE_TIMEOUT` to fail, so the
+/// sum of that, the delay of the next poll and its response time must not exceed the deadline.
 #[test]
-fn after_any_failed_polls_the_next_begins_in_time() {
+fn after_any_sequence_of_failed_polls_the_next_poll_starts_in_time() {
     for (balancer_count, balancer_index) in [
         (5, 0),
         (5, 3),
@@ -70,21 +76,23 @@
         (MANY_BALANCERS, 299),
     ] {
         for path in 0..3_usize.pow(5) {
-            let fails: Vec<_> = (0..5)
-                .map(|n| FAILURE_TIMES[path / 3_usize.pow(n) % 3])
+            let failure_times: Vec<_> = (0..5)
+                .map(|position| FAILURE_TIMES[path / 3_usize.pow(position) % 3])
                 .collect();
-            for lost in [None, Some(0), Some(SILENCE)] {
-                let began_at = poll_times(
+            for watch_lost_at in [None, Some(0), Some(RESPONSE_TIMEOUT)] {
+                let started_at = poll_start_times(
                     &mut polling_balancer(balancer_count, balancer_index),
-                    lost,
-                    &fails,
+                    watch_lost_at,
+                    &failure_times,
                 );
-                for (request, fail) in fails.iter().enumerate() {
-                    let pause = began_at[request + 1] - (began_at[request] + fail);
-                    let sum = SILENCE + pause + RESPONSE_TIME;
+                for (request, failure_time) in failure_times.iter().enumerate() {
+                    let delay = started_at[request + 1] - (started_at[request] + failure_time);
+                    let sum = RESPONSE_TIMEOUT + delay + RESPONSE_TIME;
                     assert!(
                         sum <= NOTIFICATION_DEADLINE,
-                        "{balancer_count}: {sum} us after {request} of {fails:?}, lost {lost:?}"
+                        "{balancer_count} balancers: {sum} us after poll {request} \
+                         of {failure_times:?}, \
+                         watch lost at {watch_lost_at:?}"
                     );
                 }
             }
@@ -92,96 +100,108 @@
     }
 }
 
-/// A watch that fell silent at 0. One poll that times out, one that is rejected after its time in
-/// the queue or any number that are rejected at once leave a poll in time, as they do after a new
-/// configuration.
+/// A watch has been silent since time 0. After one poll that times out, one that is rejected after
+/// it was queued, or any number that are rejected immediately, another poll must still be in time.
+/// The same applies after a new configuration, with its shorter deadline.
 #[test]
-fn what_a_lost_watch_misses_is_polled_in_time() {
-    let paths: [&[Micros]; 4] = [&[], &[QUEUE_TIMEOUT], &[SILENCE], &[0; 40]];
+fn changes_since_a_watch_was_lost_are_polled_before_the_notification_deadline() {
+    let paths: [&[Micros]; 4] = [&[], &[QUEUE_TIMEOUT], &[RESPONSE_TIMEOUT], &[0; 40]];
     for (balancer_count, balancer_index) in
         (0..40).flat_map(|balancer_index| [(5, balancer_index), (MANY_BALANCERS, balancer_index)])
     {
-        for (lost, deadline) in [
-            (SILENCE, NOTIFICATION_DEADLINE),
-            (0, NOTIFICATION_DEADLINE_AFTER_MOVE),
+        for (watch_lost_at, deadline) in [
+            (RESPONSE_TIMEOUT, NOTIFICATION_DEADLINE),
+            (0, NOTIFICATION_DEADLINE_AFTER_RECONFIGURATION),
         ] {
-            for fails in paths {
-                let began_at = poll_times(
+            for failure_times in paths {
+                let started_at = poll_start_times(
                     &mut polling_balancer(balancer_count, balancer_index),
-                    Some(lost),
-                    fails,
+                    Some(watch_lost_at),
+                    failure_times,
                 );
-                let last = began_at
+                let last = started_at
                     .iter()
-                    .rfind(|began_at| **began_at + RESPONSE_TIME <= deadline)
-                    .expect("a poll in time");
-                // The last of those that are rejected at once is as late as possible.
+                    .rfind(|started_at| **started_at + RESPONSE_TIME <= deadline)
+                    .expect("no poll starts in time");
+                // With polls that are rejected immediately, the last one in time starts as late as
+                // possible.
                 assert!(
-                    fails.len() < 40 || *last >= lost + 2_750 * MS,
-                    "{balancer_count}: {began_at:?}"
+                    failure_times.len() < 40 || *last >= watch_lost_at + 2_750 * MS,
+                    "{balancer_count} balancers: {started_at:?}"
                 );
                 assert!(
-                    fails.len() > 1 || began_at.last() == Some(last),
-                    "{balancer_count}, {fails:?}: {began_at:?}"
+                    failure_times.len() > 1 || started_at.last() == Some(last),
+                    "{balancer_count} balancers, {failure_times:?}: {started_at:?}"
                 );
             }
         }
     }
 }
 
-/// Two watches in a row that are reset as soon as they are open, and then one poll of any kind: the
-/// list was current until the second reset, and what it misses from then on is polled in time.
+/// Two watches in a row break right after they were opened, and then one poll may fail in any way.
+/// The list was current until the second watch broke; later changes must be polled in time.
 #[test]
-fn what_two_flapping_watches_miss_is_polled_in_time() {
+fn changes_since_two_flapping_watches_are_polled_before_the_notification_deadline() {
     for (balancer_count, balancer_index) in
         (0..40).flat_map(|balancer_index| [(5, balancer_index), (MANY_BALANCERS, balancer_index)])
     {
-        for fail in [None, Some(0), Some(QUEUE_TIMEOUT), Some(SILENCE)] {
+        for failure_time in [None, Some(0), Some(QUEUE_TIMEOUT), Some(RESPONSE_TIMEOUT)] {
             let mut balancer = polling_balancer(balancer_count, balancer_index);
-            let members = |kind, entries| Event::EndpointList { kind, entries };
+            let list_event = |kind, entries| Event::EndpointList { kind, entries };
             let (mut actions, mut now) = (Vec::new(), 0);
             balancer.handle(now, Event::Start, &mut actions);
-            balancer.handle(now, members(ListUpdate::Full, vec![ready(1)]), &mut actions);
             balancer.handle(
                 now,
-                members(ListUpdate::WatchLost, Vec::new()),
+                list_event(ListUpdate::Full, vec![ready(1)]),
+                &mut actions,
+            );
+            balancer.handle(
+                now,
+                list_event(ListUpdate::WatchLost, Vec::new()),
                 &mut actions,
             );
             now = next_poll(&mut balancer, now, &mut actions);
-            balancer.handle(now, members(ListUpdate::Full, vec![ready(1)]), &mut actions);
-            let broken = now + 900 * MS;
             balancer.handle(
-                broken,
-                members(ListUpdate::WatchFlapping, Vec::new()),
+                now,
+                list_event(ListUpdate::Full, vec![ready(1)]),
+                &mut actions,
+            );
+            let broken_at = now + 900 * MS;
+            balancer.handle(
+                broken_at,
+                list_event(ListUpdate::WatchFlapping, Vec::new()),
                 &mut actions,
             );
-            now = next_poll(&mut balancer, broken, &mut actions);
-            if let Some(fail) = fail {
-                now += fail;
+            now = next_poll(&mut balancer, broken_at, &mut actions);
+            if let Some(failure_time) = failure_time {
+                now += failure_time;
                 balancer.handle(
                     now,
-                    members(ListUpdate::PollFailed, Vec::new()),
+                    list_event(ListUpdate::PollFailed, Vec::new()),
                     &mut actions,
                 );
                 now = next_poll(&mut balancer, now, &mut actions);
             }
             assert!(
-                now + RESPONSE_TIME <= broken + NOTIFICATION_DEADLINE,
-                "{balancer_count}, {fail:?}: {} us after",
-                now - broken
+                now + RESPONSE_TIME <= broken_at + NOTIFICATION_DEADLINE,
+                "{balancer_count} balancers, {failure_time:?}: \
+                 next poll {} us after the watch broke",
+                now - broken_at
             );
         }
     }
 }
 
-/// When the next poll begins.
+/// Advances time until the next poll starts, and returns that time.
 fn next_poll(balancer: &mut Balancer, mut now: Micros, actions: &mut Vec<Action>) -> Micros {
     loop {
         let mut timers = actions.iter().filter_map(|action| match action {
             Action::SetTimer { after } => Some(*after),
             _ => None,
         });
-        now += timers.next_back().expect("a timer for the next poll");
+        now += timers
+            .next_back()
+            .expect("no timer is set for the next poll");
         actions.clear();
         balancer.handle(now, Event::Timer, actions);
         if actions.contains(&Action::Subscribe) {
@@ -190,86 +210,89 @@
     }
 }
 
-/// None is late where discovery could answer all in time; where its capacity is far too low, polls
-/// that fail don't keep it from answering.
+/// If discovery has enough capacity to answer all polls in time, all balancers must be notified in
+/// time. If its capacity is far too low, failed polls must not keep it from answering others.
 #[test]
-fn very_many_that_lose_their_watch_at_once_are_all_notified_in_time() {
+fn all_of_very_many_balancers_that_lose_their_watches_together_are_notified_in_time() {
     for (noticed_at, deadline) in [
-        (SILENCE, NOTIFICATION_DEADLINE),
-        (MS, NOTIFICATION_DEADLINE_AFTER_MOVE),
+        (RESPONSE_TIMEOUT, NOTIFICATION_DEADLINE),
+        (MS, NOTIFICATION_DEADLINE_AFTER_RECONFIGURATION),
     ] {
         for rejection_cost in [0.0, 1.0] {
-            let mut fleet = lost_at(noticed_at, 120, rejection_cost);
-            fleet.play(10 * SECOND);
+            let mut fleet = fleet_losing_watches_at(noticed_at, 120, rejection_cost);
+            fleet.run_until(10 * SECOND);
             assert_eq!(
-                fleet.late(0, deadline),
+                fleet.late_count(0, deadline),
                 0,
-                "found lost at {noticed_at}, a rejection takes {rejection_cost}"
+                "loss noticed at {noticed_at} us, a rejection costs {rejection_cost} of a response"
             );
-            let (most, failed) = fleet.load(0);
+            let (max_per_second, failed_fraction) = fleet.poll_load(0);
             assert!(
-                most <= 320 && failed < 0.2,
-                "{most} polls in a second, {failed} failed"
+                max_per_second <= 320 && failed_fraction < 0.2,
+                "{max_per_second} polls in a second, {failed_fraction} of all failed"
             );
-            let mut fleet = lost_at(noticed_at, 40, rejection_cost);
-            fleet.play(21 * SECOND);
+            let mut fleet = fleet_losing_watches_at(noticed_at, 40, rejection_cost);
+            fleet.run_until(21 * SECOND);
             assert_eq!(
-                fleet.late(0, 20 * SECOND),
+                fleet.late_count(0, 20 * SECOND),
                 0,
-                "of a third of that capacity, a rejection takes {rejection_cost}"
+                "with a third of the capacity, a rejection costs {rejection_cost} of a response"
+            );
+            let (_, failed_fraction) = fleet.poll_load(0);
+            assert!(
+                failed_fraction < 0.6,
+                "{failed_fraction} of the polls failed"
             );
-            let (_, failed) = fleet.load(0);
-            assert!(failed < 0.6, "{failed} failed");
         }
     }
 }
 
 #[test]
-fn very_many_that_restart_at_once_are_all_notified_in_time() {
+fn all_of_very_many_balancers_that_restart_together_are_notified_in_time() {
     for rejection_cost in [0.0, 1.0] {
         for capacity in [120, 60] {
-            let mut fleet = lost_at(Micros::MAX, capacity, rejection_cost);
-            fleet.play(SECOND);
+            let mut fleet = fleet_losing_watches_at(Micros::MAX, capacity, rejection_cost);
+            fleet.run_until(SECOND);
             fleet.restart();
-            fleet.play(10 * SECOND);
-            let (most, failed) = fleet.load(SECOND);
+            fleet.run_until(10 * SECOND);
+            let (max_per_second, failed_fraction) = fleet.poll_load(SECOND);
             assert_eq!(
-                fleet.late(SECOND, NOTIFICATION_DEADLINE),
+                fleet.late_count(SECOND, NOTIFICATION_DEADLINE),
                 0,
-                "{capacity} a second, a rejection takes {rejection_cost}"
+                "capacity of {capacity} a second, a rejection costs {rejection_cost} of a response"
             );
             assert!(
-                most <= 320 && failed < 0.4,
-                "{most} polls in a second, {failed} failed"
+                max_per_second <= 320 && failed_fraction < 0.4,
+                "{max_per_second} polls in a second, {failed_fraction} of all failed"
             );
         }
     }
 }
 
-/// While discovery is unreachable nobody can be notified; what it has when it returns all have in
-/// time, wherever they are in their backoff.
+/// While discovery is unreachable no balancer can be notified. When it recovers, all must get its
+/// changes in time, whatever the state of their backoff.
 #[test]
-fn very_many_are_notified_in_time_when_discovery_returns() {
+fn all_of_very_many_balancers_are_notified_in_time_after_discovery_recovers() {
     for (availability, rejection_cost) in [
         (Availability::RefusesConnections, 0.0),
         (Availability::RefusesConnections, 1.0),
         (Availability::Silent, 0.0),
         (Availability::Silent, 1.0),
     ] {
-        let mut fleet = lost_at(MS, 100, rejection_cost);
+        let mut fleet = fleet_losing_watches_at(MS, 100, rejection_cost);
         fleet.availability = availability;
-        fleet.play(8 * SECOND);
+        fleet.run_until(8 * SECOND);
         fleet.availability = Availability::Up;
-        fleet.play(20 * SECOND);
+        fleet.run_until(20 * SECOND);
         assert_eq!(
-            fleet.late(8 * SECOND, NOTIFICATION_DEADLINE),
+            fleet.late_count(8 * SECOND, NOTIFICATION_DEADLINE),
             0,
-            "a rejection takes {rejection_cost}"
+            "a rejection costs {rejection_cost} of a response"
         );
-        let (most, failed) = fleet.load(8 * SECOND);
+        let (max_per_second, failed_fraction) = fleet.poll_load(8 * SECOND);
         assert!(
-            most <= 150 && failed < 0.1,
-            "{most} polls in a second, {failed} failed"
+            max_per_second <= 150 && failed_fraction < 0.1,
+            "{max_per_second} polls in a second, {failed_fraction} of all failed"
         );
     }
 }
--- a/balancer/tests/outage_recovery.rs
+++ b/balancer/tests/outage_recovery.rs
@@ -1,42 +1,57 @@
-//! Many balancers and endpoints in virtual time, fixed by a seed. Endpoints queue, reject when they
-//! are full and slow down for long when they were overloaded for some seconds. A zone is lost and
-//! returns warming up while another is partitioned; clients retry when they were rejected. What
-//! counts is who was served in time.
+//! Tests of the recovery from outages with a model of many balancers and endpoints in virtual time,
+//! reproducible by its seed. Endpoints queue requests, reject them when they are full, and stay
+//! slow for long after they were overloaded for some seconds. One zone is lost and its endpoints
+//! return with a slow start, while another zone is partitioned; clients retry requests that were
+//! not served. The tests measure the fraction of requests that are served within their objective.
 
 #[path = "models/outage/mod.rs"]
 mod model;
 
-use model::Fleet;
+use model::{Fleet, CONNECTIONS_OPENED};
 
-/// Overloaded by requests that arrive too late at endpoints that are slow because they are
-/// overloaded, a fleet could stay down long after its endpoints have returned.
+/// Overloaded endpoints are slow, so that their requests time out and are retried, which keeps the
+/// endpoints overloaded. A fleet in this state could fail requests long after the lost endpoints
+/// have returned.
 #[test]
-fn a_fleet_recovers_soon_after_a_lost_zone_returns() {
+fn most_requests_are_served_in_time_again_within_seconds_of_the_return_of_a_lost_zone() {
     let fleets: Vec<Fleet> = (1..=3)
         .map(|seed| Fleet::new(seed, 100, 60, 0.85).run())
         .collect();
     let mean = |from, to| {
         fleets
             .iter()
-            .map(|fleet| fleet.in_time(from, to))
+            .map(|fleet| fleet.fraction_in_time(from, to))
             .sum::<f64>()
             / 3.0
     };
-    let (before, apart, soon, later) = (mean(0, 4), mean(5, 11), mean(12, 16), mean(16, 22));
-    let opened: u32 = fleets
+    let (before, during, soon_after, long_after) =
+        (mean(0, 4), mean(5, 11), mean(12, 16), mean(16, 22));
+    let opened_connections: u32 = fleets
         .iter()
-        .flat_map(|fleet| &fleet.seconds)
-        .map(|second| second[2])
+        .flat_map(|fleet| &fleet.counts_per_second)
+        .map(|counts| counts[CONNECTIONS_OPENED])
         .sum();
-    println!("in time {before:.3}, apart {apart:.3}, back {soon:.3}, later {later:.3}");
-    println!("{opened} connections");
-    assert!(before >= 0.85, "before the faults: {before:.3}");
-    assert!(soon >= 0.68, "within 5 s of the return: {soon:.3}");
-    assert!(later >= 0.8, "later: {later:.3}");
+    println!(
+        "served in time: before the faults {before:.3}, during them {during:.3}, \
+         within 5 s of the return {soon_after:.3}, later {long_after:.3}"
+    );
+    println!("{opened_connections} connections opened");
+    assert!(
+        before >= 0.85,
+        "served in time before the faults: {before:.3}"
+    );
+    assert!(
+        soon_after >= 0.68,
+        "served in time within 5 s of the zone's return: {soon_after:.3}"
+    );
+    assert!(
+        long_after >= 0.8,
+        "served in time more than 5 s after the zone's return: {long_after:.3}"
+    );
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run() {
-    let seconds = || Fleet::new(1, 30, 20, 0.85).run().seconds;
-    assert_eq!(seconds(), seconds());
+fn the_same_seed_reproduces_the_same_run() {
+    let counts = || Fleet::new(1, 30, 20, 0.85).run().counts_per_second;
+    assert_eq!(counts(), counts());
 }
--- a/balancer/tests/shared_limit.rs
+++ b/balancer/tests/shared_limit.rs
@@ -1,76 +1,79 @@
-//! The concurrency limit that all endpoints share for one of very many balancers: most forward few
-//! requests, a few forward many.
+//! Tests of the concurrency limit that all endpoints share if there are very many balancers, most
+//! of which forward few requests and some many.
 
 mod common;
 use balancer::*;
 use common::*;
 
 #[test]
-fn one_overload_cuts_the_shared_limit_by_half_at_most() {
+fn one_overload_at_most_halves_the_shared_limit() {
     let mut proxy = one_of_many();
     raise_shared_limit(&mut proxy);
     let out = request_burst(&mut proxy, 40);
     let before = out.len();
     assert!(
         before >= 30,
-        "a busy balancer grows to what it needs: {before}"
+        "the limit of a busy balancer does not grow to its load: {before} requests"
     );
     serve_forwarded(&mut proxy, out, 400 * MS);
     proxy.advance(300 * MS);
-    let left = request_burst(&mut proxy, 40).len();
+    let after = request_burst(&mut proxy, 40).len();
     assert!(
-        (before / 2 - 2..before).contains(&left),
-        "{left} of {before} after one overload"
+        (before / 2 - 2..before).contains(&after),
+        "{after} of {before} requests are forwarded after one overload"
     );
 }
 
-/// A request arrives every 5 ms for `steps` of them; each is served after `time` of its number.
-/// Returns how many were forwarded.
-fn serve_stream(proxy: &mut Proxy, steps: u64, time: impl Fn(u64) -> Micros) -> usize {
-    let mut due = std::collections::BTreeMap::new();
-    let mut went = 0;
+/// Sends `steps` requests, one every 5 ms, and serves each after the `time` for its id. Returns how
+/// many were forwarded.
+fn serve_stream(proxy: &mut Proxy, steps: u64, response_time: impl Fn(u64) -> Micros) -> usize {
+    let mut responses_due = std::collections::BTreeMap::new();
+    let mut forwarded_count = 0;
     for step in 0..steps + 200 {
         proxy.now += 5 * MS;
         let mut actions = proxy.handle(Event::Timer);
-        let late = due.split_off(&(proxy.now, RequestId(u64::MAX)));
-        for ((_, request), elapsed) in std::mem::replace(&mut due, late) {
+        let late = responses_due.split_off(&(proxy.now, RequestId(u64::MAX)));
+        for ((_, request), elapsed) in std::mem::replace(&mut responses_due, late) {
             actions.extend(proxy.end_attempt(request, 0, Outcome::Served, elapsed));
         }
         if step < steps {
             actions.extend(proxy.request().1);
         }
         for (request, _) in forwarded(&actions) {
-            went += 1;
-            due.insert((proxy.now + time(request.0), request), time(request.0));
+            forwarded_count += 1;
+            responses_due.insert(
+                (proxy.now + response_time(request.0), request),
+                response_time(request.0),
+            );
         }
     }
-    went
+    forwarded_count
 }
 
 #[test]
-fn quick_first_responses_do_not_make_typical_ones_look_late() {
+fn fast_first_responses_do_not_make_typical_responses_look_late() {
     let mut proxy = one_of_many();
-    // Every second request takes twenty times as long: a response in that time is typical.
-    let time = |request: u64| {
+    // Every second request takes twenty times longer, so a response after that time is typical.
+    let response_time = |request: u64| {
         if request.is_multiple_of(2) {
             10 * MS
         } else {
             200 * MS
         }
     };
-    serve_stream(&mut proxy, 1_000, time);
-    let went = serve_stream(&mut proxy, 1_000, time);
+    serve_stream(&mut proxy, 1_000, response_time);
+    let forwarded_count = serve_stream(&mut proxy, 1_000, response_time);
     assert!(
-        went > 900,
-        "nothing is late, yet only {went} of 1000 were forwarded"
+        forwarded_count > 900,
+        "only {forwarded_count} of 1000 requests were forwarded although no response is late"
     );
 }
 
 #[test]
-fn endpoints_that_reject_do_not_lower_the_shared_limit() {
+fn rejections_by_draining_endpoints_do_not_cut_the_shared_limit() {
     let mut proxy = one_of_many();
     raise_shared_limit(&mut proxy);
-    // Half of the endpoints drain and the list does not say so yet.
+    // Half of the endpoints drain, which the endpoint list does not show yet.
     let out: Vec<(RequestId, EndpointId)> = (0..40)
         .flat_map(|_| forwarded(&proxy.request().1))
         .collect();
@@ -93,10 +96,10 @@
         );
     }
     proxy.advance(3_000 * MS);
-    let left = request_burst(&mut proxy, 40).len();
+    let after = request_burst(&mut proxy, 40).len();
     assert!(
-        left + 4 >= before,
-        "{left} of {before} after rejections, though no response was late"
+        after + 4 >= before,
+        "{after} of {before} requests are forwarded after rejections although no response was late"
     );
 }
 
@@ -109,17 +112,17 @@
     serve_forwarded(&mut proxy, rest.to_vec(), 40 * MS);
     serve_forwarded(&mut proxy, late.to_vec(), 300 * MS);
     proxy.advance(300 * MS);
-    let left = request_burst(&mut proxy, 40).len();
+    let after = request_burst(&mut proxy, 40).len();
     assert!(
-        left >= before.len(),
-        "{left} of {} after six late responses",
+        after >= before.len(),
+        "{after} of {} requests are forwarded after six late responses",
         before.len()
     );
 }
 
-/// One of three hundred with two hundred endpoints, whose requests are all of one class with this
+/// Returns one of 300 balancers with 200 endpoints, whose requests are all of one class with this
 /// latency objective.
-fn one_of_hundreds(latency_objective: Micros) -> Proxy {
+fn one_of_300_balancers(latency_objective: Micros) -> Proxy {
     let mut settings = Settings {
         balancer_count: 300,
         ..settings(Idempotency::Idempotent)
@@ -128,31 +131,34 @@
     Proxy::new(settings, 200)
 }
 
-/// During a release most balancers may start at once.
+/// During a release most balancers may start at the same time, so each must start with a low limit.
 #[test]
-fn a_new_balancer_begins_with_a_request_per_core_and_soon_takes_more() {
-    let mut proxy = one_of_hundreds(500 * MS);
+fn a_new_balancer_starts_with_a_small_burst_and_doubles_it_within_two_seconds() {
+    let mut proxy = one_of_300_balancers(500 * MS);
     let out = request_burst(&mut proxy, 40);
     let first = out.len();
-    assert!((2..=4).contains(&first), "{first} at once");
+    assert!(
+        (2..=4).contains(&first),
+        "{first} requests are forwarded at the same time"
+    );
     serve_forwarded(&mut proxy, out, 40 * MS);
     for _ in 0..10 {
         let out = request_burst(&mut proxy, 40);
         serve_forwarded(&mut proxy, out, 40 * MS);
         proxy.advance(100 * MS);
     }
-    let then = request_burst(&mut proxy, 40).len();
+    let later = request_burst(&mut proxy, 40).len();
     assert!(
-        then >= 2 * first,
-        "{then} after two seconds, {first} at first"
+        later >= 2 * first,
+        "{later} requests at the same time after two seconds, {first} at first"
     );
 }
 
-/// Thirty responses of its own would take it four seconds, in an overload that all others cause as
-/// well.
+/// Most balancers cause such an overload together, and each receives few responses. Waiting for
+/// thirty of them would take this balancer four seconds, which is too slow.
 #[test]
-fn a_balancer_of_few_requests_reacts_to_overload_within_two_seconds() {
-    let mut proxy = one_of_hundreds(500 * MS);
+fn a_balancer_with_few_requests_cuts_its_limit_within_two_seconds_of_an_overload() {
+    let mut proxy = one_of_300_balancers(500 * MS);
     raise_shared_limit(&mut proxy);
     let out = request_burst(&mut proxy, 40);
     let before = out.len();
@@ -163,32 +169,35 @@
         out.extend(request_burst(&mut proxy, 1));
         proxy.now += 100 * MS;
         if out.len() == 2 {
-            let oldest = out.pop_front().expect("two are in flight");
+            let oldest = out.pop_front().expect("two requests are in flight");
             proxy.end_attempt(oldest, 0, Outcome::Served, 200 * MS);
         }
     }
     serve_forwarded(&mut proxy, out.into(), 100 * MS);
     proxy.advance(300 * MS);
-    let left = request_burst(&mut proxy, 40).len();
+    let after = request_burst(&mut proxy, 40).len();
     assert!(
-        4 * left <= 3 * before,
-        "{left} of {before} after two seconds of late responses"
+        4 * after <= 3 * before,
+        "{after} of {before} requests are forwarded after two seconds of late responses"
     );
 }
 
-/// Endpoints of two cores that are nearly three fifths busy take half as long again: with a tight
-/// objective that is no overload.
+/// Endpoints with two cores that are nearly 60 % busy take half as long again as idle ones. With a
+/// tight objective this must not count as an overload.
 #[test]
-fn a_tight_objective_does_not_make_a_busy_fleet_look_overloaded() {
-    let mut proxy = one_of_hundreds(100 * MS);
+fn a_tight_latency_objective_does_not_make_busy_endpoints_look_overloaded() {
+    let mut proxy = one_of_300_balancers(100 * MS);
     let alone = |request: u64| (35 + 5 * (request % 5)) * MS;
     serve_stream(&mut proxy, 1_000, alone);
     let busy = |request: u64| (50 + 5 * (request % 5)) * MS;
-    let went = serve_stream(&mut proxy, 1_000, busy);
-    assert!(went > 900, "{went} of 1000 were forwarded");
+    let forwarded_count = serve_stream(&mut proxy, 1_000, busy);
+    assert!(
+        forwarded_count > 900,
+        "only {forwarded_count} of 1000 requests were forwarded"
+    );
 }
 
-/// A handful of requests to silent endpoints say nothing of the others.
+/// A few timeouts concern single endpoints that send no response, and not the load of the others.
 #[test]
 fn a_few_timeouts_do_not_cut_the_shared_limit() {
     let mut proxy = one_of_many();
@@ -202,16 +211,16 @@
         proxy.end_attempt(request, 0, Outcome::TimedOut, 1_140 * MS);
     }
     proxy.advance(300 * MS);
-    let left = request_burst(&mut proxy, 40).len();
+    let after = request_burst(&mut proxy, 40).len();
     assert!(
-        left >= before,
-        "{left} of {before} after four requests without a response"
+        after >= before,
+        "{after} of {before} requests are forwarded after four timeouts"
     );
 }
 
-/// A proxy of a thousand, whose endpoints share one limit, of which a burst of three and the trial
-/// are in flight.
-fn one_of_a_thousand() -> (Proxy, Vec<RequestId>) {
+/// Returns one of a thousand balancers, and its requests in flight: a burst of three, which reaches
+/// the shared limit, and one trial.
+fn one_of_1000_balancers() -> (Proxy, Vec<RequestId>) {
     let mut proxy = Proxy::new(
         Settings {
             balancer_count: 1_000,
@@ -223,45 +232,47 @@
     assert_eq!(
         forwarded(&proxy.actions).len(),
         4,
-        "three at once, and one as the trial"
+        "expected a burst of three requests and one trial"
     );
     (proxy, out)
 }
 
 #[test]
-fn one_of_a_thousand_has_one_limit_for_all_endpoints_and_one_trial_at_a_time() {
-    let (mut proxy, out) = one_of_a_thousand();
+fn a_shared_limit_bounds_requests_to_all_endpoints_and_allows_one_trial_at_a_time() {
+    let (mut proxy, out) = one_of_1000_balancers();
     let (queued, actions) = proxy.request();
     assert!(
         forwarded(&actions).is_empty(),
-        "sixteen endpoints are idle, but the limit is used and the trial in flight"
+        "a request to an idle endpoint exceeds the shared limit while a trial is in flight"
     );
     proxy.now += 50 * MS;
     let actions = proxy.end_attempt(out[3], 0, Outcome::Served, 50 * MS);
     assert_eq!(
-        forwarded(&actions).first().map(|s| s.0),
+        forwarded(&actions).first().map(|&(request, _)| request),
         Some(queued),
-        "the trial was served: the next may be forwarded"
+        "the queued request is not forwarded after the trial was served"
     );
 }
 
 #[test]
 fn a_failed_trial_of_the_shared_limit_backs_off_from_all_endpoints() {
-    let (mut proxy, out) = one_of_a_thousand();
+    let (mut proxy, out) = one_of_1000_balancers();
     proxy.now += 400 * MS;
     let actions = proxy.end_attempt(out[3], 0, Outcome::TimedOut, 400 * MS);
     assert!(
-        forwarded(&actions).iter().all(|s| s.0 == out[3]),
-        "no request of another client is forwarded"
+        forwarded(&actions)
+            .iter()
+            .all(|(request, _)| *request == out[3]),
+        "a request other than the trial's own retry is forwarded"
     );
     assert!(
         forwarded(&proxy.request().1).is_empty(),
-        "the backoff holds back requests to every endpoint"
+        "a request is forwarded during the backoff of the shared limit"
     );
 }
 
 #[test]
-fn latency_pressure_at_any_endpoint_lowers_the_shared_limit() {
+fn slow_responses_of_several_endpoints_cut_the_shared_limit() {
     let requests = |elapsed: Micros| {
         let mut proxy = Proxy::new(
             Settings {
@@ -282,6 +293,6 @@
     };
     assert!(
         requests(40 * MS) > requests(450 * MS),
-        "slow responses of several endpoints hold requests back"
+        "slow responses of several endpoints don't cut the shared limit"
     );
 }
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -1,11 +1,12 @@
-//! How many requests an endpoint gets while it warms up.
+//! Tests of how many requests an endpoint gets during slow start.
 
 mod common;
 use balancer::*;
 use common::*;
 
-/// Requests within six seconds to an endpoint beside two or three warm ones, when it has just
-/// started and ends attempts with `outcome`.
+/// Returns how many of 600 requests in six seconds are sent to an endpoint that has just started,
+/// next to two or three warm ones. It ends its attempts with `outcome`. If `restart`, it is one of
+/// three warm endpoints that has restarted.
 fn requests_to_new_endpoint(outcome: Outcome, restart: bool) -> usize {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 3);
     for _ in 0..200 {
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn a_new_endpoint_gets_its_part_also_when_it_rejects_or_fails_fast_and_after_a_restart() {
+fn a_new_or_restarted_endpoint_gets_a_limited_part_of_requests_whatever_their_outcome() {
     for outcome in [
         Outcome::Served,
         Outcome::Rejected,
@@ -46,26 +47,35 @@
     ] {
         for restart in [false, true] {
             let count = requests_to_new_endpoint(outcome, restart);
-            // A warm endpoint's part of 600 requests is 150 to 200; this one has a tenth to a third
-            // of its capacity.
-            assert!((1..=60).contains(&count), "{outcome:?} {restart}: {count}");
+            // A warm endpoint gets 150 to 200 of 600 requests; the new one has a tenth to a third
+            // of a warm one's capacity.
+            assert!(
+                (1..=60).contains(&count),
+                "{count} requests with outcome {outcome:?}, restart: {restart}"
+            );
         }
     }
 }
 
-/// How often a new endpoint is used for 200 requests, beside one warm endpoint and `leaving` ones
-/// that drain.
-fn requests_to_new_endpoint_beside(leaving: u32) -> usize {
-    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 1 + leaving);
-    let out: Vec<(RequestId, EndpointId)> = (0..=leaving)
+/// Returns how many of 200 requests are sent to a new endpoint, next to one warm endpoint and
+/// `leaving` draining ones.
+fn requests_to_new_endpoint_beside(draining_count: u32) -> usize {
+    let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 1 + draining_count);
+    let in_flight: Vec<(RequestId, EndpointId)> = (0..=draining_count)
         .flat_map(|_| forwarded(&proxy.request().1))
         .collect();
-    let drain = |s: u32| EndpointEntry {
+    let draining = |id: u32| EndpointEntry {
         state: EndpointState::Draining,
-        ..ready(s)
+        ..ready(id)
     };
-    proxy.update_list(ListUpdate::Delta, (2..=1 + leaving).map(drain).collect());
-    for (request, _) in out.iter().filter(|request| request.1 == EndpointId(1)) {
+    proxy.update_list(
+        ListUpdate::Delta,
+        (2..=1 + draining_count).map(draining).collect(),
+    );
+    for (request, _) in in_flight
+        .iter()
+        .filter(|request| request.1 == EndpointId(1))
+    {
         proxy.end_attempt(*request, 0, Outcome::Served, 10 * MS);
     }
     proxy.update_list(
@@ -80,25 +90,25 @@
         .count()
 }
 
-/// Endpoints that drain serve few requests, and then none: if they counted among those in service,
-/// new ones would stay idle while the warm ones are full.
+/// Draining endpoints serve few requests and then none. If they counted as in service, new
+/// endpoints would stay idle while the warm ones are full.
 #[test]
-fn slow_start_credit_is_relative_to_the_endpoints_in_service() {
-    let (alone, beside) = (
+fn draining_endpoints_do_not_reduce_the_slow_start_credit_of_a_new_endpoint() {
+    let (without_draining, with_draining) = (
         requests_to_new_endpoint_beside(0),
         requests_to_new_endpoint_beside(9),
     );
     assert!(
-        alone >= 5 && beside * 2 >= alone,
-        "{alone} alone, {beside} beside nine that drain"
+        without_draining >= 5 && with_draining * 2 >= without_draining,
+        "{without_draining} requests without draining endpoints, {with_draining} with nine"
     );
 }
 
-/// How many requests of a thousand balancers together a new endpoint gets per request of the warm
-/// ones.
+/// Each balancer limits its own requests to a new endpoint; a thousand of them together must not
+/// exceed its capacity.
 #[test]
 fn a_thousand_balancers_together_stay_within_a_new_endpoints_capacity() {
-    let (mut to_new, mut all) = (0, 0);
+    let (mut to_new, mut total) = (0, 0);
     for balancer_index in 0..1_000 {
         let mut proxy = balancer_of(1_000, balancer_index, 20);
         (0..3).for_each(|_| drop((proxy.advance(500 * MS), proxy.serve_request(40 * MS))));
@@ -112,23 +122,27 @@
         );
         for _ in 0..4 {
             proxy.advance(500 * MS);
-            all += 1;
+            total += 1;
             to_new += usize::from(proxy.serve_request(40 * MS) == Some(EndpointId(21)));
         }
     }
-    // Two seconds after its start it has a tenth to a fifth of its capacity; each warm one serves a
-    // twentieth.
-    assert!(to_new * 20 <= all / 5, "{to_new} of {all}");
+    // In the first two seconds a new endpoint has a tenth to a fifth of its capacity; each warm one
+    // serves a twentieth of the requests.
+    assert!(
+        to_new * 20 <= total / 5,
+        "{to_new} of {total} requests go to the new endpoint"
+    );
 }
 
-/// Six in ten endpoints have just been replaced: with credit by their number alone they would stay
-/// idle while the others are full.
+/// Six in ten endpoints have just been replaced. If credit depended only on the number of
+/// endpoints, the new ones would stay idle while the others are full.
 #[test]
-fn new_endpoints_serve_their_part_where_most_are_new() {
-    let (mut to_new, mut all) = (0, 0);
+fn new_endpoints_serve_their_part_if_most_endpoints_are_new() {
+    let (mut to_new, mut total) = (0, 0);
     for balancer_index in 0..100 {
         let mut proxy = balancer_of(100, balancer_index, 60);
-        // At least a third of the way through slow start: four tenths of its capacity.
+        // A third of slow start has passed: the new endpoints have at least four tenths of their
+        // capacity.
         let started_at = proxy.now;
         proxy.now += 6_667 * MS;
         let replaced = (1..=60).map(|id| EndpointEntry {
@@ -138,10 +152,18 @@
         proxy.update_list(ListUpdate::Full, replaced.collect());
         for _ in 0..400 {
             proxy.now += MS;
-            all += 1;
-            to_new += usize::from(proxy.serve_request(MS).is_some_and(|s| s.0 % 5 < 3));
+            total += 1;
+            to_new += usize::from(
+                proxy
+                    .serve_request(MS)
+                    .is_some_and(|endpoint| endpoint.0 % 5 < 3),
+            );
         }
     }
-    // Of the work that all can do, 24 parts warm and 36 x 0.4 warming up, a third is theirs.
-    assert!((all / 5..all / 2).contains(&to_new), "{to_new} of {all}");
+    // 24 warm endpoints and 36 with 0.4 of their capacity: the new ones have a third of the total
+    // capacity.
+    assert!(
+        (total / 5..total / 2).contains(&to_new),
+        "{to_new} of {total} requests go to the new endpoints"
+    );
 }
--- a/balancer/tests/slow_start_fleet.rs
+++ b/balancer/tests/slow_start_fleet.rs
@@ -1,5 +1,5 @@
-//! What all balancers together send to an endpoint that warms up, in virtual time and fixed by a
-//! seed, against the load at which it fails.
+//! Tests that all balancers together don't overload an endpoint during slow start, with a model in
+//! virtual time that is reproducible by its seed.
 
 mod common;
 #[path = "models/slow_start_fleet/mod.rs"]
@@ -8,94 +8,99 @@
 use common::SECOND;
 use model::*;
 
-/// Plays a scenario with few and with many balancers: no new endpoint is sent what overloads it in
-/// any window, and yet they are used.
+/// Runs a scenario with few and with many balancers, and asserts that no new endpoint is overloaded
+/// in any window, and that new endpoints are used.
 fn assert_safe_slow_start(scenario: Scenario) {
-    for (balancer_count, warm, seeds) in [
+    for (balancer_count, max_warm_count, seeds) in [
         (1, 9, 1..=1),
         (6, 9, 1..=2),
         (30, 9, 1..=2),
         (300, 29, 1..=1),
     ] {
-        let warm = scenario.warm.min(warm);
+        let warm_count = scenario.warm_count.min(max_warm_count);
         for seed in seeds {
-            let (most, used) = Fleet::new(
+            let (peak_load, utilization) = Fleet::new(
                 Scenario {
                     balancer_count,
-                    warm,
+                    warm_count,
                     ..scenario
                 },
                 seed,
             )
             .run()
-            .load_and_use();
-            println!("{balancer_count} balancers, seed {seed}: load {most:.2}, {used:.2} used");
+            .peak_load_and_utilization();
+            println!(
+                "{balancer_count} balancers, seed {seed}: \
+                 load {peak_load:.2}, {utilization:.2} of capacity"
+            );
             assert!(
-                most <= 1.0,
-                "{balancer_count} balancers, seed {seed}: {most:.2} of a new endpoint's capacity"
+                peak_load <= 1.0,
+                "{balancer_count} balancers, seed {seed}: \
+                 {peak_load:.2} of the load that overloads a new endpoint"
             );
             assert!(
-                used >= 0.2,
-                "{balancer_count} balancers, seed {seed}: {used:.2} of what they can do"
+                utilization >= 0.2,
+                "{balancer_count} balancers, seed {seed}: \
+                 only {utilization:.2} of the new endpoints' capacity used"
             );
         }
     }
 }
 
 #[test]
-fn an_endpoint_that_joins_under_a_burst_is_not_overloaded_by_all_balancers_together() {
+fn a_new_endpoint_that_joins_during_a_burst_is_not_overloaded_by_all_balancers_together() {
     assert_safe_slow_start(BURST);
 }
 
 #[test]
-fn an_endpoint_that_is_the_first_of_a_full_list_is_not_overloaded() {
+fn a_new_endpoint_that_is_first_in_a_full_list_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
-        full_list: true,
+        notified_by_full_list: true,
         ..BURST
     });
 }
 
 #[test]
-fn an_endpoint_of_which_all_are_notified_at_once_is_not_overloaded() {
+fn a_new_endpoint_that_all_balancers_learn_of_at_the_same_time_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
-        full_list: true,
-        spread: 1,
-        burst: 2.0,
+        notified_by_full_list: true,
+        notification_spread: 1,
+        burst_factor: 2.0,
         ..BURST
     });
 }
 
 #[test]
-fn an_endpoint_of_which_balancers_are_notified_one_after_another_is_not_overloaded() {
+fn a_new_endpoint_that_balancers_learn_of_over_two_seconds_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
-        spread: 2 * SECOND,
+        notification_spread: 2 * SECOND,
         ..BURST
     });
 }
 
 #[test]
-fn an_endpoint_that_returns_is_not_overloaded() {
+fn an_endpoint_that_returns_with_its_previous_id_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
-        returning: true,
+        reuses_ids: true,
         ..BURST
     });
     assert_safe_slow_start(Scenario {
-        returning: true,
-        full_list: true,
+        reuses_ids: true,
+        notified_by_full_list: true,
         ..BURST
     });
 }
 
 #[test]
-fn uneven_traffic_overloads_no_new_endpoint() {
+fn balancers_with_uneven_traffic_overload_no_new_endpoint() {
     assert_safe_slow_start(Scenario {
-        uneven: true,
+        is_load_uneven: true,
         ..BURST
     });
 }
 
 #[test]
-fn balancers_killed_during_slow_start_overload_no_endpoint() {
+fn balancers_killed_during_slow_start_overload_no_new_endpoint() {
     assert_safe_slow_start(Scenario {
         restart: Restart::Killed,
         ..BURST
@@ -103,7 +108,7 @@
 }
 
 #[test]
-fn both_processes_of_an_upgrade_overload_no_new_endpoint() {
+fn overlapping_processes_of_upgraded_balancers_overload_no_new_endpoint() {
     assert_safe_slow_start(Scenario {
         restart: Restart::Upgraded,
         ..BURST
@@ -113,8 +118,8 @@
 #[test]
 fn several_new_endpoints_among_few_warm_ones_are_not_overloaded() {
     assert_safe_slow_start(Scenario {
-        warming: 6,
-        warm: 3,
+        new_count: 6,
+        warm_count: 3,
         utilization: 0.9,
         ..BURST
     });
@@ -129,21 +134,21 @@
 }
 
 #[test]
-fn all_of_it_together_overloads_no_new_endpoint() {
+fn killed_balancers_with_uneven_traffic_do_not_overload_a_returning_endpoint() {
     assert_safe_slow_start(Scenario {
-        returning: true,
-        full_list: true,
-        uneven: true,
+        reuses_ids: true,
+        notified_by_full_list: true,
+        is_load_uneven: true,
         restart: Restart::Killed,
         ..BURST
     });
 }
 
-/// Under a shared limit a balancer reaches few endpoints, and many more when its requests arrive
-/// faster: the credit of all for a new endpoint out of their reach must not be used together, nor
-/// what they are granted by the share of a few endpoints.
+/// Under a shared limit a balancer's subset is small, and grows when its requests arrive faster. If
+/// balancers collected credit for a new endpoint outside their subsets, or credit based on the few
+/// endpoints inside, they would all use it on that endpoint at the same time.
 #[test]
-fn balancers_that_reach_more_endpoints_in_a_burst_overload_no_slow_new_one() {
+fn balancers_whose_subsets_grow_in_a_burst_overload_no_slow_new_endpoint() {
     for (seed, weight, queued) in [
         (1, 1.0, 40),
         (2, 1.0, 40),
@@ -152,29 +157,36 @@
         (1, 0.3, 40),
         (1, 0.3, 3),
     ] {
-        let wide = Scenario {
+        let many_endpoints = Scenario {
             balancer_count: 100,
-            warm: 54,
-            warming: 6,
-            returning: true,
+            warm_count: 54,
+            new_count: 6,
+            reuses_ids: true,
             weight,
             queued,
             ..BURST
         };
-        let slow = Scenario {
+        let slow_endpoints = Scenario {
             speed: 0.7,
-            until: START + 4 * SECOND,
-            ..wide
+            end_at: NEW_ENDPOINTS_START + 4 * SECOND,
+            ..many_endpoints
         };
-        let (most, used) = Fleet::new(slow, seed).run().load_and_use();
-        println!("weight {weight}, queue of {queued}, seed {seed}: load {most:.2}, {used:.2} used");
+        let (peak_load, utilization) = Fleet::new(slow_endpoints, seed)
+            .run()
+            .peak_load_and_utilization();
+        println!(
+            "weight {weight}, queue of {queued}, seed {seed}: \
+             load {peak_load:.2}, {utilization:.2} of capacity"
+        );
         assert!(
-            most <= 1.0,
-            "weight {weight}, seed {seed}: {most:.2} of a new endpoint's capacity"
+            peak_load <= 1.0,
+            "weight {weight}, queue of {queued}, seed {seed}: \
+             {peak_load:.2} of the load that overloads a new endpoint"
         );
         assert!(
-            used >= 0.3,
-            "weight {weight}, seed {seed}: {used:.2} of what new endpoints can do"
+            utilization >= 0.3,
+            "weight {weight}, queue of {queued}, seed {seed}: \
+             only {utilization:.2} of the new endpoints' capacity used"
         );
     }
 }
--- a/balancer/tests/zone_outages.rs
+++ b/balancer/tests/zone_outages.rs
@@ -1,11 +1,11 @@
-//! Zones whose connections fail.
+//! Tests of zones whose connections fail.
 
 mod common;
 use balancer::*;
 use common::*;
 
 #[test]
-fn a_partitioned_zone_is_avoided_as_a_whole() {
+fn a_partitioned_zone_is_avoided_before_each_of_its_endpoints_has_failed() {
     let zoned = |i| EndpointEntry {
         zone: ZoneId(i % 2),
         ..ready(i)
@@ -18,36 +18,36 @@
         0,
     );
     proxy.update_list(ListUpdate::Full, (1..=40).map(zoned).collect());
-    let mut lost = 0;
+    let mut failed_connections = 0;
     for _ in 0..40 {
         proxy.now += 100 * MS;
         let (request, actions) = proxy.request();
-        let mut at = forwarded(&actions).first().map(|s| s.1);
+        let mut target = forwarded(&actions).first().map(|&(_, endpoint)| endpoint);
         for attempt in 0..5 {
-            let Some(endpoint) = at else { break };
-            let cut = endpoint.0 % 2 == 1;
-            lost += u32::from(cut);
+            let Some(endpoint) = target else { break };
+            let is_partitioned = endpoint.0 % 2 == 1;
+            failed_connections += u32::from(is_partitioned);
             proxy.now += 20 * MS;
-            let end = if cut {
+            let outcome = if is_partitioned {
                 Outcome::ConnectFailed
             } else {
                 Outcome::Served
             };
-            at = forwarded(&proxy.end_attempt(request, attempt, end, 20 * MS))
+            target = forwarded(&proxy.end_attempt(request, attempt, outcome, 20 * MS))
                 .iter()
-                .find(|s| s.0 == request)
-                .map(|s| s.1);
+                .find(|(forwarded, _)| *forwarded == request)
+                .map(|&(_, endpoint)| endpoint);
         }
     }
     assert!(
-        lost < 16,
-        "twenty endpoints out of reach must not each be found out: {lost}"
+        failed_connections < 16,
+        "{failed_connections} connections failed before the zone with 20 endpoints was avoided"
     );
 }
 
-/// A busy one of a hundred; every second of the sixty endpoints is in a zone whose connections now
-/// fail. That zone is avoided after the first few.
-fn after_a_zone_is_lost() -> Proxy {
+/// Returns one of 100 balancers, with a raised limit. Half of its sixty endpoints are in a zone
+/// whose connections have started to fail, and that is avoided after the first failures.
+fn proxy_after_losing_a_zone() -> Proxy {
     let mut proxy = one_of_many();
     proxy.update_list(
         ListUpdate::Full,
@@ -59,49 +59,50 @@
             .collect(),
     );
     raise_shared_limit(&mut proxy);
-    let mut out: Vec<(RequestId, u32, EndpointId)> = (0..40)
+    let mut in_flight: Vec<(RequestId, u32, EndpointId)> = (0..40)
         .flat_map(|_| forwarded(&proxy.request().1))
-        .map(|(request, to)| (request, 0, to))
+        .map(|(request, endpoint)| (request, 0, endpoint))
         .collect();
     proxy.now += 40 * MS;
-    // The lost zone's attempts end last.
-    while let Some((request, attempt, to)) = out.pop() {
-        let outcome = if to.0 % 2 == 0 {
+    // Attempts end in reverse order, so that a retry ends right after the attempt before it.
+    while let Some((request, attempt, endpoint)) = in_flight.pop() {
+        let outcome = if endpoint.0 % 2 == 0 {
             Outcome::Served
         } else {
             Outcome::ConnectFailed
         };
         let next = forwarded(&proxy.end_attempt(request, attempt, outcome, 40 * MS));
-        out.extend(
-            next.iter()
-                .map(|(id, to)| (*id, if *id == request { attempt + 1 } else { 0 }, *to)),
+        in_flight.extend(
+            next.iter().map(|(id, endpoint)| {
+                (*id, if *id == request { attempt + 1 } else { 0 }, *endpoint)
+            }),
         );
     }
     proxy
 }
 
 #[test]
-fn endpoints_of_a_lost_zone_leave_the_list_without_a_cut_for_the_others() {
-    let mut proxy = after_a_zone_is_lost();
-    let out = request_burst(&mut proxy, 30);
-    let before = out.len();
-    serve_forwarded(&mut proxy, out, 40 * MS);
-    let left = (1..=30).map(|id| EndpointEntry {
+fn removing_the_endpoints_of_a_lost_zone_from_the_list_does_not_cut_the_shared_limit() {
+    let mut proxy = proxy_after_losing_a_zone();
+    let in_flight = request_burst(&mut proxy, 30);
+    let before = in_flight.len();
+    serve_forwarded(&mut proxy, in_flight, 40 * MS);
+    let remaining = (1..=30).map(|id| EndpointEntry {
         zone: ZoneId(0),
         ..ready(2 * id)
     });
-    proxy.update_list(ListUpdate::Full, left.collect());
+    proxy.update_list(ListUpdate::Full, remaining.collect());
     let after = request_burst(&mut proxy, 30).len();
     assert!(
         after >= before && before > 8,
-        "{after} of {before}, though no endpoint that served has gone"
+        "{after} of {before} requests are forwarded although no serving endpoint has left"
     );
 }
 
 #[test]
-fn a_lost_zone_is_tried_by_one_request_at_a_time() {
-    let mut proxy = after_a_zone_is_lost();
-    let mut tries = Vec::new();
+fn a_lost_zone_gets_one_trial_request_at_a_time() {
+    let mut proxy = proxy_after_losing_a_zone();
+    let mut trial_times = Vec::new();
     for _ in 0..600 {
         proxy.now += 10 * MS;
         let (request, actions) = proxy.request();
@@ -109,14 +110,16 @@
             if endpoint.0 % 2 == 0 {
                 proxy.end_attempt(request, 0, Outcome::Served, MS);
             } else {
-                // Its connections take as long as they may.
-                tries.push(proxy.now);
+                // Connections to the zone are not refused but time out.
+                trial_times.push(proxy.now);
             }
         }
     }
-    assert!(!tries.is_empty(), "it is never tried again");
+    assert!(!trial_times.is_empty(), "the zone is never tried again");
     assert!(
-        tries.windows(2).all(|pair| pair[1] - pair[0] >= 100 * MS),
-        "{tries:?}"
+        trial_times
+            .windows(2)
+            .all(|pair| pair[1] - pair[0] >= 100 * MS),
+        "trials of the zone less than 100 ms apart: {trial_times:?}"
     );
 }
