--- a/proxy/src/downstream/client_connections.rs
+++ b/proxy/src/downstream/client_connections.rs
@@ -1,5 +1,5 @@
-//! All client connections of the process: how many may be open, and the checks that close those
-//! that are due.
+//! All client connections of the process: limits their number, and closes those that have timed
+//! out.
 
 use super::connection::{ClientConnection, SharedState};
 use super::timeouts::{sweep_ticks, IdleTimeouts};
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// All client connections of the process.
+/// The client connections of the process and the state that they share.
 pub(super) struct ClientConnections {
     pub(super) shared: SharedState,
     pub(super) open: Vec<ClientConnection>,
@@ -29,13 +29,14 @@
         }
     }
 
-    /// Serves one more client.
+    /// Starts serving the client on this stream.
     pub(super) fn add(&mut self, stream: TcpStream) {
         self.open
             .push(ClientConnection::start(stream, &self.shared));
     }
 
-    /// Whether one more connection may be open. At the limit one is evicted for it.
+    /// Returns whether another connection may be accepted. At the connection limit, tries to evict
+    /// one to make room.
     pub(super) fn ensure_capacity(&mut self) -> bool {
         let config = self.shared.control.config();
         let limit = config.max_client_connections();
@@ -49,7 +50,8 @@
         self.open.len() < limit || self.evict()
     }
 
-    /// Closes the first connection in the order of eviction; whether there was one.
+    /// Closes the connection that is first in the order of eviction. Returns false if no connection
+    /// may be evicted.
     pub(super) fn evict(&mut self) -> bool {
         let now = Instant::now();
         let ranked = self.open.iter().enumerate();
@@ -64,7 +66,8 @@
         true
     }
 
-    /// Checks all connections, under the timeouts in force.
+    /// Checks all connections against the timeouts that apply now, and removes those that have
+    /// ended.
     pub(super) fn sweep(&mut self) {
         let now = Instant::now();
         let timeouts = if self.shared.is_shutting_down.get() {
@@ -77,8 +80,8 @@
         self.open.shrink_to(2 * self.open.len());
     }
 
-    /// Begins the shutdown: connections close between requests, and requests are answered by the
-    /// schedule.
+    /// Begins the shutdown: from now on connections close between requests, and requests are
+    /// answered or rejected by the times in `schedule`.
     pub(super) fn begin_shutdown(&self, schedule: ShutdownSchedule) {
         self.shared.is_shutting_down.set(true);
         self.shared.control.set_accepting(false);
@@ -86,7 +89,7 @@
         self.shared.control.set_process_count(2);
     }
 
-    /// Closes connections between requests, and returns when none is left.
+    /// Closes connections as they become idle, and returns when all are closed.
     pub(super) async fn drain(&mut self) {
         let mut sweeps = sweep_ticks();
         while !self.open.is_empty() {
--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: the task that serves its requests, and the ways in which it is closed.
+//! One client connection: the task that serves its requests, and how the connection is closed.
 
 use super::open_request::{OpenRequest, TrackedBody};
 use super::phase::Phase;
@@ -24,32 +24,32 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::Instant;
 
-/// How long the peer's end is waited for after this side's.
+/// How long a lingering close waits for the client to end its sending.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What all client connections share.
+/// State that all client connections share.
 #[derive(Clone)]
 pub(super) struct SharedState {
-    /// Takes the requests.
+    /// Handles the requests.
     pub(super) control: Control,
-    /// More connections are open than may stay idle.
+    /// More client connections are open than [`crate::config::Config::busy_client_connections`].
     pub(super) is_crowded: Rc<Cell<bool>>,
-    /// The process is shutting down: each connection ends with its next response.
+    /// The process is shutting down: each connection is closed after its next response.
     pub(super) is_shutting_down: Rc<Cell<bool>>,
 }
 
-/// A client's connection, as its owner sees it.
+/// A client connection as `ClientConnections` keeps it.
 pub(super) struct ClientConnection {
     pub(super) task: JoinHandle<()>,
     pub(super) socket: Socket,
     pub(super) phase: Rc<Cell<Phase>>,
-    /// Requests its task to close it, unless a request is arriving.
+    /// Tells the task to close the connection, unless a request is arriving or open.
     pub(super) close_request: Rc<Notify>,
     pub(super) metrics: Metrics,
 }
 
 impl ClientConnection {
-    /// Serves the requests on this stream in a task of its own.
+    /// Spawns a task that serves the requests on this stream.
     pub(super) fn start(stream: TcpStream, shared: &SharedState) -> ClientConnection {
         if let Err(error) = stream.set_nodelay(true) {
             log::line(&format!("cannot set TCP_NODELAY for a client: {error}"));
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Closes it at once; its descriptor is free when this returns.
+    /// Closes the connection immediately. Its descriptor is free when this returns.
     pub(super) fn close(&self, reason: ClientCloseReason) {
         self.metrics.count().client_closed(reason);
         let phase = self.phase.get();
@@ -92,17 +92,17 @@
                 .count()
                 .violation(Violation::ClosedWithoutReply);
             log::line(&format!(
-                "invariant violated: a connection with an open request was closed: {reason:?}"
+                "invariant violated: a client connection was closed before its open request was answered: {reason:?}"
             ));
         }
-        // The socket first: its descriptor must be free now, and the aborted task is dropped only
-        // later.
+        // Closes the socket explicitly: the aborted task is dropped later, and would keep the
+        // descriptor until then.
         self.socket.close();
         self.task.abort();
     }
 }
 
-/// Responds to the requests of one connection.
+/// The HTTP service that responds to the requests of one connection.
 struct RequestService {
     socket: Socket,
     phase: Rc<Cell<Phase>>,
@@ -111,8 +111,8 @@
 }
 
 impl RequestService {
-    /// Serves the connection until it ends. It has no timeouts: all are the owner's, so that no
-    /// client gets more time by being slow in several ways.
+    /// Serves the connection until it ends. hyper's own timeouts are disabled. `ClientConnections`
+    /// enforces all timeouts, so that a client that is slow in several ways gets no extra time.
     fn serve(self) -> impl Future<Output = hyper::Result<()>> {
         let socket = self.socket.clone();
         hyper::server::conn::http1::Builder::new()
@@ -136,8 +136,10 @@
         let (shared, is_first) = (self.shared.clone(), number == 0);
         async move {
             let mut response = service::respond(shared.control, request, incoming).await;
-            // Idle connections after a single request leave none for clients that reuse theirs. A
-            // close that a response announces does not cross a further request.
+            // When the process is busy, a connection is closed after its first response:
+            // connections that are idle after a single request would leave none for clients that do
+            // reuse theirs. As the response announces the close, the client does not send another
+            // request that crosses with it.
             if shared.is_shutting_down.get() || is_first && shared.is_crowded.get() {
                 response
                     .headers_mut()
@@ -160,7 +162,7 @@
     async fn run(self, connection: impl Future<Output = hyper::Result<()>>) {
         tokio::select! {
             biased;
-            // A failure drops the open request, which cancels it.
+            // If the connection fails, the open request is dropped, which cancels it.
             _ = connection => {}
             () = self.disconnected_while_open() => {
                 self.metrics.count().client_closed(ClientCloseReason::ClientDisconnected);
@@ -175,9 +177,10 @@
         self.socket.lingering_close(LINGER_TIMEOUT).await;
     }
 
-    /// Completes when the client has disconnected while a request is open. hyper sees that only
-    /// where it has read all that arrived before; while no request is open it reads on, and what
-    /// begins a request is served before this is polled.
+    /// Completes when the client has disconnected while a request is open. hyper detects a
+    /// disconnect only after it has read everything that arrived before it, which it does not do
+    /// while a request is open. While none is open, hyper reads on and is polled before this
+    /// future, so a request that arrived before the disconnect is open by then.
     async fn disconnected_while_open(&self) {
         poll_fn(|context| self.poll_disconnected_while_open(context)).await
     }
@@ -190,8 +193,8 @@
         }
     }
 
-    /// Completes when the owner has found this connection's time to be over, and no request has
-    /// arrived since.
+    /// Completes when the sweep has found this connection to have timed out, unless a request has
+    /// begun to arrive since.
     async fn timed_out(&self) {
         loop {
             self.close_request.notified().await;
--- a/proxy/src/downstream/eviction.rs
+++ b/proxy/src/downstream/eviction.rs
@@ -1,5 +1,6 @@
-//! Which connection is closed for a new one when the limit is reached. Clients that send nothing on
-//! their connections must not lock others out.
+//! Selects the connection that is closed to make room for a new one when the connection limit is
+//! reached. Otherwise clients that hold connections without sending requests would block all
+//! others.
 
 use super::connection::ClientConnection;
 use super::phase::Phase;
@@ -7,27 +8,31 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a connection is safe from eviction after its start or its last response: a client that
-/// means to send a request has begun to by then. Without it, each of a burst would be closed for
-/// the next before its request arrives.
+/// How long a connection is protected from eviction after it was opened or its last response was
+/// sent. A client that is about to send a request has begun to within this time. Without it, each
+/// connection of a burst would be evicted for the next one before its request arrives.
 pub(super) const EVICTION_GRACE: Duration = Duration::from_millis(100);
 
-/// What an evicted connection costs its client, the cheapest first.
+/// What the eviction of a connection costs its client, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionCost {
-    /// No request has ever begun to arrive, or none will any more.
+    /// Nothing has ever been received, or the connection is closing and will carry no further
+    /// request.
     Unused,
-    /// Idle for longer than clients take to reuse a connection.
+    /// Idle for longer than clients usually take to reuse a connection.
     LongIdle,
-    /// Idle after a single read: it may never be reused, unlike one that was reused before.
+    /// Idle after at most one read, so it has probably carried a single request. It is less likely
+    /// to be reused than a connection that was reused before.
     IdleAfterOneRead,
-    /// A part of a request has arrived: the longer ago it began, the less likely the rest is.
+    /// Part of a request has arrived. The longer ago it began, the less likely the rest will
+    /// arrive.
     Receiving,
-    /// Idle between requests.
+    /// Idle for a short time, after more than one read.
     Idle,
 }
 
-/// The order of eviction: by cost, then the longest in its phase first.
+/// The position in the order of eviction: sorted by cost, then by how long the connection has been
+/// in its phase, longest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
     cost: EvictionCost,
@@ -35,7 +40,7 @@
 }
 
 impl ClientConnection {
-    /// Its place in the order of eviction; `None`: it may not be evicted.
+    /// The connection's position in the order of eviction, or `None` if it may not be evicted.
     pub(super) fn eviction_rank(&self, now: Instant) -> Option<EvictionRank> {
         if self.write_progress(now) != WriteProgress::Unblocked {
             return None;
@@ -66,8 +71,8 @@
         may_evict.then_some(EvictionRank { cost, since })
     }
 
-    /// Whether what is unread may be a complete request, also on a new connection whose task has
-    /// not run yet.
+    /// Whether there is unread input, which may be a complete request. A new connection can have
+    /// some before its task has run for the first time.
     fn has_unread_request(&self) -> bool {
         let awaits_request = matches!(self.phase.get(), Phase::AwaitingFirst(_) | Phase::Idle(_));
         awaits_request && !self.socket.has_no_unread_input()
--- a/proxy/src/downstream/forward.rs
+++ b/proxy/src/downstream/forward.rs
@@ -1,4 +1,4 @@
-//! Passes a client's request to the decision module and waits for its result.
+//! Forwards a client's request through [`crate::control`] and waits for its reply.
 
 use super::headers::end_to_end;
 use super::request::{validate, RequestError, ValidRequest};
@@ -13,13 +13,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The time that is reserved for the response's way back to the client, and the fraction of the
-/// client's timeout that it may be at most: of a short timeout it would leave too little for the
-/// response itself.
+/// The part of the client's timeout that is reserved for returning the response to the client. It
+/// is also limited to a fraction of the timeout, because of a short timeout a fixed reserve would
+/// leave too little for the endpoint's response.
 const MAX_RETURN_TIME: Duration = Duration::from_millis(10);
 const MAX_RETURN_TIME_DIVISOR: u32 = 16;
 
-/// Passes a request to the decision module and waits for its result.
+/// Forwards a valid request to the balancer and returns its reply, or an error if the request is
+/// invalid or its body does not arrive.
 pub(super) async fn forward(
     control: &Control,
     head: Parts,
@@ -31,7 +32,7 @@
     let Some(payload) = receive_body(control, upload).await? else {
         return Ok(control.reject(class));
     };
-    // The client may have waited for longer than its timeout until it was accepted or read.
+    // The client may have timed out before its connection was accepted or its request was read.
     if client.has_disconnected() {
         return Ok(control.reject(class));
     }
@@ -61,8 +62,8 @@
     }
 }
 
-/// The request's body: all of it where it is small, else as it arrives. `None`: the process has
-/// begun to reject requests.
+/// Returns the request body: buffered if it is small, otherwise as a stream. Returns `None` if the
+/// process is shutting down and already rejects requests.
 async fn receive_body(
     control: &Control,
     upload: &Rc<Upload>,
@@ -79,7 +80,8 @@
     }))
 }
 
-/// The client's time runs from the request's last byte.
+/// When the request must be answered. The budget starts when the last byte of the request arrives;
+/// while the body is still arriving, this deadline is provisional.
 fn deadline(upload: &Upload, budget: Duration) -> Instant {
     match upload.result() {
         Some(Ok(completed_at)) => completed_at + budget,
@@ -104,7 +106,8 @@
     }
 }
 
-/// The result of a request whose body is still arriving.
+/// Waits for the reply to a request whose body is still arriving, and passes on the time that is
+/// left to answer it once the body is complete.
 async fn finish_streamed(
     control: &Control,
     pending: &mut PendingReply,
@@ -119,7 +122,7 @@
             pending.completed(deadline.saturating_duration_since(Instant::now()));
         }
         reply = pending.reply() => return Ok(reply),
-        // Incomplete, it has not run.
+        // The endpoint has not executed the request, as its body is incomplete.
         () = control.request_cutoff() => return Ok(control.reject(class)),
     }
     Ok(pending.reply().await)
--- a/proxy/src/downstream/headers.rs
+++ b/proxy/src/downstream/headers.rs
@@ -1,4 +1,4 @@
-//! The headers that the proxy reads from clients, and those that it does not forward.
+//! The names of the request headers that the proxy reads, and the removal of hop-by-hop headers.
 
 use hyper::header::{self, HeaderMap};
 
@@ -6,17 +6,17 @@
 pub(super) const REQUEST_ID: &str = "x-call-id";
 /// The name of the request's class.
 pub(super) const REQUEST_CLASS: &str = "x-call-class";
-/// How long the client waits for the response, in milliseconds.
+/// The client's timeout in milliseconds.
 pub(super) const TIMEOUT_MS: &str = "x-budget-ms";
 /// The name of the client's tenant.
 pub(super) const TENANT: &str = "x-caller";
-/// `1`: the client has sent this request before.
+/// Has the value `1` if the client has sent this request before.
 pub(super) const CLIENT_RETRY: &str = "x-again";
 /// The idempotency key.
 pub(super) const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// The headers of a connection and its framing (RFC 9110, section 7.6.1), besides those that
-/// `Connection` names.
+/// Headers that apply to a single connection or to its message framing (RFC 9110, section 7.6.1).
+/// The headers that `Connection` lists are hop-by-hop as well.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "content-length",
@@ -29,7 +29,7 @@
     "upgrade",
 ];
 
-/// The value of a header that stands once and is text.
+/// The value of a header that occurs exactly once and is text; `None` otherwise.
 pub(super) fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
@@ -39,7 +39,7 @@
     value.to_str().ok()
 }
 
-/// The headers that are forwarded: all but those of this connection and its framing.
+/// Removes the hop-by-hop headers, which must not be forwarded.
 pub(super) fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
     let connection = headers
         .get_all(header::CONNECTION)
--- a/proxy/src/downstream/listener.rs
+++ b/proxy/src/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, also while accepting fails.
+//! Accepts client connections, and keeps accepting after errors.
 
 use super::client_connections::ClientConnections;
 use super::timeouts::{sweep_ticks, SWEEP_INTERVAL};
@@ -12,10 +12,10 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// How long accepting may fail without a success until the connections that still wait are
-/// abandoned.
+/// How long `accept` may fail without a success before [`accept_remaining`] abandons the
+/// connections that still wait to be accepted.
 const MAX_ACCEPT_FAILURE: Duration = Duration::from_secs(2);
-/// Pause after a failure to accept, in which descriptors can become free.
+/// Delay before the next `accept` after an error, so that descriptors can become free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Accepts connections until `until` completes.
@@ -37,8 +37,8 @@
             accepted = accepted, if has_capacity => match accepted {
                 Ok((stream, _)) => {
                     connections.add(stream);
-                    // Its task runs: a client that sends at once is known from a silent one only
-                    // when it is read.
+                    // Lets the connection's task read: only then can eviction distinguish a client
+                    // that sent a request immediately from one that sends nothing.
                     yield_now().await;
                 }
                 Err(error) => accept_from = handle_failure(connections, &error),
@@ -49,7 +49,8 @@
     }
 }
 
-/// Accepts the connections that wait already. A failure to accept is no sign that none is left.
+/// Accepts all connections that are already waiting in the backlog. An `accept` error does not mean
+/// that the backlog is empty, so accepting is retried after errors.
 pub(super) async fn accept_remaining(listener: &TcpListener, connections: &mut ClientConnections) {
     let mut failing_since: Option<Instant> = None;
     loop {
@@ -76,8 +77,9 @@
     }
 }
 
-/// Handles a failure to accept: evicts a connection where descriptors or memory ran out. Returns
-/// when to accept again: at once after a signal or a connection that ended before it was accepted.
+/// Handles an error of `accept` and returns when to accept again. If descriptors or memory are
+/// exhausted, evicts a connection. After a temporary error, such as an interruption by a signal or
+/// a connection that was closed before it was accepted, accepting continues without delay.
 fn handle_failure(connections: &mut ClientConnections, error: &io::Error) -> Instant {
     match ErrorClass::of(error) {
         ErrorClass::Temporary => return Instant::now(),
@@ -86,6 +88,6 @@
         }
         ErrorClass::Peer | ErrorClass::Permanent => {}
     }
-    log::line(&format!("cannot accept a client's connection: {error}"));
+    log::line(&format!("cannot accept a client connection: {error}"));
     Instant::now() + ACCEPT_RETRY_DELAY
 }
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -1,6 +1,6 @@
-//! The clients' side: accepts their connections, reads their requests and passes them to
-//! [`crate::control`], responds, closes connections that time out or stand in the way of others,
-//! and shuts down gracefully.
+//! The downstream side of the proxy: accepts client connections, reads requests and passes them to
+//! [`crate::control`], sends the replies, closes connections that time out or must make room for
+//! others, and shuts down gracefully.
 
 mod client_connections;
 mod connection;
@@ -25,8 +25,8 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// Connections that may wait to be accepted: all of a burst. The system applies a limit of its own
-/// besides.
+/// Maximum number of connections waiting to be accepted, enough for a burst. The kernel caps it at
+/// `net.core.somaxconn`.
 pub const LISTEN_BACKLOG: u32 = 4_096;
 
 /// Serves clients until `stop` completes, then shuts down gracefully: accepts connections for as
@@ -48,11 +48,12 @@
         sleep(shutdown::ACCEPT_DURATION),
     )
     .await;
-    // What the kernel has accepted by now is taken: closing the listener would reset it.
+    // Closing the listener would reset the connections that wait in its backlog.
     accept_remaining(&listener, &mut connections).await;
     drop(listener);
-    // Clients that send half a request or do not read their responses are closed in time. Responses
-    // still under way are lost only if the process is killed.
+    // Connections of clients that send only part of a request, or do not read their responses, are
+    // closed by their timeouts. Responses that are still being sent are lost only if the process is
+    // killed.
     connections.drain().await;
 }
 
--- a/proxy/src/downstream/open_request.rs
+++ b/proxy/src/downstream/open_request.rs
@@ -1,5 +1,5 @@
-//! Keeps a connection in the phase of an open request until the response's last byte has been
-//! handed over.
+//! Keeps a connection in [`Phase::Open`] until the last byte of the response has been passed to
+//! hyper.
 
 use super::phase::Phase;
 use crate::body::{ResponseBody, ResponseBodyError};
@@ -11,7 +11,7 @@
 use std::task::{Context, Poll};
 use tokio::time::Instant;
 
-/// An open request; it ends when this is dropped.
+/// Marks a request as open until this is dropped.
 pub(super) struct OpenRequest {
     phase: Rc<Cell<Phase>>,
     socket: Socket,
@@ -30,7 +30,7 @@
 impl Drop for OpenRequest {
     fn drop(&mut self) {
         let now = Instant::now();
-        // A part of the next request may have arrived meanwhile.
+        // Part of the next request may have arrived while this one was open.
         let next = if self.socket.is_between_messages() {
             Phase::Idle(now)
         } else {
@@ -40,7 +40,7 @@
     }
 }
 
-/// The body of a response, which keeps its request open.
+/// A response body that keeps its request open until hyper drops the body.
 pub(super) struct TrackedBody {
     body: ResponseBody,
     _open: OpenRequest,
--- a/proxy/src/downstream/phase.rs
+++ b/proxy/src/downstream/phase.rs
@@ -1,31 +1,33 @@
-//! What a client's connection is doing, and since when.
+//! The phases of a client connection.
 
 use crate::metrics::ClientCloseReason;
 use crate::socket::Socket;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time for a complete request, however slowly it arrives: from its connection's start, or from its
-/// own first byte. Clients must get a response or a close within 3 s.
+/// Time within which a request must arrive completely, measured from the start of its connection
+/// or, for later requests, from its first byte. It is below 3 s because clients must get a response
+/// or a close within 3 s.
 pub(super) const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_750);
 
-/// What a client's connection is doing, and since when.
+/// What a client connection is doing, and since when.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Phase {
-    /// Its first request has not arrived completely.
+    /// The head of the first request has not arrived completely.
     AwaitingFirst(Instant),
-    /// No request is open.
+    /// No request is open. If part of the next one arrives, the next sweep sets
+    /// [`Phase::Receiving`].
     Idle(Instant),
-    /// A further request has begun to arrive.
+    /// Part of the head of a further request has arrived.
     Receiving(Instant),
-    /// A request is open: it has arrived, and its response is not complete.
+    /// A request is open: its head has arrived, and its response is not complete.
     Open,
-    /// This side has ended its sending, and waits for the peer's end.
+    /// In a lingering close: the proxy has ended its sending and waits for the client to do so.
     Closing(Instant),
 }
 
 impl Phase {
-    /// Whether something of a request has arrived, and its time is not over.
+    /// Whether a request is open or arriving and has not exceeded its read timeout.
     pub(super) fn is_receiving(self, socket: &Socket) -> bool {
         match self {
             Phase::AwaitingFirst(since) | Phase::Receiving(since) => {
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Why a connection in this phase is closed when its time is over.
+    /// The reason to record when a connection in this phase is closed by a timeout.
     pub(super) fn timeout_reason(self, socket: &Socket) -> ClientCloseReason {
         match self {
             Phase::AwaitingFirst(_) | Phase::Receiving(_) if socket.read_count() > 0 => {
@@ -48,7 +50,7 @@
         }
     }
 
-    /// By when the request that arrives now must be complete.
+    /// When the request that is arriving must be complete.
     pub(super) fn read_deadline(self, socket: &Socket) -> Instant {
         match self {
             Phase::AwaitingFirst(since) | Phase::Receiving(since) => since + REQUEST_READ_TIMEOUT,
--- a/proxy/src/downstream/request.rs
+++ b/proxy/src/downstream/request.rs
@@ -1,4 +1,5 @@
-//! Validates a client's request: what its head says, and whether it has the form of its class.
+//! Validates the head of a client's request: its headers, and whether its method, body and
+//! idempotency key fit its class.
 
 use super::headers::{self, single_value};
 use crate::body::UploadError;
@@ -10,32 +11,33 @@
 use hyper::{Method, StatusCode};
 use std::time::Duration;
 
-/// Why a client's request cannot be used. The decision module never sees such a request, or sees a
-/// client that has disconnected.
+/// Why a client's request is invalid. Such a request is not passed to the balancer, unless its body
+/// fails while it is being streamed: then the balancer sees the request as abandoned by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RequestError {
-    /// Its head says in two ways where its body ends.
-    #[error("the end of the request is ambiguous")]
+    /// The `Content-Length` and `Transfer-Encoding` headers do not define the end of the body
+    /// unambiguously.
+    #[error("the end of the request body is ambiguous")]
     AmbiguousFraming,
-    /// A header is missing, repeated, or not what it has to be.
-    #[error("the header {0} is missing, repeated or unusable")]
+    /// A required header is missing, repeated or has an invalid value.
+    #[error("the header {0} is missing, repeated or invalid")]
     InvalidHeader(&'static str),
-    /// Its method, body or idempotency key does not fit its class.
-    #[error("the request does not have the form of its class")]
+    /// The method, body or idempotency key does not fit the request's class.
+    #[error("the method, body or idempotency key of the request does not fit its class")]
     ClassMismatch,
-    /// Its body is longer than any may be.
-    #[error("the body is longer than {MAX_BODY_BYTES} bytes")]
+    /// The body is longer than the limit.
+    #[error("the request body is longer than {MAX_BODY_BYTES} bytes")]
     BodyTooLong,
-    /// A request with its id is in flight.
-    #[error("a request with this id is in flight")]
+    /// Another request with the same id is in flight.
+    #[error("another request with the same id is in flight")]
     DuplicateId,
-    /// Its body did not arrive completely.
+    /// The body did not arrive completely.
     #[error(transparent)]
     Upload(#[from] UploadError),
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// The HTTP status that the client gets for this error.
     pub(super) fn status(self) -> StatusCode {
         match self {
             RequestError::AmbiguousFraming
@@ -48,7 +50,7 @@
     }
 }
 
-/// What a valid head says.
+/// What the proxy needs from a valid request head.
 #[derive(Debug)]
 pub(super) struct ValidRequest {
     pub(super) id: HeaderValue,
@@ -56,12 +58,12 @@
     pub(super) tenant: Option<TenantId>,
     /// The client has sent this request before.
     pub(super) is_client_retry: bool,
-    /// How long the client waits for the response from the request's last byte on, but no longer
-    /// than its class allows.
+    /// How long the client waits for the response after the last byte of its request, limited by
+    /// the deadline of its class.
     pub(super) timeout: Duration,
 }
 
-/// Validates a head; `body_length`: the length of the body, if the head says it.
+/// Validates a request head. `body_length` is the length of the body if the head gives it.
 pub(super) fn validate(
     config: &Config,
     head: &Parts,
@@ -98,8 +100,8 @@
         .ok_or(RequestError::InvalidHeader(headers::REQUEST_ID))
 }
 
-/// Checks method, body and key against the class. Endpoints go by the form: a keyed request without
-/// its key would run again at each retry.
+/// Checks that the method, body and idempotency key fit the class. Endpoints see these and not the
+/// class: a request of a keyed class without its key would be executed again at each retry.
 fn check_form(head: &Parts, is_empty: bool, idempotency: Idempotency) -> Result<(), RequestError> {
     let has_key = head.headers.contains_key(headers::IDEMPOTENCY_KEY);
     let fits = match idempotency {
@@ -120,7 +122,8 @@
     }
 }
 
-/// The client's own timeout: milliseconds above 0, in digits alone.
+/// The client's timeout from its header, which must be a positive number of milliseconds and
+/// consist of digits only.
 fn timeout(headers: &HeaderMap) -> Result<Duration, RequestError> {
     let text = single_value(headers, headers::TIMEOUT_MS);
     let digits = text.filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
--- a/proxy/src/downstream/response.rs
+++ b/proxy/src/downstream/response.rs
@@ -1,4 +1,4 @@
-//! The responses that clients get.
+//! Builds the responses that clients get.
 
 use super::headers::end_to_end;
 use crate::body::ResponseBody;
@@ -7,14 +7,14 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// The response of an endpoint, without the headers of its connection.
+/// An endpoint's response, without its hop-by-hop headers.
 pub(super) fn forwarded(response: Response<ResponseBody>) -> Response<ResponseBody> {
     let (mut head, body) = response.into_parts();
     head.headers = end_to_end(head.headers);
     Response::from_parts(head, body)
 }
 
-/// A rejection: the client may retry after this time.
+/// A rejection that tells the client to retry after this time.
 pub(super) fn rejected(retry_after: Duration) -> Response<ResponseBody> {
     let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = format!("{:.3}", retry_after.as_secs_f64());
@@ -24,7 +24,8 @@
     response
 }
 
-/// An error that closes the connection: what else arrived on it might be read as a request.
+/// An error response that closes the connection, because what remains unread of the request could
+/// be taken for the next request.
 pub(super) fn error_and_close(status: StatusCode) -> Response<ResponseBody> {
     let mut response = empty(status);
     response
@@ -33,7 +34,7 @@
     response
 }
 
-/// A response of a status alone.
+/// A response with this status and an empty body.
 pub(super) fn empty(status: StatusCode) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::buffered(Bytes::new()));
     *response.status_mut() = status;
--- a/proxy/src/downstream/service.rs
+++ b/proxy/src/downstream/service.rs
@@ -1,4 +1,4 @@
-//! Gives each request of a client its one response, by its path.
+//! Routes each client request by its path and builds its response.
 
 use super::forward::forward;
 use super::request::RequestError;
@@ -18,20 +18,22 @@
 /// The path of the proxy's own health check.
 const HEALTH_PATH: &str = "/_health";
 
-/// How a request arrives.
+/// What is known of a request from the connection that it arrives on.
 #[derive(Clone, Debug)]
 pub(super) struct IncomingRequest {
-    /// Where it is read. Its client's time runs from its last byte, also while it waits behind
-    /// another.
+    /// The client's connection. It shows when the last byte of the request arrived: the client's
+    /// timeout starts then, even if the request waits behind an earlier one on the connection.
     pub(super) socket: Socket,
-    /// By when its body must have arrived, besides the time that a long one takes at the least
-    /// admissible rate.
+    /// When the first data of the body must have arrived. Each byte that arrives extends this by
+    /// the time that it takes at the minimum upload rate.
     pub(super) read_deadline: Instant,
-    /// Its head says in two ways where it ends.
+    /// The `Content-Length` and `Transfer-Encoding` headers do not define the end of the request
+    /// unambiguously.
     pub(super) is_framing_ambiguous: bool,
 }
 
-/// Responds to a request.
+/// Handles a request and returns its response. The rest of a request body that was not needed for
+/// the response is discarded in the background.
 pub(super) async fn respond(
     control: Control,
     request: Request<Incoming>,
@@ -62,7 +64,7 @@
     response
 }
 
-/// The response to a request that cannot be used, which is counted.
+/// Counts an invalid request and returns the response to it.
 fn invalid(control: &Control, error: RequestError) -> Response<ResponseBody> {
     control.count_invalid_request(error.status());
     error_and_close(error.status())
--- a/proxy/src/downstream/shutdown.rs
+++ b/proxy/src/downstream/shutdown.rs
@@ -1,23 +1,26 @@
-//! The times of a graceful shutdown: until when connections are accepted, requests admitted, and
-//! responses waited for.
+//! The schedule of a graceful shutdown: how long connections are accepted, requests are admitted
+//! and responses are waited for.
 
 use super::timeouts::IdleTimeouts;
 use crate::control::ShutdownSchedule;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long new connections are still accepted after the shutdown has begun; they arrive for up to
-/// 0.4 s.
+/// How long new connections are still accepted after the shutdown has begun. They keep arriving for
+/// up to 0.4 s.
 pub(super) const ACCEPT_DURATION: Duration = Duration::from_millis(500);
-/// From when on a complete request is rejected: a long response to it might be cut off when the
-/// process is killed, as one to an earlier request may be.
+/// Time from the start of the shutdown after which newly completed requests are rejected: a long
+/// response to such a request could be truncated when the process is killed. The same can happen to
+/// a request that completed earlier, which is accepted.
 const REJECT_DELAY: Duration = Duration::from_millis(600);
-/// By when requests get their responses, or their beginnings: the longest deadline of a class, but
-/// no longer than this, and a margin. Both are over before the process is killed.
+/// Limit on the time that the shutdown gives open requests. They must have the beginning of their
+/// responses within the longest deadline of any class, or within this limit if that is shorter,
+/// plus [`DEADLINE_MARGIN`]. The sum ends before the process is killed.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
+/// Time that is added to the deadline of open requests during a shutdown.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(600);
 
-/// The schedule of a shutdown that begins now.
+/// The schedule of a shutdown that begins now. `longest_deadline` is the longest of any class.
 pub(super) fn schedule(longest_deadline: Duration) -> ShutdownSchedule {
     let now = Instant::now();
     let end = now + longest_deadline.min(MAX_DEADLINE) + DEADLINE_MARGIN;
@@ -28,9 +31,9 @@
 }
 
 impl IdleTimeouts {
-    /// While the process shuts down: what arrives now is better off at its successor, which has the
-    /// time for a long response, and what would arrive on a silent connection would be rejected by
-    /// then.
+    /// The timeouts while the process shuts down. Idle connections are closed at once: further
+    /// requests should go to the succeeding process, which has time for long responses. A
+    /// connection on which nothing has arrived is closed when requests begin to be rejected.
     pub(super) fn shutting_down() -> IdleTimeouts {
         IdleTimeouts {
             after_request: Duration::ZERO,
--- a/proxy/src/downstream/tests.rs
+++ b/proxy/src/downstream/tests.rs
@@ -25,7 +25,7 @@
 use tokio::task::{yield_now, LocalSet};
 use tokio::time::{timeout, Instant};
 
-/// A connection over loopback: the client's end, and the proxy's.
+/// Opens a loopback connection and returns the client's end and the proxy's end.
 async fn tcp_pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -33,7 +33,7 @@
     (client.expect("connected"), accepted.expect("accepted").0)
 }
 
-/// A client's connection in this phase, on which no task reads or writes.
+/// A client connection in this phase whose task neither reads nor writes.
 fn connection_in(phase: Phase, stream: TcpStream) -> ClientConnection {
     ClientConnection {
         task: tokio::spawn(std::future::pending()),
@@ -44,7 +44,7 @@
     }
 }
 
-/// An endpoint that accepts nothing, and a configuration that lists it.
+/// An endpoint that listens but never accepts, and a configuration that lists it.
 async fn silent_endpoint() -> (TcpListener, Rc<Config>) {
     let endpoint = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let dial = endpoint.local_addr().expect("an address");
@@ -55,11 +55,11 @@
             "settings":{{"balancers":1,"me":0,"discovery":"push","tick_us":1000,"classes":[{class}],
                          "invariants":{{"cold_from":0.3,"cold_us":7500000,"ask_every_us":320000}}}}}}"#
     );
-    let config = Config::parse(&config).expect("a good configuration");
+    let config = Config::parse(&config).expect("a valid configuration");
     (endpoint, Rc::new(config))
 }
 
-/// A request without a body, from this client.
+/// A request with an empty body from this client.
 fn forwarded_request(client: Socket, budget: Duration) -> ForwardedRequest {
     ForwardedRequest {
         method: Method::GET,
@@ -71,12 +71,12 @@
     }
 }
 
-/// Runs a test with local tasks, for 5 s at most.
+/// Runs a test that spawns local tasks. Fails after 5 s.
 async fn run_local(test: impl Future<Output = ()>) {
     let tasks = LocalSet::new();
     timeout(Duration::from_secs(5), tasks.run_until(test))
         .await
-        .expect("in time");
+        .expect("the test finishes in time");
 }
 
 fn send(client: &TcpStream, text: &str) {
@@ -86,8 +86,8 @@
     );
 }
 
-/// The end of a response may be handed over long before its client has taken it: closing then would
-/// cut it off.
+/// hyper may have consumed the end of a response long before the client has read it. Closing the
+/// connection at that point would truncate the response.
 #[tokio::test]
 async fn a_client_that_has_not_taken_its_response_is_not_idle() {
     let (_client, stream) = tcp_pair().await;
@@ -109,11 +109,12 @@
     assert!(connection.check(Instant::now(), timeouts));
     assert!(
         !connection.check(Instant::now() + MAX_WRITE_STALL, timeouts),
-        "not for good"
+        "a stalled connection is closed"
     );
 }
 
-/// A busy process reads late: its clients are not closed for that.
+/// A busy process may read a request late. Its client must not be evicted as one that has sent
+/// nothing.
 #[tokio::test]
 async fn a_new_client_whose_request_is_unread_is_not_evicted() {
     let (client, stream) = tcp_pair().await;
@@ -121,7 +122,7 @@
     let connection = connection_in(Phase::AwaitingFirst(now - EVICTION_GRACE), stream);
     assert!(
         connection.eviction_rank(now).is_some(),
-        "it has sent nothing"
+        "a client that has sent nothing may be evicted"
     );
     client.try_write(b"GET /api HTTP/1.1\r\n").expect("written");
     while connection.socket.has_no_unread_input() {
@@ -130,8 +131,8 @@
     assert!(connection.eviction_rank(now).is_none());
 }
 
-/// An attempt that is decided in the turn in which its client's disconnect is seen is not begun,
-/// not even by a connect.
+/// The balancer may start an attempt in the same event loop turn in which the client's disconnect
+/// is detected. The proxy must then not even connect to the endpoint.
 #[tokio::test]
 async fn no_connection_is_opened_for_a_client_that_has_disconnected() {
     let (endpoint, config) = silent_endpoint().await;
@@ -153,26 +154,27 @@
         };
         let control = Control::start(config);
         let pending = control.request(descriptor, forwarded_request(socket, budget));
-        let mut pending = pending.expect("its id is free");
+        let mut pending = pending.expect("no other request has this id");
         assert!(matches!(pending.reply().await, Reply::Failed));
         assert!(
             timeout(Duration::ZERO, endpoint.accept()).await.is_err(),
-            "nobody connects"
+            "no connection to the endpoint was opened"
         );
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// When a request or its parts arrive, relative to the request to close its connection.
+/// Whether the signal to close a connection comes before or after the parts of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CloseOrder {
-    /// The close is requested before the request arrives.
+    /// The connection is signalled to close before any part of the request arrives.
     BeforeArrival,
-    /// It is requested as the arrival is reported.
+    /// The connection is signalled to close right after each part has arrived.
     OnArrival,
 }
 
-/// Sends a health check in these parts, crosses it with a close request, and reads the response.
+/// Sends a health check in these parts, signals the connection to close meanwhile, and checks that
+/// the client gets its response.
 async fn request_crossing_a_close(
     client: &mut TcpStream,
     connection: &ClientConnection,
@@ -200,8 +202,8 @@
     );
 }
 
-/// What arrives after a connection was found timed out and before its task runs is read, in part or
-/// completely, and gets its response.
+/// A request can arrive, in part or completely, after its connection was found to have timed out
+/// and before the connection's task runs. Closing the connection then would lose the request.
 #[tokio::test]
 async fn a_request_that_arrives_as_its_connection_times_out_gets_its_response() {
     let (_endpoint, config) = silent_endpoint().await;
@@ -212,7 +214,7 @@
         for parts in [in_one_part, in_two_parts] {
             let (mut client, stream) = tcp_pair().await;
             connections.add(stream);
-            // A new connection, on which nothing has arrived, then an idle one.
+            // The first request arrives on a new connection, the others on an idle one.
             for order in [
                 CloseOrder::BeforeArrival,
                 CloseOrder::BeforeArrival,
@@ -220,24 +222,25 @@
             ] {
                 request_crossing_a_close(&mut client, &connections.open[0], parts, order).await;
             }
-            // With nothing there it ends.
-            let connection = connections.open.pop().expect("it is there");
+            // Without any input, the signal closes the connection.
+            let connection = connections.open.pop().expect("the connection");
             connection.close_request.notify_one();
-            assert_eq!(client.read(&mut [0]).await.expect("an end"), 0);
+            assert_eq!(client.read(&mut [0]).await.expect("end of stream"), 0);
         }
     })
     .await;
 }
 
-/// Waits until a figure of the operators' has this value.
+/// Waits until a field of the JSON metrics has this value.
 async fn wait_for_figure(control: &Control, name: &str, value: u64) {
     while control.metrics_json()[name] != value {
         yield_now().await;
     }
 }
 
-/// A client's disconnect is an event of its connection's own: nobody sweeps here. hyper does not
-/// read on behind a part of the next request.
+/// The connection's task must detect the disconnect by itself: no sweep runs in this test. hyper
+/// does not detect it, because it does not read past the part of the next request that follows the
+/// open one.
 #[tokio::test]
 async fn a_client_that_disconnects_while_its_request_is_open_is_seen_without_a_sweep() {
     let (_endpoint, config) = silent_endpoint().await;
@@ -253,8 +256,8 @@
             );
             send(&client, &request);
             wait_for_figure(&control, "pending", 1).await;
-            // An attempt that is out is not checked again. Its endpoint, which is not at fault, is
-            // used again.
+            // The client's presence is checked before an attempt is sent, not after. The endpoint
+            // is used again, as a client's disconnect is not its fault.
             sent += u64::from(is_sent);
             wait_for_figure(&control, "upstream_requests", sent).await;
             if by_reset {
@@ -263,7 +266,10 @@
             drop(client);
             wait_for_figure(&control, "pending", 0).await;
             let connection = connections.open.pop();
-            assert!(connection.is_some_and(|connection| connection.socket.is_known_disconnected()), "closed");
+            assert!(
+                connection.is_some_and(|connection| connection.socket.is_known_disconnected()),
+                "the connection is closed"
+            );
             assert_eq!(control.metrics_json()["upstream_requests"], sent);
         }
     })
--- a/proxy/src/downstream/timeouts.rs
+++ b/proxy/src/downstream/timeouts.rs
@@ -1,4 +1,4 @@
-//! Which client connections have run out of time: idle, slow to send a request, or slow to take a
+//! Timeouts of client connections that are idle, slow to send a request, or slow to read a
 //! response.
 
 use super::connection::ClientConnection;
@@ -10,26 +10,28 @@
 
 /// How often all connections are checked for timeouts.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a connection stays open without an open request. Clients may leave theirs open for good
-/// and never use them again; those that do reuse them do so far sooner.
+/// How long an idle connection is kept. Some clients leave connections open indefinitely and never
+/// use them again; clients that do reuse a connection do so much sooner.
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The same while many connections are open: clients that need a new one must get it at once.
+/// How long an idle connection is kept while many connections are open, so that clients that need a
+/// new connection get one without delay.
 pub(super) const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a client may seem to take nothing of a response. The system reports a socket writable
-/// only once a third of its buffer is free, which takes a slow client a while.
+/// How long a socket may be unwritable before its client counts as stalled. The kernel reports a
+/// socket writable only when a third of its send buffer is free, which can take a slow client a
+/// while.
 pub(super) const MAX_WRITE_STALL: Duration = Duration::from_secs(60);
 
-/// How long connections stay open on which no request arrives.
+/// How long connections stay open while no request arrives.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct IdleTimeouts {
-    /// After a request.
+    /// After the previous request.
     pub(super) after_request: Duration,
-    /// While nothing has arrived at all.
+    /// On a new connection on which nothing has arrived.
     pub(super) before_first_byte: Duration,
 }
 
 impl IdleTimeouts {
-    /// While the proxy serves.
+    /// The timeouts while the proxy is not shutting down.
     pub(super) fn serving(is_crowded: bool) -> IdleTimeouts {
         IdleTimeouts {
             after_request: if is_crowded {
@@ -42,14 +44,15 @@
     }
 }
 
-/// Whether a client takes what is written to it.
+/// Whether a client reads what is written to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteProgress {
-    /// Nothing waits to be written.
+    /// No write is waiting for the socket.
     Unblocked,
-    /// A response waits for the client, which may have been handed over completely.
+    /// A write waits for the socket to become writable. hyper may already have been given the
+    /// complete response.
     Blocked,
-    /// It has waited for too long.
+    /// A write has waited for [`MAX_WRITE_STALL`] or longer.
     Stalled,
 }
 
@@ -62,7 +65,8 @@
         }
     }
 
-    /// Whether its time is over. A response that its client has not taken keeps it open.
+    /// Whether the connection has timed out while idle or while receiving a request. A connection
+    /// with unsent response data has not.
     pub(super) fn is_timed_out(&self, now: Instant, timeouts: IdleTimeouts) -> bool {
         if self.write_progress(now) != WriteProgress::Unblocked {
             return false;
@@ -75,7 +79,7 @@
             Phase::AwaitingFirst(since) | Phase::Receiving(since) => {
                 now >= since + REQUEST_READ_TIMEOUT
             }
-            // What is unread may be a complete request.
+            // Unread input may be a complete request.
             Phase::Idle(since) => {
                 now >= since + timeouts.after_request && self.socket.has_no_unread_input()
             }
@@ -83,20 +87,21 @@
         }
     }
 
-    /// Closes it if its time is over or its client has gone, and notes a request that has begun to
-    /// arrive. Whether it is still there.
+    /// Closes the connection if it is stalled or its client has disconnected, signals its task to
+    /// close it if it has timed out, and updates its phase if a request has begun to arrive.
+    /// Returns false if the connection had already ended or was closed for a stall.
     pub(super) fn check(&self, now: Instant, timeouts: IdleTimeouts) -> bool {
         if self.task.is_finished() {
             return false;
         }
         if self.write_progress(now) == WriteProgress::Stalled {
-            log::line("closed a client's connection: it took nothing of its response for too long");
+            log::line("closed a client connection: the client did not read its response in time");
             self.close(ClientCloseReason::ResponseStalled);
             return false;
         }
         match self.phase.get() {
-            // Its task waits for this too; this is for a system that reports a disconnect only when
-            // polled.
+            // The connection's task waits for the disconnect as well. This check covers systems
+            // that report a disconnect only when polled.
             Phase::Open if self.socket.is_known_disconnected() => {
                 self.close(ClientCloseReason::ClientDisconnected)
             }
@@ -110,7 +115,7 @@
     }
 }
 
-/// The ticks at which all connections are checked.
+/// An interval timer for sweeps of all connections.
 pub(super) fn sweep_ticks() -> Interval {
     let mut ticks = interval(SWEEP_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
