--- a/proxy/src/body/attempt_body.rs
+++ b/proxy/src/body/attempt_body.rs
@@ -1,4 +1,4 @@
-//! A request's body as its attempts send it.
+//! The body of a request, and the copies of it that its attempts send.
 
 use super::upload::{Upload, UploadError};
 use crate::write_guard::WriteGuard;
@@ -8,12 +8,12 @@
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
 
-/// A request's body, from which each attempt's body is made.
+/// The body of a request, from which the body of each attempt is created.
 #[derive(Clone, Debug)]
 pub enum RequestBody {
-    /// All of it is in memory, so that any number of attempts can send it.
+    /// The complete body is in memory, so any number of attempts can send it.
     Buffered(Bytes),
-    /// It is streamed as it arrives, so that only one attempt can send it.
+    /// The body is streamed as it arrives, so only one attempt can send it.
     Upload(Rc<Upload>),
 }
 
@@ -27,8 +27,8 @@
     }
 }
 
-/// The body of one attempt. It notifies the attempt's write guard when its last byte has been
-/// handed to hyper.
+/// The body of one attempt. It notifies the attempt's write guard when the last byte has been
+/// passed to hyper.
 #[derive(Debug)]
 pub(crate) struct AttemptBody {
     buffered: Full<Bytes>,
@@ -37,7 +37,7 @@
 }
 
 impl AttemptBody {
-    /// The body of the attempt that has this write guard.
+    /// Creates the body of the attempt with this write guard.
     pub(crate) fn new(request_body: &RequestBody, write_guard: &WriteGuard) -> AttemptBody {
         let (buffered, upload) = match request_body {
             RequestBody::Buffered(bytes) => (Full::new(bytes.clone()), None),
--- a/proxy/src/body/memory.rs
+++ b/proxy/src/body/memory.rs
@@ -1,4 +1,4 @@
-//! The memory that all buffered bodies share, and a body that is being buffered in it.
+//! The memory limit that all buffered bodies share, and the buffer for one body.
 
 use hyper::body::Bytes;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -7,12 +7,12 @@
 /// Maximum size of a body that is buffered.
 pub(crate) const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
 
-/// The bytes that all buffered bodies together may still reserve; clones share them.
+/// The number of bytes that buffered bodies may still reserve; clones share it.
 #[derive(Clone, Debug)]
 pub struct BodyMemory(Arc<AtomicUsize>);
 
 impl BodyMemory {
-    /// A memory limit of this many bytes.
+    /// Creates a memory limit of this many bytes.
     pub(crate) fn new(bytes: usize) -> BodyMemory {
         BodyMemory(Arc::new(AtomicUsize::new(bytes)))
     }
@@ -28,7 +28,7 @@
     }
 }
 
-/// Reserved bytes, which are released when this is dropped.
+/// A reservation of bytes, which is released when this is dropped.
 #[derive(Debug)]
 pub(crate) struct MemoryReservation {
     memory: BodyMemory,
@@ -36,7 +36,7 @@
 }
 
 impl MemoryReservation {
-    /// Releases what exceeds this many bytes.
+    /// Reduces the reservation to at most this many bytes and releases the rest.
     fn shrink(&mut self, bytes: usize) {
         self.memory
             .0
@@ -51,8 +51,8 @@
     }
 }
 
-/// A body that is being buffered. Its reservation is released when the last reference to its bytes
-/// is dropped.
+/// A body that is being buffered. Its memory reservation is released when the last reference to its
+/// bytes is dropped.
 #[derive(Debug)]
 pub(crate) struct BufferedBody {
     bytes: Vec<u8>,
@@ -66,8 +66,8 @@
 }
 
 impl BufferedBody {
-    /// An empty buffer for a body of this length, or of unknown length. `None` if the body is too
-    /// long to be buffered, or the memory for it is not available.
+    /// Creates an empty buffer for a body of this length, or of unknown length. Returns `None` if
+    /// the body is too long to be buffered or not enough memory is available.
     pub(crate) fn new(memory: &BodyMemory, length: Option<u64>) -> Option<BufferedBody> {
         let max_length = match length {
             Some(length) => usize::try_from(length).ok()?,
@@ -90,7 +90,7 @@
         self.bytes.len() <= self.reservation.bytes
     }
 
-    /// All data that was appended; what else was reserved is released.
+    /// Returns all data that was appended, and releases the unused part of the reservation.
     pub(crate) fn into_bytes(mut self) -> Bytes {
         self.bytes.shrink_to_fit();
         self.reservation.shrink(self.bytes.len());
--- a/proxy/src/body/mod.rs
+++ b/proxy/src/body/mod.rs
@@ -1,6 +1,6 @@
-//! Message bodies on their way through the proxy: a client's request body, its copy for each
-//! attempt, and an endpoint's response body. Small bodies are buffered within one memory limit;
-//! larger ones are streamed.
+//! Message bodies that pass through the proxy: the request body of a client, its copy for each
+//! attempt, and the response body of an endpoint. Small bodies are buffered within a shared memory
+//! limit; larger ones are streamed.
 
 mod attempt_body;
 mod memory;
--- a/proxy/src/body/response_body.rs
+++ b/proxy/src/body/response_body.rs
@@ -1,4 +1,5 @@
-//! The body of an endpoint's response as the client gets it: buffered, or streamed as it arrives.
+//! The body of an endpoint's response as it is sent to the client: buffered, or streamed as it
+//! arrives.
 
 use super::transfer_timer::TransferTimer;
 use crate::log;
@@ -13,39 +14,41 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Lowest rate at which an endpoint may send a response: a slower one would occupy its client and
-/// its connection for ever.
+/// Minimum rate at which an endpoint must send a response. A slower one would occupy the client and
+/// the connection indefinitely.
 const MIN_RESPONSE_BYTES_PER_SECOND: f64 = 1_000.0;
-/// Maximum time that the proxy waits for more of a streamed response.
+/// Maximum time that the proxy waits for more data of a streamed response.
 const MAX_RESPONSE_WAIT: Duration = Duration::from_secs(10);
 
 /// Why a streamed response did not arrive completely.
 #[derive(Debug, Error)]
 pub enum ResponseBodyError {
-    /// Its connection broke, or it could not be parsed.
+    /// The connection failed, or the response could not be parsed.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// It is longer than any body may be.
+    /// The body is longer than the limit.
     #[error("the response body is longer than {MAX_BODY_BYTES} bytes")]
     TooLong,
-    /// It arrived too slowly.
+    /// The body arrived too slowly.
     #[error("the response body arrives too slowly")]
     TooSlow,
 }
 
-/// Called once all of a streamed response has been read; dropped if that does not happen.
+/// Called once a streamed response has been read completely; dropped without a call if reading
+/// fails or stops early.
 pub(crate) type OnCompleted = Box<dyn FnOnce()>;
 
 /// A large response as it arrives from its endpoint, read only as fast as the client takes it.
 pub struct StreamedResponse {
-    /// Data that was read before the response turned out to be too long to buffer.
+    /// Data that was read before the response turned out to be too long to buffer, if it has not
+    /// been passed on yet.
     prefix: Option<Bytes>,
     rest: Incoming,
-    /// The endpoint's.
+    /// The connection to the endpoint.
     socket: Socket,
     read_bytes: u64,
     timer: TransferTimer,
-    /// Returns the connection for reuse; dropped, it closes the connection.
+    /// Returns the connection to the pool for reuse. Dropping it instead closes the connection.
     on_completed: Option<OnCompleted>,
     tracker: Option<RequestTracker>,
 }
@@ -61,8 +64,8 @@
 }
 
 impl StreamedResponse {
-    /// A response that arrives on this socket, of which `prefix` has been read. `on_completed` is
-    /// called when the rest has been read as well.
+    /// Creates the body of a response that arrives on `socket`. `prefix` is the data that has been
+    /// read already; `on_completed` is called when the rest has been read as well.
     pub(crate) fn new(
         prefix: Bytes,
         rest: Incoming,
@@ -101,7 +104,8 @@
             return Poll::Ready(Some(Ok(prefix)));
         }
         while let Poll::Ready(frame) = Pin::new(&mut self.rest).poll_frame(context) {
-            // The data may have been there for long, while the client took nothing.
+            // Counts the wait only up to the last read: the data may have arrived long ago, while
+            // the client did not read.
             self.timer.stop_waiting(|| self.socket.last_read_at());
             let Some(frame) = frame else {
                 return Poll::Ready(None);
@@ -129,7 +133,7 @@
         match &data {
             Some(Err(error)) => {
                 log::line(&format!(
-                    "a response broke off after {} bytes: {error}",
+                    "an endpoint's response failed after {} bytes: {error}",
                     self.read_bytes
                 ));
                 self.finish(RequestEnd::Failed);
@@ -147,23 +151,23 @@
     }
 }
 
-/// A response's body.
+/// The body of a response.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// All of it is in memory.
+    /// The complete body is in memory.
     Buffered(Full<Bytes>),
-    /// It is streamed as it arrives.
+    /// The body is streamed as it arrives.
     Streamed(Box<StreamedResponse>),
 }
 
 impl ResponseBody {
-    /// A body that is completely in memory.
+    /// Creates a body that is completely in memory.
     pub(crate) fn buffered(bytes: Bytes) -> ResponseBody {
         ResponseBody::Buffered(Full::new(bytes))
     }
 
-    /// Ends the tracked request with this body: at once if it is buffered, else when it has been
-    /// streamed or has failed.
+    /// Ends the tracked request together with this body: immediately if the body is buffered,
+    /// otherwise when it has been streamed completely or has failed.
     pub(crate) fn track(&mut self, tracker: RequestTracker) {
         match self {
             ResponseBody::Buffered(_) => tracker.end(RequestEnd::Completed),
--- a/proxy/src/body/transfer_timer.rs
+++ b/proxy/src/body/transfer_timer.rs
@@ -1,4 +1,4 @@
-//! The time limit on a peer that sends a body too slowly.
+//! The time limit for a peer that sends a body slowly.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -6,9 +6,9 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// How long the proxy may still wait for a peer's data. The allowance shrinks only while the proxy
-/// waits, not while nobody reads, and grows with each byte by what that byte may take at the lowest
-/// accepted rate.
+/// Limits the time that the proxy waits for data from a peer. The remaining time, the allowance,
+/// decreases only while the proxy is waiting for data, not while it does not read. Each byte that
+/// arrives increases it by the time that a byte takes at the minimum rate.
 #[derive(Debug)]
 pub(super) struct TransferTimer {
     allowance: Duration,
@@ -24,7 +24,8 @@
 }
 
 impl TransferTimer {
-    /// A timer that starts with `allowance` and never allows more than `max_allowance`.
+    /// Creates a timer with an initial allowance of `allowance`, which later data can increase up
+    /// to `max_allowance`.
     pub(super) fn new(
         allowance: Duration,
         max_allowance: Duration,
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Ends a wait, if there is one, at the instant `until`, and takes its time off the allowance.
+    /// Ends the current wait, if there is one, as of the instant that `until` returns, and deducts
+    /// its duration from the allowance.
     pub(super) fn stop_waiting(&mut self, until: impl FnOnce() -> Instant) {
         if let Some(wait) = self.wait.take() {
             let waited = until().saturating_duration_since(wait.since);
@@ -46,13 +48,13 @@
         }
     }
 
-    /// Extends the allowance for data that has arrived.
+    /// Increases the allowance for data that has arrived.
     pub(super) fn extend(&mut self, bytes: usize) {
         let earned = Duration::from_secs_f64(bytes as f64 / self.min_bytes_per_second);
         self.allowance = (self.allowance + earned).min(self.max_allowance);
     }
 
-    /// Begins to wait, or goes on waiting, and is ready once the allowance is used up.
+    /// Starts or continues a wait, and completes once the allowance is used up.
     pub(super) fn poll_expired(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let allowance = self.allowance;
         let wait = self.wait.get_or_insert_with(|| Wait {
--- a/proxy/src/body/upload.rs
+++ b/proxy/src/body/upload.rs
@@ -1,4 +1,4 @@
-//! A client's request body as it arrives.
+//! The request body of a client while it arrives.
 
 use super::memory::{BodyMemory, BufferedBody};
 use super::transfer_timer::TransferTimer;
@@ -15,31 +15,31 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-/// Lowest rate at which an honest client sends, with some slack.
+/// Minimum upload rate. It is somewhat below the lowest rate of a well-behaved client.
 const MIN_UPLOAD_BYTES_PER_SECOND: f64 = 48_000.0;
-/// Maximum time that the proxy waits for more of an upload: a client that stalls is owed its error
-/// within 3 s, however much it has sent.
+/// Maximum time that the proxy waits for more data of an upload. A client that stalls must get its
+/// error within 3 s, however much it has sent.
 const MAX_UPLOAD_WAIT: Duration = Duration::from_millis(2_750);
-/// How long the rest of an upload that is of no use is read: closing while the client sends would
-/// reset the connection, and the response could be lost with it.
+/// How long the rest of an upload that is no longer needed is read and discarded. Closing the
+/// connection while the client is sending would reset it, and the response could be lost.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a client's body did not arrive completely.
+/// Why the request body of a client did not arrive completely.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum UploadError {
-    /// It arrived too slowly.
+    /// The body arrived too slowly.
     #[error("the request body arrives too slowly")]
     TooSlow,
-    /// It is longer than any body may be.
+    /// The body is longer than the limit.
     #[error("the request body is longer than {MAX_BODY_BYTES} bytes")]
     TooLong,
-    /// It could not be parsed, or its connection broke.
-    #[error("the request body can't be read")]
+    /// The body could not be parsed, or the connection failed.
+    #[error("the request body cannot be read")]
     Unreadable,
 }
 
 impl UploadError {
-    /// The status that the client gets.
+    /// The HTTP status that the client gets for this error.
     pub(crate) fn status(self) -> StatusCode {
         match self {
             UploadError::TooSlow => StatusCode::REQUEST_TIMEOUT,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Where an upload's data is read from.
+/// The source of an upload's data, and the limits on reading it.
 #[derive(Debug)]
 struct UploadSource {
     body: Incoming,
@@ -60,7 +60,7 @@
     timer: TransferTimer,
 }
 
-/// A client's body as it arrives.
+/// The request body of a client while it arrives.
 #[derive(Debug)]
 pub struct Upload {
     source: RefCell<UploadSource>,
@@ -72,7 +72,7 @@
 }
 
 impl Upload {
-    /// A body that arrives on this socket, with its first data expected by the instant
+    /// Creates the upload of a body that arrives on this socket. The first data must arrive by
     /// `first_data_by`.
     pub(crate) fn new(body: Incoming, socket: Socket, first_data_by: Instant) -> Upload {
         let length = body.size_hint().exact();
@@ -94,22 +94,23 @@
         }
     }
 
-    /// Its length in bytes, if the head gives it.
+    /// The length of the body in bytes, if the request head gives it.
     pub(crate) fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// Whether part of it was passed to an attempt, so that no other attempt can have all of it.
+    /// Whether part of the body was passed to an attempt, so that no other attempt can send all of
+    /// it.
     pub(crate) fn is_consumed(&self) -> bool {
         self.is_consumed.get()
     }
 
-    /// When its last byte arrived, or why that will not arrive; `None` while it is still arriving.
+    /// When the last byte arrived, or why it will not arrive. `None` while the body is arriving.
     pub(crate) fn result(&self) -> Option<Result<Instant, UploadError>> {
         self.result.get()
     }
 
-    /// Waits for its result.
+    /// Waits until the body has arrived or failed, and returns the result.
     pub(crate) async fn finished(&self) -> Result<Instant, UploadError> {
         loop {
             let finished = self.finished.notified();
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Reads it into memory, if it is small enough. `None`: it is too long; what was read of it is
-    /// returned first when it is read again.
+    /// Reads the body into memory. Returns `None` if it is too long or not enough memory is
+    /// available; the data that was read by then is returned first by the next read.
     pub(crate) async fn buffer(&self, memory: &BodyMemory) -> Result<Option<Bytes>, UploadError> {
         let Some(mut buffer) = BufferedBody::new(memory, self.length) else {
             return Ok(None);
@@ -135,15 +136,15 @@
         Ok(Some(buffer.into_bytes()))
     }
 
-    /// Reads the rest for a bounded time and discards it.
+    /// Reads and discards the rest of the body for at most [`DISCARD_TIMEOUT`].
     pub(crate) async fn discard(&self) {
         let rest =
             async { while let Some(Ok(_)) = poll_fn(|context| self.poll_data(context)).await {} };
-        // A rest that takes longer is left unread.
+        // What arrives after the timeout is left unread.
         let _ = timeout(DISCARD_TIMEOUT, rest).await;
     }
 
-    /// The next data for an attempt: from now on the upload is consumed.
+    /// Returns the next data for an attempt, and marks the upload as consumed.
     pub(super) fn poll_consume(
         &self,
         context: &mut Context<'_>,
@@ -153,7 +154,7 @@
         Poll::Ready(data)
     }
 
-    /// Whether all of it has arrived and been read.
+    /// Whether the body has arrived and been read completely.
     pub(super) fn is_read_to_end(&self) -> bool {
         matches!(self.result(), Some(Ok(_))) && self.source.borrow().unread_prefix.is_none()
     }
@@ -164,7 +165,8 @@
     }
 
     fn poll_data(&self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, UploadError>>> {
-        // The upload may have finished while it was buffered.
+        // This precedes the check of the result: the upload may have finished while it was
+        // buffered.
         if let Some(prefix) = self.source.borrow_mut().unread_prefix.take() {
             return Poll::Ready(Some(Ok(prefix)));
         }
@@ -177,7 +179,7 @@
         match data {
             Some(Err(error)) => self.finish(Err(error)),
             None => self.finish(Ok(self.socket.earliest_arrival())),
-            // With a known length the last byte is the end: the body may never be polled again.
+            // With a known length, the body may not be polled again after its last byte.
             Some(Ok(_)) if self.source.borrow().body.is_end_stream() => {
                 self.finish(Ok(self.socket.earliest_arrival()));
             }
--- a/proxy/src/socket/disconnect.rs
+++ b/proxy/src/socket/disconnect.rs
@@ -1,5 +1,5 @@
-//! Detects that a peer has gone: by readiness events, by waiting for them, or by asking the
-//! operating system.
+//! Detects that a peer has disconnected: from readiness events that were delivered, by waiting for
+//! one, or by asking the operating system.
 
 use super::stream::{is_known_read_closed, peek};
 use super::{SharedStream, Socket};
@@ -16,7 +16,7 @@
             .is_none_or(|stream| is_known_read_closed(stream))
     }
 
-    /// `None`: it is closed.
+    /// Peeks at the next unread byte. Returns `None` if the stream is closed.
     fn peek(&self) -> Option<io::Result<usize>> {
         self.stream.borrow().as_ref().map(|stream| peek(stream))
     }
@@ -34,14 +34,14 @@
 }
 
 impl Socket {
-    /// The client's presence, for writes on behalf of its request. The reference does not keep the
-    /// stream open.
+    /// A weak reference through which writes on behalf of a client's request can check whether the
+    /// client is still connected. It does not keep the stream open.
     pub fn client_presence(&self) -> Weak<dyn ClientPresence> {
         let stream: Rc<dyn ClientPresence> = self.0.clone();
         Rc::downgrade(&stream)
     }
 
-    /// Whether the stream is open and has nothing to read, not even its end. This asks the
+    /// Whether the stream is open and has nothing to read, not even an end of stream. Asks the
     /// operating system.
     pub fn has_no_unread_input(&self) -> bool {
         let peeked = self.0.peek();
@@ -50,21 +50,21 @@
         })
     }
 
-    /// Whether the peer is known, by readiness events, to have ended its sending or to have broken
-    /// the connection, also behind bytes that nobody has read: hyper finds an end only when it has
-    /// read all that arrived before it.
+    /// Whether readiness events have shown that the peer ended its sending or the connection
+    /// failed. This is known even if bytes that arrived earlier are still unread, whereas hyper
+    /// detects an end of stream only after it has read all of them.
     pub fn is_known_disconnected(&self) -> bool {
         self.0.is_known_disconnected()
     }
 
-    /// As [`Socket::is_known_disconnected`], but asks the operating system too: its event may not
-    /// have been delivered.
+    /// Like [`Socket::is_known_disconnected`], but also asks the operating system, as the readiness
+    /// event may not have been delivered yet.
     pub fn has_disconnected(&self) -> bool {
         self.0.has_disconnected()
     }
 
-    /// Ready once the client is known to have disconnected, as soon as the system reports it,
-    /// whatever arrived before and is unread. Only one task may poll this.
+    /// Completes as soon as the operating system reports that the client has disconnected, even if
+    /// earlier input is unread. Only one task may poll this.
     pub fn poll_disconnected(&self, context: &mut Context<'_>) -> Poll<()> {
         let mut disconnected = self.0.disconnected.borrow_mut();
         if let Some(waiting) = disconnected.as_mut() {
--- a/proxy/src/socket/framing.rs
+++ b/proxy/src/socket/framing.rs
@@ -1,58 +1,60 @@
-//! Follows the messages that arrive on a client's connection, only far enough to know where each
-//! ends, and finds the first whose end is ambiguous. hyper ignores a length beside a chunked
-//! coding, and a second equal length: what one reader takes for a body, another may take for the
-//! next request (request smuggling).
+//! Parses the messages that arrive on a client connection just far enough to know where each ends,
+//! and finds the first one whose end is ambiguous. hyper accepts a `Content-Length` beside a
+//! chunked transfer coding, and a repeated `Content-Length` with the same value. Such messages
+//! allow request smuggling: what one HTTP implementation takes for a body, another may take for the
+//! next request.
 
-/// Most bytes of a line that are buffered; no field that matters here is longer.
+/// Maximum number of bytes of a line that are buffered; the rest of a longer line is skipped. The
+/// header fields that are parsed here do not need more.
 const MAX_LINE_BYTES: usize = 256;
 
-/// The part of a message that is expected next.
+/// The part of a message that is parsed next.
 #[derive(Debug, Default)]
 enum State {
     /// A line of the head.
     #[default]
     Head,
-    /// A body of which so many bytes are missing.
+    /// A body with this number of bytes still to arrive.
     Body(u64),
-    /// The line before a chunk.
+    /// The line with the size of a chunk.
     ChunkSize,
-    /// A chunk of which so many bytes are missing.
+    /// A chunk with this number of bytes still to arrive.
     Chunk(u64),
-    /// The line end behind a chunk.
+    /// The line end after a chunk.
     ChunkEnd,
-    /// A line behind the last chunk.
+    /// A line after the last chunk.
     Trailer,
-    /// Unknown: where the next message begins cannot be determined.
+    /// The start of the next message cannot be determined, so further input is ignored.
     Lost,
 }
 
-/// What the head being read has said so far of its message's body.
+/// What the lines of the current head that have been parsed say about the message body.
 #[derive(Debug, Default)]
 struct HeadFraming {
-    /// The request line has been read; empty lines before it do not count.
+    /// The request line has been parsed; empty lines before it are ignored.
     has_begun: bool,
-    /// The `Content-Length` fields; `None`: unreadable.
+    /// The values of the `Content-Length` fields; `None` for an invalid value.
     lengths: Vec<Option<u64>>,
-    /// The `Transfer-Encoding` fields: whether each is `chunked` alone.
+    /// For each `Transfer-Encoding` field, whether its value is exactly `chunked`.
     codings: Vec<bool>,
 }
 
-/// What is known of the messages on a connection so far.
+/// Parser for the boundaries of the messages on one connection.
 #[derive(Debug, Default)]
 pub(super) struct Framing {
     state: State,
-    /// What has arrived of the present line, up to [`MAX_LINE_BYTES`].
+    /// The part of the current line that has arrived, up to [`MAX_LINE_BYTES`].
     line: Vec<u8>,
     head: HeadFraming,
-    /// Heads that were read completely.
+    /// Number of heads that were parsed completely.
     complete_heads: u64,
-    /// The number of the first message, from 0, whose end is ambiguous.
+    /// The zero-based number of the first message whose end is ambiguous.
     first_ambiguous: Option<u64>,
 }
 
 impl Framing {
-    /// Whether the end of the message with this number, from 0, is ambiguous; so is each behind one
-    /// that is.
+    /// Whether the end of the message with this zero-based number is ambiguous. All messages after
+    /// an ambiguous one are ambiguous too.
     pub(super) fn is_ambiguous(&self, number: u64) -> bool {
         self.first_ambiguous.is_some_and(|first| number >= first)
     }
@@ -62,7 +64,7 @@
         matches!(self.state, State::Head) && !self.head.has_begun && self.line.is_empty()
     }
 
-    /// Takes in what has arrived.
+    /// Parses input that has arrived, which may begin and end anywhere in a message.
     pub(super) fn read(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let consumed = match self.state {
@@ -91,7 +93,8 @@
         }
     }
 
-    /// Reads up to the end of a line, or all bytes if they have none; how many.
+    /// Parses up to and including the next line end, or all bytes if there is none. Returns the
+    /// number of bytes consumed.
     fn read_line(&mut self, bytes: &[u8]) -> usize {
         let end = bytes.iter().position(|&byte| byte == b'\n');
         let part = &bytes[..end.unwrap_or(bytes.len())];
@@ -159,7 +162,8 @@
     }
 }
 
-/// The size of a chunk, without its extensions; `None`: unreadable.
+/// Parses the size in a chunk's first line, ignoring chunk extensions. Returns `None` if it is
+/// invalid.
 fn parse_chunk_size(line: &[u8]) -> Option<u64> {
     let digits = line
         .split(|byte| matches!(byte, b';' | b' ' | b'\t'))
@@ -167,7 +171,7 @@
     u64::from_str_radix(std::str::from_utf8(digits).ok()?, 16).ok()
 }
 
-/// How many of these bytes belong to a part of which so many are missing.
+/// The number of leading bytes that belong to a part with `remaining` bytes still to arrive.
 fn clamp_to(bytes: &[u8], remaining: u64) -> usize {
     usize::try_from(remaining)
         .unwrap_or(usize::MAX)
--- a/proxy/src/socket/framing/tests.rs
+++ b/proxy/src/socket/framing/tests.rs
@@ -7,7 +7,7 @@
     "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5;x=1\r\n\r\nabc\r\nA \r\n0123456789\r\n0\r\nT: 1\r\n\r\n",
 ];
 
-/// The number of the first ambiguous message of a text that is read in pieces of this size.
+/// The number of the first ambiguous message in `text` when it is parsed in pieces of this size.
 fn first_ambiguous(text: &str, piece_size: usize) -> Option<u64> {
     let mut framing = Framing::default();
     for piece in text.as_bytes().chunks(piece_size) {
--- a/proxy/src/socket/lingering_close.rs
+++ b/proxy/src/socket/lingering_close.rs
@@ -1,5 +1,5 @@
-//! Closing a connection without a reset: closed with unread bytes, a connection is reset, and a
-//! response under way may be lost with it.
+//! Lingering close of a connection: closing a socket with unread input resets the connection, and
+//! the peer may then lose a response that is still in transit.
 
 use super::stream::{poll_receive, shutdown_write};
 use super::{Socket, MAX_READ_BYTES};
@@ -12,8 +12,8 @@
 use tokio::time::timeout;
 
 impl Socket {
-    /// Ends the sending, discards what still arrives until the peer ends its sending too or `limit`
-    /// is over, and closes.
+    /// Ends this side's sending, discards input until the peer ends its sending too or `limit` has
+    /// passed, and closes the stream.
     pub async fn lingering_close(self, limit: Duration) {
         let _ = timeout(limit, self.shutdown_and_discard()).await;
         self.close();
--- a/proxy/src/socket/mod.rs
+++ b/proxy/src/socket/mod.rs
@@ -1,6 +1,6 @@
-//! A TCP stream that hyper's task and the connection's owner share. The owner can close it at once,
-//! whatever that task does, can see whether something has arrived that was not read, and knows what
-//! was read and written.
+//! A TCP stream that is shared between the task that runs hyper and the owner of the connection.
+//! The owner can close it immediately regardless of that task, check it for unread input, and see
+//! what was read and written.
 
 mod disconnect;
 mod framing;
@@ -19,36 +19,38 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Most bytes that are read at once.
+/// Maximum number of bytes per read.
 const MAX_READ_BYTES: usize = 16 << 10;
 
-/// Completes when a peer has disconnected.
+/// A future that completes when the client has disconnected.
 type Disconnected = Pin<Box<dyn Future<Output = ()>>>;
 
 struct SharedStream {
-    /// `None`: closed by its owner.
+    /// `None` once the owner has closed the stream.
     stream: RefCell<Option<Rc<TcpStream>>>,
-    /// Waits for the client to disconnect; `None`: it has, or nobody waits. It is dropped with the
-    /// stream, whose descriptor it would keep open.
+    /// Waits for the client to disconnect. `None` if the client has disconnected, the stream is
+    /// closed, or the peer is not a client. Closing the stream drops this future, which would
+    /// otherwise keep the descriptor open.
     disconnected: RefCell<Option<Disconnected>>,
-    /// The guard of the attempt that uses the connection now.
+    /// The write guard of the attempt that currently uses the connection.
     write_guard: RefCell<WriteGuard>,
-    /// The next byte must not be written while there is unread input.
+    /// The next write must fail if there is unread input.
     forbids_write_on_unread_input: Cell<bool>,
     reads: ReadHistory,
-    /// Since when the peer has taken nothing of what there is to write.
+    /// Since when writes have been waiting for the socket to become writable; `None` if the last
+    /// write did not have to wait.
     write_blocked_since: Cell<Option<Instant>>,
-    /// The incoming messages; `None` where their boundaries do not matter.
+    /// The parser for the boundaries of incoming messages; `None` if they do not matter.
     framing: Option<RefCell<Framing>>,
 }
 
-/// What was read from a stream, and when.
+/// The number and times of reads from a stream.
 struct ReadHistory {
     count: Cell<u64>,
     last_at: Cell<Instant>,
-    /// The earliest time at which what was read last can have arrived.
+    /// The earliest time at which the input of the last read can have arrived.
     earliest_arrival: Cell<Instant>,
-    /// A read waits for input.
+    /// The last read is waiting for input.
     is_waiting: Cell<bool>,
 }
 
@@ -63,7 +65,7 @@
     }
 }
 
-/// A shared stream; clones are the same stream.
+/// A shared TCP stream; clones refer to the same stream.
 #[derive(Clone)]
 pub struct Socket(Rc<SharedStream>);
 
@@ -89,8 +91,8 @@
         Socket::wrap(stream.into(), None, None)
     }
 
-    /// Wraps the stream of a client, whose messages are followed and whose disconnect is waited
-    /// for.
+    /// Wraps the stream of a client connection. Its message framing is checked, and
+    /// [`Socket::poll_disconnected`] reports when the client disconnects.
     pub fn for_client(stream: TcpStream) -> Socket {
         let stream = Rc::new(stream);
         let disconnected = stream::read_closed(stream.clone());
@@ -117,14 +119,15 @@
         }))
     }
 
-    /// Closes the stream. Its descriptor is free when this returns; an aborted task would hold it
-    /// for a while yet.
+    /// Closes the stream. Its descriptor is free when this returns, whereas a task that is aborted
+    /// instead keeps it open until the runtime drops the task.
     pub fn close(&self) {
         self.0.disconnected.borrow_mut().take();
         self.0.stream.borrow_mut().take();
     }
 
-    /// Whether the end of the request with this number, from 0, is ambiguous.
+    /// Whether the end of the request with this zero-based number is ambiguous. Always false if
+    /// framing is not checked.
     pub fn is_framing_ambiguous(&self, request_number: u64) -> bool {
         self.0
             .framing
@@ -132,7 +135,8 @@
             .is_some_and(|framing| framing.borrow().is_ambiguous(request_number))
     }
 
-    /// Whether no part of an incomplete message has arrived.
+    /// Whether no part of an incomplete message has been read. Always true if framing is not
+    /// checked.
     pub fn is_between_messages(&self) -> bool {
         self.0
             .framing
--- a/proxy/src/socket/read.rs
+++ b/proxy/src/socket/read.rs
@@ -1,4 +1,4 @@
-//! Reading from a shared stream, and the record of what was read when.
+//! Reads from a shared stream, and records when they returned input.
 
 use super::framing::Framing;
 use super::stream::poll_receive;
@@ -14,24 +14,24 @@
 use tokio::time::Instant;
 
 impl Socket {
-    /// Number of reads that returned something, the end of the stream included.
+    /// Number of reads that have completed, with data, end of stream or an error.
     pub fn read_count(&self) -> u64 {
         self.0.reads.count.get()
     }
 
-    /// When something was last read; at first, when the stream was wrapped.
+    /// When the last read completed; before the first one, when the stream was wrapped.
     pub fn last_read_at(&self) -> Instant {
         self.0.reads.last_at.get()
     }
 
-    /// The earliest time at which what was read last can have arrived. While nobody reads, it may
-    /// have been there since the previous read that returned something; only a read that had to
-    /// wait shows when it arrived.
+    /// The earliest time at which the input of the last read can have arrived. Only a read that had
+    /// to wait shows when its input arrived. The input of any other read may have arrived at any
+    /// time since the last read that had to wait.
     pub fn earliest_arrival(&self) -> Instant {
         self.0.reads.earliest_arrival.get()
     }
 
-    /// Notes that a read returned something or an end, or has to wait.
+    /// Records that a read has completed (`is_ready`) or has to wait.
     fn record_read(&self, is_ready: bool) {
         let reads = &self.0.reads;
         let has_waited = reads.is_waiting.replace(!is_ready);
@@ -46,9 +46,9 @@
         }
     }
 
-    /// The result of a read after the owner has closed the stream: an end for a client, whose
-    /// messages are delimited; an error for an endpoint, whose response may be delimited by the end
-    /// of its connection.
+    /// The result of a read after the owner has closed the stream. For a client it is end of
+    /// stream, as requests never end with the connection. For an endpoint it is an error, as the
+    /// end of the connection may delimit a response, which must not be taken for complete.
     fn read_when_closed(&self) -> io::Result<()> {
         match self.0.framing {
             Some(_) => Ok(()),
@@ -73,7 +73,7 @@
     }
 }
 
-/// Reads one chunk into hyper's buffer, and passes it to the message framing on the way.
+/// Reads up to [`MAX_READ_BYTES`] into hyper's buffer, and passes them to the framing parser.
 fn poll_read_chunk(
     stream: &TcpStream,
     context: &mut Context<'_>,
--- a/proxy/src/socket/stream.rs
+++ b/proxy/src/socket/stream.rs
@@ -1,5 +1,5 @@
-//! Operations on a bare TCP stream that several futures share: none of them needs the stream as its
-//! own.
+//! Operations on a TCP stream that need only a shared reference, so that several futures can use
+//! the stream.
 
 use socket2::SockRef;
 use std::future::Future;
@@ -13,8 +13,9 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
-/// Receives into `buffer`. A read may return less than there is, and edge-triggered readiness is
-/// reported only once: so readiness is cleared only when the system reports that nothing is left.
+/// Receives into `buffer`. A read may return less than is available, and edge-triggered readiness
+/// is reported only once, so readiness is cleared only when the operating system reports that
+/// nothing is left (`EWOULDBLOCK`).
 pub(super) fn poll_receive(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -29,7 +30,7 @@
     }
 }
 
-/// Sends by `try_send` as soon as the stream is writable.
+/// Calls `try_send` as soon as the stream is writable.
 pub(super) fn poll_send(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -44,7 +45,8 @@
     }
 }
 
-/// Whether an operation had no effect and is repeated, at once or when the stream is ready.
+/// Whether an operation had no effect and is to be retried, immediately or when the stream is
+/// ready.
 fn is_retryable(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -52,14 +54,14 @@
     )
 }
 
-/// Peeks at the next unread byte. This asks the operating system: what has arrived since the
-/// stream's task was last polled shows nowhere else.
+/// Peeks at the next unread byte. This asks the operating system, because readiness events do not
+/// show input that has arrived since the event queue was last polled.
 pub(super) fn peek(stream: &TcpStream) -> io::Result<usize> {
     let mut byte = [MaybeUninit::uninit()];
     SockRef::from(stream).peek(&mut byte)
 }
 
-/// Ends this side's sending; a connection that the peer has reset counts as ended.
+/// Ends this side's sending. Succeeds if the peer has already reset the connection.
 pub(super) fn shutdown_write(stream: &TcpStream) -> io::Result<()> {
     match SockRef::from(stream).shutdown(Shutdown::Write) {
         Err(error) if error.kind() == io::ErrorKind::NotConnected => Ok(()),
@@ -67,7 +69,7 @@
     }
 }
 
-/// Whether readiness events have shown that the peer ended its sending or broke the connection.
+/// Whether readiness events have shown that the peer ended its sending or the connection failed.
 pub(super) fn is_known_read_closed(stream: &TcpStream) -> bool {
     // Read-closed readiness is never cleared.
     let ready = pin!(stream.ready(Interest::READABLE));
@@ -77,9 +79,10 @@
     }
 }
 
-/// Waits until the peer is known to have ended its sending or to have broken the connection. Read
-/// readiness lasts as long as anything is unread, and would hide an end behind it; priority
-/// readiness comes with the end alone, as the stream is not registered for priority data.
+/// Waits until the peer has ended its sending or the connection has failed. Waiting for read
+/// readiness would not work: it stays set while earlier input is unread, so the end would go
+/// unnoticed. Priority readiness is signalled only at the end, as the stream is not registered for
+/// priority data.
 pub(super) async fn read_closed(stream: Rc<TcpStream>) {
     while stream
         .ready(Interest::PRIORITY)
--- a/proxy/src/socket/tests.rs
+++ b/proxy/src/socket/tests.rs
@@ -11,7 +11,7 @@
 use tokio::task::{spawn_local, yield_now, LocalSet};
 use tokio::time::timeout;
 
-/// A connection over loopback: the end under test, and its peer.
+/// Opens a loopback connection and returns the end under test and its peer.
 fn tcp_pair() -> (TcpStream, std::net::TcpStream) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let near = std::net::TcpStream::connect(listener.local_addr().expect("an address"))
@@ -31,12 +31,12 @@
     (Socket::for_client(stream), peer)
 }
 
-/// Writes once, as hyper does.
+/// Makes a single write, as hyper does.
 async fn write(socket: &mut Socket, bytes: &[u8]) -> io::Result<usize> {
     poll_fn(|context| Pin::new(&mut *socket).poll_write(context, bytes)).await
 }
 
-/// The guard of an attempt that may begin before `begin_before`, on behalf of this client.
+/// The write guard of an attempt on behalf of this client that must start before `begin_before`.
 fn write_guard(client: &Socket, begin_before: Option<Instant>) -> WriteGuard {
     let (id, idempotency) = (HeaderValue::from_static("1"), Idempotency::Idempotent);
     let policy = RequestPolicy {
@@ -55,7 +55,7 @@
     )
 }
 
-/// A client disconnects by a close or a reset.
+/// Disconnects the peer, by a reset or by an orderly close.
 fn disconnect(peer: std::net::TcpStream, by_reset: bool) {
     if by_reset {
         SockRef::from(&peer)
@@ -64,8 +64,8 @@
     }
 }
 
-/// Bytes behind a response may arrive once its connection is idle, while no task is polled: unseen,
-/// they would be taken for the next response.
+/// Bytes may arrive after a response, when the connection is idle and no task reads. If they went
+/// undetected, they would be taken for the next response.
 #[tokio::test]
 async fn unread_input_is_seen_without_polling_a_read() {
     let (socket, mut peer) = endpoint_pair();
@@ -80,25 +80,30 @@
     );
 }
 
-/// A second response or the end may arrive after the connection was selected and before the request
-/// is written: the bytes would be taken for its response, and whether it ran would not be known.
+/// A second response or the end of the connection may arrive after the connection was selected and
+/// before the request is written. A second response would be taken for the response to this
+/// request, and after an end it would be unknown whether the request was executed.
 #[tokio::test]
 async fn a_request_is_not_written_if_input_arrived_since_the_connection_was_selected() {
     for second_response in [Some(b"HTTP/1.1 200 OK\r\n\r\n"), None] {
         let ((mut socket, mut peer), write_guard) = (endpoint_pair(), WriteGuard::default());
         socket.set_write_guard(&write_guard);
         socket.forbid_write_on_unread_input();
-        assert!(socket.has_no_unread_input(), "selected");
+        assert!(
+            socket.has_no_unread_input(),
+            "the connection may be selected"
+        );
         match second_response {
             Some(bytes) => peer.write_all(bytes).expect("written"),
-            None => peer.shutdown(std::net::Shutdown::Write).expect("ended"),
+            None => peer.shutdown(std::net::Shutdown::Write).expect("shut down"),
         }
         assert!(write(&mut socket, b"GET").await.is_err());
         assert_eq!(write_guard.bytes_written(), 0);
     }
 }
 
-/// Only the first byte of a request is denied on unread input.
+/// Unread input must prevent only the start of a request. The endpoint may send an interim response
+/// while the rest of the request is written.
 #[tokio::test]
 async fn input_that_arrives_during_a_request_does_not_deny_the_rest() {
     let ((mut socket, mut peer), write_guard) = (endpoint_pair(), WriteGuard::default());
@@ -115,8 +120,8 @@
     assert_eq!(write_guard.bytes_written(), 8);
 }
 
-/// The start window is checked as the first byte is written; what has begun in time is written to
-/// its end.
+/// The start window is checked when the first byte is written. An attempt that started in time is
+/// written completely.
 #[tokio::test]
 async fn an_attempt_begins_in_its_start_window_or_not_at_all() {
     let (client, _peer) = endpoint_pair();
@@ -133,7 +138,8 @@
     }
 }
 
-/// What was written on a connection that broke does not count for the next.
+/// A request that broke off on one connection is written again on another. The bytes that the first
+/// connection took must not make the request count as written on the second.
 #[tokio::test]
 async fn an_attempt_is_not_complete_by_what_another_connection_took() {
     let ((mut first, _peer), (mut second, _other)) = (endpoint_pair(), endpoint_pair());
@@ -149,8 +155,8 @@
     assert!(!write_guard.is_fully_written());
 }
 
-/// hyper does not read what arrives while a request is in flight: those bytes wake nobody; the end
-/// behind them does.
+/// hyper does not read input that arrives while a request is in flight. The task that waits for a
+/// disconnect must be woken by the end of the connection, but not by the unread bytes before it.
 #[tokio::test]
 async fn a_disconnect_behind_unread_bytes_wakes_the_waiting_task_once() {
     let test = async {
@@ -164,7 +170,7 @@
             yield_now().await;
             for _ in 0..unread {
                 peer.write_all(b"x").expect("written");
-                // The event queue is polled before this goes on.
+                // The event queue is polled before this task continues.
                 yield_now().await;
             }
             let state = (
@@ -181,11 +187,11 @@
     let tasks = LocalSet::new();
     timeout(Duration::from_secs(10), tasks.run_until(test))
         .await
-        .expect("the disconnect is seen");
+        .expect("the disconnect is detected in time");
 }
 
-/// The client's presence is checked as the first byte is written. An attempt that has begun
-/// continues.
+/// Whether the client is connected is checked when the first byte of an attempt is written. An
+/// attempt that has started continues.
 #[tokio::test]
 async fn no_attempt_begins_for_a_client_that_has_disconnected() {
     for by_reset in [false, true] {
@@ -197,7 +203,7 @@
                 assert_eq!(write(&mut endpoint, b"POST").await.expect("written"), 4);
             }
             disconnect(peer, by_reset);
-            // No task has run since, and the event queue was not polled.
+            // No task has run since the disconnect, so the event queue has not been polled.
             assert!(!client.is_known_disconnected() && client.has_disconnected());
             let result = write(&mut endpoint, b"body").await;
             assert_eq!(result.is_ok(), has_begun, "reset: {by_reset}");
--- a/proxy/src/socket/write.rs
+++ b/proxy/src/socket/write.rs
@@ -1,5 +1,5 @@
-//! Writing to a shared stream: each write is checked against the write guard of the attempt that
-//! uses the stream, and counted by it.
+//! Writes to a shared stream. The write guard of the attempt that uses the stream checks each write
+//! and counts its bytes.
 
 use super::stream::poll_send;
 use super::Socket;
@@ -12,19 +12,20 @@
 use tokio::time::Instant;
 
 impl Socket {
-    /// From here on, written bytes are checked and counted by this guard.
+    /// Sets the guard that checks and counts all further writes.
     pub fn set_write_guard(&self, write_guard: &WriteGuard) {
         self.0.write_guard.replace(write_guard.clone());
     }
 
-    /// The next byte is not written if something arrives before it, an end or what would be taken
-    /// for a response: this is checked again as that byte is written, however long ago the caller
-    /// checked it.
+    /// Makes the next write fail if there is unread input, which is either the end of the
+    /// connection or bytes that would be taken for the response. The check is made at the time of
+    /// the write, because input may have arrived since the caller checked.
     pub fn forbid_write_on_unread_input(&self) {
         self.0.forbids_write_on_unread_input.set(true);
     }
 
-    /// Since when what is to be written could not be, if that still holds.
+    /// Since when writes have been waiting for the socket to become writable, or `None` if the last
+    /// write did not have to wait.
     pub fn write_blocked_since(&self) -> Option<Instant> {
         self.0.write_blocked_since.get()
     }
@@ -75,7 +76,8 @@
         self.poll_guarded_write(context, |stream| stream.try_write(bytes))
     }
 
-    // Without this, hyper would copy each body into a buffer that the connection then retains.
+    // Without vectored writes, hyper would copy each body into a buffer and keep that buffer for
+    // the life of the connection.
     fn is_write_vectored(&self) -> bool {
         true
     }
@@ -89,7 +91,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // hyper flushes when it has nothing left to write; the stream itself buffers nothing.
+        // hyper flushes when it has nothing left to write. The stream itself has no buffer.
         if self.0.stream.borrow().is_some() {
             self.0.write_guard.borrow().record_flush();
         }
