--- a/proxy/src/body/memory.rs
+++ b/proxy/src/body/memory.rs
@@ -37,7 +37,7 @@
 
 impl MemoryReservation {
     /// Reduces the reservation to at most this many bytes and releases the rest.
-    fn shrink(&mut self, bytes: usize) {
+    fn shrink_to(&mut self, bytes: usize) {
         self.memory
             .0
             .fetch_add(self.bytes.saturating_sub(bytes), Ordering::Relaxed);
@@ -47,7 +47,7 @@
 
 impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.shrink(0);
+        self.shrink_to(0);
     }
 }
 
@@ -93,7 +93,7 @@
     /// Returns all data that was appended, and releases the unused part of the reservation.
     pub(crate) fn into_bytes(mut self) -> Bytes {
         self.bytes.shrink_to_fit();
-        self.reservation.shrink(self.bytes.len());
+        self.reservation.shrink_to(self.bytes.len());
         Bytes::from_owner(self)
     }
 }
--- a/proxy/src/body/response_body.rs
+++ b/proxy/src/body/response_body.rs
@@ -118,7 +118,7 @@
             if self.read_bytes > MAX_BODY_BYTES {
                 return Poll::Ready(Some(Err(ResponseBodyError::TooLong)));
             }
-            self.timer.extend(data.len());
+            self.timer.extend_allowance(data.len());
             return Poll::Ready(Some(Ok(data)));
         }
         ready!(self.timer.poll_expired(context));
--- a/proxy/src/body/transfer_timer.rs
+++ b/proxy/src/body/transfer_timer.rs
@@ -49,9 +49,9 @@
     }
 
     /// Increases the allowance for data that has arrived.
-    pub(super) fn extend(&mut self, bytes: usize) {
-        let earned = Duration::from_secs_f64(bytes as f64 / self.min_bytes_per_second);
-        self.allowance = (self.allowance + earned).min(self.max_allowance);
+    pub(super) fn extend_allowance(&mut self, bytes: usize) {
+        let extension = Duration::from_secs_f64(bytes as f64 / self.min_bytes_per_second);
+        self.allowance = (self.allowance + extension).min(self.max_allowance);
     }
 
     /// Starts or continues a wait, and completes once the allowance is used up.
--- a/proxy/src/body/upload.rs
+++ b/proxy/src/body/upload.rs
@@ -73,10 +73,10 @@
 
 impl Upload {
     /// Creates the upload of a body that arrives on this socket. The first data must arrive by
-    /// `first_data_by`.
-    pub(crate) fn new(body: Incoming, socket: Socket, first_data_by: Instant) -> Upload {
+    /// `first_data_deadline`.
+    pub(crate) fn new(body: Incoming, socket: Socket, first_data_deadline: Instant) -> Upload {
         let length = body.size_hint().exact();
-        let allowance = first_data_by.saturating_duration_since(Instant::now());
+        let allowance = first_data_deadline.saturating_duration_since(Instant::now());
         let timer = TransferTimer::new(allowance, MAX_UPLOAD_WAIT, MIN_UPLOAD_BYTES_PER_SECOND);
         let source = UploadSource {
             body,
@@ -204,7 +204,7 @@
             if self.read_bytes > MAX_BODY_BYTES {
                 return Poll::Ready(Some(Err(UploadError::TooLong)));
             }
-            self.timer.extend(data.len());
+            self.timer.extend_allowance(data.len());
             return Poll::Ready(Some(Ok(data)));
         }
         ready!(self.timer.poll_expired(context));
--- a/proxy/src/downstream/client_connections.rs
+++ b/proxy/src/downstream/client_connections.rs
@@ -20,7 +20,7 @@
     pub(super) fn new(control: Control) -> ClientConnections {
         let shared = SharedState {
             control,
-            is_crowded: Rc::new(Cell::new(false)),
+            is_busy: Rc::new(Cell::new(false)),
             is_shutting_down: Rc::new(Cell::new(false)),
         };
         ClientConnections {
@@ -41,7 +41,7 @@
         let config = self.shared.control.config();
         let limit = config.max_client_connections();
         self.shared
-            .is_crowded
+            .is_busy
             .set(self.open.len() > config.busy_client_connections());
         if self.open.len() >= limit {
             self.open
@@ -73,10 +73,10 @@
         let timeouts = if self.shared.is_shutting_down.get() {
             IdleTimeouts::shutting_down()
         } else {
-            IdleTimeouts::serving(self.shared.is_crowded.get())
+            IdleTimeouts::serving(self.shared.is_busy.get())
         };
         self.open
-            .retain(|connection| connection.check(now, timeouts));
+            .retain(|connection| connection.check_timeouts(now, timeouts));
         self.open.shrink_to(2 * self.open.len());
     }
 
--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -2,7 +2,7 @@
 
 use super::open_request::{OpenRequest, TrackedBody};
 use super::phase::Phase;
-use super::service::{self, IncomingRequest};
+use super::service::{self, RequestContext};
 use crate::control::Control;
 use crate::log;
 use crate::message_limits::MAX_HEAD_BYTES;
@@ -33,7 +33,7 @@
     /// Handles the requests.
     pub(super) control: Control,
     /// More client connections are open than [`crate::config::Config::busy_client_connections`].
-    pub(super) is_crowded: Rc<Cell<bool>>,
+    pub(super) is_busy: Rc<Cell<bool>>,
     /// The process is shutting down: each connection is closed after its next response.
     pub(super) is_shutting_down: Rc<Cell<bool>>,
 }
@@ -44,7 +44,7 @@
     pub(super) socket: Socket,
     pub(super) phase: Rc<Cell<Phase>>,
     /// Tells the task to close the connection, unless a request is arriving or open.
-    pub(super) close_request: Rc<Notify>,
+    pub(super) close_signal: Rc<Notify>,
     pub(super) metrics: Metrics,
 }
 
@@ -56,7 +56,7 @@
         }
         let socket = Socket::for_client(stream);
         let phase = Rc::new(Cell::new(Phase::AwaitingFirst(Instant::now())));
-        let close_request = Rc::new(Notify::new());
+        let close_signal = Rc::new(Notify::new());
         let metrics = shared.control.metrics();
         let service = RequestService {
             socket: socket.clone(),
@@ -67,7 +67,7 @@
         let task = ConnectionTask {
             socket: socket.clone(),
             phase: phase.clone(),
-            close_request: close_request.clone(),
+            close_signal: close_signal.clone(),
             metrics: metrics.clone(),
         };
         let task = spawn_local(task.run(service.serve()));
@@ -75,7 +75,7 @@
             task,
             socket,
             phase,
-            close_request,
+            close_signal,
             metrics,
         }
     }
@@ -127,25 +127,25 @@
         request: Request<Incoming>,
     ) -> impl Future<Output = Result<Response<TrackedBody>, Infallible>> {
         let number = self.request_count.replace(self.request_count.get() + 1);
-        let incoming = IncomingRequest {
+        let request_context = RequestContext {
             is_framing_ambiguous: self.socket.is_framing_ambiguous(number),
             read_deadline: self.phase.get().read_deadline(&self.socket),
             socket: self.socket.clone(),
         };
-        let open = OpenRequest::begin(&self.phase, &self.socket);
+        let open_request = OpenRequest::begin(&self.phase, &self.socket);
         let (shared, is_first) = (self.shared.clone(), number == 0);
         async move {
-            let mut response = service::respond(shared.control, request, incoming).await;
+            let mut response = service::respond(shared.control, request, request_context).await;
             // When the process is busy, a connection is closed after its first response:
             // connections that are idle after a single request would leave none for clients that do
             // reuse theirs. As the response announces the close, the client does not send another
             // request that crosses with it.
-            if shared.is_shutting_down.get() || is_first && shared.is_crowded.get() {
+            if shared.is_shutting_down.get() || is_first && shared.is_busy.get() {
                 response
                     .headers_mut()
                     .insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
-            Ok(response.map(|body| TrackedBody::new(body, open)))
+            Ok(response.map(|body| TrackedBody::new(body, open_request)))
         }
     }
 }
@@ -154,7 +154,7 @@
 struct ConnectionTask {
     socket: Socket,
     phase: Rc<Cell<Phase>>,
-    close_request: Rc<Notify>,
+    close_signal: Rc<Notify>,
     metrics: Metrics,
 }
 
@@ -164,7 +164,7 @@
             biased;
             // If the connection fails, the open request is dropped, which cancels it.
             _ = connection => {}
-            () = self.disconnected_while_open() => {
+            () = self.disconnected_while_request_open() => {
                 self.metrics.count().client_closed(ClientCloseReason::ClientDisconnected);
                 self.socket.close();
             }
@@ -181,11 +181,11 @@
     /// disconnect only after it has read everything that arrived before it, which it does not do
     /// while a request is open. While none is open, hyper reads on and is polled before this
     /// future, so a request that arrived before the disconnect is open by then.
-    async fn disconnected_while_open(&self) {
-        poll_fn(|context| self.poll_disconnected_while_open(context)).await
+    async fn disconnected_while_request_open(&self) {
+        poll_fn(|context| self.poll_disconnected_while_request_open(context)).await
     }
 
-    fn poll_disconnected_while_open(&self, context: &mut Context<'_>) -> Poll<()> {
+    fn poll_disconnected_while_request_open(&self, context: &mut Context<'_>) -> Poll<()> {
         ready!(self.socket.poll_disconnected(context));
         match self.phase.get() {
             Phase::Open => Poll::Ready(()),
@@ -197,8 +197,8 @@
     /// begun to arrive since.
     async fn timed_out(&self) {
         loop {
-            self.close_request.notified().await;
-            if !self.phase.get().is_receiving(&self.socket) {
+            self.close_signal.notified().await;
+            if !self.phase.get().has_request_in_progress(&self.socket) {
                 return;
             }
         }
--- a/proxy/src/downstream/eviction.rs
+++ b/proxy/src/downstream/eviction.rs
@@ -4,7 +4,7 @@
 
 use super::connection::ClientConnection;
 use super::phase::Phase;
-use super::timeouts::{WriteProgress, CROWDED_IDLE_TIMEOUT};
+use super::timeouts::{WriteProgress, IDLE_TIMEOUT_WHEN_BUSY};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -54,7 +54,7 @@
                 })
             }
             Phase::AwaitingFirst(since) if !has_read => (EvictionCost::Unused, since),
-            Phase::Idle(since) if now >= since + CROWDED_IDLE_TIMEOUT => {
+            Phase::Idle(since) if now >= since + IDLE_TIMEOUT_WHEN_BUSY => {
                 (EvictionCost::LongIdle, since)
             }
             Phase::Idle(since) if self.socket.read_count() <= 1 => {
@@ -66,14 +66,14 @@
             Phase::Idle(since) => (EvictionCost::Idle, since),
             Phase::Open => return None,
         };
-        let has_unread_request = self.has_unread_request();
-        let may_evict = now >= since + EVICTION_GRACE && !has_unread_request;
+        let may_have_unread_request = self.may_have_unread_request();
+        let may_evict = now >= since + EVICTION_GRACE && !may_have_unread_request;
         may_evict.then_some(EvictionRank { cost, since })
     }
 
     /// Whether there is unread input, which may be a complete request. A new connection can have
     /// some before its task has run for the first time.
-    fn has_unread_request(&self) -> bool {
+    fn may_have_unread_request(&self) -> bool {
         let awaits_request = matches!(self.phase.get(), Phase::AwaitingFirst(_) | Phase::Idle(_));
         awaits_request && !self.socket.has_no_unread_input()
     }
--- a/proxy/src/downstream/forward.rs
+++ b/proxy/src/downstream/forward.rs
@@ -1,6 +1,6 @@
 //! Forwards a client's request through [`crate::control`] and waits for its reply.
 
-use super::headers::end_to_end;
+use super::headers::remove_hop_by_hop;
 use super::request::{validate, RequestError, ValidRequest};
 use crate::body::{RequestBody, Upload};
 use crate::control::request::{ForwardedRequest, Reply, RequestDescriptor};
@@ -13,11 +13,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The part of the client's timeout that is reserved for returning the response to the client. It
-/// is also limited to a fraction of the timeout, because of a short timeout a fixed reserve would
-/// leave too little for the endpoint's response.
-const MAX_RETURN_TIME: Duration = Duration::from_millis(10);
-const MAX_RETURN_TIME_DIVISOR: u32 = 16;
+/// Maximum part of the client's timeout that is reserved for returning the response to the client.
+const MAX_RETURN_MARGIN: Duration = Duration::from_millis(10);
+/// The margin is at most the client's timeout divided by this: the full margin would leave too
+/// little of a short timeout for the endpoint's response.
+const RETURN_MARGIN_DIVISOR: u32 = 16;
 
 /// Forwards a valid request to the balancer and returns its reply, or an error if the request is
 /// invalid or its body does not arrive.
@@ -36,7 +36,7 @@
     if client.has_disconnected() {
         return Ok(control.reject(class));
     }
-    let budget = valid.timeout - MAX_RETURN_TIME.min(valid.timeout / MAX_RETURN_TIME_DIVISOR);
+    let budget = valid.timeout - MAX_RETURN_MARGIN.min(valid.timeout / RETURN_MARGIN_DIVISOR);
     let is_streamed = payload.upload().is_some();
     let forwarded = ForwardedRequest {
         method: head.method,
@@ -46,17 +46,17 @@
             .cloned()
             .map(Uri::from)
             .unwrap_or_default(),
-        headers: end_to_end(head.headers),
+        headers: remove_hop_by_hop(head.headers),
         payload,
         budget,
         client: client.clone(),
     };
-    let descriptor = describe(valid, deadline(upload, budget));
+    let descriptor = request_descriptor(valid, deadline(upload, budget));
     let mut pending = control
         .request(descriptor, forwarded)
         .ok_or(RequestError::DuplicateId)?;
     if is_streamed {
-        finish_streamed(control, &mut pending, upload, budget, class).await
+        streamed_reply(control, &mut pending, upload, budget, class).await
     } else {
         Ok(pending.reply().await)
     }
@@ -89,7 +89,7 @@
     }
 }
 
-fn describe(valid: ValidRequest, deadline: Instant) -> RequestDescriptor {
+fn request_descriptor(valid: ValidRequest, deadline: Instant) -> RequestDescriptor {
     let ValidRequest {
         id,
         class,
@@ -108,7 +108,7 @@
 
 /// Waits for the reply to a request whose body is still arriving, and passes on the time that is
 /// left to answer it once the body is complete.
-async fn finish_streamed(
+async fn streamed_reply(
     control: &Control,
     pending: &mut PendingReply,
     upload: &Upload,
--- a/proxy/src/downstream/headers.rs
+++ b/proxy/src/downstream/headers.rs
@@ -40,16 +40,20 @@
 }
 
 /// Removes the hop-by-hop headers, which must not be forwarded.
-pub(super) fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
+pub(super) fn remove_hop_by_hop(mut headers: HeaderMap) -> HeaderMap {
     let connection = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok());
-    let named = connection
+    let connection_options = connection
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_owned());
-    let named: Vec<String> = named.collect();
-    for name in named.iter().map(String::as_str).chain(HOP_BY_HOP) {
+    let connection_options: Vec<String> = connection_options.collect();
+    for name in connection_options
+        .iter()
+        .map(String::as_str)
+        .chain(HOP_BY_HOP)
+    {
         headers.remove(name);
     }
     headers
--- a/proxy/src/downstream/listener.rs
+++ b/proxy/src/downstream/listener.rs
@@ -14,7 +14,7 @@
 
 /// How long `accept` may fail without a success before [`accept_remaining`] abandons the
 /// connections that still wait to be accepted.
-const MAX_ACCEPT_FAILURE: Duration = Duration::from_secs(2);
+const ACCEPT_FAILURE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Delay before the next `accept` after an error, so that descriptors can become free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
@@ -26,11 +26,11 @@
 ) {
     let mut until = pin!(until);
     let mut sweeps = sweep_ticks();
-    let mut accept_from = Instant::now();
+    let mut next_accept_at = Instant::now();
     loop {
         let has_capacity = connections.ensure_capacity();
         let accepted = async {
-            sleep_until(accept_from).await;
+            sleep_until(next_accept_at).await;
             listener.accept().await
         };
         tokio::select! {
@@ -41,7 +41,7 @@
                     // that sent a request immediately from one that sends nothing.
                     yield_now().await;
                 }
-                Err(error) => accept_from = handle_failure(connections, &error),
+                Err(error) => next_accept_at = handle_accept_error(connections, &error),
             },
             _ = sweeps.tick() => connections.sweep(),
             () = &mut until => break,
@@ -66,10 +66,10 @@
             }
             Ok(Err(error)) => {
                 let since = *failing_since.get_or_insert_with(Instant::now);
-                if since.elapsed() >= MAX_ACCEPT_FAILURE {
+                if since.elapsed() >= ACCEPT_FAILURE_TIMEOUT {
                     return;
                 }
-                sleep_until(handle_failure(connections, &error)).await;
+                sleep_until(handle_accept_error(connections, &error)).await;
                 connections.sweep();
             }
             Err(_) => return,
@@ -80,7 +80,7 @@
 /// Handles an error of `accept` and returns when to accept again. If descriptors or memory are
 /// exhausted, evicts a connection. After a temporary error, such as an interruption by a signal or
 /// a connection that was closed before it was accepted, accepting continues without delay.
-fn handle_failure(connections: &mut ClientConnections, error: &io::Error) -> Instant {
+fn handle_accept_error(connections: &mut ClientConnections, error: &io::Error) -> Instant {
     match ErrorClass::of(error) {
         ErrorClass::Temporary => return Instant::now(),
         ErrorClass::ResourcesExhausted => {
--- a/proxy/src/downstream/open_request.rs
+++ b/proxy/src/downstream/open_request.rs
@@ -43,12 +43,15 @@
 /// A response body that keeps its request open until hyper drops the body.
 pub(super) struct TrackedBody {
     body: ResponseBody,
-    _open: OpenRequest,
+    _open_request: OpenRequest,
 }
 
 impl TrackedBody {
-    pub(super) fn new(body: ResponseBody, open: OpenRequest) -> TrackedBody {
-        TrackedBody { body, _open: open }
+    pub(super) fn new(body: ResponseBody, open_request: OpenRequest) -> TrackedBody {
+        TrackedBody {
+            body,
+            _open_request: open_request,
+        }
     }
 }
 
--- a/proxy/src/downstream/phase.rs
+++ b/proxy/src/downstream/phase.rs
@@ -28,7 +28,7 @@
 
 impl Phase {
     /// Whether a request is open or arriving and has not exceeded its read timeout.
-    pub(super) fn is_receiving(self, socket: &Socket) -> bool {
+    pub(super) fn has_request_in_progress(self, socket: &Socket) -> bool {
         match self {
             Phase::AwaitingFirst(since) | Phase::Receiving(since) => {
                 let has_input = || socket.read_count() > 0 || !socket.has_no_unread_input();
--- a/proxy/src/downstream/request.rs
+++ b/proxy/src/downstream/request.rs
@@ -74,7 +74,7 @@
     let class = single_value(&head.headers, headers::REQUEST_CLASS).ok_or(class_header)?;
     let class = index_of(&config.classes, class).ok_or(class_header)?;
     let class_config = config.settings.classes.get(class).ok_or(class_header)?;
-    check_form(head, body_length == Some(0), class_config.idempotency)?;
+    check_class_requirements(head, body_length == Some(0), class_config.idempotency)?;
     let timeout = timeout(&head.headers)?.min(Duration::from_micros(class_config.deadline));
     let tenant = single_value(&head.headers, headers::TENANT);
     let tenant = tenant
@@ -102,10 +102,14 @@
 
 /// Checks that the method, body and idempotency key fit the class. Endpoints see these and not the
 /// class: a request of a keyed class without its key would be executed again at each retry.
-fn check_form(head: &Parts, is_empty: bool, idempotency: Idempotency) -> Result<(), RequestError> {
+fn check_class_requirements(
+    head: &Parts,
+    is_body_empty: bool,
+    idempotency: Idempotency,
+) -> Result<(), RequestError> {
     let has_key = head.headers.contains_key(headers::IDEMPOTENCY_KEY);
     let fits = match idempotency {
-        Idempotency::Idempotent => head.method == Method::GET && is_empty && !has_key,
+        Idempotency::Idempotent => head.method == Method::GET && is_body_empty && !has_key,
         Idempotency::Keyed { .. } => {
             let key = single_value(&head.headers, headers::IDEMPOTENCY_KEY);
             if key.is_none_or(str::is_empty) {
--- a/proxy/src/downstream/response.rs
+++ b/proxy/src/downstream/response.rs
@@ -1,6 +1,6 @@
 //! Builds the responses that clients get.
 
-use super::headers::end_to_end;
+use super::headers::remove_hop_by_hop;
 use crate::body::ResponseBody;
 use hyper::body::Bytes;
 use hyper::header::{self, HeaderValue};
@@ -10,7 +10,7 @@
 /// An endpoint's response, without its hop-by-hop headers.
 pub(super) fn forwarded(response: Response<ResponseBody>) -> Response<ResponseBody> {
     let (mut head, body) = response.into_parts();
-    head.headers = end_to_end(head.headers);
+    head.headers = remove_hop_by_hop(head.headers);
     Response::from_parts(head, body)
 }
 
--- a/proxy/src/downstream/service.rs
+++ b/proxy/src/downstream/service.rs
@@ -20,7 +20,7 @@
 
 /// What is known of a request from the connection that it arrives on.
 #[derive(Clone, Debug)]
-pub(super) struct IncomingRequest {
+pub(super) struct RequestContext {
     /// The client's connection. It shows when the last byte of the request arrived: the client's
     /// timeout starts then, even if the request waits behind an earlier one on the connection.
     pub(super) socket: Socket,
@@ -37,24 +37,24 @@
 pub(super) async fn respond(
     control: Control,
     request: Request<Incoming>,
-    incoming: IncomingRequest,
+    request_context: RequestContext,
 ) -> Response<ResponseBody> {
-    let IncomingRequest {
+    let RequestContext {
         socket,
         read_deadline,
         is_framing_ambiguous,
-    } = incoming;
+    } = request_context;
     let (head, body) = request.into_parts();
     let upload = Rc::new(Upload::new(body, socket.clone(), read_deadline));
     let response = match head.uri.path() {
-        _ if is_framing_ambiguous => invalid(&control, RequestError::AmbiguousFraming),
+        _ if is_framing_ambiguous => invalid_request(&control, RequestError::AmbiguousFraming),
         HEALTH_PATH if control.is_ready() => empty(StatusCode::OK),
         HEALTH_PATH => empty(StatusCode::SERVICE_UNAVAILABLE),
         REQUEST_PATH => match forward(&control, head, &upload, &socket).await {
             Ok(Reply::Served(response)) => return forwarded(response),
             Ok(Reply::Rejected(retry_after)) => rejected(retry_after),
             Ok(Reply::Failed) => empty(StatusCode::BAD_GATEWAY),
-            Err(error) => invalid(&control, error),
+            Err(error) => invalid_request(&control, error),
         },
         _ => error_and_close(StatusCode::NOT_FOUND),
     };
@@ -65,7 +65,7 @@
 }
 
 /// Counts an invalid request and returns the response to it.
-fn invalid(control: &Control, error: RequestError) -> Response<ResponseBody> {
+fn invalid_request(control: &Control, error: RequestError) -> Response<ResponseBody> {
     control.count_invalid_request(error.status());
     error_and_close(error.status())
 }
--- a/proxy/src/downstream/tests.rs
+++ b/proxy/src/downstream/tests.rs
@@ -2,7 +2,7 @@
 use super::connection::ClientConnection;
 use super::eviction::EVICTION_GRACE;
 use super::phase::{Phase, REQUEST_READ_TIMEOUT};
-use super::timeouts::{IdleTimeouts, CROWDED_IDLE_TIMEOUT, IDLE_TIMEOUT, MAX_WRITE_STALL};
+use super::timeouts::{IdleTimeouts, IDLE_TIMEOUT, IDLE_TIMEOUT_WHEN_BUSY, WRITE_STALL_TIMEOUT};
 use crate::body::RequestBody;
 use crate::config::Config;
 use crate::control::request::{ForwardedRequest, Reply, RequestDescriptor};
@@ -39,7 +39,7 @@
         task: tokio::spawn(std::future::pending()),
         socket: Socket::for_client(stream),
         phase: Rc::new(Cell::new(phase)),
-        close_request: Rc::default(),
+        close_signal: Rc::default(),
         metrics: Metrics::default(),
     }
 }
@@ -93,7 +93,7 @@
     let (_client, stream) = tcp_pair().await;
     let connection = connection_in(Phase::Idle(Instant::now() - IDLE_TIMEOUT), stream);
     let timeouts = IdleTimeouts {
-        after_request: CROWDED_IDLE_TIMEOUT,
+        after_request: IDLE_TIMEOUT_WHEN_BUSY,
         before_first_byte: REQUEST_READ_TIMEOUT,
     };
     let now = Instant::now();
@@ -106,9 +106,9 @@
     {}
     let now = Instant::now();
     assert!(!connection.is_timed_out(now, timeouts) && connection.eviction_rank(now).is_none());
-    assert!(connection.check(Instant::now(), timeouts));
+    assert!(connection.check_timeouts(Instant::now(), timeouts));
     assert!(
-        !connection.check(Instant::now() + MAX_WRITE_STALL, timeouts),
+        !connection.check_timeouts(Instant::now() + WRITE_STALL_TIMEOUT, timeouts),
         "a stalled connection is closed"
     );
 }
@@ -183,13 +183,13 @@
 ) {
     yield_now().await;
     if order == CloseOrder::BeforeArrival {
-        connection.close_request.notify_one();
+        connection.close_signal.notify_one();
     }
     for part in parts {
         send(client, part);
         yield_now().await;
         if order == CloseOrder::OnArrival {
-            connection.close_request.notify_one();
+            connection.close_signal.notify_one();
         }
         yield_now().await;
         yield_now().await;
@@ -224,7 +224,7 @@
             }
             // Without any input, the signal closes the connection.
             let connection = connections.open.pop().expect("the connection");
-            connection.close_request.notify_one();
+            connection.close_signal.notify_one();
             assert_eq!(client.read(&mut [0]).await.expect("end of stream"), 0);
         }
     })
--- a/proxy/src/downstream/timeouts.rs
+++ b/proxy/src/downstream/timeouts.rs
@@ -15,11 +15,11 @@
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long an idle connection is kept while many connections are open, so that clients that need a
 /// new connection get one without delay.
-pub(super) const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+pub(super) const IDLE_TIMEOUT_WHEN_BUSY: Duration = Duration::from_secs(2);
 /// How long a socket may be unwritable before its client counts as stalled. The kernel reports a
 /// socket writable only when a third of its send buffer is free, which can take a slow client a
 /// while.
-pub(super) const MAX_WRITE_STALL: Duration = Duration::from_secs(60);
+pub(super) const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How long connections stay open while no request arrives.
 #[derive(Clone, Copy, Debug)]
@@ -32,10 +32,10 @@
 
 impl IdleTimeouts {
     /// The timeouts while the proxy is not shutting down.
-    pub(super) fn serving(is_crowded: bool) -> IdleTimeouts {
+    pub(super) fn serving(is_busy: bool) -> IdleTimeouts {
         IdleTimeouts {
-            after_request: if is_crowded {
-                CROWDED_IDLE_TIMEOUT
+            after_request: if is_busy {
+                IDLE_TIMEOUT_WHEN_BUSY
             } else {
                 IDLE_TIMEOUT
             },
@@ -52,7 +52,7 @@
     /// A write waits for the socket to become writable. hyper may already have been given the
     /// complete response.
     Blocked,
-    /// A write has waited for [`MAX_WRITE_STALL`] or longer.
+    /// A write has waited for [`WRITE_STALL_TIMEOUT`] or longer.
     Stalled,
 }
 
@@ -60,7 +60,7 @@
     pub(super) fn write_progress(&self, now: Instant) -> WriteProgress {
         match self.socket.write_blocked_since() {
             None => WriteProgress::Unblocked,
-            Some(since) if now >= since + MAX_WRITE_STALL => WriteProgress::Stalled,
+            Some(since) if now >= since + WRITE_STALL_TIMEOUT => WriteProgress::Stalled,
             Some(_) => WriteProgress::Blocked,
         }
     }
@@ -90,7 +90,7 @@
     /// Closes the connection if it is stalled or its client has disconnected, signals its task to
     /// close it if it has timed out, and updates its phase if a request has begun to arrive.
     /// Returns false if the connection had already ended or was closed for a stall.
-    pub(super) fn check(&self, now: Instant, timeouts: IdleTimeouts) -> bool {
+    pub(super) fn check_timeouts(&self, now: Instant, timeouts: IdleTimeouts) -> bool {
         if self.task.is_finished() {
             return false;
         }
@@ -108,7 +108,7 @@
             Phase::Idle(since) if self.socket.last_read_at() > since => {
                 self.phase.set(Phase::Receiving(self.socket.last_read_at()));
             }
-            _ if self.is_timed_out(now, timeouts) => self.close_request.notify_one(),
+            _ if self.is_timed_out(now, timeouts) => self.close_signal.notify_one(),
             _ => {}
         }
         true
--- a/proxy/src/socket/framing.rs
+++ b/proxy/src/socket/framing.rs
@@ -25,7 +25,7 @@
     /// A line after the last chunk.
     Trailer,
     /// The start of the next message cannot be determined, so further input is ignored.
-    Lost,
+    Unknown,
 }
 
 /// What the lines of the current head that have been parsed say about the message body.
@@ -34,9 +34,9 @@
     /// The request line has been parsed; empty lines before it are ignored.
     has_begun: bool,
     /// The values of the `Content-Length` fields; `None` for an invalid value.
-    lengths: Vec<Option<u64>>,
+    content_lengths: Vec<Option<u64>>,
     /// For each `Transfer-Encoding` field, whether its value is exactly `chunked`.
-    codings: Vec<bool>,
+    transfer_codings: Vec<bool>,
 }
 
 /// Parser for the boundaries of the messages on one connection.
@@ -65,12 +65,12 @@
     }
 
     /// Parses input that has arrived, which may begin and end anywhere in a message.
-    pub(super) fn read(&mut self, mut bytes: &[u8]) {
+    pub(super) fn parse(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let consumed = match self.state {
-                State::Lost => return,
+                State::Unknown => return,
                 State::Body(remaining) => {
-                    let count = clamp_to(bytes, remaining);
+                    let count = prefix_len(bytes, remaining);
                     self.state = match remaining - count as u64 {
                         0 => State::Head,
                         remaining => State::Body(remaining),
@@ -78,7 +78,7 @@
                     count
                 }
                 State::Chunk(remaining) => {
-                    let count = clamp_to(bytes, remaining);
+                    let count = prefix_len(bytes, remaining);
                     self.state = match remaining - count as u64 {
                         0 => State::ChunkEnd,
                         remaining => State::Chunk(remaining),
@@ -86,7 +86,7 @@
                     count
                 }
                 State::Head | State::ChunkSize | State::ChunkEnd | State::Trailer => {
-                    self.read_line(bytes)
+                    self.parse_line(bytes)
                 }
             };
             bytes = &bytes[consumed..];
@@ -95,7 +95,7 @@
 
     /// Parses up to and including the next line end, or all bytes if there is none. Returns the
     /// number of bytes consumed.
-    fn read_line(&mut self, bytes: &[u8]) -> usize {
+    fn parse_line(&mut self, bytes: &[u8]) -> usize {
         let end = bytes.iter().position(|&byte| byte == b'\n');
         let part = &bytes[..end.unwrap_or(bytes.len())];
         let free = MAX_LINE_BYTES - self.line.len();
@@ -108,13 +108,13 @@
 
     fn end_line(&mut self, line: &[u8]) {
         match self.state {
-            State::Head if !line.is_empty() => self.head.read_line(line),
+            State::Head if !line.is_empty() => self.head.parse_line(line),
             State::Head if self.head.has_begun => self.end_head(),
             State::ChunkSize => {
                 self.state = match parse_chunk_size(line) {
                     Some(0) => State::Trailer,
                     Some(size) => State::Chunk(size),
-                    None => State::Lost,
+                    None => State::Unknown,
                 }
             }
             State::ChunkEnd => self.state = State::ChunkSize,
@@ -125,13 +125,13 @@
 
     fn end_head(&mut self) {
         let head = std::mem::take(&mut self.head);
-        self.state = match (&head.lengths[..], &head.codings[..]) {
+        self.state = match (&head.content_lengths[..], &head.transfer_codings[..]) {
             ([] | [Some(0)], []) => State::Head,
             ([Some(length)], []) => State::Body(*length),
             ([], [true]) => State::ChunkSize,
             _ => {
                 self.first_ambiguous = Some(self.complete_heads);
-                State::Lost
+                State::Unknown
             }
         };
         self.complete_heads += 1;
@@ -139,7 +139,7 @@
 }
 
 impl HeadFraming {
-    fn read_line(&mut self, line: &[u8]) {
+    fn parse_line(&mut self, line: &[u8]) {
         if !self.has_begun {
             self.has_begun = true;
             return;
@@ -151,13 +151,14 @@
         let (name, value) = line.split_at(colon);
         let value = value.strip_prefix(b":").unwrap_or(value).trim_ascii();
         if name.eq_ignore_ascii_case(b"content-length") {
-            self.lengths.push(
+            self.content_lengths.push(
                 std::str::from_utf8(value)
                     .ok()
                     .and_then(|digits| digits.parse().ok()),
             );
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            self.codings.push(value.eq_ignore_ascii_case(b"chunked"));
+            self.transfer_codings
+                .push(value.eq_ignore_ascii_case(b"chunked"));
         }
     }
 }
@@ -172,7 +173,7 @@
 }
 
 /// The number of leading bytes that belong to a part with `remaining` bytes still to arrive.
-fn clamp_to(bytes: &[u8], remaining: u64) -> usize {
+fn prefix_len(bytes: &[u8], remaining: u64) -> usize {
     usize::try_from(remaining)
         .unwrap_or(usize::MAX)
         .min(bytes.len())
--- a/proxy/src/socket/framing/tests.rs
+++ b/proxy/src/socket/framing/tests.rs
@@ -11,7 +11,7 @@
 fn first_ambiguous(text: &str, piece_size: usize) -> Option<u64> {
     let mut framing = Framing::default();
     for piece in text.as_bytes().chunks(piece_size) {
-        framing.read(piece);
+        framing.parse(piece);
     }
     framing.first_ambiguous
 }
@@ -28,9 +28,9 @@
     }
     for message in UNAMBIGUOUS {
         let mut framing = Framing::default();
-        framing.read(&message.as_bytes()[..message.len() - 1]);
+        framing.parse(&message.as_bytes()[..message.len() - 1]);
         assert!(!framing.is_between_messages(), "{message}");
-        framing.read(b"\n");
+        framing.parse(b"\n");
         assert!(framing.is_between_messages(), "{message}");
     }
 }
@@ -68,6 +68,6 @@
         );
     }
     let mut framing = Framing::default();
-    framing.read(text.as_bytes());
+    framing.parse(text.as_bytes());
     assert!((0..6).all(|number| framing.is_ambiguous(number)));
 }
--- a/proxy/src/socket/mod.rs
+++ b/proxy/src/socket/mod.rs
@@ -95,7 +95,7 @@
     /// [`Socket::poll_disconnected`] reports when the client disconnects.
     pub fn for_client(stream: TcpStream) -> Socket {
         let stream = Rc::new(stream);
-        let disconnected = stream::read_closed(stream.clone());
+        let disconnected = stream::wait_read_closed(stream.clone());
         Socket::wrap(
             stream,
             Some(RefCell::default()),
--- a/proxy/src/socket/read.rs
+++ b/proxy/src/socket/read.rs
@@ -85,7 +85,7 @@
     let mut chunk = ReadBuf::uninit(&mut bytes[..size]);
     ready!(poll_receive(stream, context, &mut chunk))?;
     if let Some(framing) = framing {
-        framing.borrow_mut().read(chunk.filled());
+        framing.borrow_mut().parse(chunk.filled());
     }
     buffer.put_slice(chunk.filled());
     Poll::Ready(Ok(()))
--- a/proxy/src/socket/stream.rs
+++ b/proxy/src/socket/stream.rs
@@ -83,7 +83,7 @@
 /// readiness would not work: it stays set while earlier input is unread, so the end would go
 /// unnoticed. Priority readiness is signalled only at the end, as the stream is not registered for
 /// priority data.
-pub(super) async fn read_closed(stream: Rc<TcpStream>) {
+pub(super) async fn wait_read_closed(stream: Rc<TcpStream>) {
     while stream
         .ready(Interest::PRIORITY)
         .await
