--- a/proxy/src/downstream/tests.rs
+++ b/proxy/src/downstream/tests.rs
@@ -34,7 +34,7 @@
 }
 
 /// A client connection in this phase whose task neither reads nor writes.
-fn connection_in(phase: Phase, stream: TcpStream) -> ClientConnection {
+fn connection_in_phase(phase: Phase, stream: TcpStream) -> ClientConnection {
     ClientConnection {
         task: tokio::spawn(std::future::pending()),
         socket: Socket::for_client(stream),
@@ -45,7 +45,7 @@
 }
 
 /// An endpoint that listens but never accepts, and a configuration that lists it.
-async fn silent_endpoint() -> (TcpListener, Rc<Config>) {
+async fn non_accepting_endpoint() -> (TcpListener, Rc<Config>) {
     let endpoint = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let dial = endpoint.local_addr().expect("an address");
     let entry = format!(r#"{{"host":"s-0","dial":"{dial}","health":"Ready"}}"#);
@@ -89,9 +89,9 @@
 /// hyper may have consumed the end of a response long before the client has read it. Closing the
 /// connection at that point would truncate the response.
 #[tokio::test]
-async fn a_client_that_has_not_taken_its_response_is_not_idle() {
+async fn a_connection_with_unsent_response_data_is_kept_until_the_write_stall_timeout() {
     let (_client, stream) = tcp_pair().await;
-    let connection = connection_in(Phase::Idle(Instant::now() - IDLE_TIMEOUT), stream);
+    let connection = connection_in_phase(Phase::Idle(Instant::now() - IDLE_TIMEOUT), stream);
     let timeouts = IdleTimeouts {
         after_request: IDLE_TIMEOUT_WHEN_BUSY,
         before_first_byte: REQUEST_READ_TIMEOUT,
@@ -119,7 +119,7 @@
 async fn a_new_client_whose_request_is_unread_is_not_evicted() {
     let (client, stream) = tcp_pair().await;
     let now = Instant::now();
-    let connection = connection_in(Phase::AwaitingFirst(now - EVICTION_GRACE), stream);
+    let connection = connection_in_phase(Phase::AwaitingFirst(now - EVICTION_GRACE), stream);
     assert!(
         connection.eviction_rank(now).is_some(),
         "a client that has sent nothing may be evicted"
@@ -134,8 +134,8 @@
 /// The balancer may start an attempt in the same event loop turn in which the client's disconnect
 /// is detected. The proxy must then not even connect to the endpoint.
 #[tokio::test]
-async fn no_connection_is_opened_for_a_client_that_has_disconnected() {
-    let (endpoint, config) = silent_endpoint().await;
+async fn no_endpoint_connection_is_opened_for_a_client_that_has_disconnected() {
+    let (endpoint, config) = non_accepting_endpoint().await;
     let test = async {
         let (client, stream) = tcp_pair().await;
         let socket = Socket::for_client(stream);
@@ -166,7 +166,7 @@
 
 /// Whether the signal to close a connection comes before or after the parts of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum CloseOrder {
+enum CloseTiming {
     /// The connection is signalled to close before any part of the request arrives.
     BeforeArrival,
     /// The connection is signalled to close right after each part has arrived.
@@ -175,20 +175,20 @@
 
 /// Sends a health check in these parts, signals the connection to close meanwhile, and checks that
 /// the client gets its response.
-async fn request_crossing_a_close(
+async fn check_response_despite_close_signal(
     client: &mut TcpStream,
     connection: &ClientConnection,
     parts: [&str; 2],
-    order: CloseOrder,
+    close_timing: CloseTiming,
 ) {
     yield_now().await;
-    if order == CloseOrder::BeforeArrival {
+    if close_timing == CloseTiming::BeforeArrival {
         connection.close_signal.notify_one();
     }
     for part in parts {
         send(client, part);
         yield_now().await;
-        if order == CloseOrder::OnArrival {
+        if close_timing == CloseTiming::OnArrival {
             connection.close_signal.notify_one();
         }
         yield_now().await;
@@ -206,7 +206,7 @@
 /// and before the connection's task runs. Closing the connection then would lose the request.
 #[tokio::test]
 async fn a_request_that_arrives_as_its_connection_times_out_gets_its_response() {
-    let (_endpoint, config) = silent_endpoint().await;
+    let (_endpoint, config) = non_accepting_endpoint().await;
     run_local(async {
         let mut connections = ClientConnections::new(Control::start(config));
         let in_one_part = ["GET /_health HTTP/1.1\r\n\r\n", ""];
@@ -215,12 +215,18 @@
             let (mut client, stream) = tcp_pair().await;
             connections.add(stream);
             // The first request arrives on a new connection, the others on an idle one.
-            for order in [
-                CloseOrder::BeforeArrival,
-                CloseOrder::BeforeArrival,
-                CloseOrder::OnArrival,
+            for close_timing in [
+                CloseTiming::BeforeArrival,
+                CloseTiming::BeforeArrival,
+                CloseTiming::OnArrival,
             ] {
-                request_crossing_a_close(&mut client, &connections.open[0], parts, order).await;
+                check_response_despite_close_signal(
+                    &mut client,
+                    &connections.open[0],
+                    parts,
+                    close_timing,
+                )
+                .await;
             }
             // Without any input, the signal closes the connection.
             let connection = connections.open.pop().expect("the connection");
@@ -232,7 +238,7 @@
 }
 
 /// Waits until a field of the JSON metrics has this value.
-async fn wait_for_figure(control: &Control, name: &str, value: u64) {
+async fn wait_for_metric(control: &Control, name: &str, value: u64) {
     while control.metrics_json()[name] != value {
         yield_now().await;
     }
@@ -242,35 +248,40 @@
 /// does not detect it, because it does not read past the part of the next request that follows the
 /// open one.
 #[tokio::test]
-async fn a_client_that_disconnects_while_its_request_is_open_is_seen_without_a_sweep() {
-    let (_endpoint, config) = silent_endpoint().await;
+async fn a_client_disconnect_during_an_open_request_is_detected_without_a_sweep() {
+    let (_endpoint, config) = non_accepting_endpoint().await;
     run_local(async {
         let control = Control::start(config);
         let mut connections = ClientConnections::new(control.clone());
-        let mut sent = 0;
-        for (is_sent, by_reset) in [(false, false), (false, true), (true, false), (true, true)] {
+        let mut attempts_sent = 0;
+        for (is_attempt_sent, by_reset) in [
+            (false, false),
+            (false, true),
+            (true, false),
+            (true, true),
+        ] {
             let (client, stream) = tcp_pair().await;
             connections.add(stream);
             let request = format!(
-                "GET /api HTTP/1.1\r\nX-Call-Id: {is_sent}{by_reset}\r\nX-Call-Class: free\r\nX-Budget-Ms: 8000\r\n\r\nGET /"
+                "GET /api HTTP/1.1\r\nX-Call-Id: {is_attempt_sent}{by_reset}\r\nX-Call-Class: free\r\nX-Budget-Ms: 8000\r\n\r\nGET /"
             );
             send(&client, &request);
-            wait_for_figure(&control, "pending", 1).await;
+            wait_for_metric(&control, "pending", 1).await;
             // The client's presence is checked before an attempt is sent, not after. The endpoint
             // is used again, as a client's disconnect is not its fault.
-            sent += u64::from(is_sent);
-            wait_for_figure(&control, "upstream_requests", sent).await;
+            attempts_sent += u64::from(is_attempt_sent);
+            wait_for_metric(&control, "upstream_requests", attempts_sent).await;
             if by_reset {
                 client.set_zero_linger().expect("no linger");
             }
             drop(client);
-            wait_for_figure(&control, "pending", 0).await;
+            wait_for_metric(&control, "pending", 0).await;
             let connection = connections.open.pop();
             assert!(
                 connection.is_some_and(|connection| connection.socket.is_known_disconnected()),
                 "the connection is closed"
             );
-            assert_eq!(control.metrics_json()["upstream_requests"], sent);
+            assert_eq!(control.metrics_json()["upstream_requests"], attempts_sent);
         }
     })
     .await;
--- a/proxy/src/socket/framing/tests.rs
+++ b/proxy/src/socket/framing/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn an_unambiguous_message_is_recognized_however_it_is_split() {
+fn unambiguous_messages_are_recognized_however_the_input_is_split() {
     let text = UNAMBIGUOUS.concat();
     for piece_size in 1..=text.len() {
         assert_eq!(
@@ -36,9 +36,9 @@
 }
 
 #[test]
-fn the_first_ambiguous_head_is_found_behind_unambiguous_messages() {
+fn the_first_ambiguous_message_is_found_after_unambiguous_ones() {
     let (length, chunked) = ("Content-Length: 5\r\n", "Transfer-Encoding: chunked\r\n");
-    let long = format!("Content-Length: {}5\r\n", " ".repeat(300));
+    let long_line = format!("Content-Length: {}5\r\n", " ".repeat(300));
     for headers in [
         format!("{length}{chunked}"),
         format!("{chunked}{length}"),
@@ -46,7 +46,7 @@
         format!("{chunked}{chunked}"),
         "Content-Length: 5, 5\r\n".to_owned(),
         "Transfer-Encoding: gzip, chunked\r\n".to_owned(),
-        long,
+        long_line,
     ] {
         let text = format!("{}POST / HTTP/1.1\r\n{headers}\r\n", UNAMBIGUOUS.concat());
         for piece_size in 1..=text.len() {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn every_message_behind_an_ambiguous_one_is_ambiguous() {
+fn every_message_after_an_ambiguous_one_is_ambiguous() {
     let ambiguous = "POST / HTTP/1.1\r\nContent-Length: 0\r\nContent-Length: 0\r\n\r\n";
     let text = [ambiguous, &UNAMBIGUOUS.concat(), ambiguous].concat();
     for piece_size in 1..=text.len() {
--- a/proxy/src/socket/tests.rs
+++ b/proxy/src/socket/tests.rs
@@ -14,11 +14,11 @@
 /// Opens a loopback connection and returns the end under test and its peer.
 fn tcp_pair() -> (TcpStream, std::net::TcpStream) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let near = std::net::TcpStream::connect(listener.local_addr().expect("an address"))
+    let local = std::net::TcpStream::connect(listener.local_addr().expect("an address"))
         .expect("connected");
     let (peer, _) = listener.accept().expect("accepted");
-    near.set_nonblocking(true).expect("nonblocking");
-    (TcpStream::from_std(near).expect("a stream"), peer)
+    local.set_nonblocking(true).expect("nonblocking");
+    (TcpStream::from_std(local).expect("a stream"), peer)
 }
 
 fn endpoint_pair() -> (Socket, std::net::TcpStream) {
@@ -67,7 +67,7 @@
 /// Bytes may arrive after a response, when the connection is idle and no task reads. If they went
 /// undetected, they would be taken for the next response.
 #[tokio::test]
-async fn unread_input_is_seen_without_polling_a_read() {
+async fn unread_input_is_detected_without_a_read() {
     let (socket, mut peer) = endpoint_pair();
     assert!(socket.has_no_unread_input());
     peer.write_all(b"x").expect("written");
@@ -105,7 +105,7 @@
 /// Unread input must prevent only the start of a request. The endpoint may send an interim response
 /// while the rest of the request is written.
 #[tokio::test]
-async fn input_that_arrives_during_a_request_does_not_deny_the_rest() {
+async fn input_that_arrives_after_the_first_byte_does_not_stop_the_rest_of_the_request() {
     let ((mut socket, mut peer), write_guard) = (endpoint_pair(), WriteGuard::default());
     socket.set_write_guard(&write_guard);
     socket.forbid_write_on_unread_input();
@@ -123,7 +123,7 @@
 /// The start window is checked when the first byte is written. An attempt that started in time is
 /// written completely.
 #[tokio::test]
-async fn an_attempt_begins_in_its_start_window_or_not_at_all() {
+async fn an_attempt_cannot_start_after_its_start_window_but_can_finish() {
     let (client, _peer) = endpoint_pair();
     for (before, written) in [(0, 0), (2, 4)] {
         let ((mut socket, _peer), write_guard) =
@@ -141,7 +141,7 @@
 /// A request that broke off on one connection is written again on another. The bytes that the first
 /// connection took must not make the request count as written on the second.
 #[tokio::test]
-async fn an_attempt_is_not_complete_by_what_another_connection_took() {
+async fn bytes_written_on_another_connection_do_not_make_an_attempt_fully_written() {
     let ((mut first, _peer), (mut second, _other)) = (endpoint_pair(), endpoint_pair());
     let write_guard = WriteGuard::default();
     first.set_write_guard(&write_guard);
@@ -158,7 +158,7 @@
 /// hyper does not read input that arrives while a request is in flight. The task that waits for a
 /// disconnect must be woken by the end of the connection, but not by the unread bytes before it.
 #[tokio::test]
-async fn a_disconnect_behind_unread_bytes_wakes_the_waiting_task_once() {
+async fn a_disconnect_wakes_the_waiting_task_once_and_unread_bytes_before_it_do_not() {
     let test = async {
         for (by_reset, unread) in [(false, 0), (false, 9), (true, 0), (true, 9)] {
             let ((socket, mut peer), polls) = (client_pair(), Rc::new(Cell::new(0)));
@@ -193,7 +193,7 @@
 /// Whether the client is connected is checked when the first byte of an attempt is written. An
 /// attempt that has started continues.
 #[tokio::test]
-async fn no_attempt_begins_for_a_client_that_has_disconnected() {
+async fn no_attempt_starts_for_a_disconnected_client_but_a_started_one_continues() {
     for by_reset in [false, true] {
         for has_begun in [false, true] {
             let ((client, peer), (mut endpoint, _peer)) = (client_pair(), endpoint_pair());
