--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -1,8 +1,8 @@
-//! One client's connection: the task that serves its requests, and the ways in which it is closed.
+//! One client connection: the task that serves its requests, and how the connection is closed.
 
 use super::open_request::{OpenRequest, TrackedBody};
 use super::phase::Phase;
-use super::service::{self, IncomingRequest};
+use super::service::{self, RequestContext};
 use crate::control::Control;
 use crate::log;
 use crate::message_limits::MAX_HEAD_BYTES;
@@ -24,39 +24,39 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::Instant;
 
-/// How long the peer's end is waited for after this side's.
+/// How long a lingering close waits for the client to end its sending.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What all client connections share.
+/// State that all client connections share.
 #[derive(Clone)]
 pub(super) struct SharedState {
-    /// Takes the requests.
+    /// Handles the requests.
     pub(super) control: Control,
-    /// More connections are open than may stay idle.
-    pub(super) is_crowded: Rc<Cell<bool>>,
-    /// The process is shutting down: each connection ends with its next response.
+    /// More client connections are open than [`crate::config::Config::busy_client_connections`].
+    pub(super) is_busy: Rc<Cell<bool>>,
+    /// The process is shutting down: each connection is closed after its next response.
     pub(super) is_shutting_down: Rc<Cell<bool>>,
 }
 
-/// A client's connection, as its owner sees it.
+/// A client connection as `ClientConnections` keeps it.
 pub(super) struct ClientConnection {
     pub(super) task: JoinHandle<()>,
     pub(super) socket: Socket,
     pub(super) phase: Rc<Cell<Phase>>,
-    /// Requests its task to close it, unless a request is arriving.
-    pub(super) close_request: Rc<Notify>,
+    /// Tells the task to close the connection, unless a request is arriving or open.
+    pub(super) close_signal: Rc<Notify>,
     pub(super) metrics: Metrics,
 }
 
 impl ClientConnection {
-    /// Serves the requests on this stream in a task of its own.
+    /// Spawns a task that serves the requests on this stream.
     pub(super) fn start(stream: TcpStream, shared: &SharedState) -> ClientConnection {
         if let Err(error) = stream.set_nodelay(true) {
             log::line(&format!("cannot set TCP_NODELAY for a client: {error}"));
         }
         let socket = Socket::for_client(stream);
         let phase = Rc::new(Cell::new(Phase::AwaitingFirst(Instant::now())));
-        let close_request = Rc::new(Notify::new());
+        let close_signal = Rc::new(Notify::new());
         let metrics = shared.control.metrics();
         let service = RequestService {
             socket: socket.clone(),
@@ -67,7 +67,7 @@
         let task = ConnectionTask {
             socket: socket.clone(),
             phase: phase.clone(),
-            close_request: close_request.clone(),
+            close_signal: close_signal.clone(),
             metrics: metrics.clone(),
         };
         let task = spawn_local(task.run(service.serve()));
@@ -75,12 +75,12 @@
             task,
             socket,
             phase,
-            close_request,
+            close_signal,
             metrics,
         }
     }
 
-    /// Closes it at once; its descriptor is free when this returns.
+    /// Closes the connection immediately. Its descriptor is free when this returns.
     pub(super) fn close(&self, reason: ClientCloseReason) {
         self.metrics.count().client_closed(reason);
         let phase = self.phase.get();
@@ -92,17 +92,17 @@
                 .count()
                 .violation(Violation::ClosedWithoutReply);
             log::line(&format!(
-                "invariant violated: a connection with an open request was closed: {reason:?}"
+                "invariant violated: a client connection was closed before its open request was answered: {reason:?}"
             ));
         }
-        // The socket first: its descriptor must be free now, and the aborted task is dropped only
-        // later.
+        // Closes the socket explicitly: the aborted task is dropped later, and would keep the
+        // descriptor until then.
         self.socket.close();
         self.task.abort();
     }
 }
 
-/// Responds to the requests of one connection.
+/// The HTTP service that responds to the requests of one connection.
 struct RequestService {
     socket: Socket,
     phase: Rc<Cell<Phase>>,
@@ -111,8 +111,8 @@
 }
 
 impl RequestService {
-    /// Serves the connection until it ends. It has no timeouts: all are the owner's, so that no
-    /// client gets more time by being slow in several ways.
+    /// Serves the connection until it ends. hyper's own timeouts are disabled. `ClientConnections`
+    /// enforces all timeouts, so that a client that is slow in several ways gets no extra time.
     fn serve(self) -> impl Future<Output = hyper::Result<()>> {
         let socket = self.socket.clone();
         hyper::server::conn::http1::Builder::new()
@@ -127,23 +127,25 @@
         request: Request<Incoming>,
     ) -> impl Future<Output = Result<Response<TrackedBody>, Infallible>> {
         let number = self.request_count.replace(self.request_count.get() + 1);
-        let incoming = IncomingRequest {
+        let request_context = RequestContext {
             is_framing_ambiguous: self.socket.is_framing_ambiguous(number),
             read_deadline: self.phase.get().read_deadline(&self.socket),
             socket: self.socket.clone(),
         };
-        let open = OpenRequest::begin(&self.phase, &self.socket);
+        let open_request = OpenRequest::begin(&self.phase, &self.socket);
         let (shared, is_first) = (self.shared.clone(), number == 0);
         async move {
-            let mut response = service::respond(shared.control, request, incoming).await;
-            // Idle connections after a single request leave none for clients that reuse theirs. A
-            // close that a response announces does not cross a further request.
-            if shared.is_shutting_down.get() || is_first && shared.is_crowded.get() {
+            let mut response = service::respond(shared.control, request, request_context).await;
+            // When the process is busy, a connection is closed after its first response:
+            // connections that are idle after a single request would leave none for clients that do
+            // reuse theirs. As the response announces the close, the client does not send another
+            // request that crosses with it.
+            if shared.is_shutting_down.get() || is_first && shared.is_busy.get() {
                 response
                     .headers_mut()
                     .insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
-            Ok(response.map(|body| TrackedBody::new(body, open)))
+            Ok(response.map(|body| TrackedBody::new(body, open_request)))
         }
     }
 }
@@ -152,7 +154,7 @@
 struct ConnectionTask {
     socket: Socket,
     phase: Rc<Cell<Phase>>,
-    close_request: Rc<Notify>,
+    close_signal: Rc<Notify>,
     metrics: Metrics,
 }
 
@@ -160,9 +162,9 @@
     async fn run(self, connection: impl Future<Output = hyper::Result<()>>) {
         tokio::select! {
             biased;
-            // A failure drops the open request, which cancels it.
+            // If the connection fails, the open request is dropped, which cancels it.
             _ = connection => {}
-            () = self.disconnected_while_open() => {
+            () = self.disconnected_while_request_open() => {
                 self.metrics.count().client_closed(ClientCloseReason::ClientDisconnected);
                 self.socket.close();
             }
@@ -175,14 +177,15 @@
         self.socket.lingering_close(LINGER_TIMEOUT).await;
     }
 
-    /// Completes when the client has disconnected while a request is open. hyper sees that only
-    /// where it has read all that arrived before; while no request is open it reads on, and what
-    /// begins a request is served before this is polled.
-    async fn disconnected_while_open(&self) {
-        poll_fn(|context| self.poll_disconnected_while_open(context)).await
+    /// Completes when the client has disconnected while a request is open. hyper detects a
+    /// disconnect only after it has read everything that arrived before it, which it does not do
+    /// while a request is open. While none is open, hyper reads on and is polled before this
+    /// future, so a request that arrived before the disconnect is open by then.
+    async fn disconnected_while_request_open(&self) {
+        poll_fn(|context| self.poll_disconnected_while_request_open(context)).await
     }
 
-    fn poll_disconnected_while_open(&self, context: &mut Context<'_>) -> Poll<()> {
+    fn poll_disconnected_while_request_open(&self, context: &mut Context<'_>) -> Poll<()> {
         ready!(self.socket.poll_disconnected(context));
         match self.phase.get() {
             Phase::Open => Poll::Ready(()),
@@ -190,12 +193,12 @@
         }
     }
 
-    /// Completes when the owner has found this connection's time to be over, and no request has
-    /// arrived since.
+    /// Completes when the sweep has found this connection to have timed out, unless a request has
+    /// begun to arrive since.
     async fn timed_out(&self) {
         loop {
-            self.close_request.notified().await;
-            if !self.phase.get().is_receiving(&self.socket) {
+            self.close_signal.notified().await;
+            if !self.phase.get().has_request_in_progress(&self.socket) {
                 return;
             }
         }
--- a/proxy/src/socket/framing/tests.rs
+++ b/proxy/src/socket/framing/tests.rs
@@ -7,17 +7,17 @@
     "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5;x=1\r\n\r\nabc\r\nA \r\n0123456789\r\n0\r\nT: 1\r\n\r\n",
 ];
 
-/// The number of the first ambiguous message of a text that is read in pieces of this size.
+/// The number of the first ambiguous message in `text` when it is parsed in pieces of this size.
 fn first_ambiguous(text: &str, piece_size: usize) -> Option<u64> {
     let mut framing = Framing::default();
     for piece in text.as_bytes().chunks(piece_size) {
-        framing.read(piece);
+        framing.parse(piece);
     }
     framing.first_ambiguous
 }
 
 #[test]
-fn an_unambiguous_message_is_recognized_however_it_is_split() {
+fn unambiguous_messages_are_recognized_however_the_input_is_split() {
     let text = UNAMBIGUOUS.concat();
     for piece_size in 1..=text.len() {
         assert_eq!(
@@ -28,17 +28,17 @@
     }
     for message in UNAMBIGUOUS {
         let mut framing = Framing::default();
-        framing.read(&message.as_bytes()[..message.len() - 1]);
+        framing.parse(&message.as_bytes()[..message.len() - 1]);
         assert!(!framing.is_between_messages(), "{message}");
-        framing.read(b"\n");
+        framing.parse(b"\n");
         assert!(framing.is_between_messages(), "{message}");
     }
 }
 
 #[test]
-fn the_first_ambiguous_head_is_found_behind_unambiguous_messages() {
+fn the_first_ambiguous_message_is_found_after_unambiguous_ones() {
     let (length, chunked) = ("Content-Length: 5\r\n", "Transfer-Encoding: chunked\r\n");
-    let long = format!("Content-Length: {}5\r\n", " ".repeat(300));
+    let long_line = format!("Content-Length: {}5\r\n", " ".repeat(300));
     for headers in [
         format!("{length}{chunked}"),
         format!("{chunked}{length}"),
@@ -46,7 +46,7 @@
         format!("{chunked}{chunked}"),
         "Content-Length: 5, 5\r\n".to_owned(),
         "Transfer-Encoding: gzip, chunked\r\n".to_owned(),
-        long,
+        long_line,
     ] {
         let text = format!("{}POST / HTTP/1.1\r\n{headers}\r\n", UNAMBIGUOUS.concat());
         for piece_size in 1..=text.len() {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn every_message_behind_an_ambiguous_one_is_ambiguous() {
+fn every_message_after_an_ambiguous_one_is_ambiguous() {
     let ambiguous = "POST / HTTP/1.1\r\nContent-Length: 0\r\nContent-Length: 0\r\n\r\n";
     let text = [ambiguous, &UNAMBIGUOUS.concat(), ambiguous].concat();
     for piece_size in 1..=text.len() {
@@ -68,6 +68,6 @@
         );
     }
     let mut framing = Framing::default();
-    framing.read(text.as_bytes());
+    framing.parse(text.as_bytes());
     assert!((0..6).all(|number| framing.is_ambiguous(number)));
 }
