--- a/proxy/src/config/error.rs
+++ b/proxy/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration cannot be used.
+//! Errors of loading and parsing a configuration.
 
 use balancer_settings::SettingsError;
 use std::io;
@@ -7,65 +7,66 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a configuration file cannot be used. The text names the file and the reason.
+/// Why a configuration file cannot be loaded. The message names the file and the reason.
 #[derive(Debug, Error)]
 pub enum LoadError {
     /// The file could not be read.
     #[error("{}: {error}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Error returned by the read.
         error: io::Error,
     },
     /// The file is not a valid configuration.
     #[error("{}: {error}", path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// What is invalid in it.
         error: ConfigError,
     },
 }
 
-/// Why a text is not a valid configuration. The text names the key, its value and what is allowed.
+/// Why a text is not a valid configuration. Where a single value is at fault, the message names its
+/// key, the value and what is allowed.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// It is not JSON, a key is missing, or a value has the wrong type.
-    #[error("not a configuration: {0}")]
+    /// The text is not JSON, a key is missing, or a value has the wrong type.
+    #[error("invalid configuration: {0}")]
     Malformed(serde_json::Error),
     /// An address cannot be parsed.
-    #[error("{key}: {value:?} is no address of the form \"127.0.0.1:8080\" ({error})")]
+    #[error("{key}: {value:?} is not an address of the form \"127.0.0.1:8080\" ({error})")]
     Address {
         /// Key of the address.
         key: &'static str,
-        /// What stands there.
+        /// The configured value.
         value: String,
-        /// Why it is none.
+        /// Error returned by the address parser.
         error: AddrParseError,
     },
     /// The seed cannot be parsed.
-    #[error("seed: {value:?} is no hexadecimal number of at most 64 bits ({error})")]
+    #[error("seed: {value:?} is not a hexadecimal number of at most 64 bits ({error})")]
     Seed {
-        /// What stands there.
+        /// The configured value.
         value: String,
-        /// Why it is none.
+        /// Error returned by the number parser.
         error: ParseIntError,
     },
     /// The balancer's settings are malformed or out of range.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The settings of connections are malformed.
+    /// The settings that concern connections are malformed.
     #[error("settings: {0}")]
     ConnectionSettings(serde_json::Error),
-    /// A limit is too low or too high.
-    #[error("{key}: {value} is out of range; allowed is {allowed}")]
+    /// A limit or timeout is too low or too high.
+    #[error("{key}: {value} is out of range; allowed: {allowed}")]
     OutOfRange {
-        /// Key of the limit.
+        /// Key of the value.
         key: &'static str,
-        /// What stands there, with its unit.
+        /// The configured value, with its unit if it has one.
         value: String,
-        /// The range.
+        /// The allowed range.
         allowed: String,
     },
 }
--- a/proxy/src/config/message.rs
+++ b/proxy/src/config/message.rs
@@ -1,4 +1,5 @@
-//! The configuration file as it is written, under the operators' names.
+//! The serde types of the configuration file, which map the keys that operators write to the names
+//! used in this crate.
 
 use crate::config::error::ConfigError;
 use crate::discovery::EndpointList;
@@ -7,12 +8,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest time that a setting may give.
+/// Maximum value of a configured timeout.
 const MAX_TIMEOUT: Duration = Duration::from_secs(24 * 3_600);
-/// Least memory that the program can run in.
+/// Minimum of `limits.memory_mb`: the program cannot run in less.
 const MIN_MEMORY_MB: usize = 8;
 
-/// The file.
+/// The configuration file.
 #[derive(Deserialize)]
 pub(super) struct ConfigMessage {
     pub(super) listen: String,
@@ -27,7 +28,7 @@
     pub(super) settings: Value,
 }
 
-/// What the program's processes may use together.
+/// Limits on what all processes of the program on this machine use together.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(super) struct ProcessLimitsMessage {
@@ -45,7 +46,7 @@
     }
 }
 
-/// The part of the settings that is about connections; the rest is the balancer's.
+/// The part of `settings` that concerns connections; `balancer_settings` parses the rest.
 #[derive(Deserialize)]
 pub(super) struct ConnectionSettingsMessage {
     #[serde(default)]
@@ -103,7 +104,7 @@
     }
 }
 
-/// The address at a key.
+/// Parses the address that is configured under `key`.
 pub(super) fn address(key: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
     value.parse().map_err(|error| ConfigError::Address {
         key,
@@ -118,14 +119,14 @@
             return Err(ConfigError::OutOfRange {
                 key: "limits.sockets",
                 value: self.max_descriptors.to_string(),
-                allowed: format!("{min_descriptors} and more"),
+                allowed: format!("at least {min_descriptors}"),
             });
         }
         if self.memory_mb < MIN_MEMORY_MB {
             return Err(ConfigError::OutOfRange {
                 key: "limits.memory_mb",
                 value: format!("{} MB", self.memory_mb),
-                allowed: format!("{MIN_MEMORY_MB} MB and more"),
+                allowed: format!("at least {MIN_MEMORY_MB} MB"),
             });
         }
         Ok(())
@@ -141,7 +142,7 @@
         )
     }
 
-    /// It may be 0: connections are never reused then.
+    /// 0 is allowed and means that connections are never reused.
     pub(super) fn connection_idle_timeout(&self) -> Result<Duration, ConfigError> {
         timeout(
             "settings.limits.conn_idle_us",
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! The proxy's configuration: the file that `ROUTER_CONFIG` names, checked, and the budget of file
-//! descriptors that follows from it.
+//! The proxy's configuration: loads and validates the file that `ROUTER_CONFIG` names, and derives
+//! the limits on connections from the configured number of file descriptors.
 
 mod error;
 mod message;
@@ -13,39 +13,41 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Most connections of operators at once.
+/// Maximum number of open operator connections.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 12;
 
-/// File descriptors for all but connections of clients and endpoints. 13 are open at rest: standard
-/// streams 3, the event queue 3, signals 3, the runtime 1, listeners 2, the lock file 1. Up to 4
-/// come and go: the watch and the one before it, the configuration while it is read, and an
-/// operator's connection for which another one is closed. Connections of clients and endpoints
-/// never exceed their own: one is closed before another is accepted or opened. While two processes
-/// run, each has half of all descriptors, and reserves as many of them.
+/// File descriptors reserved for everything except client and endpoint connections. 13 are always
+/// open: 3 standard streams, 3 for the event queue, 3 for signals, 1 for the runtime, 2 listeners
+/// and the lock file. Up to 4 more are open at times: the current watch and the one it replaces,
+/// the configuration file while it is read, and an operator connection that was accepted before
+/// another is closed to make room for it. Client and endpoint connections never use the reserve: at
+/// their limit, one is closed before another is accepted or opened. While two processes run, each
+/// has half of all descriptors and reserves this many of its half.
 const RESERVED_DESCRIPTORS: usize = 20 + MAX_OPERATOR_CONNECTIONS;
-/// Connections that a process may have however few descriptors are left.
+/// Minimum number of client and endpoint connections of a process, however few descriptors remain.
 const MIN_CONNECTIONS: usize = 10;
-/// Buffered bodies get one part of so many of the memory: two processes may share it for a while.
+/// Buffered bodies may use the configured memory divided by this: two processes share the memory
+/// during a process handoff.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// The configuration, checked.
+/// A validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where operators connect, if anywhere.
+    /// Address at which operators connect; `None`: the configuration file names none.
     pub admin: Option<SocketAddr>,
-    /// Seed of the balancer's random numbers; new with each start.
+    /// Seed of the balancer's random numbers; differs from start to start.
     pub seed: u64,
-    /// Most file descriptors that the program's processes may have open together.
+    /// Maximum number of file descriptors that all processes of the program may have open together.
     pub max_descriptors: usize,
-    /// Bytes that buffered bodies may take together.
+    /// Maximum total size of the buffered bodies.
     pub body_memory_bytes: usize,
     /// Number of processes that share the descriptors.
     pub process_count: usize,
-    /// The endpoint list as this proxy last had it, possibly outdated.
+    /// The endpoint list that this proxy had last, if the file contains one; it may be outdated.
     pub cached_list: Option<EndpointList>,
     /// The balancer's settings.
     pub settings: Settings,
@@ -53,26 +55,26 @@
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of the settings.
     pub tenants: Vec<String>,
-    /// Within which time a connection to an endpoint must be established.
+    /// Timeout for establishing a connection to an endpoint.
     pub connect_timeout: Duration,
-    /// After which time endpoints close an idle connection.
+    /// Time after which endpoints close an idle connection.
     pub connection_idle_timeout: Duration,
-    /// How long an attempt may still start at an endpoint after the proxy was notified that it is
-    /// draining or removed.
+    /// How long attempts may still start at an endpoint after the proxy was notified that the
+    /// endpoint is draining or removed.
     pub drain_grace: Duration,
 }
 
-/// What a running proxy adopts of a new configuration.
+/// The outcome of reloading the configuration of a running proxy.
 #[derive(Clone, Debug)]
 pub struct Reloaded {
-    /// The configuration from now on.
+    /// The configuration to use from now on.
     pub config: Config,
-    /// The new configuration differs besides in what is only read at the start.
+    /// Whether the new configuration also changes values that take effect only at a restart.
     pub needs_restart: bool,
 }
 
 impl Config {
-    /// Reads and checks a configuration file.
+    /// Loads and validates a configuration file.
     ///
     /// # Errors
     /// The file cannot be read, or its content is not a valid configuration.
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Parses and checks a configuration.
+    /// Parses and validates a configuration.
     ///
     /// # Errors
     /// The text is not JSON, or a key is missing, of the wrong type or out of range.
@@ -126,7 +128,8 @@
         })
     }
 
-    /// What a running proxy adopts of a new configuration; the rest is fixed at its start.
+    /// Merges a new configuration into that of a running proxy. Only values that can change at run
+    /// time are taken from the new one; the others stay as they were at the start.
     pub fn reloaded(&self, new: Config) -> Reloaded {
         let needs_restart = self.listen != new.listen
             || self.settings != new.settings
@@ -145,36 +148,37 @@
         }
     }
 
-    /// File descriptors of this process.
+    /// This process's share of the file descriptors.
     fn process_descriptors(&self) -> usize {
         self.max_descriptors / self.process_count
     }
 
-    /// Most connections of this process to clients and endpoints.
+    /// Maximum number of connections of this process to clients and endpoints together.
     fn max_connections(&self) -> usize {
         self.process_descriptors()
             .saturating_sub(RESERVED_DESCRIPTORS)
             .max(MIN_CONNECTIONS)
     }
 
-    /// Most connections to endpoints: clients have a third of the descriptors at most for requests,
-    /// and each request has one connection to an endpoint.
+    /// Maximum number of connections to endpoints. Clients use at most a third of the descriptors
+    /// for connections with requests, and each request uses one connection to an endpoint.
     pub fn max_endpoint_connections(&self) -> usize {
         self.max_connections() * 2 / 5
     }
 
-    /// Most connections to clients: the rest, as some clients connect and send nothing.
+    /// Maximum number of connections to clients: all that are not for endpoints, because some
+    /// clients connect and send nothing.
     pub fn max_client_connections(&self) -> usize {
         self.max_connections() - self.max_endpoint_connections()
     }
 
-    /// Number of connections to clients beyond which idle ones are closed early: half of what
-    /// clients have at most for requests.
+    /// Number of client connections above which idle ones are closed early: half of the third of
+    /// the descriptors that clients use at most for connections with requests.
     pub fn busy_client_connections(&self) -> usize {
         self.process_descriptors() / 6
     }
 
-    /// Timeouts of a watch of the endpoint list.
+    /// Timeouts of the endpoint list watch, which depend on the discovery mode.
     pub fn watch_timeouts(&self) -> WatchTimeouts {
         match self.settings.discovery.mode {
             DiscoveryMode::Poll => WatchTimeouts::for_polling(),
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,5 +1,5 @@
-//! A client-side proxy: it takes an application's requests and forwards each to an endpoint of a
-//! fleet, as the [`balancer`] decides.
+//! A client-side proxy: it accepts an application's requests and forwards each to an endpoint of a
+//! fleet, which the [`balancer`] selects.
 #![forbid(unsafe_code)]
 
 mod body;
@@ -32,38 +32,42 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// How long clients wait for the first endpoint list. Without one they are rejected, unless another
-/// process serves them.
+/// How long accepting clients is delayed while there is no endpoint list. After that, requests are
+/// rejected until a list arrives. While another process of the program serves clients,
+/// [`READY_DELAY_BESIDE_OTHER`] applies instead.
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// When a process is ready, with or without a list: a restarted one must be within 6 s.
+/// Time from the start after which a process is reported ready even without an endpoint list. A
+/// restarted process must be ready within 6 s.
 const READY_DELAY: Duration = Duration::from_secs(5);
-/// The same beside another process, which may be about to end: it must be ready within 10 s.
+/// The same while another process of the program runs, which may be about to shut down. In that
+/// case the new process must be ready within 10 s.
 const READY_DELAY_BESIDE_OTHER: Duration = Duration::from_secs(8);
 
-/// Where the program listens.
+/// The sockets on which the program accepts connections.
 #[derive(Debug)]
 pub struct Listeners {
-    /// For clients. It begins to listen once there is an endpoint list, or after a while without
-    /// one.
+    /// Bound to the clients' address. It starts to listen once there is an endpoint list, or after
+    /// a timeout without one.
     pub clients: TcpSocket,
-    /// For operators, if they have an address.
+    /// Listener for operators; `None`: no address is configured for them.
     pub operators: Option<TcpListener>,
 }
 
 /// Why the proxy cannot serve.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The clients' address cannot be listened to.
+    /// Listening on the clients' address failed.
     #[error("cannot listen for clients: {0}")]
     Listen(io::Error),
 }
 
-/// Serves until `shutdown` is done and every request that was taken has its response. `reload`
-/// gives each new configuration, and `None` when no more follow. `presence_folder` is where another
-/// process of the program is found, if there may be one. Runs inside a [`tokio::task::LocalSet`].
+/// Serves until `shutdown` completes and every accepted request has its reply. `reload` returns
+/// each new configuration, and `None` when no more will follow. `presence_folder` holds the lock
+/// file by which processes of the program detect each other; `None`: this is the only process. Must
+/// be called inside a [`tokio::task::LocalSet`].
 ///
 /// # Errors
-/// The clients' address cannot be listened to.
+/// Listening on the clients' address failed.
 pub async fn run(
     config: Config,
     listeners: Listeners,
@@ -86,7 +90,7 @@
     ended
 }
 
-/// Serves clients once there is a list, until shutdown has ended.
+/// Waits until clients may connect, then serves them until the graceful shutdown is complete.
 async fn serve_clients(
     socket: TcpSocket,
     control: &Control,
@@ -95,7 +99,7 @@
     let mut shutdown = pin!(shutdown);
     tokio::select! {
         biased;
-        // No request has been taken.
+        // No request has been accepted yet, so there is nothing to wait for.
         () = &mut shutdown => return Ok(()),
         () = listening_allowed(control) => {}
     }
@@ -107,7 +111,7 @@
     Ok(())
 }
 
-/// Applies each new configuration; it never returns.
+/// Applies each new configuration. Never returns.
 async fn apply_reloads(
     control: &Control,
     mut reload: impl AsyncFnMut() -> Option<Result<Config, LoadError>>,
@@ -115,7 +119,7 @@
     while let Some(config) = reload().await {
         match config {
             Ok(config) => control.reload(config),
-            // An invalid file must not end what serves well with the one before.
+            // The proxy continues with its current configuration when a new one is invalid.
             Err(error) => {
                 let reason = error.to_string().replace('\n', " ");
                 log::line(&format!("configuration kept: {reason}"));
@@ -125,8 +129,9 @@
     pending().await
 }
 
-/// Returns when clients may connect. Before there is a list they could only be rejected; while
-/// another process is to be replaced, that one serves them.
+/// Returns once clients may connect: when an endpoint list has been received, or after a timeout.
+/// Without a list, requests could only be rejected. The timeout is longer while another process of
+/// the program runs, because that process serves the clients.
 async fn listening_allowed(control: &Control) {
     let start = Instant::now();
     let list_timeout = || match control.config().process_count {
@@ -143,7 +148,7 @@
     }
 }
 
-/// Reports the process ready once it has waited long enough for a list.
+/// Reports the process ready after the delay, even if no endpoint list has been received.
 async fn end_list_wait(control: Control) {
     let start = Instant::now();
     sleep(READY_DELAY).await;
@@ -153,7 +158,8 @@
     control.end_list_wait();
 }
 
-/// Shares the limits with another process of the program for as long as there is one.
+/// Halves this process's share of the descriptors for as long as another process of the program
+/// runs.
 async fn follow_other_process(folder: PathBuf, control: Control) {
     let on_change = |is_shared| {
         if is_shared {
@@ -165,5 +171,8 @@
         }
     };
     let Err(error) = process_handoff::maintain_presence(&folder, on_change).await;
-    log::line(&format!("{}: {error}", folder.display()));
+    log::line(&format!(
+        "cannot use the lock file in {}: {error}",
+        folder.display()
+    ));
 }
--- a/proxy/src/log.rs
+++ b/proxy/src/log.rs
@@ -1,25 +1,26 @@
-//! The log, on standard error. It never blocks: its reader may have stopped reading, and everything
-//! here runs on one thread. A line that can't be written at once is dropped and counted.
+//! The log, written to standard error. Writing never blocks, because all tasks share one thread and
+//! the log's reader may have stopped reading. A line that cannot be written at once is dropped and
+//! counted.
 
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
 use std::io::{self, Write};
 use std::os::fd::AsFd;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What each line begins with.
+/// Prefix of each line.
 const PROGRAM_NAME: &str = "client-proxy";
-/// Maximum size of a line: a pipe that is ready takes that much at once (`PIPE_BUF`, see
-/// `pipe(7)`).
+/// Maximum size of a line: a pipe that is ready for writing accepts this much without blocking
+/// (`PIPE_BUF`, see `pipe(7)`).
 const MAX_LINE_BYTES: usize = 4_096;
 
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines dropped since the program started.
+/// Number of lines dropped since the program started.
 pub fn dropped() -> u64 {
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Writes a line, cut off at its maximum size.
+/// Writes a line, truncated to the maximum size.
 pub fn line(text: &str) {
     let mut line = format!("{PROGRAM_NAME}: {text}");
     let end = (0..=MAX_LINE_BYTES - 1)
@@ -31,18 +32,18 @@
     write(line.as_bytes());
 }
 
-/// Writes a line of at most [`MAX_LINE_BYTES`] if that is possible at once.
+/// Writes a line of at most [`MAX_LINE_BYTES`], or drops it if standard error is not ready.
 fn write(line: &[u8]) {
     let stderr = io::stderr();
     let mut poll_fds = [PollFd::new(stderr.as_fd(), PollFlags::POLLOUT)];
     let is_ready = poll(&mut poll_fds, PollTimeout::ZERO).is_ok_and(|count| count > 0);
-    // A log that nobody reads any more is no reason to stop serving.
+    // The proxy keeps serving when its log cannot be written.
     if !is_ready || (&stderr).write_all(line).is_err() {
         DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Writes the request trace's lines to the log.
+/// Writes lines of the request trace to the log, under the same size limit.
 #[derive(Clone, Copy, Debug, Default)]
 struct TraceWriter;
 
@@ -61,12 +62,12 @@
     }
 }
 
-/// Logs the events of every request, one JSON object a line: what is decided, sent, ended and
-/// closed, and why.
+/// Enables the request trace, which logs each step of every request and its reason as one JSON
+/// object per line.
 pub fn enable_request_trace() {
     let subscriber = tracing_subscriber::fmt()
         .json()
         .with_max_level(tracing::Level::DEBUG);
-    // A test may have set one already.
+    // Fails if a subscriber is set already, which happens in tests.
     let _ = subscriber.with_writer(|| TraceWriter).try_init();
 }
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -1,4 +1,5 @@
-//! The program: reads the configuration, serves, reloads it on SIGHUP, and shuts down on SIGTERM.
+//! The program: loads the configuration, serves, reloads the configuration on SIGHUP, and shuts
+//! down gracefully on SIGTERM.
 #![forbid(unsafe_code)]
 
 use anyhow::Context;
@@ -16,14 +17,15 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// For how long calls that fail transiently are retried at the start: a process must be ready
-/// within 30 s.
+/// How long calls that fail transiently are retried at startup: a process must be ready within
+/// 30 s.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// For how long a new configuration is read again if that fails: its file may be replaced just
-/// then, or the system be short of descriptors. A change of discovery counts as notified 4 s after
-/// the signal; the old discovery stays for 1.5 s.
+/// How long loading a new configuration is retried after a failure: the file may be being replaced
+/// at that moment, or the system may be out of descriptors. When the discovery address changes, the
+/// proxy counts as notified of the new discovery's list 4 s after the signal; the old discovery
+/// remains available for 1.5 s.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause before it is read again.
+/// Delay before loading a new configuration is retried.
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 fn main() -> ExitCode {
@@ -42,16 +44,21 @@
         log::enable_request_trace();
     }
     let path = env::var_os("ROUTER_CONFIG").context("ROUTER_CONFIG is not set")?;
-    let runtime = new_runtime().context("the runtime cannot be started")?;
+    let runtime = new_runtime().context("cannot start the async runtime")?;
     LocalSet::new().block_on(&runtime, serve(Path::new(&path)))
 }
 
-/// Serves until SIGTERM. What remains after that are tasks without a client: the watch, idle
-/// connections.
+/// Serves until SIGTERM and the graceful shutdown that follows it. Tasks that still run after that
+/// serve no client, such as the watch and idle connections, and end with the program.
 async fn serve(path: &Path) -> anyhow::Result<()> {
-    // First of all: a signal without a handler ends the program.
-    let mut terminate = handler(SignalKind::terminate()).await.context("SIGTERM")?;
-    let hangup = handler(SignalKind::hangup()).await.context("SIGHUP")?;
+    // Must come first: a signal that arrives before its handler is installed terminates the
+    // program.
+    let mut terminate = handler(SignalKind::terminate())
+        .await
+        .context("cannot handle SIGTERM")?;
+    let hangup = handler(SignalKind::hangup())
+        .await
+        .context("cannot handle SIGHUP")?;
     let config = load_at_start(path).await?;
     let listeners = Listeners {
         clients: bind_for_clients(&config).await?,
@@ -71,7 +78,8 @@
     Ok(())
 }
 
-/// The runtime. Before there is one, nothing can be awaited.
+/// Creates the runtime. Transient failures are retried with blocking sleeps, as nothing can be
+/// awaited without a runtime.
 fn new_runtime() -> io::Result<Runtime> {
     let end = Instant::now() + START_TIMEOUT;
     loop {
@@ -91,7 +99,7 @@
 async fn bind_for_clients(config: &Config) -> anyhow::Result<tokio::net::TcpSocket> {
     let address = config.listen;
     let socket = retry_transient(START_TIMEOUT, async || process_handoff::bind(address)).await;
-    socket.with_context(|| format!("listen: {address}"))
+    socket.with_context(|| format!("cannot bind the \"listen\" address {address}"))
 }
 
 async fn listen_for_operators(config: &Config) -> anyhow::Result<Option<tokio::net::TcpListener>> {
@@ -101,24 +109,24 @@
     let listener = retry_transient(START_TIMEOUT, async || operators::listen(address)).await;
     listener
         .map(Some)
-        .with_context(|| format!("admin: {address}"))
+        .with_context(|| format!("cannot listen on the \"admin\" address {address}"))
 }
 
-/// Where operators connect: the environment is this process's own, while another process may have
-/// the same file.
+/// The address for operators. `ROUTER_ADMIN` overrides the configuration file, because two
+/// processes may use the same file and need different addresses.
 fn operators_address(config: &Config) -> anyhow::Result<Option<SocketAddr>> {
     match env::var("ROUTER_ADMIN") {
         Ok(value) => {
             let address = value
                 .parse()
-                .with_context(|| format!("ROUTER_ADMIN: {value:?}"))?;
+                .with_context(|| format!("ROUTER_ADMIN: invalid address {value:?}"))?;
             Ok(Some(address))
         }
         Err(_) => Ok(config.admin),
     }
 }
 
-/// Loads the configuration at the start. A file that transiently cannot be read is read again.
+/// Loads the configuration at startup. Transient failures to read the file are retried.
 async fn load_at_start(path: &Path) -> Result<Config, LoadError> {
     let end = Instant::now() + START_TIMEOUT;
     loop {
@@ -133,18 +141,18 @@
     }
 }
 
-/// New configurations, as SIGHUP announces them. The signal is not sent again, so a file that
-/// cannot be used is read again for a while.
+/// Loads a new configuration on each SIGHUP. The signal is sent only once, so loading is retried
+/// for a while if the file cannot be used.
 struct Reloads<'a> {
     hangup: Signal,
     path: &'a Path,
-    /// Until when the file is read again; `None`: the last one was loaded, or abandoned.
+    /// When to stop retrying; `None`: the last reload succeeded or was abandoned.
     retry_until: Option<Instant>,
 }
 
 impl Reloads<'_> {
-    /// The next configuration, or why the file cannot be used, once for each signal. `None`: no
-    /// more will follow.
+    /// Returns the next configuration, or the error of the first try after a signal; errors of its
+    /// retries are not reported. `None`: no more signals will follow.
     async fn next(&mut self) -> Option<Result<Config, LoadError>> {
         loop {
             let announced = tokio::select! {
--- a/proxy/src/operators.rs
+++ b/proxy/src/operators.rs
@@ -1,5 +1,6 @@
-//! Operators' commands: a connection sends one line and gets one response. Connections that send
-//! nothing are closed after a while, or as soon as another one needs their place.
+//! Serves operators' commands: each connection carries one line with a command and gets one
+//! response. Connections that send no command are closed after a timeout, or earlier to make room
+//! for a new connection.
 
 use crate::config::MAX_OPERATOR_CONNECTIONS;
 use crate::control::Control;
@@ -16,31 +17,31 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, timeout};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = MAX_OPERATOR_CONNECTIONS as u32 * 8;
-/// Longest command.
+/// Maximum size of a command line.
 const MAX_COMMAND_BYTES: usize = 256;
-/// Time for the command to arrive.
+/// How long the proxy waits for a complete command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for the response to be read.
+/// How long the operator may take to read the response and close the connection.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a failure to accept.
+/// Delay before accepting is retried after a failure.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Why a command fails, as operators read it.
+/// Why a command failed. The message is sent to the operator.
 #[derive(Debug, Error)]
 enum CommandError {
-    #[error("no whole line came in time")]
+    #[error("no complete command was received in time")]
     TimedOut,
-    #[error("the line is too long")]
+    #[error("the command is longer than {MAX_COMMAND_BYTES} bytes")]
     TooLong,
-    #[error("not a call")]
+    #[error("the command is not valid UTF-8")]
     NotText,
-    #[error("unknown call; there are: health, counters")]
+    #[error("unknown command; available commands: health, counters")]
     Unknown,
-    #[error("no: it takes no clients now")]
+    #[error("no: this process is not serving clients")]
     Unhealthy,
-    /// The connection broke; nobody gets a response.
+    /// The connection broke, so no response is sent.
     #[error(transparent)]
     Disconnected(#[from] io::Error),
 }
@@ -65,14 +66,14 @@
     has_command: Rc<Cell<bool>>,
 }
 
-/// Serves operators for good.
+/// Serves operators. Never returns.
 pub async fn serve(listener: TcpListener, control: Control) {
     let mut connections: VecDeque<Connection> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::line(&format!("admin: accept: {error}"));
+                log::line(&format!("admin: cannot accept a connection: {error}"));
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -88,8 +89,8 @@
     }
 }
 
-/// Makes sure that one more connection may be open: closes the oldest one without a command, or the
-/// oldest.
+/// Makes room for one more connection. At the limit, closes the oldest connection that has sent no
+/// command, or else the oldest connection.
 async fn evict(connections: &mut VecDeque<Connection>) {
     connections.retain(|connection| !connection.task.is_finished());
     if connections.len() < MAX_OPERATOR_CONNECTIONS {
@@ -100,7 +101,7 @@
         .position(|connection| !connection.has_command.get());
     if let Some(connection) = connections.remove(oldest.unwrap_or(0)) {
         connection.task.abort();
-        // Its descriptor is closed once the task has ended.
+        // The descriptor is closed once the aborted task has ended.
         let _ = connection.task.await;
     }
 }
@@ -117,14 +118,14 @@
         Err(CommandError::Disconnected(_)) => return,
         Err(error) => format!("FAILURE {error}\n"),
     };
-    // An operator that does not read the response gets none.
+    // An operator that does not read its response within the timeout loses it.
     let _ = timeout(RESPONSE_TIMEOUT, send_and_close(&mut stream, &response)).await;
 }
 
 async fn send_and_close(stream: &mut TcpStream, response: &str) -> io::Result<()> {
     stream.write_all(response.as_bytes()).await?;
     stream.shutdown().await?;
-    // Closing with unread bytes would reset the connection, and the response might be lost.
+    // Closing a socket with unread input resets the connection, and the response might be lost.
     let mut unread = Vec::with_capacity(MAX_COMMAND_BYTES);
     while read_some(stream, &mut unread).await? > 0 {
         unread.clear();
@@ -132,10 +133,11 @@
     Ok(())
 }
 
-/// Reads into the buffer's unused capacity; 0: the operator has ended its sending.
+/// Reads into the unused capacity of `bytes`. Returns 0 at the end of the input.
 async fn read_some(stream: &TcpStream, bytes: &mut Vec<u8>) -> io::Result<usize> {
     loop {
-        // A read that returns less than there is leaves the stream readable.
+        // `try_read_buf` clears readiness only when nothing is left to read. After a short read the
+        // rest of the input would otherwise wait for a readiness event that does not come.
         stream.readable().await?;
         match stream.try_read_buf(bytes) {
             Err(error)
@@ -148,7 +150,7 @@
     }
 }
 
-/// The command without its line's end; an operator may also end its sending behind it.
+/// Reads the command, which ends at a newline or at the end of the input.
 async fn read_command(stream: &TcpStream) -> Result<String, CommandError> {
     let mut line = Vec::with_capacity(MAX_COMMAND_BYTES);
     loop {
@@ -168,7 +170,8 @@
     match command.trim() {
         "health" if control.is_serving() => Ok("SUCCESS yes\n".to_owned()),
         "health" => Err(CommandError::Unhealthy),
-        // Without a status word: operators read all before the last line as the metrics.
+        // No `SUCCESS` in front: operators' tools parse everything before the last line as the
+        // metrics.
         "counters" => Ok(format!("{}\nEOT\n", control.metrics_json())),
         _ => Err(CommandError::Unknown),
     }
--- a/proxy/src/process_handoff.rs
+++ b/proxy/src/process_handoff.rs
@@ -1,5 +1,5 @@
-//! A new version of the program beside the old one: the two share the clients' address and the
-//! limits until the old one has shut down.
+//! Process handoff: while a new process of the program replaces an old one, the two share the
+//! clients' address and the limits until the old one has shut down.
 
 use crate::transient_errors::ErrorClass;
 use nix::libc;
@@ -15,17 +15,18 @@
 use tokio::net::TcpSocket;
 use tokio::time::sleep;
 
-/// The file that a serving process has locked. The name is from an older version of the program: a
-/// running process of that version looks for this file.
+/// The file that a running process keeps locked. The name cannot change: a running process of an
+/// older version, which is to be replaced, looks for the file under this name.
 const LOCK_FILE_NAME: &str = "nettleworks.lock";
-/// How often a process tries to lock a file that another process has locked.
+/// Interval between attempts to lock a file that another process has locked.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// How often a process checks that the file it has locked is still at its path, where others look
-/// for it.
+/// Interval at which a process checks that the file it has locked is still at its path, where other
+/// processes look for it.
 const LOCK_FILE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A socket bound to the clients' address, which another process may share, and which is not
-/// blocked by connections that a killed process left behind. It does not listen yet.
+/// Binds a socket to the clients' address. `SO_REUSEPORT` lets another process bind the same
+/// address, and `SO_REUSEADDR` allows binding it despite connections that a killed process left
+/// behind. The socket does not listen yet.
 pub fn bind(address: SocketAddr) -> io::Result<TcpSocket> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
@@ -38,10 +39,12 @@
     Ok(socket)
 }
 
-/// Steers all further connections to the process that began to listen at this listener's address
-/// after its own, if there is one. The kernel numbers an address's listeners in the order in which
-/// they began, and the last one gets the number of one that ends: the older of two is always 0. If
-/// no listener has the number that the filter returns, the kernel chooses as without it.
+/// Directs all new connections to the process that started to listen at this listener's address
+/// after this process, if there is one. A BPF filter selects the listener by its index. The kernel
+/// numbers the listeners of an address in the order in which they started; when one closes, the
+/// last one takes over its index. So the older of two listeners always has index 0 and the newer
+/// one index 1. If no listener has the index that the filter returns, the kernel selects one as it
+/// does without a filter.
 pub fn steer_to_newer_process(listener: impl AsFd) -> io::Result<()> {
     const NEWER: u32 = 1;
     let code = (libc::BPF_RET | libc::BPF_K) as u16;
@@ -62,9 +65,10 @@
     )?)
 }
 
-/// Locks the lock file in a folder, which announces this process to others for as long as the
-/// returned file is open. While another process has it locked, this waits: `on_shared` is called
-/// with true when the wait begins and with false when it ends, and not at all if there is none.
+/// Locks the lock file in `folder`, which announces this process to others for as long as the
+/// returned file is open. Waits while another process holds the lock: `on_shared` is called with
+/// `true` when the wait begins and with `false` when it ends, and not at all if the file is locked
+/// at once.
 pub async fn announce_presence(folder: &Path, mut on_shared: impl FnMut(bool)) -> io::Result<File> {
     let path = folder.join(LOCK_FILE_NAME);
     let mut is_shared = false;
@@ -77,7 +81,7 @@
             }
             sleep(LOCK_RETRY_INTERVAL).await;
         }
-        // Another process may have replaced the file meanwhile.
+        // The file may have been replaced between the open and the lock.
         if is_at(&file, &path) {
             if is_shared {
                 on_shared(false);
@@ -87,10 +91,10 @@
     }
 }
 
-/// Announces this process for as long as this runs, also when the file is deleted or replaced, as
-/// folders for temporary files are cleaned now and then. While the folder fails temporarily,
-/// another process may be there unnoticed: `on_shared` is called with true. This returns only if
-/// the folder can't be used at all.
+/// Keeps this process announced while the future runs. If the lock file is deleted or replaced, as
+/// happens when folders for temporary files are cleaned, it is created and locked again. While the
+/// folder fails with a temporary error, other processes cannot be detected, so `on_shared` is
+/// called with `true`. Returns only on an error that is not temporary.
 pub async fn maintain_presence(
     folder: &Path,
     mut on_shared: impl FnMut(bool),
@@ -119,7 +123,7 @@
     }
 }
 
-/// Whether this process has the file locked now.
+/// Tries to lock the file; `false`: another process has locked it.
 fn try_lock(file: &File) -> io::Result<bool> {
     match file.try_lock() {
         Ok(()) => Ok(true),
@@ -128,7 +132,7 @@
     }
 }
 
-/// Whether the file at this path is the open one.
+/// Whether the file at `path` is the open file `file`.
 fn is_at(file: &File, path: &Path) -> bool {
     let id = |metadata: Metadata| (metadata.dev(), metadata.ino());
     match (std::fs::metadata(path), file.metadata()) {
--- a/proxy/src/task.rs
+++ b/proxy/src/task.rs
@@ -1,9 +1,9 @@
-//! Tasks that end with their owner.
+//! Tasks that are aborted when their owner is dropped.
 
 use std::future::Future;
 use tokio::task::AbortHandle;
 
-/// A task on this thread that is aborted when this is dropped.
+/// A task on the current thread. Dropping this handle aborts it.
 #[derive(Debug)]
 pub(crate) struct ScopedTask(AbortHandle);
 
@@ -13,7 +13,7 @@
     }
 }
 
-/// Runs a future on this thread until it is done or the returned task is dropped.
+/// Runs a future on the current thread until it completes or the returned handle is dropped.
 pub(crate) fn spawn(future: impl Future + 'static) -> ScopedTask {
     ScopedTask(tokio::task::spawn_local(async move { drop(future.await) }).abort_handle())
 }
--- a/proxy/src/transient_errors.rs
+++ b/proxy/src/transient_errors.rs
@@ -1,31 +1,31 @@
-//! What a failed system call means. The same errors come from `socket`, `accept`, `connect`, reads,
-//! writes and files, and what is to be done depends on whose fault it is (errors as in `errno(3)`
-//! and the manual pages of the calls).
+//! Classifies failed system calls by their cause, which decides whether a call is retried, and
+//! retries those that fail transiently. One classification serves `socket`, `accept`, `connect`,
+//! reads, writes and file operations (see `errno(3)` and the manual pages of the calls).
 
 use nix::errno::Errno;
 use std::io;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Delay before a call that failed temporarily is retried.
+/// Delay before a call that failed with a retryable error is retried.
 pub const RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// The cause of a failure.
+/// Cause of a failed system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorClass {
-    /// Nobody's fault: the same call may succeed at once.
+    /// A temporary condition: the same call may succeed if repeated at once.
     Temporary,
-    /// The machine has no descriptor, buffer, port or memory left: it may have once something is
-    /// closed.
+    /// The machine has no descriptor, buffer, port or memory left. The call may succeed once
+    /// something is closed.
     ResourcesExhausted,
-    /// The peer's fault, or that of the network path to it.
+    /// The peer, or the network path to it, caused the failure.
     Peer,
-    /// The same call would fail again.
+    /// Repeating the call would fail again.
     Permanent,
 }
 
 impl ErrorClass {
-    /// The class of this error.
+    /// Classifies an error. Errors without an `errno` are permanent.
     pub fn of(error: &io::Error) -> ErrorClass {
         let Some(errno) = error.raw_os_error() else {
             return ErrorClass::Permanent;
@@ -46,14 +46,14 @@
         }
     }
 
-    /// Whether the same call may succeed later, whatever the peer does.
+    /// Whether the same call may succeed later without any action by the peer.
     pub fn is_retryable(self) -> bool {
         matches!(self, ErrorClass::Temporary | ErrorClass::ResourcesExhausted)
     }
 }
 
-/// Retries a call that fails with a retryable error until it succeeds, fails otherwise, or `limit`
-/// has passed since the first call; then the last error is returned.
+/// Calls `call` until it succeeds, fails with an error that is not retryable, or the next retry
+/// would not start within `limit` of the first call. Returns the last result.
 pub async fn retry_transient<T>(
     limit: Duration,
     mut call: impl AsyncFnMut() -> io::Result<T>,
