--- a/proxy/src/discovery/message.rs
+++ b/proxy/src/discovery/message.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as discovery sends it and as the configuration gives it. The wire's own names
-//! are mapped here.
+//! The serde types of an endpoint list, which discovery sends and the configuration file may
+//! contain. They map the keys of the wire format to the names used in this crate.
 
 use balancer::EndpointState;
 use serde::Deserialize;
@@ -14,7 +14,7 @@
     /// Whether this is the full list.
     #[serde(rename = "whole")]
     pub is_full: bool,
-    /// The entries.
+    /// All endpoints in a full list, otherwise those that changed.
     #[serde(rename = "hosts")]
     pub endpoints: Vec<ListedEndpoint>,
 }
@@ -22,25 +22,25 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedEndpoint {
-    /// Its name, the same for every proxy.
+    /// Name of the endpoint, the same for every proxy.
     #[serde(rename = "host")]
     pub name: String,
-    /// Where it listens.
+    /// Address at which it listens.
     #[serde(rename = "dial")]
     pub address: SocketAddr,
-    /// Its zone.
+    /// Name of its zone.
     #[serde(rename = "site", default)]
     pub zone: String,
-    /// Its cell: the endpoints that deduplicate each other's requests.
+    /// Number of its cell, the group of endpoints that deduplicate each other's requests.
     #[serde(rename = "block", default)]
     pub cell: u32,
     /// Its state.
     #[serde(rename = "health")]
     pub state: ListedState,
-    /// Its capacity relative to that of the others.
+    /// Its capacity relative to that of other endpoints.
     #[serde(rename = "share", default)]
     pub weight: f64,
-    /// When its process started, Unix time in milliseconds; 0: long ago.
+    /// When its process started, as Unix time in milliseconds; 0, the default, means long ago.
     #[serde(rename = "born_ms", default)]
     pub started_at_ms: u64,
 }
@@ -48,12 +48,12 @@
 /// State of an endpoint in the list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 pub enum ListedState {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes the requests that it has and takes no new ones.
+    /// It finishes its requests in flight and accepts no new ones.
     #[serde(rename = "Terminating")]
     Draining,
-    /// It has been removed.
+    /// It has been removed from the fleet.
     #[serde(rename = "Gone")]
     Removed,
 }
--- a/proxy/src/discovery/mod.rs
+++ b/proxy/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery: the messages that carry the endpoint list, and the watch that delivers them.
+//! Client of the discovery service: the endpoint list and the watch that delivers it.
 
 mod message;
 mod parser;
--- a/proxy/src/discovery/parser.rs
+++ b/proxy/src/discovery/parser.rs
@@ -1,4 +1,4 @@
-//! Splits the byte stream of a watch into its JSON objects and parses each.
+//! Incremental parser of a watch's byte stream, a sequence of JSON objects that are endpoint lists.
 
 use super::message::EndpointList;
 use thiserror::Error;
@@ -6,26 +6,26 @@
 #[cfg(test)]
 mod tests;
 
-/// Maximum size of an object in a watch; a larger one is no list of any fleet that one proxy
+/// Maximum size of an object in a watch, larger than the endpoint list of any fleet that one proxy
 /// serves.
 const MAX_OBJECT_BYTES: usize = 4 << 20;
 
-/// Why the bytes of a watch are no endpoint list.
+/// Why the data of a watch could not be parsed.
 #[derive(Debug, Error)]
 pub enum ParseError {
     /// An object does not end within the maximum size.
     #[error("an endpoint list is longer than {MAX_OBJECT_BYTES} bytes")]
     TooLong,
-    /// An object is no endpoint list.
+    /// An object is not an endpoint list.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
-/// Splits a stream into objects. They may be split into packets anywhere, and be written in one
-/// line or, indented, in many.
+/// Finds the end of each object by the nesting depth of its brackets. So objects may be split
+/// between reads at any byte, and need not be separated by newlines or be on one line each.
 #[derive(Debug, Default)]
 pub(super) struct ListParser {
-    /// The object that has begun, as far as it has been received.
+    /// The part of the current object that has been received.
     object: Vec<u8>,
     depth: u32,
     is_in_string: bool,
@@ -33,7 +33,7 @@
 }
 
 impl ListParser {
-    /// Takes the next bytes, and passes on each list that ends in them.
+    /// Parses the next bytes of the stream, and calls `on_list` for each list that ends in them.
     pub(super) fn read(
         &mut self,
         bytes: &[u8],
@@ -48,7 +48,8 @@
             }
             self.object.push(byte);
             self.update_depth(byte);
-            // What begins with anything but a brace is no list, and ends here as well.
+            // The depth is also 0 after a first byte that is not an opening bracket; parsing that
+            // byte alone fails at once.
             if self.depth == 0 {
                 on_list(serde_json::from_slice(&self.object)?);
                 self.object.clear();
@@ -58,7 +59,7 @@
         Ok(())
     }
 
-    /// Whether no object has begun.
+    /// Whether no object is partly received.
     pub(super) fn is_between_objects(&self) -> bool {
         self.object.is_empty()
     }
--- a/proxy/src/discovery/parser/tests.rs
+++ b/proxy/src/discovery/parser/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the parser of a watch's stream.
+//! Tests of the watch parser.
 
 use super::*;
 
-/// Parses a text that is received in pieces of this size: the version and the number of entries of
-/// each list.
+/// Parses `text`, received in pieces of `piece` bytes. Returns the version and the number of
+/// entries of each list.
 fn parse(text: &str, piece: usize) -> Result<Vec<(u64, usize)>, String> {
     let mut parser = ListParser::default();
     let mut lists = Vec::new();
@@ -46,9 +46,13 @@
     ] {
         assert!(parse(text, 1).is_err(), "{text}");
     }
-    assert_eq!(parse("{\"seq\":", 3), Ok(Vec::new()), "the rest may follow");
+    assert_eq!(
+        parse("{\"seq\":", 3),
+        Ok(Vec::new()),
+        "an incomplete object is no error, as the rest may follow"
+    );
     assert!(
         parse(&"[".repeat(MAX_OBJECT_BYTES + 1), 1 << 16).is_err(),
-        "the size is bounded"
+        "an object above the maximum size is an error"
     );
 }
--- a/proxy/src/discovery/watch.rs
+++ b/proxy/src/discovery/watch.rs
@@ -1,4 +1,5 @@
-//! The watch: a request to discovery whose response goes on with each change of the endpoint list.
+//! The watch: a long-lived HTTP request to discovery, whose response body carries the endpoint list
+//! and then each change of it.
 
 use super::message::EndpointList;
 use super::parser::{ListParser, ParseError};
@@ -16,36 +17,41 @@
 use thiserror::Error;
 use tokio::time::{timeout, Instant};
 
-/// A heartbeat arrives every 2 s: a watch that is silent for half a second more is regarded as
-/// dead, as is a request whose response has not begun by then. A missed change counts as notified 6
-/// s after discovery had it and could be reached: 2.5 s to notice and at most 3 s until the next
-/// request (the balancer's part) leave half a second for its response.
+/// Maximum time without data on a watch, and from a request to the head of its response when
+/// polling. Discovery sends a heartbeat every 2 s, so a watch without data for half a second more
+/// is considered dead. The proxy counts as notified of a change 6 s after discovery has it and can
+/// be reached: 2.5 s to detect a dead watch and at most 3 s until the balancer polls again leave
+/// half a second for the response.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A watch that was open for less than this was brief: it may end again as soon as it is open.
+/// A watch that was open for less than this counts as brief. After brief watches in a row, the next
+/// one is opened with a backoff, as it may end right away as well.
 const BRIEF_WATCH: Duration = Duration::from_secs(1);
-/// An agent on this machine responds at once. One that does not gets another request, and what it
-/// has when it responds again counts as notified at once: a third of the drain grace passes before
-/// a request is abandoned and a tenth until the next, which leaves more than half for that one.
-/// Below the minimum, requests would be abandoned that only wait for the CPU.
+/// In push mode, the response timeout is the drain grace divided by this. The agent is on this
+/// machine and normally responds at once; a request without a response is abandoned and sent again.
+/// As soon as the agent responds again, the proxy counts as notified of all changes that the agent
+/// has. A third of the drain grace until a request is abandoned and a tenth until the next one
+/// leave more than half of it for that request.
 const PUSH_RESPONSE_DIVISOR: u32 = 3;
+/// A shorter timeout would abandon requests that are only waiting for the CPU.
 const MIN_PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// In push mode, the delay before a watch is reopened is the drain grace divided by this.
 const REOPEN_DIVISOR: u32 = 10;
 const MIN_REOPEN_DELAY: Duration = Duration::from_millis(10);
 const MAX_REOPEN_DELAY: Duration = Duration::from_millis(100);
 
-/// The time limits of a watch.
+/// Timeouts and delays of a watch.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchTimeouts {
-    /// From the request to the head of its response.
+    /// Maximum time from the start of connecting to the head of the response.
     response: Duration,
-    /// From the opening of a watch that has ended until the next is opened; `None`: the balancer
-    /// decides when.
+    /// Minimum time from the opening of a watch, or from the failure to open it, until the next one
+    /// is opened; `None`: the balancer decides when.
     pub reopen_delay: Option<Duration>,
 }
 
 impl WatchTimeouts {
-    /// Where the list is polled from a shared discovery service: requests may have to queue there.
+    /// For polling a shared discovery service, where requests may be queued.
     pub fn for_polling() -> WatchTimeouts {
         WatchTimeouts {
             response: SILENCE_TIMEOUT,
@@ -53,7 +59,7 @@
         }
     }
 
-    /// Where the list is pushed to an agent on this machine.
+    /// For watching an agent on this machine, to which discovery pushes the list.
     pub fn for_push(drain_grace: Duration) -> WatchTimeouts {
         let response = drain_grace / PUSH_RESPONSE_DIVISOR;
         let reopen_delay = drain_grace / REOPEN_DIVISOR;
@@ -64,10 +70,10 @@
     }
 }
 
-/// Why a watch ended.
+/// Why a watch ended or could not be opened.
 #[derive(Debug, Error)]
 pub enum WatchError {
-    /// The connection did not open.
+    /// Connecting to discovery failed.
     #[error(transparent)]
     Connect(#[from] io::Error),
     /// The request could not be built.
@@ -79,16 +85,16 @@
     /// The response had a status other than 200.
     #[error("discovery responded with status {0}")]
     Status(StatusCode),
-    /// The response did not begin in time.
+    /// The head of the response did not arrive in time.
     #[error("discovery did not respond within {0:?}")]
     NoResponse(Duration),
-    /// Neither a list nor a heartbeat arrived in time.
-    #[error("the watch was silent for {0:?}")]
+    /// Nothing arrived for too long, not even a heartbeat.
+    #[error("discovery sent nothing on the watch for {0:?}")]
     Silent(Duration),
-    /// The response ended.
-    #[error("the watch ended")]
+    /// The response body ended.
+    #[error("discovery ended the watch")]
     Ended,
-    /// The response is no endpoint list.
+    /// The response body contains something other than endpoint lists.
     #[error(transparent)]
     Parse(#[from] ParseError),
 }
@@ -96,30 +102,30 @@
 /// How a watch ended.
 #[derive(Debug)]
 pub struct WatchEnd {
-    /// Why.
+    /// Why it ended.
     pub reason: WatchError,
-    /// How long it had been open; `None`: it never was.
+    /// How long it was open; `None`: it could not be opened.
     pub open_for: Option<Duration>,
 }
 
 impl WatchEnd {
-    /// Whether it had been open, but hardly any time.
+    /// Whether it could be opened but ended soon after.
     pub fn was_brief(&self) -> bool {
         self.open_for.is_some_and(|open_for| open_for < BRIEF_WATCH)
     }
 }
 
-/// What a watch delivers.
+/// An event of a watch.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// A list.
+    /// An endpoint list, full or with the changed entries.
     List(EndpointList),
-    /// Nothing has changed.
+    /// A heartbeat: nothing has changed.
     Heartbeat,
 }
 
-/// Watches the list for changes after the version `since`, and passes on its events until the watch
-/// ends.
+/// Watches the endpoint list for changes after the version `since`, and calls `on_event` for each
+/// event until the watch ends. `since` of `None` asks for the full list.
 pub async fn watch(
     discovery: SocketAddr,
     since: Option<u64>,
@@ -175,7 +181,7 @@
         if let Err(error) = parser.read(&data, &mut |list| on_event(WatchEvent::List(list))) {
             return error.into();
         }
-        // An empty line between two objects.
+        // A heartbeat is an empty line between two objects.
         if parser.is_between_objects() && data.iter().all(u8::is_ascii_whitespace) {
             on_event(WatchEvent::Heartbeat);
         }
--- a/proxy/src/upstream/connection.rs
+++ b/proxy/src/upstream/connection.rs
@@ -1,4 +1,5 @@
-//! A connection to an endpoint: opening it, and whether it can be reused.
+//! A connection to an endpoint: opens it, sends requests on it and decides whether it can be
+//! reused.
 
 use crate::body::AttemptBody;
 use crate::connect::connect;
@@ -18,26 +19,27 @@
 use tokio::task::yield_now;
 use tokio::time::{error::Elapsed, timeout};
 
-/// How long the end of a response that is not forwarded is waited for; after that its connection is
-/// closed instead.
+/// How long the proxy waits for the end of a response that it does not forward, and for the
+/// connection to become ready after a response. After that the connection is closed instead of
+/// reused.
 pub(super) const RESPONSE_END_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Why a connection did not open.
+/// Why a connection could not be opened.
 #[derive(Debug, Error)]
 pub(crate) enum ConnectError {
-    /// The endpoint did not accept it in time.
-    #[error("the connection did not open in time")]
+    /// The connection was not established in time.
+    #[error("connecting timed out")]
     TimedOut(#[from] Elapsed),
     /// A system call failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It could not be used for HTTP/1.1.
+    /// The HTTP/1.1 handshake failed.
     #[error(transparent)]
     Http(#[from] hyper::Error),
 }
 
 impl ConnectError {
-    /// Whether this machine lacked the resources, which proves nothing about the endpoint.
+    /// Whether this machine ran out of resources, which says nothing about the endpoint.
     pub(crate) fn is_local(&self) -> bool {
         let ConnectError::Io(error) = self else {
             return false;
@@ -51,7 +53,7 @@
 pub(crate) struct Connection {
     sender: SendRequest<AttemptBody>,
     socket: Socket,
-    /// The socket's count of reads when the last response was complete; 0 before the first.
+    /// The socket's read count when the last response was complete; 0 before the first response.
     reads_when_reusable: u64,
     _task: ScopedTask,
     _slot: Rc<()>,
@@ -59,13 +61,15 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Its slot is free now, so its descriptor must be as well; the task ends later.
+        // The task ends later and would keep the descriptor open, although the permit, which stands
+        // for that descriptor, is released now.
         self.socket.close();
     }
 }
 
 impl Connection {
-    /// Opens a connection within the time `limit`; it occupies `slot` for as long as it is open.
+    /// Opens a connection within the time `limit`. It holds `slot`, its permit from the connection
+    /// pool, for as long as it is open.
     pub(crate) async fn open(
         address: SocketAddr,
         limit: Duration,
@@ -90,8 +94,9 @@
         })
     }
 
-    /// The connection, if it can be reused after a response that was read completely. This is to be
-    /// awaited before the outcome is reported: else the next request would find no idle connection.
+    /// Returns the connection if it can be reused after a response that was read completely.
+    /// Callers await this before they report the outcome; otherwise the next request, which may be
+    /// sent at once, would find no idle connection.
     pub(crate) async fn into_reusable(mut self) -> Option<Connection> {
         if !matches!(
             timeout(RESPONSE_END_TIMEOUT, self.sender.ready()).await,
@@ -100,38 +105,37 @@
             return None;
         }
         self.reads_when_reusable = self.socket.read_count();
-        // Its task notices what it has read beyond the response only when it is polled once more.
+        // The connection's task detects data beyond the response only when it is polled once more.
         yield_now().await;
         self.is_ready().then_some(self)
     }
 
-    /// Whether a request can be written to it now. Anything that was received since its last
-    /// response, the end of the connection or a second response, makes it useless: it would be
-    /// taken for the next request's response.
+    /// Whether a request can be written to the connection now. It cannot be reused if anything was
+    /// received since the last response, be it the end of the connection or more data, which would
+    /// be taken for the response to the next request.
     pub(crate) fn is_ready(&self) -> bool {
         self.sender.is_ready()
             && self.socket.read_count() == self.reads_when_reusable
             && self.socket.has_no_unread_input()
     }
 
-    /// Whether it has carried a request before.
+    /// Whether the connection has carried a request before.
     pub(super) fn is_reused(&self) -> bool {
         self.reads_when_reusable > 0
     }
 
-    /// Whether nothing was received since the last response but, at most, the end of the
-    /// connection, which is one read.
+    /// Whether at most the end of the connection, which counts as one read, was received since the
+    /// last response.
     pub(super) fn has_received_no_response(&self) -> bool {
         self.socket.read_count() <= self.reads_when_reusable + 1
     }
 
-    /// Its socket.
     pub(super) fn socket(&self) -> &Socket {
         &self.socket
     }
 
-    /// Sends a request, whose bytes the write guard admits and counts, and reads the head of its
-    /// response.
+    /// Sends a request and reads the head of its response. `write_guard` checks and counts each
+    /// write of the request.
     pub(super) async fn send(
         &mut self,
         request: Request<AttemptBody>,
--- a/proxy/src/upstream/exchange.rs
+++ b/proxy/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response on a connection.
+//! An exchange: one request and its response on a connection to an endpoint.
 
 use super::connection::{Connection, RESPONSE_END_TIMEOUT};
 use super::load_report::load_report;
@@ -17,25 +17,25 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// A reused connection that breaks within this time of the request was closed before the request
-/// arrived.
+/// If a reused connection breaks without a response within this time of sending the request, the
+/// endpoint is assumed to have closed it before the request arrived.
 const STALE_CONNECTION_WINDOW: Duration = Duration::from_millis(20);
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub(crate) struct AttemptEnd {
-    /// Its outcome.
+    /// Outcome of the attempt, as reported to the balancer.
     pub(crate) outcome: Outcome,
-    /// The endpoint's load report.
+    /// Load report from the response; empty if there is none.
     pub(crate) load: LoadReport,
-    /// The response to forward, if the attempt was served.
+    /// Response to forward to the client, if the attempt was served.
     pub(crate) response: Option<Response<ResponseBody>>,
-    /// The connection, if it can be reused.
+    /// The connection, if it can be reused right away.
     pub(crate) connection: Option<Connection>,
 }
 
 impl AttemptEnd {
-    /// The end of an attempt that got no response.
+    /// The result of an attempt that got no response, or none that could be used.
     pub(crate) fn without_response(outcome: Outcome) -> AttemptEnd {
         AttemptEnd {
             outcome,
@@ -46,21 +46,22 @@
     }
 }
 
-/// What an exchange needs besides its connection and its request.
+/// Everything that an exchange needs besides its connection and request.
 pub(crate) struct ExchangeContext<'a> {
-    /// The request's body.
+    /// Body of the request.
     pub(crate) request_body: &'a RequestBody,
-    /// Admits and counts the attempt's bytes.
+    /// Checks and counts the writes of the attempt.
     pub(crate) write_guard: &'a WriteGuard,
-    /// The memory for buffered responses.
+    /// Memory for buffering the response body.
     pub(crate) memory: &'a BodyMemory,
-    /// Called with the connection once a streamed response has been read to its end.
+    /// Called with the connection once a streamed response has been read completely.
     pub(crate) return_connection: Box<dyn FnOnce(Connection)>,
 }
 
-/// Sends a request on a connection and reads its response: all of a small one, the beginning of a
-/// large one. `None`: the connection was found closed before the request was written completely,
-/// and all of it can be written again.
+/// Sends a request on a connection and reads its response. A small response is read completely; of
+/// a large one the beginning is read, and the rest is streamed. Returns `None` if the request was
+/// not written completely, as on a connection that turns out to be closed, and all of it can be
+/// written again.
 pub(crate) async fn exchange(
     mut connection: Connection,
     request: Request<AttemptBody>,
@@ -76,8 +77,8 @@
     }
 }
 
-/// The outcome of a request to which no response was read; `None` if all of it can be written
-/// again.
+/// The outcome of a request for which no response head could be read; `None` if the request was not
+/// written completely and all of it can be written again.
 fn classify_send_error(
     connection: &Connection,
     sent_at: Instant,
@@ -111,8 +112,8 @@
     }
 }
 
-/// Reads a response whose status says that it failed. Its outcome is known: a rest that breaks or
-/// stalls can't change it.
+/// Reads a response with a status other than 200, which is not forwarded. The status decides the
+/// outcome; if the body breaks or stalls, the connection is closed, but the outcome is the same.
 async fn read_failure(connection: Connection, head: &Parts, body: Incoming) -> AttemptEnd {
     let rest = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect();
     let is_complete = matches!(timeout(RESPONSE_END_TIMEOUT, rest).await, Ok(Ok(_)));
@@ -129,7 +130,7 @@
     }
 }
 
-/// Reads a response that is forwarded if its body can be.
+/// Reads a response with status 200, which is forwarded unless its body is invalid or breaks.
 async fn read_success(
     connection: Connection,
     head: Parts,
@@ -153,7 +154,7 @@
             let stream = StreamedResponse::new(prefix, rest, socket, on_completed);
             (ResponseBody::Streamed(Box::new(stream)), None)
         }
-        // The request has run, and its result is lost.
+        // The endpoint has executed the request, but its result is lost.
         Err(error) => {
             return AttemptEnd {
                 load,
--- a/proxy/src/upstream/idle_timeout.rs
+++ b/proxy/src/upstream/idle_timeout.rs
@@ -1,32 +1,33 @@
-//! How long a connection to an endpoint may be idle and still be reused. The settings give the
-//! endpoints' own idle timeout; a middlebox may drop connections far sooner, which shows only when
-//! the next request is written.
+//! Estimates for how long a connection to an endpoint can be idle and still be reused. The settings
+//! contain the endpoints' own idle timeout, but a middlebox may drop idle connections much earlier,
+//! which the proxy notices only when it writes the next request.
 
 use std::time::Duration;
 
 #[cfg(test)]
 mod tests;
 
-/// Idle times are grouped by doublings of a millisecond; the last group takes all that are longer.
+/// Number of groups of idle times: below 1 ms, then a group per doubling. The last group also holds
+/// all longer times.
 const GROUP_COUNT: usize = 16;
-/// Fraction of broken connections above which a group's connections are not reused: opening one
-/// costs less.
+/// Fraction of broken connections above which connections of a group are not reused, because
+/// opening a new connection costs less.
 const MAX_BROKEN_FRACTION: f64 = 0.3;
-/// Broken connections that must have been seen before that counts: a few may break by chance after
-/// any time.
+/// Minimum count of broken connections in a group for the fraction to be considered, because a few
+/// may break by chance after any idle time.
 const MIN_BROKEN_COUNT: f64 = 5.0;
-/// What remains of each count after a second: after about a minute a group that was not reused is
-/// tried again.
+/// Factor applied to each count every second. A group whose connections are not reused is tried
+/// again after about a minute.
 const DECAY_PER_SECOND: f64 = 0.98;
 
-/// How many connections of a group were reused, with older ones counting less.
+/// Exponentially decaying counts of the reused connections of a group.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReuseCounts {
     all: f64,
     broken: f64,
 }
 
-/// An estimate, over all endpoints, of the idle time after which connections break.
+/// Estimates the idle time after which connections break, from the reuses at all endpoints.
 #[derive(Debug, Default)]
 pub(crate) struct IdleTimeoutEstimate([ReuseCounts; GROUP_COUNT]);
 
@@ -38,8 +39,8 @@
 }
 
 impl IdleTimeoutEstimate {
-    /// Records that a connection was reused after it had been idle for this long, and whether it
-    /// broke at once.
+    /// Records the reuse of a connection that had been idle for `idle`, and whether it proved
+    /// broken.
     pub(crate) fn record_reuse(&mut self, idle: Duration, is_broken: bool) {
         let counts = &mut self.0[group_of(idle)];
         counts.all += 1.0;
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Ages the counts by a second.
+    /// Decays the counts; to be called once a second.
     pub(crate) fn decay(&mut self) {
         for counts in &mut self.0 {
             counts.all *= DECAY_PER_SECOND;
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The idle time from which on too many connections break; `None` if there is none.
+    /// The idle time from which too many connections are broken; `None` if there is no such time.
     pub(crate) fn limit(&self) -> Option<Duration> {
         let is_bad = |counts: &ReuseCounts| {
             counts.broken >= MIN_BROKEN_COUNT && counts.broken > counts.all * MAX_BROKEN_FRACTION
--- a/proxy/src/upstream/load_report.rs
+++ b/proxy/src/upstream/load_report.rs
@@ -1,4 +1,4 @@
-//! The load report in the head of an endpoint's response.
+//! Parses the load report in the headers of an endpoint's response.
 
 use balancer::LoadReport;
 use hyper::header::HeaderMap;
@@ -6,23 +6,23 @@
 #[cfg(test)]
 mod tests;
 
-/// The header that carries a load report.
 const LOAD_REPORT_HEADER: &str = "x-load-report";
-/// Maximum number of requests that an endpoint can have in flight or queued: a report of more is
+/// Maximum number of requests that an endpoint can have in flight or queued. A report of more is
 /// invalid.
 const MAX_REPORTED_REQUESTS: f64 = 10_000.0;
 
-/// The first valid load report: an invalid one may stand beside it.
+/// Returns the first valid load report. A response may also have headers with invalid ones, which
+/// are skipped.
 pub(super) fn load_report(headers: &HeaderMap) -> LoadReport {
     let values = headers.get_all(LOAD_REPORT_HEADER).iter();
     let mut reports = values.filter_map(|value| parse_load_report(value.to_str().ok()?));
     reports.next().unwrap_or_default()
 }
 
-/// Parses a load report, `name=value,name=value`. The names are those of the settings
-/// (`report.columns`), as on the simulator's wire: under other names every report would be lost
-/// without a sign. A report with a value that no endpoint can mean is invalid: a negative load
-/// would attract every request.
+/// Parses a load report of the form `name=value,name=value`. The names are those in
+/// `report.columns` of the settings and on the simulator's wire; with other names, all reports
+/// would be ignored without an error. Unknown names are skipped. A report with an implausible value
+/// is invalid as a whole, because for example a negative load would attract all requests.
 fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.split(',') {
--- a/proxy/src/upstream/mod.rs
+++ b/proxy/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! The proxy's side towards the endpoints: connections, one request and its response on a
-//! connection, and what the response proves.
+//! The upstream side: connections to endpoints, the exchange of a request and its response, and the
+//! outcome that follows from the response.
 
 mod connection;
 mod exchange;
--- a/proxy/src/upstream/response.rs
+++ b/proxy/src/upstream/response.rs
@@ -1,5 +1,5 @@
-//! What a response proves about its attempt, and the reading of its body as far as it can be
-//! buffered.
+//! Derives the outcome of an attempt from its response, and reads the response body as far as it is
+//! buffered before it is forwarded.
 
 use crate::body::{BodyMemory, BufferedBody};
 use crate::message_limits::MAX_BODY_BYTES;
@@ -15,27 +15,30 @@
 use thiserror::Error;
 use tokio::time::{timeout_at, Instant};
 
-/// `1`: the endpoint has rejected the request without executing it.
+/// Header by which an endpoint says, with the value `1`, that it rejected the request without
+/// executing it.
 const REJECTED_HEADER: &str = "x-rejected";
-/// How long a response of unknown length is buffered once its body has begun.
+/// How long a body of unknown length is buffered, counted from the response head. Its first data is
+/// awaited in any case.
 const BUFFERING_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Why a response with status 200 can't be forwarded.
 #[derive(Debug, Error)]
 pub(super) enum ResponseError {
-    /// Its connection broke, or it could not be parsed.
+    /// The connection broke, or the response could not be parsed.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// Its head announces a body that is longer than any may be.
+    /// The declared length of the body exceeds the maximum size of a body.
     #[error("the response body is longer than {MAX_BODY_BYTES} bytes")]
     TooLong,
-    /// Its head can be read in two ways, or names a transfer coding other than `chunked`.
-    #[error("the response's head does not say where its body ends")]
+    /// The head is ambiguous about the length of the body, or declares a transfer coding other than
+    /// `chunked`.
+    #[error("the response headers do not define where the body ends")]
     InvalidFraming,
 }
 
 impl ResponseError {
-    /// What it proves about the attempt.
+    /// The outcome of the attempt.
     pub(super) fn outcome(&self) -> Outcome {
         match self {
             ResponseError::Http(error) => classify_error(error),
@@ -44,8 +47,9 @@
     }
 }
 
-/// What it proves that an exchange failed after its request was written. A response that can't be
-/// parsed is no reset: the connection did not break. But the request may have run in either case.
+/// The outcome of an exchange that failed after its request was written. A response that cannot be
+/// parsed is not a reset, because the connection did not break. In either case the endpoint may
+/// have executed the request.
 pub(super) fn classify_error(error: &hyper::Error) -> Outcome {
     let mut causes = successors(Some(error as &(dyn StdError + 'static)), |error| {
         (*error).source()
@@ -70,7 +74,7 @@
         || cause.downcast_ref::<io::Error>().is_some_and(is_invalid)
 }
 
-/// What a status other than 200 proves.
+/// The outcome of a response with a status other than 200.
 pub(super) fn classify_status(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let is_rejected = headers
         .get(REJECTED_HEADER)
@@ -80,26 +84,27 @@
             Outcome::Rejected
         }
         StatusCode::INTERNAL_SERVER_ERROR => Outcome::Error,
-        // The request is at fault: bad clients must not make healthy endpoints look faulty.
+        // The request is at fault. A separate outcome keeps clients with invalid requests from
+        // making healthy endpoints look faulty.
         status if status.is_client_error() => Outcome::Invalid,
         _ => Outcome::Unknown,
     }
 }
 
-/// How the end of a response's body is marked.
+/// How the end of a response body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyFraming {
-    /// By its length or its last chunk.
+    /// By its declared length or its last chunk.
     Delimited,
-    /// By the end of its connection (RFC 9112, section 6.3). An endpoint that crashes resets it,
-    /// and a reset is no end.
+    /// By the end of the connection (RFC 9112, section 6.3). If the endpoint crashes, the
+    /// connection is reset, which does not count as the end of the body.
     UntilClose,
 }
 
 impl BodyFraming {
-    /// The framing that the head of a response declares. `None`: with two lengths or two framings
-    /// it can be read in two ways, and with a transfer coding other than `chunked` it can't be read
-    /// at all.
+    /// The framing that the headers of a response declare. `None`: several lengths or both a length
+    /// and a transfer coding, which is ambiguous, or a transfer coding other than `chunked`, which
+    /// cannot be decoded.
     pub(super) fn of(headers: &HeaderMap) -> Option<BodyFraming> {
         let lengths = headers.get_all(header::CONTENT_LENGTH).iter().count();
         let codings: Vec<_> = headers.get_all(header::TRANSFER_ENCODING).iter().collect();
@@ -114,23 +119,23 @@
     }
 }
 
-/// A response's body as far as it is read before it is forwarded.
+/// The part of a response body that is read before the response is forwarded.
 pub(super) enum ReadBody {
-    /// All of it.
+    /// The whole body.
     Complete(Bytes),
-    /// Its beginning, as it is too long or takes too long to be buffered.
+    /// The beginning of a body that is too long, or arrives too slowly, to be buffered completely.
     Partial {
-        /// What has been read.
+        /// The data that has been read.
         prefix: Bytes,
-        /// What has not.
+        /// The remaining body.
         rest: Incoming,
     },
 }
 
-/// Buffers a small body. A body of unknown length is buffered only for a bounded time, so that its
-/// first bytes are not delayed. But one that ends with its connection may be cut off at any byte,
-/// and its request can be retried only while nothing of it has been forwarded: it is buffered as
-/// long as it fits.
+/// Reads a body and buffers it if it is small. A chunked body is buffered only for a bounded time,
+/// so that its first bytes are not delayed. A body that ends with its connection may be cut off at
+/// any byte, and its request can be retried only while nothing of it has been forwarded, so it is
+/// buffered for as long as it fits.
 pub(super) async fn read_body(
     mut body: Incoming,
     framing: BodyFraming,
@@ -170,7 +175,7 @@
     })
 }
 
-/// The next data of a body; trailers are not forwarded.
+/// Reads the next data of a body. Trailers are skipped, as they are not forwarded.
 async fn next_data(body: &mut Incoming) -> Option<Result<Bytes, hyper::Error>> {
     loop {
         match body.frame().await? {
