--- a/proxy/src/config/message.rs
+++ b/proxy/src/config/message.rs
@@ -91,21 +91,23 @@
         serde_json::from_str(text).map_err(ConfigError::Malformed)
     }
 
-    pub(super) fn seed(&self) -> Result<u64, ConfigError> {
+    pub(super) fn parse_seed(&self) -> Result<u64, ConfigError> {
         u64::from_str_radix(&self.seed, 16).map_err(|error| ConfigError::Seed {
             value: self.seed.clone(),
             error,
         })
     }
 
-    pub(super) fn connection_settings(&self) -> Result<ConnectionSettingsMessage, ConfigError> {
+    pub(super) fn parse_connection_settings(
+        &self,
+    ) -> Result<ConnectionSettingsMessage, ConfigError> {
         ConnectionSettingsMessage::deserialize(&self.settings)
             .map_err(ConfigError::ConnectionSettings)
     }
 }
 
 /// Parses the address that is configured under `key`.
-pub(super) fn address(key: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
+pub(super) fn parse_address(key: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
     value.parse().map_err(|error| ConfigError::Address {
         key,
         value: value.to_owned(),
@@ -114,7 +116,7 @@
 }
 
 impl ProcessLimitsMessage {
-    pub(super) fn check(&self, min_descriptors: usize) -> Result<(), ConfigError> {
+    pub(super) fn validate(&self, min_descriptors: usize) -> Result<(), ConfigError> {
         if self.max_descriptors < min_descriptors {
             return Err(ConfigError::OutOfRange {
                 key: "limits.sockets",
@@ -135,7 +137,7 @@
 
 impl TimeoutsMessage {
     pub(super) fn connect_timeout(&self) -> Result<Duration, ConfigError> {
-        timeout(
+        checked_timeout(
             "settings.limits.connect_timeout_us",
             self.connect_timeout_us,
             1,
@@ -144,7 +146,7 @@
 
     /// 0 is allowed and means that connections are never reused.
     pub(super) fn connection_idle_timeout(&self) -> Result<Duration, ConfigError> {
-        timeout(
+        checked_timeout(
             "settings.limits.conn_idle_us",
             self.connection_idle_timeout_us,
             0,
@@ -158,7 +160,7 @@
     }
 }
 
-fn timeout(key: &'static str, value_us: u64, min_us: u64) -> Result<Duration, ConfigError> {
+fn checked_timeout(key: &'static str, value_us: u64, min_us: u64) -> Result<Duration, ConfigError> {
     let timeout = Duration::from_micros(value_us);
     if value_us < min_us || timeout > MAX_TIMEOUT {
         return Err(ConfigError::OutOfRange {
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -6,7 +6,7 @@
 
 pub use error::{ConfigError, LoadError};
 
-use crate::config::message::{address, ConfigMessage};
+use crate::config::message::{parse_address, ConfigMessage};
 use crate::discovery::{EndpointList, WatchTimeouts};
 use balancer::{DiscoveryMode, Settings};
 use std::net::SocketAddr;
@@ -97,18 +97,18 @@
     /// The text is not JSON, or a key is missing, of the wrong type or out of range.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let message = ConfigMessage::parse(text)?;
-        let listen = address("listen", &message.listen)?;
-        let discovery = address("discovery", &message.discovery)?;
+        let listen = parse_address("listen", &message.listen)?;
+        let discovery = parse_address("discovery", &message.discovery)?;
         let admin = message
             .admin
             .as_deref()
-            .map(|admin| address("admin", admin))
+            .map(|admin| parse_address("admin", admin))
             .transpose()?;
-        let seed = message.seed()?;
+        let seed = message.parse_seed()?;
         let site = balancer_settings::read(&message.settings)?;
         balancer_settings::validate(&site.settings)?;
-        let connections = message.connection_settings()?;
-        message.limits.check(2 * RESERVED_DESCRIPTORS)?;
+        let connections = message.parse_connection_settings()?;
+        message.limits.validate(2 * RESERVED_DESCRIPTORS)?;
         let memory_bytes = message.limits.memory_mb.saturating_mul(1 << 20);
         Ok(Config {
             listen,
--- a/proxy/src/discovery/parser.rs
+++ b/proxy/src/discovery/parser.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ListParser {
     /// The part of the current object that has been received.
-    object: Vec<u8>,
+    partial_object: Vec<u8>,
     depth: u32,
     is_in_string: bool,
     is_escaped: bool,
@@ -34,7 +34,7 @@
 
 impl ListParser {
     /// Parses the next bytes of the stream, and calls `on_list` for each list that ends in them.
-    pub(super) fn read(
+    pub(super) fn feed(
         &mut self,
         bytes: &[u8],
         on_list: &mut impl FnMut(EndpointList),
@@ -43,25 +43,25 @@
             if self.depth == 0 && byte.is_ascii_whitespace() {
                 continue;
             }
-            if self.object.len() == MAX_OBJECT_BYTES {
+            if self.partial_object.len() == MAX_OBJECT_BYTES {
                 return Err(ParseError::TooLong);
             }
-            self.object.push(byte);
+            self.partial_object.push(byte);
             self.update_depth(byte);
             // The depth is also 0 after a first byte that is not an opening bracket; parsing that
             // byte alone fails at once.
             if self.depth == 0 {
-                on_list(serde_json::from_slice(&self.object)?);
-                self.object.clear();
+                on_list(serde_json::from_slice(&self.partial_object)?);
+                self.partial_object.clear();
             }
         }
-        self.object.shrink_to(bytes.len());
+        self.partial_object.shrink_to(bytes.len());
         Ok(())
     }
 
     /// Whether no object is partly received.
     pub(super) fn is_between_objects(&self) -> bool {
-        self.object.is_empty()
+        self.partial_object.is_empty()
     }
 
     fn update_depth(&mut self, byte: u8) {
--- a/proxy/src/discovery/watch.rs
+++ b/proxy/src/discovery/watch.rs
@@ -25,18 +25,18 @@
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A watch that was open for less than this counts as brief. After brief watches in a row, the next
 /// one is opened with a backoff, as it may end right away as well.
-const BRIEF_WATCH: Duration = Duration::from_secs(1);
+const BRIEF_WATCH_LIMIT: Duration = Duration::from_secs(1);
 /// In push mode, the response timeout is the drain grace divided by this. The agent is on this
 /// machine and normally responds at once; a request without a response is abandoned and sent again.
 /// As soon as the agent responds again, the proxy counts as notified of all changes that the agent
 /// has. A third of the drain grace until a request is abandoned and a tenth until the next one
 /// leave more than half of it for that request.
-const PUSH_RESPONSE_DIVISOR: u32 = 3;
+const PUSH_RESPONSE_TIMEOUT_DIVISOR: u32 = 3;
 /// A shorter timeout would abandon requests that are only waiting for the CPU.
 const MIN_PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// In push mode, the delay before a watch is reopened is the drain grace divided by this.
-const REOPEN_DIVISOR: u32 = 10;
+const REOPEN_DELAY_DIVISOR: u32 = 10;
 const MIN_REOPEN_DELAY: Duration = Duration::from_millis(10);
 const MAX_REOPEN_DELAY: Duration = Duration::from_millis(100);
 
@@ -61,8 +61,8 @@
 
     /// For watching an agent on this machine, to which discovery pushes the list.
     pub fn for_push(drain_grace: Duration) -> WatchTimeouts {
-        let response = drain_grace / PUSH_RESPONSE_DIVISOR;
-        let reopen_delay = drain_grace / REOPEN_DIVISOR;
+        let response = drain_grace / PUSH_RESPONSE_TIMEOUT_DIVISOR;
+        let reopen_delay = drain_grace / REOPEN_DELAY_DIVISOR;
         WatchTimeouts {
             response: response.clamp(MIN_PUSH_RESPONSE_TIMEOUT, MAX_PUSH_RESPONSE_TIMEOUT),
             reopen_delay: Some(reopen_delay.clamp(MIN_REOPEN_DELAY, MAX_REOPEN_DELAY)),
@@ -111,7 +111,8 @@
 impl WatchEnd {
     /// Whether it could be opened but ended soon after.
     pub fn was_brief(&self) -> bool {
-        self.open_for.is_some_and(|open_for| open_for < BRIEF_WATCH)
+        self.open_for
+            .is_some_and(|open_for| open_for < BRIEF_WATCH_LIMIT)
     }
 }
 
@@ -132,11 +133,11 @@
     timeouts: WatchTimeouts,
     mut on_event: impl FnMut(WatchEvent),
 ) -> WatchEnd {
-    let opened = timeout(timeouts.response, open(discovery, since)).await;
+    let opened = timeout(timeouts.response, open_watch(discovery, since)).await;
     match opened.unwrap_or(Err(WatchError::NoResponse(timeouts.response))) {
         Ok((body, _connection)) => {
             let opened_at = Instant::now();
-            let reason = follow(body, &mut on_event).await;
+            let reason = read_events(body, &mut on_event).await;
             WatchEnd {
                 reason,
                 open_for: Some(opened_at.elapsed()),
@@ -149,7 +150,7 @@
     }
 }
 
-async fn open(
+async fn open_watch(
     discovery: SocketAddr,
     since: Option<u64>,
 ) -> Result<(Incoming, ScopedTask), WatchError> {
@@ -169,7 +170,7 @@
     Ok((response.into_body(), connection))
 }
 
-async fn follow(mut body: Incoming, on_event: &mut impl FnMut(WatchEvent)) -> WatchError {
+async fn read_events(mut body: Incoming, on_event: &mut impl FnMut(WatchEvent)) -> WatchError {
     let mut parser = ListParser::default();
     loop {
         let data = match timeout(SILENCE_TIMEOUT, body.frame()).await {
@@ -178,7 +179,7 @@
             Ok(None) => return WatchError::Ended,
             Err(_) => return WatchError::Silent(SILENCE_TIMEOUT),
         };
-        if let Err(error) = parser.read(&data, &mut |list| on_event(WatchEvent::List(list))) {
+        if let Err(error) = parser.feed(&data, &mut |list| on_event(WatchEvent::List(list))) {
             return error.into();
         }
         // A heartbeat is an empty line between two objects.
