--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -34,14 +34,14 @@
 
 /// How long accepting clients is delayed while there is no endpoint list. After that, requests are
 /// rejected until a list arrives. While another process of the program serves clients,
-/// [`READY_DELAY_BESIDE_OTHER`] applies instead.
+/// [`READY_DELAY_BESIDE_OTHER_PROCESS`] applies instead.
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time from the start after which a process is reported ready even without an endpoint list. A
 /// restarted process must be ready within 6 s.
 const READY_DELAY: Duration = Duration::from_secs(5);
 /// The same while another process of the program runs, which may be about to shut down. In that
 /// case the new process must be ready within 10 s.
-const READY_DELAY_BESIDE_OTHER: Duration = Duration::from_secs(8);
+const READY_DELAY_BESIDE_OTHER_PROCESS: Duration = Duration::from_secs(8);
 
 /// The sockets on which the program accepts connections.
 #[derive(Debug)]
@@ -79,15 +79,15 @@
     let operators = listeners
         .operators
         .map(|listener| task::spawn(operators::serve(listener, control.clone())));
-    let _list_wait = task::spawn(end_list_wait(control.clone()));
-    let _presence =
-        presence_folder.map(|folder| task::spawn(follow_other_process(folder, control.clone())));
-    let ended = tokio::select! {
-        ended = serve_clients(listeners.clients, &control, shutdown) => ended,
+    let _list_wait = task::spawn(end_list_wait_after_delay(control.clone()));
+    let _presence = presence_folder
+        .map(|folder| task::spawn(share_limits_with_other_process(folder, control.clone())));
+    let result = tokio::select! {
+        result = serve_clients(listeners.clients, &control, shutdown) => result,
         () = apply_reloads(&control, reload) => Ok(()),
     };
     drop(operators);
-    ended
+    result
 }
 
 /// Waits until clients may connect, then serves them until the graceful shutdown is complete.
@@ -101,7 +101,7 @@
         biased;
         // No request has been accepted yet, so there is nothing to wait for.
         () = &mut shutdown => return Ok(()),
-        () = listening_allowed(control) => {}
+        () = wait_until_listening_allowed(control) => {}
     }
     let listener = socket
         .listen(downstream::LISTEN_BACKLOG)
@@ -132,11 +132,11 @@
 /// Returns once clients may connect: when an endpoint list has been received, or after a timeout.
 /// Without a list, requests could only be rejected. The timeout is longer while another process of
 /// the program runs, because that process serves the clients.
-async fn listening_allowed(control: &Control) {
+async fn wait_until_listening_allowed(control: &Control) {
     let start = Instant::now();
     let list_timeout = || match control.config().process_count {
         0 | 1 => LIST_TIMEOUT,
-        _ => READY_DELAY_BESIDE_OTHER,
+        _ => READY_DELAY_BESIDE_OTHER_PROCESS,
     };
     while start.elapsed() < list_timeout() {
         let left = list_timeout()
@@ -149,18 +149,18 @@
 }
 
 /// Reports the process ready after the delay, even if no endpoint list has been received.
-async fn end_list_wait(control: Control) {
+async fn end_list_wait_after_delay(control: Control) {
     let start = Instant::now();
     sleep(READY_DELAY).await;
     if control.config().process_count > 1 {
-        sleep_until(start + READY_DELAY_BESIDE_OTHER).await;
+        sleep_until(start + READY_DELAY_BESIDE_OTHER_PROCESS).await;
     }
     control.end_list_wait();
 }
 
 /// Halves this process's share of the descriptors for as long as another process of the program
 /// runs.
-async fn follow_other_process(folder: PathBuf, control: Control) {
+async fn share_limits_with_other_process(folder: PathBuf, control: Control) {
     let on_change = |is_shared| {
         if is_shared {
             log::line("another process serves too");
--- a/proxy/src/log.rs
+++ b/proxy/src/log.rs
@@ -29,11 +29,11 @@
         .unwrap_or(0);
     line.truncate(end);
     line.push('\n');
-    write(line.as_bytes());
+    write_or_drop(line.as_bytes());
 }
 
 /// Writes a line of at most [`MAX_LINE_BYTES`], or drops it if standard error is not ready.
-fn write(line: &[u8]) {
+fn write_or_drop(line: &[u8]) {
     let stderr = io::stderr();
     let mut poll_fds = [PollFd::new(stderr.as_fd(), PollFlags::POLLOUT)];
     let is_ready = poll(&mut poll_fds, PollTimeout::ZERO).is_ok_and(|count| count > 0);
@@ -50,7 +50,7 @@
 impl Write for TraceWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if line.len() <= MAX_LINE_BYTES {
-            write(line);
+            write_or_drop(line);
         } else {
             DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -29,7 +29,7 @@
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 fn main() -> ExitCode {
-    match start() {
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             let reason = format!("{error:#}").replace('\n', " ");
@@ -39,12 +39,12 @@
     }
 }
 
-fn start() -> anyhow::Result<()> {
+fn run() -> anyhow::Result<()> {
     if env::var_os("ROUTER_TRACE").is_some_and(|value| value == "1") {
         log::enable_request_trace();
     }
     let path = env::var_os("ROUTER_CONFIG").context("ROUTER_CONFIG is not set")?;
-    let runtime = new_runtime().context("cannot start the async runtime")?;
+    let runtime = build_runtime().context("cannot start the async runtime")?;
     LocalSet::new().block_on(&runtime, serve(Path::new(&path)))
 }
 
@@ -53,10 +53,10 @@
 async fn serve(path: &Path) -> anyhow::Result<()> {
     // Must come first: a signal that arrives before its handler is installed terminates the
     // program.
-    let mut terminate = handler(SignalKind::terminate())
+    let mut terminate = signal_handler(SignalKind::terminate())
         .await
         .context("cannot handle SIGTERM")?;
-    let hangup = handler(SignalKind::hangup())
+    let hangup = signal_handler(SignalKind::hangup())
         .await
         .context("cannot handle SIGHUP")?;
     let config = load_at_start(path).await?;
@@ -67,12 +67,12 @@
     let shutdown = async move {
         terminate.recv().await;
     };
-    let mut reloads = Reloads {
+    let mut reloader = ConfigReloader {
         hangup,
         path,
         retry_until: None,
     };
-    let reload = async || reloads.next().await;
+    let reload = async || reloader.next().await;
     let presence_folder = env::var_os("TMPDIR").map(PathBuf::from);
     client_proxy::run(config, listeners, presence_folder, reload, shutdown).await?;
     Ok(())
@@ -80,11 +80,11 @@
 
 /// Creates the runtime. Transient failures are retried with blocking sleeps, as nothing can be
 /// awaited without a runtime.
-fn new_runtime() -> io::Result<Runtime> {
-    let end = Instant::now() + START_TIMEOUT;
+fn build_runtime() -> io::Result<Runtime> {
+    let retry_until = Instant::now() + START_TIMEOUT;
     loop {
         match runtime::Builder::new_current_thread().enable_all().build() {
-            Err(error) if ErrorClass::of(&error).is_retryable() && Instant::now() < end => {
+            Err(error) if ErrorClass::of(&error).is_retryable() && Instant::now() < retry_until => {
                 std::thread::sleep(RETRY_DELAY);
             }
             built => return built,
@@ -92,7 +92,7 @@
     }
 }
 
-async fn handler(kind: SignalKind) -> io::Result<Signal> {
+async fn signal_handler(kind: SignalKind) -> io::Result<Signal> {
     retry_transient(START_TIMEOUT, async || signal(kind)).await
 }
 
@@ -128,11 +128,11 @@
 
 /// Loads the configuration at startup. Transient failures to read the file are retried.
 async fn load_at_start(path: &Path) -> Result<Config, LoadError> {
-    let end = Instant::now() + START_TIMEOUT;
+    let retry_until = Instant::now() + START_TIMEOUT;
     loop {
         match Config::load(path) {
             Err(LoadError::Unreadable { error, .. })
-                if ErrorClass::of(&error).is_retryable() && Instant::now() < end =>
+                if ErrorClass::of(&error).is_retryable() && Instant::now() < retry_until =>
             {
                 sleep(RETRY_DELAY).await;
             }
@@ -143,23 +143,23 @@
 
 /// Loads a new configuration on each SIGHUP. The signal is sent only once, so loading is retried
 /// for a while if the file cannot be used.
-struct Reloads<'a> {
+struct ConfigReloader<'a> {
     hangup: Signal,
     path: &'a Path,
     /// When to stop retrying; `None`: the last reload succeeded or was abandoned.
     retry_until: Option<Instant>,
 }
 
-impl Reloads<'_> {
+impl ConfigReloader<'_> {
     /// Returns the next configuration, or the error of the first try after a signal; errors of its
     /// retries are not reported. `None`: no more signals will follow.
     async fn next(&mut self) -> Option<Result<Config, LoadError>> {
         loop {
-            let announced = tokio::select! {
-                announced = self.hangup.recv() => Some(announced?),
+            let sighup = tokio::select! {
+                sighup = self.hangup.recv() => Some(sighup?),
                 () = sleep(RELOAD_RETRY_DELAY), if self.retry_until.is_some() => None,
             };
-            if announced.is_some() {
+            if sighup.is_some() {
                 self.retry_until = Some(Instant::now() + RELOAD_TIMEOUT);
             }
             match Config::load(self.path) {
@@ -167,7 +167,7 @@
                     self.retry_until = None;
                     return Some(Ok(config));
                 }
-                Err(error) if announced.is_some() => return Some(Err(error)),
+                Err(error) if sighup.is_some() => return Some(Err(error)),
                 Err(_) => self.retry_until = self.retry_until.filter(|end| Instant::now() < *end),
             }
         }
--- a/proxy/src/operators.rs
+++ b/proxy/src/operators.rs
@@ -36,7 +36,7 @@
     #[error("the command is longer than {MAX_COMMAND_BYTES} bytes")]
     TooLong,
     #[error("the command is not valid UTF-8")]
-    NotText,
+    InvalidUtf8,
     #[error("unknown command; available commands: health, counters")]
     Unknown,
     #[error("no: this process is not serving clients")]
@@ -61,14 +61,14 @@
     socket.listen(BACKLOG)
 }
 
-struct Connection {
+struct OperatorConnection {
     task: JoinHandle<()>,
-    has_command: Rc<Cell<bool>>,
+    has_received_command: Rc<Cell<bool>>,
 }
 
 /// Serves operators. Never returns.
 pub async fn serve(listener: TcpListener, control: Control) {
-    let mut connections: VecDeque<Connection> = VecDeque::new();
+    let mut connections: VecDeque<OperatorConnection> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -78,27 +78,30 @@
                 continue;
             }
         };
-        evict(&mut connections).await;
-        let has_command = Rc::new(Cell::new(false));
+        make_room(&mut connections).await;
+        let has_received_command = Rc::new(Cell::new(false));
         let task = spawn_local(serve_connection(
             stream,
             control.clone(),
-            has_command.clone(),
+            has_received_command.clone(),
         ));
-        connections.push_back(Connection { task, has_command });
+        connections.push_back(OperatorConnection {
+            task,
+            has_received_command,
+        });
     }
 }
 
 /// Makes room for one more connection. At the limit, closes the oldest connection that has sent no
 /// command, or else the oldest connection.
-async fn evict(connections: &mut VecDeque<Connection>) {
+async fn make_room(connections: &mut VecDeque<OperatorConnection>) {
     connections.retain(|connection| !connection.task.is_finished());
     if connections.len() < MAX_OPERATOR_CONNECTIONS {
         return;
     }
     let oldest = connections
         .iter()
-        .position(|connection| !connection.has_command.get());
+        .position(|connection| !connection.has_received_command.get());
     if let Some(connection) = connections.remove(oldest.unwrap_or(0)) {
         connection.task.abort();
         // The descriptor is closed once the aborted task has ended.
@@ -106,11 +109,15 @@
     }
 }
 
-async fn serve_connection(mut stream: TcpStream, control: Control, has_command: Rc<Cell<bool>>) {
+async fn serve_connection(
+    mut stream: TcpStream,
+    control: Control,
+    has_received_command: Rc<Cell<bool>>,
+) {
     let command = timeout(COMMAND_TIMEOUT, read_command(&stream)).await;
-    has_command.set(true);
+    has_received_command.set(true);
     let response = match command.unwrap_or(Err(CommandError::TimedOut)) {
-        Ok(command) => respond(&command, &control),
+        Ok(command) => execute(&command, &control),
         Err(error) => Err(error),
     };
     let response = match response {
@@ -154,11 +161,11 @@
 async fn read_command(stream: &TcpStream) -> Result<String, CommandError> {
     let mut line = Vec::with_capacity(MAX_COMMAND_BYTES);
     loop {
-        let is_end = read_some(stream, &mut line).await? == 0;
+        let is_end_of_input = read_some(stream, &mut line).await? == 0;
         let newline = line.iter().position(|&byte| byte == b'\n');
-        if let Some(length) = newline.or(is_end.then_some(line.len())) {
+        if let Some(length) = newline.or(is_end_of_input.then_some(line.len())) {
             line.truncate(length);
-            return String::from_utf8(line).map_err(|_| CommandError::NotText);
+            return String::from_utf8(line).map_err(|_| CommandError::InvalidUtf8);
         }
         if line.len() >= MAX_COMMAND_BYTES {
             return Err(CommandError::TooLong);
@@ -166,7 +173,7 @@
     }
 }
 
-fn respond(command: &str, control: &Control) -> Result<String, CommandError> {
+fn execute(command: &str, control: &Control) -> Result<String, CommandError> {
     match command.trim() {
         "health" if control.is_serving() => Ok("SUCCESS yes\n".to_owned()),
         "health" => Err(CommandError::Unhealthy),
--- a/proxy/src/process_handoff.rs
+++ b/proxy/src/process_handoff.rs
@@ -46,13 +46,13 @@
 /// one index 1. If no listener has the index that the filter returns, the kernel selects one as it
 /// does without a filter.
 pub fn steer_to_newer_process(listener: impl AsFd) -> io::Result<()> {
-    const NEWER: u32 = 1;
+    const NEWER_LISTENER_INDEX: u32 = 1;
     let code = (libc::BPF_RET | libc::BPF_K) as u16;
     let mut filter = [libc::sock_filter {
         code,
         jt: 0,
         jf: 0,
-        k: NEWER,
+        k: NEWER_LISTENER_INDEX,
     }];
     let program = libc::sock_fprog {
         len: filter.len() as u16,
@@ -82,7 +82,7 @@
             sleep(LOCK_RETRY_INTERVAL).await;
         }
         // The file may have been replaced between the open and the lock.
-        if is_at(&file, &path) {
+        if is_at_path(&file, &path) {
             if is_shared {
                 on_shared(false);
             }
@@ -110,7 +110,7 @@
         match announce_presence(folder, &mut on_change).await {
             Ok(file) => {
                 on_change(false);
-                while is_at(&file, &folder.join(LOCK_FILE_NAME)) {
+                while is_at_path(&file, &folder.join(LOCK_FILE_NAME)) {
                     sleep(LOCK_FILE_CHECK_INTERVAL).await;
                 }
             }
@@ -133,10 +133,10 @@
 }
 
 /// Whether the file at `path` is the open file `file`.
-fn is_at(file: &File, path: &Path) -> bool {
-    let id = |metadata: Metadata| (metadata.dev(), metadata.ino());
+fn is_at_path(file: &File, path: &Path) -> bool {
+    let file_id = |metadata: Metadata| (metadata.dev(), metadata.ino());
     match (std::fs::metadata(path), file.metadata()) {
-        (Ok(found), Ok(open)) => id(found) == id(open),
+        (Ok(found), Ok(open)) => file_id(found) == file_id(open),
         _ => false,
     }
 }
--- a/proxy/src/transient_errors.rs
+++ b/proxy/src/transient_errors.rs
@@ -53,12 +53,12 @@
 }
 
 /// Calls `call` until it succeeds, fails with an error that is not retryable, or the next retry
-/// would not start within `limit` of the first call. Returns the last result.
+/// would not start within `retry_limit` of the first call. Returns the last result.
 pub async fn retry_transient<T>(
-    limit: Duration,
+    retry_limit: Duration,
     mut call: impl AsyncFnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let end = Instant::now() + limit;
+    let end = Instant::now() + retry_limit;
     loop {
         match call().await {
             Err(error)
