--- a/proxy/src/upstream/connection.rs
+++ b/proxy/src/upstream/connection.rs
@@ -54,9 +54,9 @@
     sender: SendRequest<AttemptBody>,
     socket: Socket,
     /// The socket's read count when the last response was complete; 0 before the first response.
-    reads_when_reusable: u64,
+    read_count_after_response: u64,
     _task: ScopedTask,
-    _slot: Rc<()>,
+    _permit: Rc<()>,
 }
 
 impl Drop for Connection {
@@ -68,29 +68,29 @@
 }
 
 impl Connection {
-    /// Opens a connection within the time `limit`. It holds `slot`, its permit from the connection
-    /// pool, for as long as it is open.
+    /// Opens a connection within `connect_timeout`. It holds `permit`, from the connection pool,
+    /// for as long as it is open.
     pub(crate) async fn open(
         address: SocketAddr,
-        limit: Duration,
-        slot: Rc<()>,
+        connect_timeout: Duration,
+        permit: Rc<()>,
     ) -> Result<Connection, ConnectError> {
         let stream = timeout(
-            limit,
-            retry_transient(limit, async || connect(address).await),
+            connect_timeout,
+            retry_transient(connect_timeout, async || connect(address).await),
         )
         .await??;
         let socket = Socket::new(stream);
-        let builder = http1::Builder::new()
+        let handshake = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .handshake(socket.clone());
-        let (sender, connection) = builder.await?;
+        let (sender, connection) = handshake.await?;
         Ok(Connection {
             sender,
             socket,
-            reads_when_reusable: 0,
+            read_count_after_response: 0,
             _task: spawn(connection),
-            _slot: slot,
+            _permit: permit,
         })
     }
 
@@ -104,7 +104,7 @@
         ) {
             return None;
         }
-        self.reads_when_reusable = self.socket.read_count();
+        self.read_count_after_response = self.socket.read_count();
         // The connection's task detects data beyond the response only when it is polled once more.
         yield_now().await;
         self.is_ready().then_some(self)
@@ -115,19 +115,19 @@
     /// be taken for the response to the next request.
     pub(crate) fn is_ready(&self) -> bool {
         self.sender.is_ready()
-            && self.socket.read_count() == self.reads_when_reusable
+            && self.socket.read_count() == self.read_count_after_response
             && self.socket.has_no_unread_input()
     }
 
     /// Whether the connection has carried a request before.
     pub(super) fn is_reused(&self) -> bool {
-        self.reads_when_reusable > 0
+        self.read_count_after_response > 0
     }
 
     /// Whether at most the end of the connection, which counts as one read, was received since the
     /// last response.
     pub(super) fn has_received_no_response(&self) -> bool {
-        self.socket.read_count() <= self.reads_when_reusable + 1
+        self.socket.read_count() <= self.read_count_after_response + 1
     }
 
     pub(super) fn socket(&self) -> &Socket {
--- a/proxy/src/upstream/exchange.rs
+++ b/proxy/src/upstream/exchange.rs
@@ -86,11 +86,11 @@
     context: &ExchangeContext<'_>,
 ) -> Option<Outcome> {
     if !context.write_guard.is_fully_written() {
-        let is_repeatable = context
+        let can_rewrite_request = context
             .request_body
             .upload()
             .is_none_or(|upload| !upload.is_consumed());
-        return (!is_repeatable).then_some(Outcome::Truncated);
+        return (!can_rewrite_request).then_some(Outcome::Truncated);
     }
     let has_no_response = connection.is_reused() && connection.has_received_no_response();
     let outcome = classify_error(error);
@@ -106,15 +106,15 @@
 ) -> AttemptEnd {
     let (head, body) = response.into_parts();
     if head.status == StatusCode::OK {
-        read_success(connection, head, body, context).await
+        read_successful_response(connection, head, body, context).await
     } else {
-        read_failure(connection, &head, body).await
+        read_failed_response(connection, &head, body).await
     }
 }
 
 /// Reads a response with a status other than 200, which is not forwarded. The status decides the
 /// outcome; if the body breaks or stalls, the connection is closed, but the outcome is the same.
-async fn read_failure(connection: Connection, head: &Parts, body: Incoming) -> AttemptEnd {
+async fn read_failed_response(connection: Connection, head: &Parts, body: Incoming) -> AttemptEnd {
     let rest = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect();
     let is_complete = matches!(timeout(RESPONSE_END_TIMEOUT, rest).await, Ok(Ok(_)));
     let connection = if is_complete {
@@ -131,7 +131,7 @@
 }
 
 /// Reads a response with status 200, which is forwarded unless its body is invalid or breaks.
-async fn read_success(
+async fn read_successful_response(
     connection: Connection,
     head: Parts,
     body: Incoming,
--- a/proxy/src/upstream/idle_timeout.rs
+++ b/proxy/src/upstream/idle_timeout.rs
@@ -7,43 +7,43 @@
 #[cfg(test)]
 mod tests;
 
-/// Number of groups of idle times: below 1 ms, then a group per doubling. The last group also holds
-/// all longer times.
-const GROUP_COUNT: usize = 16;
-/// Fraction of broken connections above which connections of a group are not reused, because
+/// Number of buckets of idle times: below 1 ms, then a bucket per doubling. The last bucket also
+/// holds all longer times.
+const BUCKET_COUNT: usize = 16;
+/// Fraction of broken connections above which connections of a bucket are not reused, because
 /// opening a new connection costs less.
 const MAX_BROKEN_FRACTION: f64 = 0.3;
-/// Minimum count of broken connections in a group for the fraction to be considered, because a few
+/// Minimum count of broken connections in a bucket for the fraction to be considered, because a few
 /// may break by chance after any idle time.
 const MIN_BROKEN_COUNT: f64 = 5.0;
-/// Factor applied to each count every second. A group whose connections are not reused is tried
+/// Factor applied to each count every second. A bucket whose connections are not reused is tried
 /// again after about a minute.
 const DECAY_PER_SECOND: f64 = 0.98;
 
-/// Exponentially decaying counts of the reused connections of a group.
+/// Exponentially decaying counts of the reused connections of a bucket.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReuseCounts {
-    all: f64,
+    total: f64,
     broken: f64,
 }
 
 /// Estimates the idle time after which connections break, from the reuses at all endpoints.
 #[derive(Debug, Default)]
-pub(crate) struct IdleTimeoutEstimate([ReuseCounts; GROUP_COUNT]);
+pub(crate) struct IdleTimeoutEstimate([ReuseCounts; BUCKET_COUNT]);
 
-fn group_of(idle: Duration) -> usize {
+fn bucket_index(idle: Duration) -> usize {
     let doublings = (idle.as_millis() as u64)
         .checked_ilog2()
-        .map_or(0, |log| log as usize + 1);
-    doublings.min(GROUP_COUNT - 1)
+        .map_or(0, |exponent| exponent as usize + 1);
+    doublings.min(BUCKET_COUNT - 1)
 }
 
 impl IdleTimeoutEstimate {
     /// Records the reuse of a connection that had been idle for `idle`, and whether it proved
     /// broken.
     pub(crate) fn record_reuse(&mut self, idle: Duration, is_broken: bool) {
-        let counts = &mut self.0[group_of(idle)];
-        counts.all += 1.0;
+        let counts = &mut self.0[bucket_index(idle)];
+        counts.total += 1.0;
         if is_broken {
             counts.broken += 1.0;
         }
@@ -52,21 +52,23 @@
     /// Decays the counts; to be called once a second.
     pub(crate) fn decay(&mut self) {
         for counts in &mut self.0 {
-            counts.all *= DECAY_PER_SECOND;
+            counts.total *= DECAY_PER_SECOND;
             counts.broken *= DECAY_PER_SECOND;
         }
     }
 
     /// The idle time from which too many connections are broken; `None` if there is no such time.
     pub(crate) fn limit(&self) -> Option<Duration> {
-        let is_bad = |counts: &ReuseCounts| {
-            counts.broken >= MIN_BROKEN_COUNT && counts.broken > counts.all * MAX_BROKEN_FRACTION
+        let breaks_often = |counts: &ReuseCounts| {
+            counts.broken >= MIN_BROKEN_COUNT && counts.broken > counts.total * MAX_BROKEN_FRACTION
         };
-        let first_bad = self.0.iter().position(is_bad)?;
+        let first_breaking_bucket = self.0.iter().position(breaks_often)?;
         Some(
-            first_bad
+            first_breaking_bucket
                 .checked_sub(1)
-                .map_or(Duration::ZERO, |log| Duration::from_millis(1 << log)),
+                .map_or(Duration::ZERO, |exponent| {
+                    Duration::from_millis(1 << exponent)
+                }),
         )
     }
 }
--- a/proxy/src/upstream/load_report/tests.rs
+++ b/proxy/src/upstream/load_report/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_load_report_is_parsed_under_the_names_of_the_settings() {
+fn known_fields_of_a_load_report_are_parsed_and_unknown_ones_are_skipped() {
     let report = parse_load_report("active=7.5,waiting=2,avg_ms=14.766, cpu = 0.5");
     assert_eq!(
         report,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_report_with_a_value_that_no_endpoint_can_mean_is_invalid() {
+fn a_malformed_or_implausible_load_report_is_invalid_as_a_whole() {
     for text in [
         "",
         "=,=",
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_invalid_load_report_does_not_hide_the_valid_one_beside_it() {
+fn a_valid_load_report_after_an_invalid_one_is_used() {
     let mut headers = HeaderMap::new();
     headers.append("x-load-report", "{".parse().expect("a value"));
     headers.append(
--- a/proxy/src/upstream/response.rs
+++ b/proxy/src/upstream/response.rs
@@ -150,10 +150,10 @@
         return Ok(ReadBody::Partial { prefix, rest: body });
     };
     let buffer_until = Instant::now() + BUFFERING_TIMEOUT;
-    let is_bounded = length.is_none() && framing == BodyFraming::Delimited;
+    let has_time_limit = length.is_none() && framing == BodyFraming::Delimited;
     let mut has_begun = false;
     loop {
-        let data = if is_bounded && has_begun {
+        let data = if has_time_limit && has_begun {
             match timeout_at(buffer_until, next_data(&mut body)).await {
                 Ok(data) => data,
                 Err(_) => break,
