--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The record of an endpoint's process: its state, and how much it was sent while warming up.
+//! An endpoint process: its state, and the requests that it was sent during its slow start.
 
 use crate::config::SimulationConfig;
 use std::cell::Cell;
@@ -7,32 +7,32 @@
 use std::time::{Duration, Instant};
 use tokio::task::AbortHandle;
 
-/// How an endpoint's process behaves.
+/// How an endpoint process handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Behaviour {
-    /// It answers.
+    /// It responds normally.
     Normal,
-    /// It takes requests and never answers.
+    /// It accepts requests and never responds.
     Hanging,
-    /// It resets connections, before, in and behind its responses.
+    /// It resets connections before, during and after its responses.
     Resetting,
-    /// It answers with errors, or with what is no valid response.
+    /// It responds with errors or with invalid responses.
     Failing,
 }
 
-/// What the endpoint list says of a process.
+/// Health of an endpoint process in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndpointHealth {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It takes no new ones.
+    /// It accepts no new requests.
     Draining,
-    /// It is not in the list any more.
+    /// It is no longer in the list.
     Removed,
 }
 
 impl EndpointHealth {
-    /// Its name in the endpoint list.
+    /// Value of the `health` key in the endpoint list.
     pub(crate) fn wire_name(self) -> &'static str {
         match self {
             EndpointHealth::Ready => "Ready",
@@ -42,66 +42,66 @@
     }
 }
 
-/// The name of the endpoint with this number.
+/// Returns the name of the endpoint with this id.
 pub(crate) fn endpoint_name(id: u32) -> String {
     format!("s-{id:08x}")
 }
 
-/// State of a process that its server task shares.
+/// State that an endpoint process shares with its server task.
 #[derive(Clone, Debug)]
 pub(crate) struct ProcessState {
-    /// How it behaves.
+    /// How it handles requests at present.
     pub(crate) behaviour: Rc<Cell<Behaviour>>,
-    /// It rejects most requests.
+    /// Whether it drains: it then rejects most requests.
     pub(crate) draining: Rc<Cell<bool>>,
 }
 
-/// A process of an endpoint.
+/// A process of an endpoint. A replacement under the same name is another process.
 #[derive(Debug)]
 pub(crate) struct EndpointProcess {
-    /// Its number, which no other process has.
+    /// Number that identifies the process within the run.
     pub(crate) number: u64,
-    /// The endpoint's name.
+    /// Name of the endpoint.
     pub(crate) name: String,
-    /// The endpoint's zone.
+    /// Zone of the endpoint.
     pub(crate) zone: char,
-    /// Where it listens.
+    /// Address on which it listens.
     pub(crate) address: SocketAddr,
-    /// When it started.
+    /// Time of its start.
     pub(crate) started_at: Instant,
-    /// When it started, by the endpoint list's clock, in milliseconds.
+    /// Time of its start as the endpoint list states it, in milliseconds since the Unix epoch.
     pub(crate) started_unix_ms: u64,
-    /// What its server task acts by.
+    /// State that is shared with the server task.
     pub(crate) state: ProcessState,
-    /// When complete requests arrived, while it was warming up.
+    /// Arrival times of complete requests during the slow start.
     pub(crate) arrivals: Vec<Instant>,
-    /// Its server task.
+    /// The server task, which owns all connections of the process.
     pub(crate) task: AbortHandle,
 }
 
-/// An endpoint was sent more than it can take while warming up.
+/// An endpoint process was sent more requests than allowed during its slow start.
 #[derive(Debug)]
 pub(crate) struct Overload {
-    /// Time since its start.
+    /// Time since the start of the process.
     pub(crate) age: Duration,
-    /// Number of requests within the overload duration.
+    /// Number of requests that arrived within the overload duration.
     pub(crate) received: f64,
-    /// How many were allowed.
+    /// Number of requests that were allowed in that time.
     pub(crate) allowed: f64,
 }
 
 impl EndpointProcess {
-    /// Whether it drains.
+    /// Whether the process drains.
     pub(crate) fn is_draining(&self) -> bool {
         self.state.draining.get()
     }
 
-    /// Kills it: its connections are reset.
+    /// Kills the process, which resets its connections.
     pub(crate) fn kill(&self) {
         self.task.abort();
     }
 
-    /// A complete request has arrived; whether that overloads the process.
+    /// Records the arrival of a complete request, and returns the overload if it causes one.
     pub(crate) fn record_arrival(
         &mut self,
         at: Instant,
@@ -131,8 +131,8 @@
     }
 }
 
-/// Number of requests that all proxies together may send within the overload duration: the capacity
-/// at this age, and what proxies that don't know of each other may exceed it by.
+/// Number of requests that all proxies together may send within the overload duration: the
+/// capacity at this age, and a tolerance because proxies do not know of each other's requests.
 fn allowed_arrivals(age: Duration, config: &SimulationConfig) -> f64 {
     let progress = age.as_secs_f64() / config.slow_start.as_secs_f64();
     let capacity_fraction = config.initial_capacity + (1.0 - config.initial_capacity) * progress;
--- a/soak/src/endpoint_list.rs
+++ b/soak/src/endpoint_list.rs
@@ -1,11 +1,11 @@
-//! The endpoint list and its changes, as discovery has them.
+//! The endpoint list that discovery delivers to the proxies, with the history of its changes.
 
 use crate::endpoint::{EndpointHealth, EndpointProcess};
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// A change of the list: the new entry of an endpoint.
+/// A change of the list: a new entry that replaces the endpoint's previous one.
 #[derive(Clone, Debug)]
 struct Change {
     version: u64,
@@ -16,16 +16,16 @@
     at: Instant,
 }
 
-/// When and with which version discovery had a change.
+/// The time and the version of a change of the list.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ChangeTime {
-    /// When.
+    /// Time of the change.
     pub(crate) at: Instant,
-    /// The list's version from then on.
+    /// Version of the list from then on.
     pub(crate) version: u64,
 }
 
-/// The list with all its changes.
+/// The endpoint list with all its changes.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointList {
     version: u64,
@@ -33,12 +33,12 @@
 }
 
 impl EndpointList {
-    /// The number of its last change.
+    /// Returns the present version, which is the number of changes so far.
     pub(crate) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Changes what the list says of a process.
+    /// Changes the entry of a process to this health.
     pub(crate) fn change(&mut self, process: &EndpointProcess, health: EndpointHealth) {
         self.version += 1;
         let entry = json!({"host": process.name, "dial": process.address.to_string(),
@@ -54,7 +54,7 @@
         });
     }
 
-    /// All present entries, as a message of the list.
+    /// Returns a message with the whole list.
     pub(crate) fn full(&self) -> Value {
         let mut last: HashMap<&str, &Change> = HashMap::new();
         for change in &self.changes {
@@ -72,7 +72,7 @@
         json!({"seq": self.version, "whole": true, "hosts": entries})
     }
 
-    /// What has changed since a version, as a message of the list; `None`: nothing.
+    /// Returns a message with the changes since a version; `None` if there are none.
     pub(crate) fn delta(&self, since: u64) -> Option<Value> {
         let changes = self.changes.iter().filter(|change| change.version > since);
         let entries: Vec<_> = changes.map(|change| change.entry.clone()).collect();
@@ -80,13 +80,14 @@
         (!entries.is_empty()).then_some(message)
     }
 
-    /// Since when a process is not to be sent new requests; `None`: it is, or was never ready.
+    /// Returns the change since which a process must be sent no new requests; `None` if it is ready
+    /// or never was.
     pub(crate) fn draining_since(&self, process: u64) -> Option<ChangeTime> {
         let ready =
             |change: &Change| change.process == process && change.health == EndpointHealth::Ready;
         let own = self.changes.iter().rposition(ready)?;
         let endpoint = &self.changes[own].endpoint;
-        // Another process under the endpoint's name replaces this one.
+        // The entry of another process under the same endpoint name ends this process's entry too.
         let later = self.changes[own + 1..]
             .iter()
             .find(|change| &change.endpoint == endpoint);
--- a/soak/src/environment/mod.rs
+++ b/soak/src/environment/mod.rs
@@ -1,5 +1,5 @@
-//! The simulated environment that all parts of a run share: the ledger, the endpoint list and the
-//! endpoints' processes, the proxies' notifications, the random numbers.
+//! The state that all tasks of a run share: the ledger, the endpoint list, the endpoint processes,
+//! what the proxies were notified of, and the random number generator.
 
 use crate::config::SimulationConfig;
 use crate::endpoint::{EndpointHealth, EndpointProcess};
@@ -16,7 +16,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Slack of the drain grace on loopback.
+/// Tolerance of the drain grace, for delays of the loopback and of this program.
 const DRAIN_SLACK: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
@@ -28,11 +28,11 @@
     processes: Vec<EndpointProcess>,
     last_process: u64,
     last_request: u64,
-    /// By the proxies' numbers.
+    /// Indexed by the proxy's number.
     notifications: Vec<Notifications>,
 }
 
-/// The shared state of a run; clones refer to the same state.
+/// The shared state of a run. Clones refer to the same state.
 #[derive(Clone, Debug)]
 pub(crate) struct Environment {
     config: Rc<SimulationConfig>,
@@ -40,7 +40,7 @@
 }
 
 impl Environment {
-    /// An environment without endpoints.
+    /// Creates an environment without endpoints.
     pub(crate) fn new(seed: u64, config: SimulationConfig) -> Environment {
         let state = State {
             random: Pcg64Mcg::seed_from_u64(seed),
@@ -58,42 +58,42 @@
         }
     }
 
-    /// What the run is played with.
+    /// Returns the parameters of the run.
     pub(crate) fn config(&self) -> &SimulationConfig {
         &self.config
     }
 
-    /// Draws from the run's random numbers.
+    /// Draws from the run's random number generator.
     pub(crate) fn draw<T>(&self, draw: impl FnOnce(&mut Pcg64Mcg) -> T) -> T {
         draw(&mut self.state.borrow_mut().random)
     }
 
-    /// Draws whether something of this probability happens.
+    /// Draws a boolean that is true with this probability.
     pub(crate) fn chance(&self, probability: f64) -> bool {
         self.draw(|random| random.gen_bool(probability))
     }
 
-    /// Draws a duration of at least `min_s` and less than `max_s` seconds.
+    /// Draws a duration of at least `min_s` and less than `max_s` seconds, uniformly.
     pub(crate) fn draw_seconds(&self, min_s: f64, max_s: f64) -> Duration {
         Duration::from_secs_f64(self.draw(|random| random.gen_range(min_s..max_s)))
     }
 
-    /// Draws a duration of at least `min` and less than `max` milliseconds.
+    /// Draws a duration of at least `min` and less than `max` milliseconds, uniformly.
     pub(crate) fn draw_millis(&self, min: u64, max: u64) -> Duration {
         Duration::from_millis(self.draw(|random| random.gen_range(min..max)))
     }
 
-    /// Draws from the exponential distribution with this mean.
+    /// Draws from the exponential distribution with this mean, in seconds.
     pub(crate) fn draw_exponential(&self, mean_s: f64) -> f64 {
         -mean_s * self.draw(|random| random.gen::<f64>().max(1e-6)).ln()
     }
 
-    /// Uses the ledger.
+    /// Calls `with` with the ledger.
     pub(crate) fn ledger<T>(&self, with: impl FnOnce(&mut Ledger) -> T) -> T {
         with(&mut self.state.borrow_mut().ledger)
     }
 
-    /// Records a new request; its id.
+    /// Records a new request and returns its id.
     pub(crate) fn add_request(&self, request: RequestRecord) -> u64 {
         let mut state = self.state.borrow_mut();
         state.last_request += 1;
@@ -102,12 +102,12 @@
         id
     }
 
-    /// Reads the record of a request; `None`: there is none.
+    /// Reads the record of a request; `None` if there is none.
     pub(crate) fn request<T>(&self, id: u64, read: impl FnOnce(&RequestRecord) -> T) -> Option<T> {
         self.ledger(|ledger| ledger.requests.get(&id).map(read))
     }
 
-    /// Changes the record of a request.
+    /// Updates the record of a request, if there is one.
     pub(crate) fn update_request(&self, id: u64, update: impl FnOnce(&mut RequestRecord)) {
         self.ledger(|ledger| {
             if let Some(request) = ledger.requests.get_mut(&id) {
@@ -116,17 +116,17 @@
         });
     }
 
-    /// Logs what was done to a proxy, an endpoint or an agent.
+    /// Logs a fault or a change of state of a proxy, an endpoint or an agent.
     pub(crate) fn log_event(&self, description: String) {
         self.ledger(|ledger| ledger.log_event(description));
     }
 
-    /// Records that a rule was broken.
+    /// Records a violation of a rule at the current time.
     pub(crate) fn record_violation(&self, rule: Rule, description: String) {
         self.ledger(|ledger| ledger.record_violation(rule, description));
     }
 
-    /// Changes the record of an attempt.
+    /// Updates the record of an attempt, if there is one.
     pub(crate) fn update_attempt(
         &self,
         id: u64,
@@ -136,8 +136,9 @@
         self.ledger(|ledger| ledger.update_attempt(id, number, update));
     }
 
-    /// An attempt has arrived: checks it by its request, its endpoint's draining and its endpoint's
-    /// start. Returns its number; `None`: no client has sent the request.
+    /// Records an attempt that arrived at an endpoint, and checks it against its request and the
+    /// endpoint's drain and slow start. Returns its index among the request's attempts, or `None`
+    /// if no client has sent the request.
     pub(crate) fn record_attempt(
         &self,
         id: u64,
@@ -172,8 +173,8 @@
         let disruptions =
             self.notifications(proxy, |notifications| notifications.disruptions().clone());
         let description = format!(
-            "request {request:016x} at process {process} by proxy {proxy}, {late:?} after it was \
-             notified; {disruptions:?}"
+            "request {request:016x} sent to draining endpoint process {process} by proxy {proxy}, \
+             {late:?} after the proxy was notified; {disruptions:?}"
         );
         self.record_violation(Rule::Drain, description);
     }
@@ -192,19 +193,20 @@
         });
         if let Some((name, overload)) = overload {
             let description = format!(
-                "process {process} of {name}, {:?} old, received {}, allowed {:.1}",
+                "endpoint process {process} of {name}, {:?} after its start, got {} requests, \
+                 allowed {:.1}",
                 overload.age, overload.received, overload.allowed
             );
             self.record_violation(Rule::SlowStart, description);
         }
     }
 
-    /// Reads the endpoint list.
+    /// Calls `read` with the endpoint list.
     pub(crate) fn list<T>(&self, read: impl FnOnce(&EndpointList) -> T) -> T {
         read(&self.state.borrow().list)
     }
 
-    /// Changes what the endpoint list says of a process, and notifies the agents.
+    /// Changes the health of a process in the endpoint list, and wakes the agents.
     pub(crate) fn list_endpoint(&self, process: u64, health: EndpointHealth) {
         let mut state = self.state.borrow_mut();
         let State {
@@ -216,16 +218,16 @@
         if let Some(process) = processes.iter().find(|known| known.number == process) {
             list.change(process, health);
         }
-        // Without agents there is nobody to notify.
+        // This fails only while there are no watches, which need no wake-up.
         let _ = list_version.send(list.version());
     }
 
-    /// The version of the endpoint list, as it changes.
+    /// Returns a receiver of the endpoint list's versions.
     pub(crate) fn list_versions(&self) -> watch::Receiver<u64> {
         self.state.borrow().list_version.subscribe()
     }
 
-    /// Uses the notifications of a proxy.
+    /// Calls `with` with the notifications of a proxy.
     pub(crate) fn notifications<T>(
         &self,
         proxy: usize,
@@ -234,21 +236,21 @@
         with(&mut self.state.borrow_mut().notifications[proxy])
     }
 
-    /// The number of a new process.
+    /// Returns a number for a new endpoint process.
     pub(crate) fn next_process(&self) -> u64 {
         let mut state = self.state.borrow_mut();
         state.last_process += 1;
         state.last_process
     }
 
-    /// Adds a process and lists it as ready.
+    /// Adds an endpoint process and lists it as ready.
     pub(crate) fn add_endpoint(&self, process: EndpointProcess) {
         let number = process.number;
         self.processes(|processes| processes.push(process));
         self.list_endpoint(number, EndpointHealth::Ready);
     }
 
-    /// Uses the endpoints' processes.
+    /// Calls `with` with the endpoint processes.
     pub(crate) fn processes<T>(&self, with: impl FnOnce(&mut Vec<EndpointProcess>) -> T) -> T {
         with(&mut self.state.borrow_mut().processes)
     }
--- a/soak/src/environment/tests.rs
+++ b/soak/src/environment/tests.rs
@@ -1,4 +1,5 @@
-//! The rules about endpoints that drain or warm up are broken once each, and counted.
+//! Tests that violations of the rules for draining and for slowly starting endpoints are recorded,
+//! and nothing else.
 
 use super::*;
 use crate::config::DiscoveryMode;
@@ -11,15 +12,15 @@
 const PROXY: usize = 0;
 const PROCESS: u64 = 7;
 
-/// Runs a test where tasks can be started.
+/// Runs a test in a context where local tasks can be spawned.
 fn run(test: impl FnOnce()) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
-        .expect("a runtime");
+        .expect("the runtime can be built");
     LocalSet::new().block_on(&runtime, async { test() });
 }
 
-/// An environment with a request and an endpoint that has just started.
+/// Returns an environment with an endpoint that has just started, and the id of a request.
 fn environment(discovery: DiscoveryMode) -> (Environment, u64) {
     let environment = Environment::new(1, config(discovery, false));
     environment.notifications(PROXY, |notifications| {
@@ -55,7 +56,8 @@
     (environment, request)
 }
 
-/// Whether an attempt whose first byte arrives so long after now breaks the drain rule.
+/// Records an attempt whose first byte arrives `after_ms` from now; returns whether it breaks the
+/// drain rule.
 fn breaks_drain_rule(environment: &Environment, request: u64, after_ms: u64) -> bool {
     let attempt = AttemptRecord {
         process: PROCESS,
@@ -88,7 +90,7 @@
         let (environment, request) = environment(DiscoveryMode::Push);
         assert!(
             !breaks_drain_rule(&environment, request, 10_000),
-            "it is ready"
+            "a ready endpoint may be sent requests"
         );
         environment.list_endpoint(PROCESS, EndpointHealth::Draining);
         assert!(!breaks_drain_rule(&environment, request, 400));
@@ -96,7 +98,7 @@
         environment.list_endpoint(PROCESS, EndpointHealth::Ready);
         assert!(
             !breaks_drain_rule(&environment, request, 600),
-            "it is ready again"
+            "an endpoint that is ready again may be sent requests"
         );
     });
 }
@@ -112,7 +114,7 @@
         environment.notifications(PROXY, |notifications| notifications.delivered(version - 1));
         assert!(
             !breaks_drain_rule(&environment, request, 600),
-            "an older version was delivered"
+            "the version that was delivered is older than the drain"
         );
         environment.notifications(PROXY, |notifications| notifications.delivered(version));
         assert!(breaks_drain_rule(&environment, request, 600));
@@ -127,7 +129,7 @@
         environment.list_endpoint(PROCESS, EndpointHealth::Draining);
         assert!(
             !breaks_drain_rule(&environment, request, 60_000),
-            "the outage goes on"
+            "a proxy is not notified during an outage of its agent"
         );
         environment.notifications(PROXY, Notifications::outage_ended);
         assert!(!breaks_drain_rule(&environment, request, 6_300));
@@ -147,7 +149,8 @@
     run(|| {
         let (environment, _) = environment(DiscoveryMode::Push);
         let started_at = environment.processes(|processes| processes[0].started_at);
-        // A tenth of the capacity: 2 * 60 * 0.1 * 2, and 3 + 3 times the root of it.
+        // At its start the endpoint has a tenth of its capacity: c = 2 * 60 * 0.1 * 2 = 24 requests
+        // are allowed, and a tolerance of 3 * sqrt(c) + 3.
         let allowed = 41;
         for _ in 0..allowed {
             environment.check_slow_start(PROCESS, started_at);
@@ -158,6 +161,10 @@
         for _ in 0..10 * allowed {
             environment.check_slow_start(PROCESS, started_at + Duration::from_secs(9));
         }
-        assert_eq!(count(&environment, Rule::SlowStart), 1, "it is warm");
+        assert_eq!(
+            count(&environment, Rule::SlowStart),
+            1,
+            "after the slow start there is no limit"
+        );
     });
 }
--- a/soak/src/ledger/mod.rs
+++ b/soak/src/ledger/mod.rs
@@ -1,5 +1,5 @@
-//! The ledger of what clients and endpoints saw, and of the rules that it breaks. The proxies' own
-//! account is not used here.
+//! The ledger: records what clients and endpoints observed of each request, and which rules the
+//! proxies broke. It uses nothing that the proxies report about themselves.
 
 mod records;
 mod rules;
@@ -15,32 +15,32 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// Something that was done to a proxy, an endpoint or an agent.
+/// A fault or a change of state of a proxy, an endpoint or an agent.
 #[derive(Clone, Debug)]
 pub(crate) struct LoggedEvent {
-    /// When, in seconds since the start.
+    /// Time of the event, in seconds since the start of the run.
     pub(crate) at_s: f64,
-    /// What.
+    /// Description that is printed with violations close to the event.
     pub(crate) description: String,
 }
 
-/// Everything that was seen.
+/// All requests, violations and events of a run.
 #[derive(Debug)]
 pub(crate) struct Ledger {
     start: Instant,
     deduplication_window: Duration,
     hedging: bool,
-    /// All requests by their ids.
+    /// All requests, by id.
     pub(crate) requests: HashMap<u64, RequestRecord>,
-    /// All rules that were broken, in order.
+    /// All violations, in the order in which they were detected.
     pub(crate) violations: Vec<Violation>,
-    /// What was done to proxies, endpoints and agents, in order.
+    /// All events, in chronological order.
     pub(crate) events: Vec<LoggedEvent>,
     killed_processes: HashSet<u64>,
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger for a run that begins at `start`.
     pub(crate) fn new(start: Instant, config: &SimulationConfig) -> Ledger {
         Ledger {
             start,
@@ -57,7 +57,7 @@
         self.start.elapsed().as_secs_f64()
     }
 
-    /// Logs what was done.
+    /// Logs an event at the current time.
     pub(crate) fn log_event(&mut self, description: String) {
         self.events.push(LoggedEvent {
             at_s: self.elapsed_s(),
@@ -65,7 +65,7 @@
         });
     }
 
-    /// An endpoint's process was killed: its attempts in flight end.
+    /// Records that an endpoint process was killed, which ends its attempts in flight.
     pub(crate) fn record_kill(&mut self, process: u64) {
         let now = Some(Instant::now());
         self.killed_processes.insert(process);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Records that a rule was broken.
+    /// Records a violation of a rule at the current time.
     pub(crate) fn record_violation(&mut self, rule: Rule, description: String) {
         self.violations.push(Violation {
             rule,
@@ -95,13 +95,13 @@
                     timeline::timeline(self.start, request)
                 )
             }
-            None => format!("{reason}; request {id:016x} of no client"),
+            None => format!("{reason}; no client sent request {id:016x}"),
         };
         self.record_violation(rule, description);
     }
 
-    /// The first bytes of an attempt have arrived at an endpoint: checks it. Returns the attempt's
-    /// number; `None`: no client has sent the request.
+    /// Records an attempt that arrived at an endpoint and checks it against the rules. Returns its
+    /// index among the request's attempts, or `None` if no client has sent the request.
     pub(crate) fn record_attempt(
         &mut self,
         id: u64,
@@ -110,11 +110,11 @@
         body: &[u8],
     ) -> Option<usize> {
         if self.killed_processes.contains(&attempt.process) {
-            // The endpoint read it while it was being killed.
+            // The endpoint's task still read the attempt while the process was being killed.
             attempt.ended_at = attempt.ended_at.or(Some(attempt.first_byte_at));
         }
         let Some(request) = self.requests.get_mut(&id) else {
-            self.record_request_violation(Rule::Void, id, "an attempt of no request");
+            self.record_request_violation(Rule::Void, id, "an attempt of an unknown request");
             return None;
         };
         let arrival = AttemptArrival {
@@ -134,7 +134,7 @@
         Some(number)
     }
 
-    /// Changes the record of an attempt.
+    /// Updates the record of an attempt, if there is one.
     pub(crate) fn update_attempt(
         &mut self,
         id: u64,
@@ -147,8 +147,9 @@
         }
     }
 
-    /// A client got the response with this status and body, or, with `None`, its connection ended
-    /// without one.
+    /// Records how a request ended for its client: with a response of this status and body or, if
+    /// the status is `None`, with a closed connection and no response. Checks the response against
+    /// the rules unless the request is exempt.
     pub(crate) fn record_completion(&mut self, id: u64, status: Option<u16>, body: &[u8]) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -165,8 +166,8 @@
         }
     }
 
-    /// A client got a part of a response: lost, if an endpoint that still runs has written all of
-    /// it.
+    /// Checks a response that reached its client truncated: it was lost if an endpoint process that
+    /// has not been killed wrote it completely.
     pub(crate) fn record_truncated_response(&mut self, id: u64) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -180,7 +181,8 @@
         }
     }
 
-    /// At the end of a run: complete requests without a response are lost.
+    /// Records a violation for each complete request that still lacks its response. To be called at
+    /// the end of a run.
     pub(crate) fn record_unanswered(&mut self) {
         let unanswered =
             |request: &RequestRecord| request.complete_at.is_some() && request.is_unanswered();
--- a/soak/src/ledger/records.rs
+++ b/soak/src/ledger/records.rs
@@ -1,21 +1,23 @@
-//! What clients and endpoints saw of requests and their attempts.
+//! Records of requests as their clients saw them and of attempts as endpoints saw them, and the
+//! rules that proxies must follow.
 
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Class of a request: whether it may be executed again.
+/// Class of a request, which determines whether endpoints may execute it more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestClass {
-    /// It may.
+    /// It may be executed any number of times.
     Idempotent,
-    /// With its idempotency key, in the zone of the first attempt, within the deduplication window.
+    /// It carries an idempotency key. It may be sent again in the zone of its first attempt and
+    /// within the deduplication window, where endpoints recognise the key.
     Keyed,
-    /// It may not.
+    /// It must not be executed more than once.
     NonIdempotent,
 }
 
 impl RequestClass {
-    /// The class's name in the settings and in requests.
+    /// Name of the class in the settings and in the `X-Call-Class` header.
     pub(crate) fn wire_name(self) -> &'static str {
         match self {
             RequestClass::Idempotent => "free",
@@ -24,7 +26,7 @@
         }
     }
 
-    /// How long its clients wait at most, in milliseconds.
+    /// The class's deadline in milliseconds: the longest time that its clients wait.
     pub(crate) fn deadline_ms(self) -> u64 {
         match self {
             RequestClass::Idempotent => 1_500,
@@ -34,24 +36,24 @@
     }
 }
 
-/// One attempt as its endpoint saw it.
+/// An attempt as its endpoint saw it.
 #[derive(Clone, Debug)]
 pub(crate) struct AttemptRecord {
-    /// The endpoint's process.
+    /// Number of the endpoint process.
     pub(crate) process: u64,
-    /// The endpoint's zone.
+    /// Zone of the endpoint.
     pub(crate) zone: char,
-    /// When its first byte arrived.
+    /// Time at which its first byte arrived.
     pub(crate) first_byte_at: Instant,
-    /// When its last byte arrived.
+    /// Time at which its last byte arrived; `None` if it was truncated.
     pub(crate) complete_at: Option<Instant>,
-    /// When it ended for the endpoint: with a response, or with its connection.
+    /// Time at which it ended for the endpoint: with its response or with its connection.
     pub(crate) ended_at: Option<Instant>,
-    /// The endpoint rejected it without executing it.
+    /// Whether the endpoint rejected it without executing it.
     pub(crate) rejected: bool,
-    /// The endpoint has answered it with 200.
+    /// Whether the endpoint's response is a complete one with status 200.
     pub(crate) served: bool,
-    /// The endpoint has written all of that response, and did not reset the connection behind it.
+    /// Whether the endpoint wrote all of that response and did not reset the connection after it.
     pub(crate) fully_written: bool,
 }
 
@@ -65,68 +67,70 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Completion {
-    /// The response's status; `None`: the connection ended without a response.
+    /// Status of the response; `None` if the connection ended without one.
     pub(crate) status: Option<u16>,
-    /// When.
+    /// Time of the completion.
     pub(crate) at: Instant,
 }
 
-/// One request as its client saw it, with its attempts.
+/// A request as its client saw it, with its attempts.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestRecord {
-    /// The proxy that it was sent to.
+    /// Number of the proxy that it was sent to.
     pub(crate) proxy: usize,
-    /// Its class.
+    /// Class of the request.
     pub(crate) class: RequestClass,
-    /// How long the client waits from the request's last byte on.
+    /// How long the client waits for the response, counted from the request's last byte.
     pub(crate) client_timeout: Duration,
-    /// When the client began to write it.
+    /// Time at which the client began to write it.
     pub(crate) started_at: Instant,
-    /// When the client had written all of it.
+    /// Time from which the client's timeout counts: when the request was written, or, for pipelined
+    /// requests, when the response before its own had arrived.
     pub(crate) complete_at: Option<Instant>,
-    /// When the client disconnected without waiting for the response.
+    /// Time at which the client disconnected without waiting for the response.
     pub(crate) disconnected_at: Option<Instant>,
-    /// How it ended.
+    /// How it ended for its client; `None` until then.
     pub(crate) completion: Option<Completion>,
-    /// It was the first request of its connection.
+    /// Whether it was the first request on its connection.
     pub(crate) new_connection: bool,
-    /// The proxy does not owe a response, for instance because it was killed.
+    /// Whether the proxy owes no response, for instance because its process was killed.
     pub(crate) exempt: bool,
-    /// Its body, which endpoints must receive unchanged.
+    /// Body, which endpoints must receive unchanged.
     pub(crate) body: Vec<u8>,
-    /// Its attempts, in the order of their arrival.
+    /// Attempts, in the order of their arrival at endpoints.
     pub(crate) attempts: Vec<AttemptRecord>,
 }
 
 impl RequestRecord {
-    /// Whether the client still expects a response that it has not got.
+    /// Whether the proxy still owes the client a response.
     pub(crate) fn is_unanswered(&self) -> bool {
         self.completion.is_none() && self.disconnected_at.is_none() && !self.exempt
     }
 }
 
-/// What proxies must keep to.
+/// A rule that proxies must follow. The report prints it under the label of its `Display`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Rule {
-    /// The timeout that an attempt advertises is no longer than the client's.
+    /// The timeout advertised with an attempt is no longer than the time its client still waits.
     AdvertisedTimeout,
-    /// No crash, and no failure at an orderly end.
+    /// A proxy does not end by itself, and exits successfully when it is shut down.
     Crash,
-    /// Nothing new to an endpoint after the grace of its draining.
+    /// A draining endpoint is sent no new attempts after the drain grace.
     Drain,
-    /// No second execution where it does harm.
+    /// A request is sent again only as often, and only where, its class allows it.
     Duplicate,
-    /// An invalid client gets an error or a close in time.
+    /// A client that sends an invalid request gets an error or a close in time.
     InvalidClient,
-    /// Descriptors and memory within their limits.
+    /// Open descriptors and memory stay within their limits.
     Limit,
-    /// Each request gets its response in time, and nothing is done for clients that have gone.
+    /// Each request gets a valid response in time, and no attempt starts after its client has
+    /// disconnected or has been answered.
     Lost,
-    /// Ready in time after a start.
+    /// A proxy is ready in time after its start.
     Readiness,
-    /// An endpoint that warms up is not overloaded.
+    /// An endpoint in its slow start is not overloaded.
     SlowStart,
-    /// Endpoints get requests as their clients sent them.
+    /// Endpoints get only requests that clients sent, with their bodies unchanged.
     Void,
 }
 
@@ -147,13 +151,13 @@
     }
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub(crate) struct Violation {
-    /// Which.
+    /// The rule that was broken.
     pub(crate) rule: Rule,
-    /// When it was seen, in seconds since the start.
+    /// Time of its detection, in seconds since the start of the run.
     pub(crate) at_s: f64,
-    /// What happened.
+    /// Description of what happened.
     pub(crate) description: String,
 }
--- a/soak/src/ledger/rules.rs
+++ b/soak/src/ledger/rules.rs
@@ -1,20 +1,21 @@
-//! The rules for requests, each checked on what clients and endpoints saw.
+//! Checks of requests and attempts against the rules, as clients and endpoints observed them.
 
 use super::records::{AttemptRecord, RequestClass, RequestRecord, Rule};
 use std::time::{Duration, Instant};
 
-/// The protocol's slack of each time limit, 50 ms, and as much for the loopback and this program.
+/// Tolerance of each time limit: 50 ms that the protocol grants, and 50 ms for delays of the
+/// loopback and of this program.
 const SLACK: Duration = Duration::from_millis(50 + 50);
-/// The advertised timeout may exceed the client's remaining time by this.
+/// Time by which an advertised timeout may exceed the time that the client still waits.
 const ADVERTISED_TIMEOUT_SLACK: Duration = Duration::from_millis(150);
-/// An attempt may begin so long after its client has disconnected.
+/// Time after a client's disconnection in which attempts of its request may still start.
 const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
-/// A response may exceed the client's time by this.
+/// Time by which a response may arrive after the client's timeout.
 const RESPONSE_SLACK: Duration = Duration::from_millis(500);
 /// Maximum number of attempts of a request.
 const MAX_ATTEMPTS: usize = 3;
 
-/// A rule that a request broke, and how.
+/// A rule that a request or an attempt broke, and the reason.
 #[derive(Debug)]
 pub(super) struct Finding {
     pub(super) rule: Rule,
@@ -30,24 +31,24 @@
     }
 }
 
-/// The first bytes of an attempt have arrived at an endpoint.
+/// An attempt that has just arrived at an endpoint, with what it is checked against.
 pub(super) struct AttemptArrival<'a> {
-    /// The request with the attempts before this one.
+    /// The request, with the attempts before this one.
     pub(super) request: &'a RequestRecord,
-    /// The attempt.
+    /// The attempt to be checked.
     pub(super) attempt: &'a AttemptRecord,
-    /// The time that it says the client still waits.
+    /// Remaining client timeout that it advertises in `X-Budget-Ms`.
     pub(super) advertised_timeout: Option<Duration>,
-    /// Its body.
+    /// Body that the endpoint received.
     pub(super) body: &'a [u8],
-    /// How long a repeated idempotency key is recognised.
+    /// How long endpoints recognise an idempotency key.
     pub(super) deduplication_window: Duration,
-    /// A request may have two attempts in flight at once.
+    /// Whether a request may be hedged: have two attempts in flight at once.
     pub(super) hedging: bool,
 }
 
 impl AttemptArrival<'_> {
-    /// All rules that the attempt breaks.
+    /// Returns a finding for each rule that the attempt breaks.
     pub(super) fn findings(&self) -> Vec<Finding> {
         let findings = [
             self.changed_body(),
@@ -63,7 +64,12 @@
 
     fn changed_body(&self) -> Option<Finding> {
         let changed = self.attempt.complete_at.is_some() && self.request.body != self.body;
-        changed.then(|| Finding::new(Rule::Void, "its body was changed"))
+        changed.then(|| {
+            Finding::new(
+                Rule::Void,
+                "its body was changed on the way to the endpoint",
+            )
+        })
     }
 
     fn too_many_attempts(&self) -> Option<Finding> {
@@ -80,7 +86,7 @@
     fn after_response(&self) -> Option<Finding> {
         let limit = self.request.completion?.at + SLACK;
         (self.attempt.first_byte_at > limit)
-            .then(|| Finding::new(Rule::Lost, "an attempt after its response"))
+            .then(|| Finding::new(Rule::Lost, "an attempt after its client had the response"))
     }
 
     fn excessive_advertised_timeout(&self) -> Option<Finding> {
@@ -102,10 +108,10 @@
             .find(|attempt| attempt.may_have_executed())?;
         let window_end = first.first_byte_at + self.deduplication_window + SLACK;
         let reason = match self.request.class {
-            RequestClass::NonIdempotent => "it may have been executed before",
-            RequestClass::Keyed if first.zone != self.attempt.zone => "a repeat in another zone",
+            RequestClass::NonIdempotent => "sent again after it may have been executed",
+            RequestClass::Keyed if first.zone != self.attempt.zone => "sent again to another zone",
             RequestClass::Keyed if self.attempt.first_byte_at > window_end => {
-                "a repeat past its deduplication window"
+                "sent again after its deduplication window"
             }
             RequestClass::Keyed | RequestClass::Idempotent => return None,
         };
@@ -123,7 +129,7 @@
     }
 }
 
-/// The rule that a request's completion breaks, if any.
+/// Returns the first rule that a request's completion breaks, if any.
 pub(super) fn completion_finding(id: u64, request: &RequestRecord, body: &[u8]) -> Option<Finding> {
     let completion = request.completion?;
     let lost = |reason: String| Some(Finding::new(Rule::Lost, reason));
@@ -138,11 +144,12 @@
         .any(AttemptRecord::may_have_executed);
     match status {
         200 if !request.attempts.iter().any(|attempt| attempt.served) => {
-            lost("a response that no endpoint made".to_owned())
-        }
-        200 if body != response_body(id, body.len()) => {
-            lost(format!("a wrong body of {} bytes", body.len()))
+            lost("a response with status 200 that no endpoint sent".to_owned())
         }
+        200 if body != response_body(id, body.len()) => lost(format!(
+            "a response with a wrong body of {} bytes",
+            body.len()
+        )),
         429 | 503 if request.class != RequestClass::Idempotent && executed => Some(Finding::new(
             Rule::Duplicate,
             "rejected after it may have been executed",
@@ -153,7 +160,8 @@
     }
 }
 
-/// The body that endpoints answer a request with.
+/// Returns the body of a response to this request, which depends on the id so that a response to
+/// another request is detected.
 pub(crate) fn response_body(id: u64, length: usize) -> Vec<u8> {
     format!("{id:016x}.")
         .into_bytes()
--- a/soak/src/ledger/tests.rs
+++ b/soak/src/ledger/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule for requests is broken once, and counted.
+//! Tests that the ledger reports each violation of a rule for requests, and nothing else.
 
 use super::*;
 use crate::config::DiscoveryMode;
@@ -29,7 +29,7 @@
     }
 }
 
-/// An attempt that arrives so long after now, complete and ended at once.
+/// Returns an attempt that arrives `after_ms` from now, complete, and ends at the same instant.
 fn attempt(after_ms: u64) -> AttemptRecord {
     let at = Instant::now() + Duration::from_millis(after_ms);
     AttemptRecord {
@@ -44,7 +44,7 @@
     }
 }
 
-/// The rules that a request breaks by its attempts, in order.
+/// Records a request with its attempts and returns the rules that they break, in order.
 fn broken(ledger: &mut Ledger, request: RequestRecord, attempts: Vec<AttemptRecord>) -> Vec<Rule> {
     ledger.requests.insert(ID, request);
     for attempt in attempts {
@@ -238,7 +238,7 @@
 fn late_missing_and_truncated_responses_are_lost_unless_the_request_is_exempt() {
     let past = Instant::now()
         .checked_sub(Duration::from_secs(2))
-        .expect("the clock runs for longer");
+        .expect("the monotonic clock reads at least 2 s");
     let late = RequestRecord {
         complete_at: Some(past),
         ..request(RequestClass::Idempotent)
@@ -258,7 +258,7 @@
     );
     ledger.record_unanswered();
     assert_eq!(rules(&ledger), [Rule::Lost, Rule::Lost]);
-    ledger.update_attempt(ID, 0, |_| unreachable!("it has no attempt"));
+    ledger.update_attempt(ID, 0, |_| unreachable!("the request has no attempts yet"));
     ledger.record_attempt(ID, attempt(0), None, b"body");
     ledger.update_attempt(ID, 0, |attempt| attempt.fully_written = true);
     let before = ledger.violations.len();
@@ -269,6 +269,6 @@
     assert_eq!(
         ledger.violations.len(),
         before + 1,
-        "its endpoint was killed"
+        "an endpoint that was killed may truncate its responses"
     );
 }
--- a/soak/src/ledger/timeline.rs
+++ b/soak/src/ledger/timeline.rs
@@ -1,9 +1,9 @@
-//! The timeline of a request, for people who look into a violation.
+//! Formats the timeline of a request, which is printed with its violations.
 
 use super::records::{AttemptRecord, RequestRecord};
 use std::time::Instant;
 
-/// What happened to a request, a line each; times are in seconds since `start`.
+/// Returns one line for each event of a request; times are in seconds since `start`.
 pub(super) fn timeline(start: Instant, request: &RequestRecord) -> String {
     let at = |instant: Instant| seconds(start, instant);
     let mut lines = vec![format!(
--- a/soak/src/notification.rs
+++ b/soak/src/notification.rs
@@ -1,24 +1,25 @@
-//! When a proxy counts as notified of a change of the endpoint list.
+//! Determines when a proxy counts as notified of a change of the endpoint list, which is when the
+//! rules for draining endpoints begin to apply to it.
 
 use crate::config::DiscoveryMode;
 use crate::endpoint_list::ChangeTime;
 use std::time::{Duration, Instant};
 
-/// A proxy counts as notified so long after discovery had a change and could be reached.
+/// Longest time in which a proxy learns of a change while its agent responds.
 const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
-/// The same after SIGHUP.
+/// Longest time after SIGHUP in which a proxy gets pushed changes from its new agent.
 const RELOAD_NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(4);
-/// Interval of the empty lines of an idle watch.
+/// Interval of the heartbeats (empty lines) on an idle watch.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A time in which an agent does not answer.
+/// A period in which an agent does not respond; `until` is `None` while it lasts.
 #[derive(Clone, Debug)]
 struct Outage {
     from: Instant,
     until: Option<Instant>,
 }
 
-/// What keeps a proxy from being notified.
+/// Events that delay the notification of a proxy.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Disruptions {
     outages: Vec<Outage>,
@@ -26,14 +27,14 @@
     process_started_at: Option<Instant>,
 }
 
-/// A version of the list was written to a proxy's watch.
+/// The writing of a version of the list to a proxy's watch.
 #[derive(Clone, Debug)]
 struct Delivery {
     at: Instant,
     version: u64,
 }
 
-/// What a proxy was notified of, and what kept it from being notified.
+/// The deliveries of the endpoint list to a proxy, and the disruptions that delayed them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Notifications {
     disruptions: Disruptions,
@@ -41,17 +42,18 @@
 }
 
 impl Notifications {
-    /// What kept the proxy from being notified.
+    /// Returns the events that delayed notifications.
     pub(crate) fn disruptions(&self) -> &Disruptions {
         &self.disruptions
     }
 
-    /// A process of the proxy has started, or takes over; notifications count from then on.
+    /// Records that a process of the proxy started or took over. Earlier deliveries went to another
+    /// process and no longer count.
     pub(crate) fn process_started(&mut self, at: Instant) {
         self.disruptions.process_started_at = Some(at);
     }
 
-    /// The agent stops answering.
+    /// Records that the agent stopped responding.
     pub(crate) fn outage_started(&mut self) {
         self.disruptions.outages.push(Outage {
             from: Instant::now(),
@@ -59,19 +61,19 @@
         });
     }
 
-    /// The agent answers again.
+    /// Records that the agent responds again.
     pub(crate) fn outage_ended(&mut self) {
         if let Some(outage) = self.disruptions.outages.last_mut() {
             outage.until = Some(Instant::now());
         }
     }
 
-    /// The proxy got SIGHUP, with a new agent in its configuration.
+    /// Records that the proxy got SIGHUP with a new agent in its configuration.
     pub(crate) fn reloaded(&mut self) {
         self.disruptions.reloads.push(Instant::now());
     }
 
-    /// A version of the list has been written to the proxy's watch.
+    /// Records that a version of the list was written to the proxy's watch.
     pub(crate) fn delivered(&mut self, version: u64) {
         self.deliveries.push(Delivery {
             at: Instant::now(),
@@ -79,8 +81,8 @@
         });
     }
 
-    /// From when on the proxy counts as notified of a change: when the change was delivered, or by
-    /// when it should have been. `None`: not yet.
+    /// Returns the time from which the proxy counts as notified of a change: its delivery or the
+    /// time by which it should have been delivered, whichever is earlier. `None`: not yet.
     pub(crate) fn notified_at(&self, change: ChangeTime, mode: DiscoveryMode) -> Option<Instant> {
         let started = self.disruptions.process_started_at?;
         let reached =
@@ -100,7 +102,8 @@
 }
 
 impl Disruptions {
-    /// By when a proxy counts as notified of what discovery had at this time; `None`: not yet.
+    /// Returns the time by which a proxy should have been notified of a change that discovery had
+    /// at `had_at`; `None` if this is not known yet.
     fn due_by(&self, had_at: Instant, mode: DiscoveryMode) -> Option<Instant> {
         let pushed = mode == DiscoveryMode::Push;
         let mut due = if pushed {
@@ -135,8 +138,9 @@
 }
 
 impl Outage {
-    /// Whether it may keep a change from being delivered. A watch that falls silent may have lost
-    /// what arrived just before, and stays silent when the agent is back.
+    /// Whether the outage may delay the delivery of a change. A watch that falls silent may have
+    /// lost a change from just before the outage, and stays silent after it until the proxy gives
+    /// it up.
     fn affects(&self, had_at: Instant) -> bool {
         let broken_until = self
             .until
