--- a/soak/src/clients/connection.rs
+++ b/soak/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection to its proxy.
+//! A client's connection to a proxy.
 
 use crate::http::Reader;
 use crate::proxy::Proxy;
@@ -6,20 +6,20 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a client waits for a connection.
+/// How long a client waits for a connection to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A client's connection.
 pub(super) struct Connection {
     pub(super) reader: Reader,
-    /// The proxy's process at its other end.
+    /// Number of the proxy's process at the time of connecting.
     pub(super) process: u64,
-    /// A request has been answered on it.
+    /// Whether a request has been answered on it, and further ones may follow.
     pub(super) used: bool,
 }
 
 impl Connection {
-    /// Opens a connection; `None`: the proxy takes none.
+    /// Opens a connection; `None` if the proxy accepts none at present or cannot be reached.
     pub(super) async fn open(proxy: &Proxy) -> Option<Connection> {
         if !proxy.accepts_connections() {
             return None;
@@ -29,7 +29,7 @@
             .await
             .ok()?
             .ok()?;
-        // Without it requests are later, but not wrong.
+        // Not essential: without TCP_NODELAY requests are only delayed.
         let _ = stream.set_nodelay(true);
         Some(Connection {
             reader: Reader::new(stream),
--- a/soak/src/clients/exchange.rs
+++ b/soak/src/clients/exchange.rs
@@ -1,4 +1,4 @@
-//! One request with its response on a client's connection.
+//! Sends one request on a client's connection and reads its response.
 
 use super::connection::Connection;
 use super::request::DrawnRequest;
@@ -10,19 +10,19 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{sleep, timeout};
 
-/// A client that does not disconnect waits so long past its timeout.
+/// How long past its timeout a client that does not disconnect still waits.
 const RESPONSE_DELAY: Duration = Duration::from_secs(3);
 
-/// How long a client waits for a response.
+/// How long a client waits for a response, and what it does then.
 struct Wait {
     duration: Duration,
-    /// It disconnects then; otherwise the proxy owes a response before.
+    /// Whether it disconnects when the time is over. If not, the proxy must respond before.
     disconnects: bool,
 }
 
 impl Wait {
     fn draw(environment: &Environment, client_timeout: Duration) -> Wait {
-        // Half of the clients that disconnect do so almost at once.
+        // Half of the clients that disconnect do so within 3 % of their timeout.
         let max_fraction = if environment.chance(0.5) { 0.03 } else { 1.0 };
         let disconnects = environment.chance(0.12);
         let duration = if disconnects {
@@ -37,8 +37,9 @@
     }
 }
 
-/// Writes a request and reads its response. A connection that was closed between two requests is
-/// opened anew, once. Returns whether the connection can be reused.
+/// Writes a request and reads its response. If the proxy closed a reused connection before it can
+/// have read the request, the request is sent once more on a new connection. Returns whether the
+/// connection can be reused.
 pub(super) async fn exchange(
     environment: &Environment,
     proxy: &Proxy,
@@ -81,7 +82,8 @@
     }
 }
 
-/// Whether the connection was closed before the proxy may have read the request.
+/// Whether the connection was closed between two requests: the request is not the first on it, and
+/// no attempt of it has reached an endpoint.
 fn was_closed_between(environment: &Environment, id: u64) -> bool {
     let unread = environment.request(id, |record| {
         !record.new_connection && record.attempts.is_empty()
@@ -89,7 +91,7 @@
     unread.unwrap_or(false)
 }
 
-/// Replaces a connection that was closed between two requests.
+/// Replaces a connection that was closed between two requests. Returns whether that succeeded.
 async fn reopen(
     environment: &Environment,
     proxy: &Proxy,
@@ -125,7 +127,8 @@
     environment.ledger(|ledger| ledger.record_completion(id, None, &[]));
 }
 
-/// The client's wait is over: it disconnects, or the response is missing.
+/// Records that the client's wait ended without a response: the client disconnects, or the
+/// response is overdue, which is excused only if the proxy's process was killed.
 fn end_wait(
     environment: &Environment,
     proxy: &Proxy,
@@ -146,7 +149,7 @@
     }
 }
 
-/// Writes a request in one piece, or now and then in two.
+/// Writes a request at once or, in one of ten cases, in two parts with a pause between them.
 async fn write(environment: &Environment, reader: &mut Reader, bytes: &[u8]) -> bool {
     if environment.chance(0.9) {
         return reader.stream.write_all(bytes).await.is_ok();
--- a/soak/src/clients/invalid.rs
+++ b/soak/src/clients/invalid.rs
@@ -1,4 +1,5 @@
-//! Clients that send no valid request and stay connected: each must get an error or a close.
+//! Clients that send an incomplete or malformed request and stay connected. The proxy must send
+//! each an error or close its connection.
 
 use super::connection::Connection;
 use crate::environment::Environment;
@@ -10,12 +11,12 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{sleep, sleep_until};
 
-/// Invalid clients get an error or a close within this time.
+/// Time within which the proxy must send an invalid client an error or close its connection.
 const INVALID_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// What this program and the loopback may add.
+/// Tolerance for delays of this program and the loopback.
 const SLACK: Duration = Duration::from_millis(150);
 
-/// Requests that are incomplete or malformed.
+/// Incomplete and malformed requests.
 const INVALID_REQUESTS: [&str; 6] = [
     "",
     "GET /api HT",
@@ -25,22 +26,22 @@
     "POST /api HTTP/1.1\r\nX-Call-Id: 00000000ffffff02\r\nX-Call-Class: keyed\r\n\
      X-Budget-Ms: 900\r\nIdempotency-Key: k\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n",
 ];
-/// The one whose body may also be long.
+/// A request with an incomplete body, which may be extended by `LONG_BODY_BYTES`.
 const INCOMPLETE_BODY: &str = "POST /api HTTP/1.1\r\nX-Call-Id: 00000000ffffff01\r\n\
      X-Call-Class: unsafe\r\nX-Budget-Ms: 900\r\nContent-Length: 50000\r\n\r\nxxxx";
-/// Further bytes of that body, if it is long.
+/// Number of bytes that extend the incomplete body; it stays incomplete.
 const LONG_BODY_BYTES: usize = 45_000;
-/// Length of the beginning of a request that is printed.
+/// Length of the excerpt of a request that is printed with a violation.
 const EXCERPT_BYTES: usize = 60;
 
-/// What an invalid client got.
+/// How the proxy reacted to an invalid request.
 enum Reaction {
     Status(u16),
     Closed,
     None,
 }
 
-/// Connects and sends invalid requests until the end.
+/// Repeatedly connects and sends an invalid request, until `end`.
 pub(crate) async fn run_invalid_client(environment: Environment, proxy: Rc<Proxy>, end: Instant) {
     while Instant::now() < end {
         sleep(environment.draw_seconds(0.5, 4.0)).await;
@@ -57,7 +58,7 @@
 ) {
     let connected_at = Instant::now();
     let request = draw_invalid_request(environment);
-    // If it cannot be written, the connection is closed, which is read next.
+    // If writing fails, the connection is closed, which the next read reports.
     let _ = connection.reader.stream.write_all(request.as_bytes()).await;
     let until = connected_at + INVALID_CLIENT_TIMEOUT + SLACK;
     let reaction = tokio::select! {
@@ -72,7 +73,7 @@
         Reaction::None if !excused => {
             let excerpt = &request[..request.len().min(EXCERPT_BYTES)];
             let description = format!(
-                "proxy {}: {excerpt:?}, {} bytes, nothing within 3 s",
+                "proxy {}: no error and no close within 3 s after {excerpt:?}, {} bytes in all",
                 proxy.number,
                 request.len()
             );
--- a/soak/src/clients/mod.rs
+++ b/soak/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! The clients of each proxy: they send requests, disconnect now and then, and record what they
-//! get.
+//! The clients of each proxy. They send requests, sometimes disconnect early, and record the
+//! responses.
 
 mod connection;
 mod exchange;
@@ -17,12 +17,12 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Mean pause between two requests on a connection.
+/// Mean pause between two requests of a client.
 const MEAN_PAUSE_S: f64 = 0.25;
-/// Longest pause between two requests.
+/// Longest pause between two requests of a client.
 const MAX_PAUSE_S: f64 = 6.0;
 
-/// Sends requests on one connection after the other until the end.
+/// Sends requests until `end`, on one connection at a time.
 pub(crate) async fn run_client(environment: Environment, proxy: Rc<Proxy>, end: Instant) {
     let mut connection = None;
     while Instant::now() < end {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Sends one request, or several at once. Returns the connection if it can be reused.
+/// Sends one request, or several pipelined ones. Returns the connection if it can be reused.
 async fn send_requests(
     environment: &Environment,
     proxy: &Proxy,
--- a/soak/src/clients/pipelining.rs
+++ b/soak/src/clients/pipelining.rs
@@ -1,4 +1,4 @@
-//! Several requests at once on a connection, and their responses in order.
+//! Sends pipelined requests on a connection and reads their responses in order.
 
 use super::connection::Connection;
 use super::request;
@@ -9,10 +9,11 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::timeout_at;
 
-/// How long a client that does not disconnect waits for all responses.
+/// How long a client that does not disconnect waits for all responses together.
 const RESPONSES_TIMEOUT: Duration = Duration::from_millis(9_000);
 
-/// Sends several requests at once. Returns whether the connection can be reused.
+/// Sends pipelined requests and reads their responses. Returns whether the connection can be
+/// reused.
 pub(super) async fn exchange_pipelined(
     environment: &Environment,
     proxy: &Proxy,
@@ -49,7 +50,7 @@
     true
 }
 
-/// Writes the requests; their ids.
+/// Writes the requests and returns their ids.
 async fn send(
     environment: &Environment,
     proxy: &Proxy,
@@ -69,21 +70,22 @@
     for &id in &ids {
         environment.update_request(id, |record| {
             record.complete_at = Some(now);
-            // The proxy may not have read it when the connection ended.
+            // If writing failed, the proxy may not have read the request.
             record.exempt = !written;
         });
     }
     ids
 }
 
-/// Records the response to the first of the open requests; whether others may follow.
+/// Records the response to the first of the open requests. Returns whether further responses may
+/// follow on the connection.
 fn record_response(environment: &Environment, open: &[u64], message: &Message) -> bool {
     let Some((&answered, following)) = open.split_first() else {
         return false;
     };
     environment.ledger(|ledger| ledger.record_completion(answered, message.status, &message.body));
     if let Some(&next) = following.first() {
-        // Responses come in order: the next one's time begins only now.
+        // Responses come in order, so the next request's timeout begins only now.
         environment.update_request(next, |record| record.complete_at = Some(Instant::now()));
     }
     if message.header("connection") != Some("close") {
@@ -95,8 +97,9 @@
     false
 }
 
-/// The connection broke. The proxy owes no response to a request that it cannot have read: one
-/// behind a truncated response, or one that crossed the end of a connection between two requests.
+/// Records that the connection broke. The proxy owes no response to a request that it may not have
+/// read: one after a truncated response, or one that was sent while the proxy closed a reused
+/// connection between two requests.
 fn record_broken(
     environment: &Environment,
     open: &[u64],
--- a/soak/src/clients/request.rs
+++ b/soak/src/clients/request.rs
@@ -1,4 +1,4 @@
-//! Draws requests.
+//! Draws random requests.
 
 use super::connection::Connection;
 use crate::environment::Environment;
@@ -7,7 +7,7 @@
 use rand::Rng;
 use std::time::{Duration, Instant};
 
-/// Classes by their frequency.
+/// Classes to draw from; a class that is listed twice is drawn twice as often.
 const CLASSES: [RequestClass; 4] = [
     RequestClass::Idempotent,
     RequestClass::Idempotent,
@@ -15,15 +15,15 @@
     RequestClass::NonIdempotent,
 ];
 
-/// A request to be sent.
+/// A request that is recorded and ready to be sent.
 pub(super) struct DrawnRequest {
-    /// Its id in the ledger.
+    /// Id of the request in the ledger.
     pub(super) id: u64,
-    /// Its head and body.
+    /// Bytes of its head and body.
     pub(super) bytes: Vec<u8>,
 }
 
-/// Draws a request and records it.
+/// Draws a request and records it in the ledger.
 pub(super) fn draw(
     environment: &Environment,
     proxy: &Proxy,
--- a/soak/src/endpoint_response.rs
+++ b/soak/src/endpoint_response.rs
@@ -1,16 +1,16 @@
-//! Draws the responses of an endpoint: complete ones in each form of framing, truncated and invalid
-//! ones.
+//! Draws the responses of an endpoint: complete ones with each kind of framing, and truncated,
+//! invalid and error responses.
 
 use crate::endpoint::Behaviour;
 use crate::environment::Environment;
 use crate::ledger::response_body;
 use rand::Rng;
 
-/// Rejects a request that has not been executed.
+/// Response that rejects a request without executing it.
 pub(crate) const REJECTION: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// Error responses, two of them not valid.
+/// Error responses; the last two are invalid HTTP.
 const FAILURES: [&str; 4] = [
     "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n",
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
@@ -18,27 +18,27 @@
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 ];
 
-/// Bytes of a chunk of a chunked response.
+/// Length of the chunks of a chunked response.
 const CHUNK_BYTES: usize = 700;
 
 /// What an endpoint does with a connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AfterResponse {
-    /// It waits for the next request.
+    /// Waits for the next request.
     KeepAlive,
-    /// It closes the connection.
+    /// Closes the connection.
     Close,
-    /// It resets the connection.
+    /// Resets the connection.
     Reset,
 }
 
-/// A response to be written.
+/// A response that is to be written.
 pub(crate) struct PlannedResponse {
-    /// Its bytes.
+    /// Bytes to be written.
     pub(crate) bytes: Vec<u8>,
-    /// It ends before its framing says.
+    /// Whether the bytes end before the complete response.
     pub(crate) truncated: bool,
-    /// What follows when it is written.
+    /// What the endpoint does with the connection afterwards.
     pub(crate) after: AfterResponse,
 }
 
@@ -47,7 +47,7 @@
     FAILURES[environment.draw(|random| random.gen_range(0..FAILURES.len()))].as_bytes()
 }
 
-/// Draws a response with status 200; only an endpoint that resets connections truncates it.
+/// Draws a response with status 200. Only an endpoint that resets connections truncates it.
 pub(crate) fn success(environment: &Environment, id: u64, behaviour: Behaviour) -> PlannedResponse {
     let length = environment.draw(|random| {
         if random.gen_bool(0.02) {
@@ -77,7 +77,7 @@
             with_length(sent, length)
         }
     };
-    // A reset behind a response that says where it ends must not harm it.
+    // A response with a length or chunks is complete before the reset and remains valid.
     let reset_behind = behaviour == Behaviour::Resetting && after == AfterResponse::KeepAlive;
     if truncated || reset_behind {
         after = AfterResponse::Reset;
--- a/soak/src/endpoint_server.rs
+++ b/soak/src/endpoint_server.rs
@@ -1,5 +1,5 @@
-//! The endpoints' servers: real listeners on loopback that record what they receive and answer as
-//! their process behaves.
+//! The servers of endpoint processes: real listeners on loopback that record the requests they
+//! receive and respond according to the behaviour of their process.
 
 use crate::endpoint::{Behaviour, EndpointProcess, ProcessState};
 use crate::endpoint_response::{self, AfterResponse};
@@ -16,12 +16,12 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, timeout};
 
-/// Mean time that an endpoint works on a request.
+/// Mean execution time of a request.
 const MEAN_WORK_S: f64 = 0.025;
-/// Longest time that an endpoint works on a request.
+/// Longest execution time of a request.
 const MAX_WORK_S: f64 = 1.0;
 
-/// Starts a process of an endpoint.
+/// Starts an endpoint process with its server task.
 pub(crate) async fn start(
     environment: &Environment,
     name: &str,
@@ -73,12 +73,12 @@
 
 impl Server {
     async fn accept(self, listener: TcpListener) {
-        // The connections end with this task.
+        // Dropping the set ends all connections when this task is aborted.
         let mut connections = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
             while connections.try_join_next().is_some() {}
             close_on_drop(&stream, Close::Reset);
-            // Without it responses are later, but not wrong.
+            // Not essential: without TCP_NODELAY responses are only delayed.
             let _ = stream.set_nodelay(true);
             connections.spawn_local(self.clone().serve(stream));
         }
@@ -115,7 +115,9 @@
                 bytes,
                 first_byte_at,
             } => self.record_truncated(&bytes, first_byte_at),
-            ReadError::Invalid => self.record_violation("an endpoint got what is no request"),
+            ReadError::Invalid => {
+                self.record_violation("an endpoint received bytes that are not a valid request")
+            }
         }
     }
 
@@ -124,13 +126,13 @@
             .record_violation(Rule::Void, description.to_owned());
     }
 
-    /// Answers a request; `None`: nobody sent it.
+    /// Records a request and responds to it. Returns `None` if no client sent the request.
     async fn handle(&self, message: &Message, reader: &mut Reader) -> Option<AfterResponse> {
         let id = message
             .header("x-call-id")
             .and_then(|id| u64::from_str_radix(id, 16).ok());
         let Some(id) = id else {
-            self.record_violation("an endpoint got a request without an id");
+            self.record_violation("an endpoint received a request without a valid X-Call-Id");
             return None;
         };
         let advertised_ms = message
@@ -162,7 +164,7 @@
         }
     }
 
-    /// A truncated request is not executed, but counts as an attempt.
+    /// Records a truncated request as an attempt. It is not executed.
     fn record_truncated(&self, bytes: &[u8], first_byte_at: Instant) {
         let head = String::from_utf8_lossy(bytes).to_lowercase();
         let id = head
@@ -216,7 +218,7 @@
         behaviour: Behaviour,
     ) -> AfterResponse {
         let response = endpoint_response::success(&self.environment, id, behaviour);
-        // Before it is written: the client may have it before this task goes on.
+        // This must precede the write: the client may check the response before this task goes on.
         self.environment
             .update_attempt(id, attempt, |record| record.served = !response.truncated);
         let cut = self
@@ -233,7 +235,7 @@
     }
 }
 
-/// Writes a response, or a part of one; what follows is `after`, or a reset if writing fails.
+/// Writes a response or a part of one. Returns `after`, or a reset if writing fails.
 async fn write(reader: &mut Reader, bytes: &[u8], after: AfterResponse) -> AfterResponse {
     match reader.stream.write_all(bytes).await {
         Ok(()) => after,
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -1,4 +1,4 @@
-//! Reads HTTP/1.1 messages off a stream, with the times of their first and last bytes.
+//! Reads HTTP/1.1 messages from a stream, with the arrival times of their first and last bytes.
 
 use socket2::SockRef;
 use std::time::{Duration, Instant};
@@ -8,23 +8,23 @@
 /// Maximum number of headers of a message.
 const MAX_HEADERS: usize = 64;
 
-/// A complete message.
+/// A complete HTTP/1.1 request or response.
 #[derive(Clone, Debug)]
 pub(crate) struct Message {
-    /// The status of a response; `None`: it is a request.
+    /// Status code of a response; `None` for a request.
     pub(crate) status: Option<u16>,
-    /// Names in lower case, and values.
+    /// Header names in lower case, with their values.
     pub(crate) headers: Vec<(String, String)>,
-    /// Its body without framing.
+    /// Body without its framing.
     pub(crate) body: Vec<u8>,
-    /// When its first byte was read.
+    /// Time at which its first byte was read.
     pub(crate) first_byte_at: Instant,
-    /// When its last byte was read.
+    /// Time at which its last byte was read.
     pub(crate) last_byte_at: Instant,
 }
 
 impl Message {
-    /// The value of a header, by its name in lower case.
+    /// Returns the value of a header, given its name in lower case.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -33,33 +33,33 @@
     }
 }
 
-/// Why no complete message could be read.
+/// Reason why no complete message could be read.
 #[derive(Debug)]
 pub(crate) enum ReadError {
-    /// The stream ended, or broke, before the first byte.
+    /// The stream ended or failed before the first byte of a message.
     Closed,
-    /// The stream ended, or broke, within a message.
+    /// The stream ended or failed within a message.
     Truncated {
-        /// What has not been parsed of it.
+        /// Bytes of the message that had not been parsed yet.
         bytes: Vec<u8>,
-        /// When its first byte was read.
+        /// Time at which the first byte of the message was read.
         first_byte_at: Instant,
     },
-    /// The bytes are no HTTP/1.1 message.
+    /// The bytes are not a valid HTTP/1.1 message.
     Invalid,
 }
 
-/// Reads messages off a stream.
+/// Reads messages from a stream.
 #[derive(Debug)]
 pub(crate) struct Reader {
-    /// The stream.
+    /// The stream, which may be written to directly.
     pub(crate) stream: TcpStream,
     buffer: Vec<u8>,
     first_byte_at: Option<Instant>,
 }
 
 impl Reader {
-    /// A reader at the stream's beginning.
+    /// Creates a reader for a stream from which nothing has been read.
     pub(crate) fn new(stream: TcpStream) -> Reader {
         Reader {
             stream,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Reads some bytes; `false`: the stream has ended or broken.
+    /// Reads available bytes into the buffer. Returns `false` if the stream has ended or failed.
     async fn read_some(&mut self) -> bool {
         let received = self
             .stream
@@ -113,7 +113,7 @@
             self.exactly(length.unwrap_or(0)).await?
         };
         message.last_byte_at = Instant::now();
-        // Bytes behind it are the next message's first ones.
+        // Bytes that remain in the buffer belong to the next message.
         self.first_byte_at = (!self.buffer.is_empty()).then_some(message.last_byte_at);
         Ok(message)
     }
@@ -164,19 +164,19 @@
         Ok(self.buffer.drain(..count).collect())
     }
 
-    /// Returns once the peer has closed or broken the connection, or has sent something.
+    /// Waits until the peer sends more bytes, or until the connection ends.
     pub(crate) async fn wait_for_activity(&mut self) {
         self.read_some().await;
     }
 }
 
-/// The head of a message, and its length in bytes.
+/// A message without its body, and the length of its head in bytes.
 struct Head {
     message: Message,
     length: usize,
 }
 
-/// Parses the head of a message; `None`: it is not complete.
+/// Parses the head of a message; `None` if it is incomplete.
 fn parse_head(bytes: &[u8]) -> Result<Option<Head>, httparse::Error> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut status = None;
@@ -212,15 +212,15 @@
 /// How a connection ends when its stream is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Close {
-    /// By FIN, after all that was written.
+    /// With FIN, after all written bytes have been sent.
     Graceful,
-    /// By RST.
+    /// With RST, which may discard written bytes.
     Reset,
 }
 
 /// Sets how the connection ends when the stream is dropped.
 pub(crate) fn close_on_drop(stream: &TcpStream, close: Close) {
     let linger = (close == Close::Reset).then_some(Duration::ZERO);
-    // This fails only for a connection that has ended already.
+    // This fails only for a connection that has already ended.
     let _ = SockRef::from(stream).set_linger(linger);
 }
--- a/soak/src/watch_delivery.rs
+++ b/soak/src/watch_delivery.rs
@@ -1,4 +1,4 @@
-//! Discovery's agents: each proxy has one, which delivers the endpoint list to its watches.
+//! Discovery agents. Each proxy has one, which delivers the endpoint list to the proxy's watches.
 
 use crate::environment::Environment;
 use crate::error::SetupError;
@@ -13,28 +13,28 @@
 use tokio::task::{spawn_local, AbortHandle, JoinSet};
 use tokio::time::sleep_until;
 
-/// Answers a watch that the agent refuses.
+/// Response to a watch that the agent refuses.
 const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-/// Begins a watch.
+/// Head of the response to a watch; the lines of the list follow as chunks.
 const WATCH_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// What the agent of one proxy does.
+/// How the agent of a proxy behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AgentMode {
-    /// It answers.
+    /// It accepts watches and delivers the list.
     Responding,
-    /// It accepts connections and is silent, as are open watches from then on.
+    /// It accepts connections but sends nothing, and open watches stay silent from then on.
     Silent,
-    /// It refuses watches, and resets open ones.
+    /// It refuses new watches and resets open ones.
     Refusing,
 }
 
-/// An agent that runs.
+/// A running agent.
 #[derive(Debug)]
 pub(crate) struct Agent {
-    /// Where it answers.
+    /// Address on which it listens.
     pub(crate) address: SocketAddr,
-    /// Ends it.
+    /// The agent's task, which owns its watches.
     pub(crate) task: AbortHandle,
 }
 
@@ -73,7 +73,7 @@
     })
 }
 
-/// A watch of a proxy.
+/// A proxy's watch of the endpoint list.
 struct Watch {
     environment: Environment,
     proxy: usize,
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Delivers the list and then its changes, until the agent's mode ends the watch.
+    /// Delivers the whole list, then its changes and heartbeats, until the agent's mode or the
+    /// proxy ends the watch.
     async fn deliver(mut self) {
         let mut list_versions = self.environment.list_versions();
         let (full, mut delivered) = self.environment.list(|list| (list.full(), list.version()));
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Writes a line in two pieces.
+    /// Writes a line as a chunk, in two parts. Returns whether that succeeded.
     async fn write_chunk(&mut self, line: &str) -> bool {
         let chunk = format!("{:x}\r\n{line}\r\n", line.len());
         let cut = self
@@ -144,7 +145,8 @@
         write(stream, first).await && write(stream, second).await
     }
 
-    /// Stays open and silent, also when the agent responds again: this watch is broken.
+    /// Keeps the watch open without sending anything. It stays silent even after the agent responds
+    /// again, like a connection that was lost unnoticed.
     async fn be_silent(self) {
         std::future::pending::<()>().await;
     }
