--- a/soak/src/config.rs
+++ b/soak/src/config.rs
@@ -1,50 +1,51 @@
-//! What a seed is run with, beyond the command line.
+//! Parameters of a run that are drawn from its seed.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Keeps the draws of the configuration apart from those of the run.
+/// Combined with the seed so that the configuration and the run draw from different sequences.
 const CONFIG_STREAM: u64 = 0x5e77;
 
-/// How the proxies learn of changes of the endpoint list.
+/// How proxies expect to learn of changes of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiscoveryMode {
-    /// Each proxy's agent pushes them.
+    /// The proxy's agent pushes changes.
     Push,
-    /// Each proxy polls.
+    /// The proxy polls.
     Poll,
 }
 
-/// The simulated site: what the proxies' settings say, and what the endpoints do.
+/// Parameters of a run, which the proxies' settings state and the endpoints act by.
 #[derive(Clone, Debug)]
 pub(crate) struct SimulationConfig {
     /// Number of proxies.
     pub(crate) proxy_count: usize,
-    /// How the endpoint list is delivered.
+    /// How proxies expect the endpoint list to be delivered.
     pub(crate) discovery: DiscoveryMode,
-    /// How long after the notice an endpoint that drains may still be sent requests.
+    /// How long a draining endpoint may still be sent requests after the proxy was notified.
     pub(crate) drain_grace: Duration,
-    /// How long a repeated idempotency key is recognised.
+    /// How long endpoints recognise an idempotency key.
     pub(crate) deduplication_window: Duration,
-    /// Endpoints close connections that are idle for so long.
+    /// Idle time after which endpoints close a connection.
     pub(crate) endpoint_idle_timeout: Duration,
-    /// A request may have two attempts in flight at once.
+    /// Whether requests may be hedged: have two attempts in flight at once.
     pub(crate) hedging: bool,
-    /// Fraction of its capacity that an endpoint has at its start.
+    /// Fraction of its full capacity that an endpoint has when it starts.
     pub(crate) initial_capacity: f64,
-    /// When an endpoint has all of its capacity.
+    /// Time from the start of an endpoint until it has its full capacity.
     pub(crate) slow_start: Duration,
-    /// An endpoint fails when it is sent this multiple of its present capacity ...
+    /// An endpoint is overloaded if it is sent this multiple of its present capacity during
+    /// `overload_duration`.
     pub(crate) overload_multiple: f64,
-    /// ... for so long.
+    /// Period over which the requests to an endpoint are counted.
     pub(crate) overload_duration: Duration,
-    /// Requests of mean work that a warm endpoint can execute in a second.
+    /// Full capacity of an endpoint, in requests of mean work per second.
     pub(crate) capacity_per_s: f64,
 }
 
 impl SimulationConfig {
-    /// Draws a configuration; the same seed gives the same one.
+    /// Draws the parameters; the same seed gives the same ones.
     pub(crate) fn draw(proxy_count: usize, seed: u64) -> SimulationConfig {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ CONFIG_STREAM);
         let pushed = random.gen_bool(0.5);
--- a/soak/src/error.rs
+++ b/soak/src/error.rs
@@ -1,46 +1,46 @@
-//! Errors of this program itself, as opposed to violations by the proxies.
+//! Errors of this program, as opposed to violations by the proxies.
 
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
 use tokio::task::JoinError;
 
-/// Why a run could not be set up or go on.
+/// Reason why a run could not be set up or continued.
 #[derive(Debug, Error)]
 pub(crate) enum SetupError {
     /// A listener could not be opened.
-    #[error("no loopback port for {purpose}")]
+    #[error("cannot open a loopback listener for {purpose}")]
     Listen {
-        /// What was to listen.
+        /// What the listener was for.
         purpose: &'static str,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
     /// A file or folder could not be written.
     #[error("cannot write {}", path.display())]
     Write {
-        /// Which.
+        /// The path.
         path: PathBuf,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
-    /// A path of the command line could not be resolved.
+    /// A path from the command line could not be resolved.
     #[error("cannot resolve {}", path.display())]
     Path {
-        /// Which.
+        /// The path.
         path: PathBuf,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
-    /// The proxy's program could not be started.
+    /// The proxy's executable could not be started.
     #[error("cannot start {}", path.display())]
     Spawn {
-        /// The program.
+        /// Path of the executable.
         path: PathBuf,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
-    /// A task of the run panicked.
-    #[error("a task of the run ended early")]
+    /// A task of the run panicked or was cancelled.
+    #[error("a task of the run panicked or was cancelled")]
     Task(#[from] JoinError),
 }
--- a/soak/src/faults/endpoints.rs
+++ b/soak/src/faults/endpoints.rs
@@ -1,4 +1,4 @@
-//! Faults of endpoints.
+//! Injects faults of endpoints.
 
 use crate::endpoint::{endpoint_name, Behaviour, EndpointHealth, EndpointProcess};
 use crate::endpoint_server;
@@ -8,12 +8,12 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A process goes on for so long after its replacement is listed.
+/// How long a process continues after its replacement was listed.
 const REPLACED_DELAY: Duration = Duration::from_secs(1);
-/// Ready endpoints that a zone keeps at least.
+/// Minimum number of ready endpoints that a zone keeps.
 const MIN_READY_PER_ZONE: usize = 2;
 
-/// Adds an endpoint.
+/// Adds an endpoint with a new name.
 pub(super) async fn add(environment: &Environment) -> Result<(), SetupError> {
     let name = endpoint_name(environment.draw(|random| random.gen()));
     let zone = if environment.chance(0.5) { 'a' } else { 'b' };
@@ -22,7 +22,7 @@
     Ok(())
 }
 
-/// Lets an endpoint misbehave for a while.
+/// Gives an endpoint this behaviour for a random time.
 pub(super) async fn misbehave(environment: &Environment, behaviour: Behaviour) {
     let count = environment.processes(|processes| processes.len());
     let index = environment.draw(|random| random.gen_range(0..count));
@@ -32,7 +32,7 @@
     state.behaviour.set(Behaviour::Normal);
 }
 
-/// Lists all endpoints as draining for a while.
+/// Lists all ready endpoints as draining for a random time.
 pub(super) async fn drain_all(environment: &Environment) {
     let mut ready: Vec<u64> = environment.processes(|processes| {
         processes
@@ -41,12 +41,14 @@
             .map(|process| process.number)
             .collect()
     });
-    environment.log_event(format!("endpoint processes {ready:?} take no new requests"));
+    environment.log_event(format!(
+        "endpoint processes {ready:?} are listed as draining"
+    ));
     for &number in &ready {
         environment.list_endpoint(number, EndpointHealth::Draining);
     }
     sleep(environment.draw_seconds(0.1, 0.7)).await;
-    // Some may drain for another reason by now.
+    // An overlapping fault may have started to drain some of them, which must not become ready.
     ready.retain(|&number| {
         environment.processes(|processes| {
             processes
@@ -59,15 +61,15 @@
     }
 }
 
-/// An endpoint's process that is to end.
+/// An endpoint process that is to be replaced.
 struct Replaced {
     number: u64,
     name: String,
     zone: char,
 }
 
-/// An endpoint's process ends, in order or not, and another replaces it, under its name or a new
-/// one.
+/// Replaces an endpoint process by another one, under the same name or a new one. The old process
+/// drains during `notice` if `orderly`, and is killed first if not.
 pub(super) async fn replace(
     environment: &Environment,
     notice: Duration,
@@ -83,7 +85,7 @@
         endpoint_name(environment.draw(|random| random.gen()))
     };
     environment.log_event(format!(
-        "endpoint process {} ends, in order: {orderly}",
+        "endpoint process {} is to be replaced, drained first: {orderly}",
         old.number
     ));
     if orderly {
@@ -103,7 +105,7 @@
     Ok(())
 }
 
-/// Chooses a ready process of a zone that has enough, and lets it drain.
+/// Chooses a ready process in a zone that has more than the minimum, and marks it as draining.
 fn choose_replaced(environment: &Environment, notice: Duration) -> Option<Replaced> {
     environment.processes(|processes| {
         let ready: Vec<_> = processes
@@ -115,7 +117,7 @@
             .iter()
             .filter(|process| in_zone(process.zone) > MIN_READY_PER_ZONE)
             .collect();
-        // The notice is random too.
+        // The notice was drawn at random, so its nanoseconds select a random candidate.
         let index = (notice.subsec_nanos() as usize).checked_rem(candidates.len())?;
         let process = candidates[index];
         process.state.draining.set(true);
--- a/soak/src/faults/mod.rs
+++ b/soak/src/faults/mod.rs
@@ -1,4 +1,4 @@
-//! The fault schedule: overlapping faults, drawn from the seed.
+//! The fault schedule: draws and injects overlapping faults.
 
 mod endpoints;
 mod proxies;
@@ -17,36 +17,36 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
-/// Kinds of faults.
+/// A fault that can be injected. The report prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
-    /// Proxies get SIGTERM and start again.
+    /// Proxies are shut down by SIGTERM and restarted.
     ProxyShutdown,
-    /// Proxies are killed and start again.
+    /// Proxies are killed and restarted.
     ProxyKill,
-    /// Proxies are paused.
+    /// Proxies are paused by SIGSTOP.
     ProxyPause,
     /// Proxies get SIGHUP with a new agent in their configuration.
     ProxyReload,
-    /// A new process takes over from a proxy's running one.
+    /// A new process takes over from a proxy's running one (process handoff).
     ProxyHandoff,
-    /// Many idle connections to a proxy.
+    /// Many idle connections are opened to a proxy.
     IdleConnections,
-    /// An endpoint drains, ends, and is replaced.
+    /// An endpoint process drains and is replaced.
     EndpointDrain,
-    /// An endpoint is killed, and replaced.
+    /// An endpoint process is killed and replaced.
     EndpointCrash,
     /// An endpoint is added.
     EndpointAdded,
-    /// An endpoint misbehaves for a while.
+    /// An endpoint behaves in this way for a while.
     EndpointBehaviour(Behaviour),
-    /// All endpoints drain for a while: requests queue, and clients disconnect.
+    /// All endpoints drain for a while, so that requests queue and clients disconnect.
     AllEndpointsDrain,
-    /// Agents fail for a while.
+    /// The agents of some proxies fail in this way for a while.
     AgentOutage(AgentMode),
 }
 
-/// Faults by their frequency.
+/// Faults to draw from; a fault that is listed twice is drawn twice as often.
 const FAULTS: [Fault; 17] = [
     Fault::ProxyShutdown,
     Fault::ProxyShutdown,
@@ -67,8 +67,8 @@
     Fault::ProxyHandoff,
 ];
 
-/// Starts one fault after the other until the end, and waits until all are over. Returns what was
-/// started and when.
+/// Starts faults at random intervals until `end`, and waits until all are over. Returns a
+/// description of each fault with the time of its start.
 pub(crate) async fn run_schedule(
     environment: Environment,
     proxies: Vec<Rc<Proxy>>,
@@ -93,7 +93,7 @@
     Ok(started)
 }
 
-/// Draws a fault and the pause after its start.
+/// Draws a fault, and the pause between its start and the next one's.
 fn draw_fault(environment: &Environment) -> (Fault, Duration) {
     let (fault, pause_s) = environment.draw(|random| {
         (
--- a/soak/src/faults/proxies.rs
+++ b/soak/src/faults/proxies.rs
@@ -1,4 +1,4 @@
-//! Faults of proxies, their clients and their agents.
+//! Injects faults of proxies, their clients and their agents.
 
 use crate::environment::Environment;
 use crate::error::SetupError;
@@ -11,16 +11,16 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
-/// Idle connections that are opened at once.
+/// Number of idle connections that are opened.
 const IDLE_CONNECTIONS: usize = 100;
 
-/// Draws one to `max` proxies.
+/// Draws between one and `max` proxies.
 fn draw_proxies(environment: &Environment, proxies: &[Rc<Proxy>], max: usize) -> Vec<Rc<Proxy>> {
     let count = environment.draw(|random| random.gen_range(1..=max));
     environment.draw(|random| proxies.choose_multiple(random, count).cloned().collect())
 }
 
-/// Ends some proxies at once, in order or by force, and starts them again.
+/// Shuts down (if `orderly`) or kills some proxies at the same time, and starts them again.
 pub(super) async fn restart_some(
     environment: &Environment,
     proxies: &[Rc<Proxy>],
@@ -47,7 +47,7 @@
     result
 }
 
-/// Pauses some proxies, one after the other.
+/// Pauses some proxies one after the other.
 pub(super) async fn pause_some(environment: &Environment, proxies: &[Rc<Proxy>]) {
     let duration = environment.draw_seconds(0.02, 0.14);
     for proxy in draw_proxies(environment, proxies, 4) {
@@ -55,7 +55,7 @@
     }
 }
 
-/// Reloads some proxies, one after the other.
+/// Reloads the configuration of some proxies one after the other.
 pub(super) async fn reload_some(
     environment: &Environment,
     proxies: &[Rc<Proxy>],
@@ -71,7 +71,7 @@
     Ok(())
 }
 
-/// Lets new processes take over from some proxies' running ones at once.
+/// Hands off some proxies to new processes at the same time.
 pub(super) async fn hand_off_some(
     environment: &Environment,
     proxies: &[Rc<Proxy>],
@@ -102,23 +102,23 @@
     Ok(())
 }
 
-/// Lets the agents of some proxies fail for a while.
+/// Puts the agents of some proxies into a failing mode for a random time.
 pub(super) async fn fail_agents(environment: &Environment, proxies: &[Rc<Proxy>], mode: AgentMode) {
     let mut chosen = draw_proxies(environment, proxies, 8);
     chosen.retain(|proxy| proxy.reserve());
     for proxy in &chosen {
-        environment.log_event(format!("proxy {}: its agent is {mode:?}", proxy.number));
+        environment.log_event(format!("proxy {}: agent mode is {mode:?}", proxy.number));
         proxy.set_agent_mode(mode);
     }
     sleep(environment.draw_seconds(0.3, 4.0)).await;
     for proxy in chosen {
-        environment.log_event(format!("proxy {}: its agent responds again", proxy.number));
+        environment.log_event(format!("proxy {}: agent responds again", proxy.number));
         proxy.set_agent_mode(AgentMode::Responding);
         proxy.release();
     }
 }
 
-/// Opens many connections to a proxy that stay idle for a while.
+/// Opens many connections to a proxy and keeps them idle for a random time.
 pub(super) async fn open_idle_connections(environment: &Environment, proxies: &[Rc<Proxy>]) {
     let Some(proxy) = draw_proxies(environment, proxies, 1).pop() else {
         return;
--- a/soak/src/faults/syscalls.rs
+++ b/soak/src/faults/syscalls.rs
@@ -1,14 +1,14 @@
-//! Which system calls of a proxy fail, under the names of the preloaded library's schedule.
+//! Draws the schedule of failing system calls of a proxy, in the format of the preloaded library.
 
 use crate::environment::Environment;
 use rand::seq::SliceRandom;
 use rand::Rng;
 use serde_json::{json, Value};
 
-/// Offsets of the wall clock, by their frequency.
+/// Offsets of a proxy's wall clock to draw from; one that is listed twice is drawn twice as often.
 const WALL_CLOCK_OFFSETS_MS: [i64; 4] = [0, 0, -3_600_000, -7_000];
 
-/// Draws the schedule of a proxy. Some proxies have no failing calls.
+/// Draws the schedule of a proxy. Some proxies have no failing system calls.
 pub(crate) fn syscall_faults(environment: &Environment, seed: u64, proxy: usize) -> Value {
     let fraction: f64 = environment.draw(|random| random.gen_range(0.01..0.15));
     let rules: Vec<Value> = failing_calls(proxy)
@@ -19,7 +19,7 @@
     json!({"seed": seed.wrapping_add(proxy as u64), "wall_clock_ms": offset_ms, "rules": rules})
 }
 
-/// A call that fails, and how.
+/// A system call that fails, and its failure, as the library names them.
 struct FailingCall {
     call: &'static str,
     failure: &'static str,
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,7 +1,8 @@
-//! A soak test: some dozen real proxies on loopback, real sockets and signals, overlapping faults,
-//! failing system calls. The verdict comes from what clients and endpoints saw. Each run prints its
-//! seed, which fixes the configuration; the schedule also depends on how the draws of concurrent
-//! tasks interleave.
+//! A soak test. It runs dozens of real proxies on loopback with real sockets and signals, and
+//! subjects them to overlapping faults and failing system calls. The verdict is based on what
+//! clients and endpoints observed. Each run prints its seed, which determines the configuration.
+//! The fault schedule is not reproducible from the seed alone: it also depends on the order in
+//! which concurrent tasks draw random numbers.
 
 mod arguments;
 mod clients;
--- a/soak/src/proxy/configuration.rs
+++ b/soak/src/proxy/configuration.rs
@@ -1,4 +1,5 @@
-//! The configuration file that a proxy is started with, under the operators' names.
+//! The configuration file of a proxy. Its keys and values are those of the program's
+//! configuration format.
 
 use crate::config::{DiscoveryMode, SimulationConfig};
 use crate::environment::Environment;
@@ -8,12 +9,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Descriptors that all processes of a proxy may have open.
+/// Maximum number of descriptors that all processes of a proxy together may have open.
 pub(super) const MAX_DESCRIPTORS: usize = 160;
-/// Memory that a process of a proxy may take.
+/// Maximum resident memory of a process of a proxy.
 pub(super) const MAX_MEMORY_MB: usize = 64;
 
-/// The configuration of a proxy. Its seed is drawn anew each time.
+/// Returns the configuration of a proxy, with a newly drawn seed and the present endpoint list.
 pub(super) fn configuration(
     environment: &Environment,
     proxy: usize,
--- a/soak/src/proxy/handoff.rs
+++ b/soak/src/proxy/handoff.rs
@@ -1,4 +1,4 @@
-//! A new process takes over from the running one.
+//! Process handoff: a new process takes over from the running one.
 
 use super::process::{end_child, Proxy, POLL_INTERVAL, READY_TIMEOUT, SHUTDOWN_TIMEOUT};
 use crate::error::SetupError;
@@ -11,13 +11,15 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Ports of the new processes' operator interfaces count up from here.
+/// Port of the admin interface of the first process that takes over; later ones count up.
 const FIRST_OPERATOR_PORT: u16 = 4_000;
-/// Changes of the endpoint list bind a new process so long after it reported to be ready.
+/// Time after a new process reported to be ready during which it does not yet count as notified of
+/// the endpoint list.
 const NOTIFICATION_DELAY: Duration = Duration::from_secs(2);
 
 impl Proxy {
-    /// Starts a new process beside the running one, and ends that when the new one is ready.
+    /// Starts a new process beside the running one, and shuts the old one down when the new one is
+    /// ready.
     pub(crate) async fn hand_off(&self) -> Result<(), SetupError> {
         if !self.accepts_connections() {
             return Ok(());
@@ -27,7 +29,7 @@
             FIRST_OPERATOR_PORT + self.process() as u16,
         );
         let new = self.spawn(Some(operators))?;
-        self.log_event("a new process beside it");
+        self.log_event("a new process was started for a handoff");
         self.wait_for_new_process(operators).await;
         self.replace_process(new);
         let previous = self.process();
@@ -78,11 +80,11 @@
     }
 }
 
-/// Whether the process that answers operators here accepts connections of clients.
+/// Whether the process with this admin interface reports that it accepts client connections.
 async fn reports_ready(operators: SocketAddr) -> bool {
     let mut answer = String::new();
     if let Ok(mut stream) = TcpStream::connect(operators).await {
-        // What fails leaves no answer.
+        // If either call fails, the reply stays empty or incomplete, which counts as not ready.
         let _ = stream.write_all(b"health\n").await;
         let _ = stream.read_to_string(&mut answer).await;
     }
--- a/soak/src/proxy/limits.rs
+++ b/soak/src/proxy/limits.rs
@@ -1,4 +1,4 @@
-//! Whether a proxy runs, keeps within its limits, and reports failures of its own.
+//! Checks that a proxy runs and keeps within its limits, and finds failures in its log.
 
 use super::configuration::{MAX_DESCRIPTORS, MAX_MEMORY_MB};
 use super::process::Proxy;
@@ -8,7 +8,7 @@
 use std::process::Child;
 
 impl Proxy {
-    /// Checks that it has not ended by itself and is within its limits.
+    /// Records a violation if the proxy has ended by itself or exceeds its limits.
     pub(crate) fn check(&self) {
         if !self.accepts_connections() {
             return;
@@ -29,16 +29,19 @@
         if open > MAX_DESCRIPTORS {
             self.record_violation(
                 Rule::Limit,
-                &format!("holds {open} descriptors of {MAX_DESCRIPTORS}"),
+                &format!("has {open} open descriptors, allowed {MAX_DESCRIPTORS}"),
             );
         }
         let memory_kb = resident_memory_kb(current);
         if memory_kb > MAX_MEMORY_MB * 1_024 {
-            self.record_violation(Rule::Limit, &format!("takes {memory_kb} kB"));
+            self.record_violation(
+                Rule::Limit,
+                &format!("has {memory_kb} kB of resident memory, allowed {MAX_MEMORY_MB} MB"),
+            );
         }
     }
 
-    /// Lines of its log about panics and violated invariants.
+    /// Returns the lines of the proxy's log that report panics and violated invariants.
     pub(crate) fn logged_failures(&self) -> Vec<String> {
         let log = fs::read_to_string(self.log_path()).unwrap_or_default();
         let failure =
--- a/soak/src/proxy/mod.rs
+++ b/soak/src/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! The proxies that are tested: real processes of the program.
+//! The proxies under test, which run as real processes.
 
 mod configuration;
 mod handoff;
--- a/soak/src/proxy/process.rs
+++ b/soak/src/proxy/process.rs
@@ -1,4 +1,5 @@
-//! A proxy over all its processes: their starts and ends, and the signals that they get.
+//! A proxy across the processes that run it one after the other: starts and ends them and sends
+//! them signals.
 
 use super::configuration::configuration;
 use crate::environment::Environment;
@@ -20,50 +21,51 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Where all proxies listen, each at an address of its own.
+/// Port on which all proxies listen, each at its own address.
 const LISTEN_PORT: u16 = 3_000;
-/// A started proxy is ready within this time.
+/// Time within which a started proxy must be ready.
 pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// SIGKILL follows so long after SIGTERM: the longest deadline and 0.7 s.
+/// Time between SIGTERM and SIGKILL: the longest deadline of a class, and 0.7 s.
 pub(super) const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(2_000 + 700);
-/// Clients open connections for so long after SIGTERM.
+/// How long clients still open connections after SIGTERM.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(300);
-/// An old agent goes on for so long after SIGHUP.
+/// How long the old agent continues after SIGHUP.
 const OLD_AGENT_DELAY: Duration = Duration::from_millis(1_500);
-/// Invalid clients may wait longer if they connect this soon after a signal.
+/// Time after a pause, a SIGTERM or a handoff in which the timeout of invalid clients is not
+/// enforced.
 const DISTURBANCE: Duration = Duration::from_secs(4);
-/// Interval at which a change of a process's state is looked for.
+/// Interval at which the state of a process is polled.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the proxies run.
+/// The program that the proxies run, and its surroundings.
 #[derive(Clone, Debug)]
 pub(crate) struct Program {
-    /// The program.
+    /// Path of the executable.
     pub(crate) path: PathBuf,
-    /// The library that makes system calls fail.
+    /// Path of the preloaded library that makes system calls fail, if they are to fail.
     pub(crate) faults: Option<PathBuf>,
-    /// The folder for configurations and logs.
+    /// Folder for configurations and logs.
     pub(crate) folder: PathBuf,
 }
 
-/// A proxy, over all its processes.
+/// A proxy, which is run by one process after the other.
 #[derive(Debug)]
 pub(crate) struct Proxy {
-    /// Its number.
+    /// Number of the proxy.
     pub(crate) number: usize,
-    /// Where its clients connect.
+    /// Address to which its clients connect.
     pub(crate) address: SocketAddr,
     pub(super) environment: Environment,
     program: Program,
     syscall_faults: serde_json::Value,
     pub(super) child: RefCell<Option<Child>>,
-    /// The process before, while it ends beside the present one.
+    /// The previous process, while it shuts down beside the present one after a handoff.
     pub(super) previous: RefCell<Option<Child>>,
-    /// Number of processes so far, which is the number of the present one.
+    /// Number of processes started so far, which is also the number of the present one.
     pub(super) process_count: Cell<u64>,
     pub(super) killed_processes: RefCell<Vec<u64>>,
     pub(super) accepts_connections: Cell<bool>,
-    /// When it was paused or got SIGTERM.
+    /// Times of pauses, SIGTERM and handoffs.
     pub(super) disturbed_at: RefCell<Vec<Instant>>,
     agent_mode: watch::Sender<AgentMode>,
     agent: RefCell<Agent>,
@@ -71,15 +73,16 @@
 }
 
 impl Proxy {
-    /// A proxy that does not run yet, with its agent.
+    /// Creates a proxy, which does not run yet, and starts its agent.
     pub(crate) async fn new(
         environment: &Environment,
         program: &Program,
         number: usize,
         syscall_faults: serde_json::Value,
     ) -> Result<Rc<Proxy>, SetupError> {
-        // A port that the system chose could be given to someone else between two processes of the
-        // proxy. The address is this run's own.
+        // If the system chose the port, another program could get it between two processes of the
+        // proxy. Instead the address is derived from this program's process id, so that parallel
+        // runs do not share addresses.
         let run = std::process::id();
         let ip = [
             127,
@@ -107,7 +110,8 @@
         }))
     }
 
-    /// Reserves it for a fault that must not overlap others; `false`: another has it.
+    /// Reserves the proxy for a fault that must not overlap others on it. Returns `false` if it is
+    /// reserved already.
     pub(crate) fn reserve(&self) -> bool {
         !self.reserved.replace(true)
     }
@@ -122,17 +126,17 @@
         self.accepts_connections.get()
     }
 
-    /// The number of its present process.
+    /// Returns the number of its present process.
     pub(crate) fn process(&self) -> u64 {
         self.process_count.get()
     }
 
-    /// Whether a process was killed, or its time for an orderly end is over.
+    /// Whether this process was killed, or its time for a graceful shutdown is over.
     pub(crate) fn was_killed(&self, process: u64) -> bool {
         self.killed_processes.borrow().contains(&process)
     }
 
-    /// Whether it was paused or got SIGTERM so late that a client of this time may notice.
+    /// Whether a pause, SIGTERM or handoff may have delayed a client that connected at `since`.
     pub(crate) fn was_disturbed(&self, since: Instant) -> bool {
         self.disturbed_at
             .borrow()
@@ -161,7 +165,7 @@
         Ok(path)
     }
 
-    /// Starts a process of it, which answers operators at the given address if there is one.
+    /// Starts a process, whose admin interface listens at the given address, if there is one.
     pub(super) fn spawn(&self, operators: Option<SocketAddr>) -> Result<Child, SetupError> {
         let configuration = self.write_configuration()?;
         let path = self.log_path();
@@ -189,7 +193,7 @@
         })
     }
 
-    /// Starts it and waits until it is ready.
+    /// Starts a process and waits until it is ready; records a violation if it is not in time.
     pub(crate) async fn start(&self) -> Result<(), SetupError> {
         let started = Instant::now();
         self.environment
@@ -201,7 +205,7 @@
         *self.child.borrow_mut() = Some(child);
         while !self.is_ready().await {
             if self.has_ended() {
-                self.record_violation(Rule::Crash, "ended at its start");
+                self.record_violation(Rule::Crash, "ended before it was ready");
                 return Ok(());
             }
             if started.elapsed() > READY_TIMEOUT {
@@ -233,12 +237,12 @@
 
     pub(super) fn signal(&self, signal: Signal) {
         if let Some(child) = self.child.borrow().as_ref() {
-            // It fails only for a process that has ended.
+            // This fails only for a process that has already ended.
             let _ = kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
 
-    /// Whether its process has ended by itself.
+    /// Whether its present process has ended.
     pub(super) fn has_ended(&self) -> bool {
         self.child
             .borrow_mut()
@@ -256,7 +260,7 @@
             .record_violation(rule, format!("proxy {} {description}", self.number));
     }
 
-    /// Kills it.
+    /// Kills its present process.
     pub(crate) fn kill(&self) {
         self.log_event("killed");
         self.accepts_connections.set(false);
@@ -266,7 +270,7 @@
         }
     }
 
-    /// Shuts it down by SIGTERM, and kills it when its time is over.
+    /// Shuts its process down by SIGTERM, and kills the process if it does not end in time.
     pub(crate) async fn shut_down(&self) {
         let started = Instant::now();
         self.disturbed_at.borrow_mut().push(started);
@@ -288,7 +292,7 @@
         self.kill();
     }
 
-    /// Pauses its process.
+    /// Pauses its process by SIGSTOP and SIGCONT.
     pub(crate) async fn pause(&self, duration: Duration) {
         self.disturbed_at.borrow_mut().push(Instant::now());
         self.log_event("SIGSTOP");
@@ -297,7 +301,7 @@
         self.signal(Signal::SIGCONT);
     }
 
-    /// Gives it a new agent by SIGHUP; the old agent ends a while later.
+    /// Reloads its configuration by SIGHUP, with a new agent in it. The old agent ends later.
     pub(crate) async fn reload(&self) -> Result<(), SetupError> {
         let agent =
             start_agent(&self.environment, self.number, self.agent_mode.subscribe()).await?;
@@ -312,7 +316,7 @@
         Ok(())
     }
 
-    /// Lets its agent fail, or respond again.
+    /// Sets how its agent behaves from now on.
     pub(crate) fn set_agent_mode(&self, mode: AgentMode) {
         self.environment
             .notifications(self.number, |notifications| {
@@ -322,14 +326,14 @@
                     notifications.outage_started();
                 }
             });
-        // It fails only when the agent has ended with the run.
+        // This fails only if the agent has already ended with the run.
         let _ = self.agent_mode.send(mode);
     }
 }
 
 /// Kills a process and waits for its end.
 pub(super) fn end_child(child: &mut Child) {
-    // Both fail only for a process that has ended.
+    // Both fail only for a process that has already ended.
     let _ = child.kill();
     let _ = child.wait();
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,5 +1,5 @@
-//! The run of one seed: sets up endpoints, proxies and clients, runs the fault schedule, and asks
-//! for the verdict.
+//! Runs one seed: starts endpoints, proxies and clients, runs the fault schedule, and prints the
+//! verdict.
 
 use crate::arguments::Arguments;
 use crate::clients::{run_client, run_invalid_client};
@@ -19,18 +19,18 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Clients go on for so long after the last fault.
+/// How long clients continue after the last fault has been started.
 const CLIENTS_DELAY: Duration = Duration::from_secs(2);
-/// The last requests have their responses by then.
+/// Time after the fault schedule in which the last requests must get their responses.
 const FINAL_RESPONSES_DELAY: Duration = Duration::from_secs(6);
-/// Interval of the checks of the proxies' state and limits.
+/// Interval between checks of the proxies' processes and limits.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval of the measurements of this program's own lateness.
+/// Interval between measurements of this program's scheduling delay.
 const LATENESS_INTERVAL: Duration = Duration::from_millis(5);
-/// The first endpoints have been running for this long.
+/// Age of the first endpoints at the start of a run, which is past their slow start.
 const FIRST_ENDPOINTS_AGE: Duration = Duration::from_secs(3_600);
 
-/// Runs one seed; whether it passed.
+/// Runs one seed and returns whether it passed.
 pub(crate) async fn run(arguments: &Arguments, seed: u64) -> Result<bool, SetupError> {
     let config = SimulationConfig::draw(arguments.proxies, seed);
     println!("seed {seed}: {config:?}");
@@ -41,7 +41,7 @@
     Ok(verdict(&environment, &proxies, seed, lateness))
 }
 
-/// Starts the first endpoints, which have been running for long.
+/// Starts the first endpoints, dated back so that they are past their slow start.
 async fn start_endpoints(environment: &Environment, count: usize) -> Result<(), SetupError> {
     for index in 0..count {
         let zone = if index.is_multiple_of(2) { 'a' } else { 'b' };
@@ -55,14 +55,15 @@
     Ok(())
 }
 
-/// Starts all proxies, and waits until they are ready.
+/// Starts all proxies and waits until they are ready.
 async fn start_proxies(
     environment: &Environment,
     arguments: &Arguments,
     seed: u64,
 ) -> Result<Vec<Rc<Proxy>>, SetupError> {
     let folder = absolute(&arguments.folder)?.join(format!("seed-{seed}"));
-    // Logs of an earlier run would be taken for this one's. Usually there are none.
+    // Proxies append to their logs, so logs of an earlier run would be attributed to this one. The
+    // folder usually does not exist, and removing it then fails.
     let _ = fs::remove_dir_all(&folder);
     let faults = arguments.faults.as_deref().map(absolute).transpose()?;
     let program = Program {
@@ -91,8 +92,7 @@
     std::path::absolute(path).map_err(path_error)
 }
 
-/// Runs the clients and the fault schedule. Returns the longest time by which this program was
-/// late.
+/// Runs the clients and the fault schedule. Returns the longest scheduling delay of this program.
 async fn run_schedule(
     arguments: &Arguments,
     environment: &Environment,
@@ -129,7 +129,7 @@
     }
 }
 
-/// Measures how much later than due this program's tasks run.
+/// Measures repeatedly how late a task of this program runs, and keeps the longest delay.
 async fn measure_lateness(longest: Rc<Cell<Duration>>) {
     loop {
         let due = Instant::now() + LATENESS_INTERVAL;
--- a/soak/src/test_support.rs
+++ b/soak/src/test_support.rs
@@ -1,9 +1,9 @@
-//! What several tests need.
+//! Test data that several test modules share.
 
 use crate::config::{DiscoveryMode, SimulationConfig};
 use std::time::Duration;
 
-/// A configuration with one proxy.
+/// Returns the parameters of a run with one proxy.
 pub(crate) fn config(discovery: DiscoveryMode, hedging: bool) -> SimulationConfig {
     SimulationConfig {
         proxy_count: 1,
--- a/soak/src/verdict.rs
+++ b/soak/src/verdict.rs
@@ -1,4 +1,4 @@
-//! The verdict on a run, and what is printed with it.
+//! Decides whether a run passed, and prints its report.
 
 use crate::environment::Environment;
 use crate::ledger::{Ledger, RequestRecord, Violation};
@@ -7,17 +7,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A run in which this program was later than this is not judged.
+/// Longest scheduling delay of this program with which a run is judged. Observed times are not
+/// reliable beyond it.
 const MAX_LATENESS: Duration = Duration::from_millis(60);
-/// Events of so many seconds before a violation are printed with it.
+/// Time before a violation from which events are printed with it.
 const EVENTS_BEFORE_S: f64 = 3.0;
-/// Events of so many seconds after a violation are printed with it.
+/// Time after a violation until which events are printed with it.
 const EVENTS_AFTER_S: f64 = 0.1;
-/// Maximum number of the proxies' own failures that are printed.
+/// Maximum number of failures from the proxies' logs that are printed.
 const MAX_PRINTED_FAILURES: usize = 10;
 
-/// Prints the results of a run; whether it passed. `lateness` is the longest time by which this
-/// program was late.
+/// Prints the report of a run and returns whether it passed. `lateness` is the longest scheduling
+/// delay of this program.
 pub(crate) fn verdict(
     environment: &Environment,
     proxies: &[Rc<Proxy>],
@@ -27,7 +28,7 @@
     let violations = environment.ledger(|ledger| {
         ledger.record_unanswered();
         println!(
-            "requests: {:?}, this program late by up to {lateness:?}",
+            "requests: {:?}, longest scheduling delay of this program: {lateness:?}",
             completions(ledger)
         );
         for violation in &ledger.violations {
@@ -50,7 +51,7 @@
     let judged = lateness <= MAX_LATENESS;
     let passed = judged && violations.is_empty() && failures.is_empty();
     let result = match (judged, passed) {
-        (false, _) => "NOT JUDGED, this program was late",
+        (false, _) => "NOT JUDGED, this program's scheduling delay was too long",
         (true, true) => "passed",
         (true, false) => "FAILED",
     };
@@ -58,7 +59,7 @@
     passed
 }
 
-/// How many requests ended in which way.
+/// Counts the requests by how they ended.
 fn completions(ledger: &Ledger) -> BTreeMap<String, usize> {
     count(ledger.requests.values().map(completion))
 }
