--- a/soak/src/clients/exchange.rs
+++ b/soak/src/clients/exchange.rs
@@ -23,8 +23,12 @@
 impl Wait {
     fn draw(environment: &Environment, client_timeout: Duration) -> Wait {
         // Half of the clients that disconnect do so within 3 % of their timeout.
-        let max_fraction = if environment.chance(0.5) { 0.03 } else { 1.0 };
-        let disconnects = environment.chance(0.12);
+        let max_fraction = if environment.draw_bool(0.5) {
+            0.03
+        } else {
+            1.0
+        };
+        let disconnects = environment.draw_bool(0.12);
         let duration = if disconnects {
             client_timeout.mul_f64(environment.draw(|random| random.gen_range(0.0..max_fraction)))
         } else {
@@ -53,14 +57,16 @@
         if written {
             environment.update_request(id, |record| record.complete_at = Some(Instant::now()));
         }
-        let Some(client_timeout) = environment.request(id, |record| record.client_timeout) else {
+        let Some(client_timeout) = environment.read_request(id, |record| record.client_timeout)
+        else {
             return false;
         };
         let wait = Wait::draw(environment, client_timeout);
         match timeout(wait.duration, connection.reader.message()).await {
             Ok(Ok(message)) => {
-                environment
-                    .ledger(|ledger| ledger.record_completion(id, message.status, &message.body));
+                environment.with_ledger(|ledger| {
+                    ledger.record_completion(id, message.status, &message.body)
+                });
                 return message.header("connection") != Some("close");
             }
             Ok(Err(ReadError::Closed)) if may_resend && was_closed_between(environment, id) => {
@@ -85,7 +91,7 @@
 /// Whether the connection was closed between two requests: the request is not the first on it, and
 /// no attempt of it has reached an endpoint.
 fn was_closed_between(environment: &Environment, id: u64) -> bool {
-    let unread = environment.request(id, |record| {
+    let unread = environment.read_request(id, |record| {
         !record.new_connection && record.attempts.is_empty()
     });
     unread.unwrap_or(false)
@@ -119,12 +125,12 @@
 ) {
     let truncated = matches!(error, ReadError::Truncated { .. });
     if truncated && !killed {
-        environment.ledger(|ledger| ledger.record_truncated_response(id));
+        environment.with_ledger(|ledger| ledger.record_truncated_response(id));
     }
     environment.update_request(id, |record| {
         record.exempt |= killed || truncated || !written
     });
-    environment.ledger(|ledger| ledger.record_completion(id, None, &[]));
+    environment.with_ledger(|ledger| ledger.record_completion(id, None, &[]));
 }
 
 /// Records that the client's wait ended without a response: the client disconnects, or the
@@ -137,7 +143,7 @@
     disconnects: bool,
 ) {
     if disconnects {
-        let close = if environment.chance(0.3) {
+        let close = if environment.draw_bool(0.3) {
             Close::Reset
         } else {
             Close::Graceful
@@ -151,7 +157,7 @@
 
 /// Writes a request at once or, in one of ten cases, in two parts with a pause between them.
 async fn write(environment: &Environment, reader: &mut Reader, bytes: &[u8]) -> bool {
-    if environment.chance(0.9) {
+    if environment.draw_bool(0.9) {
         return reader.stream.write_all(bytes).await.is_ok();
     }
     let cut = environment.draw(|random| random.gen_range(0..bytes.len()));
--- a/soak/src/clients/invalid.rs
+++ b/soak/src/clients/invalid.rs
@@ -91,7 +91,7 @@
     let request =
         INVALID_REQUESTS[environment.draw(|random| random.gen_range(0..INVALID_REQUESTS.len()))];
     let mut request = request.to_owned();
-    if request == INCOMPLETE_BODY && environment.chance(0.5) {
+    if request == INCOMPLETE_BODY && environment.draw_bool(0.5) {
         request.push_str(&"x".repeat(LONG_BODY_BYTES));
     }
     request
--- a/soak/src/clients/mod.rs
+++ b/soak/src/clients/mod.rs
@@ -26,9 +26,11 @@
 pub(crate) async fn run_client(environment: Environment, proxy: Rc<Proxy>, end: Instant) {
     let mut connection = None;
     while Instant::now() < end {
-        let pause_s = environment.draw_exponential(MEAN_PAUSE_S).min(MAX_PAUSE_S);
+        let pause_s = environment
+            .draw_exponential_s(MEAN_PAUSE_S)
+            .min(MAX_PAUSE_S);
         sleep(Duration::from_secs_f64(pause_s)).await;
-        let pipelined = environment.chance(0.05);
+        let pipelined = environment.draw_bool(0.05);
         connection = send_requests(&environment, &proxy, connection.take(), pipelined).await;
     }
 }
--- a/soak/src/clients/pipelining.rs
+++ b/soak/src/clients/pipelining.rs
@@ -21,7 +21,7 @@
     count: usize,
 ) -> bool {
     let ids = send(environment, proxy, connection, count).await;
-    let disconnects = environment.chance(0.3);
+    let disconnects = environment.draw_bool(0.3);
     let wait = if disconnects {
         environment.draw_millis(0, 60)
     } else {
@@ -83,7 +83,8 @@
     let Some((&answered, following)) = open.split_first() else {
         return false;
     };
-    environment.ledger(|ledger| ledger.record_completion(answered, message.status, &message.body));
+    environment
+        .with_ledger(|ledger| ledger.record_completion(answered, message.status, &message.body));
     if let Some(&next) = following.first() {
         // Responses come in order, so the next request's timeout begins only now.
         environment.update_request(next, |record| record.complete_at = Some(Instant::now()));
@@ -111,7 +112,7 @@
     for (position, &id) in open.iter().enumerate() {
         let is_first = position == 0;
         if is_first && truncated && !killed {
-            environment.ledger(|ledger| ledger.record_truncated_response(id));
+            environment.with_ledger(|ledger| ledger.record_truncated_response(id));
         }
         environment.update_request(id, |record| {
             let unread = record.attempts.is_empty() && (truncated || !is_first || used);
--- a/soak/src/clients/request.rs
+++ b/soak/src/clients/request.rs
@@ -52,7 +52,7 @@
 
 fn draw_timeout_ms(environment: &Environment, class: RequestClass) -> u64 {
     let deadline_ms = class.deadline_ms();
-    if environment.chance(0.1) {
+    if environment.draw_bool(0.1) {
         environment.draw(|random| random.gen_range(5..120))
     } else {
         environment.draw(|random| random.gen_range(deadline_ms / 2..=deadline_ms))
@@ -62,7 +62,7 @@
 fn draw_body_length(environment: &Environment, class: RequestClass) -> usize {
     if class == RequestClass::Idempotent {
         0
-    } else if environment.chance(0.02) {
+    } else if environment.draw_bool(0.02) {
         environment.draw(|random| random.gen_range(70_000..150_000))
     } else {
         environment.draw(|random| random.gen_range(0..2_000))
--- a/soak/src/endpoint_response.rs
+++ b/soak/src/endpoint_response.rs
@@ -57,7 +57,7 @@
         }
     });
     let body = response_body(id, length);
-    let truncated = behaviour == Behaviour::Resetting && environment.chance(0.4);
+    let truncated = behaviour == Behaviour::Resetting && environment.draw_bool(0.4);
     let sent = if truncated {
         &body[..length / 2]
     } else {
@@ -71,7 +71,7 @@
         }
         1 => chunked(sent, truncated),
         _ => {
-            if !truncated && environment.chance(0.05) {
+            if !truncated && environment.draw_bool(0.05) {
                 after = AfterResponse::Close;
             }
             with_length(sent, length)
--- a/soak/src/endpoint_server.rs
+++ b/soak/src/endpoint_server.rs
@@ -35,7 +35,7 @@
         .await
         .map_err(listen_error)?;
     let address = listener.local_addr().map_err(listen_error)?;
-    let number = environment.next_process();
+    let number = environment.next_process_number();
     let state = ProcessState {
         behaviour: Rc::new(Cell::new(Behaviour::Normal)),
         draining: Rc::new(Cell::new(false)),
@@ -92,7 +92,7 @@
                 Ok(Ok(message)) => message,
                 Ok(Err(error)) => return self.end_after_error(&reader, error),
                 Err(_) => {
-                    if self.environment.chance(0.5) {
+                    if self.environment.draw_bool(0.5) {
                         close_on_drop(&reader.stream, Close::Graceful);
                     }
                     return;
@@ -180,7 +180,7 @@
 
     async fn respond(&self, id: u64, attempt: usize, reader: &mut Reader) -> AfterResponse {
         let behaviour = self.state.behaviour.get();
-        if self.state.draining.get() && self.environment.chance(0.7) {
+        if self.state.draining.get() && self.environment.draw_bool(0.7) {
             self.environment
                 .update_attempt(id, attempt, |record| record.rejected = true);
             return write(
@@ -192,17 +192,17 @@
         }
         let work_s = self
             .environment
-            .draw_exponential(MEAN_WORK_S)
+            .draw_exponential_s(MEAN_WORK_S)
             .min(MAX_WORK_S);
         match behaviour {
             Behaviour::Hanging => {
                 reader.wait_for_activity().await;
                 return AfterResponse::Reset;
             }
-            Behaviour::Resetting if self.environment.chance(0.3) => return AfterResponse::Reset,
+            Behaviour::Resetting if self.environment.draw_bool(0.3) => return AfterResponse::Reset,
             _ => sleep(Duration::from_secs_f64(work_s)).await,
         }
-        if behaviour == Behaviour::Failing && self.environment.chance(0.6) {
+        if behaviour == Behaviour::Failing && self.environment.draw_bool(0.6) {
             let response = endpoint_response::failure(&self.environment);
             return write(reader, response, AfterResponse::KeepAlive).await;
         }
@@ -228,7 +228,7 @@
         if write(reader, first, AfterResponse::KeepAlive).await == AfterResponse::Reset {
             return AfterResponse::Reset;
         }
-        if self.environment.chance(0.1) {
+        if self.environment.draw_bool(0.1) {
             sleep(self.environment.draw_millis(1, 40)).await;
         }
         write(reader, second, response.after).await
--- a/soak/src/environment/mod.rs
+++ b/soak/src/environment/mod.rs
@@ -26,8 +26,8 @@
     list: EndpointList,
     list_version: watch::Sender<u64>,
     processes: Vec<EndpointProcess>,
-    last_process: u64,
-    last_request: u64,
+    last_process_number: u64,
+    last_request_id: u64,
     /// Indexed by the proxy's number.
     notifications: Vec<Notifications>,
 }
@@ -48,8 +48,8 @@
             list: EndpointList::default(),
             list_version: watch::channel(0).0,
             processes: Vec::new(),
-            last_process: 0,
-            last_request: 0,
+            last_process_number: 0,
+            last_request_id: 0,
             notifications: vec![Notifications::default(); config.proxy_count],
         };
         Environment {
@@ -69,7 +69,7 @@
     }
 
     /// Draws a boolean that is true with this probability.
-    pub(crate) fn chance(&self, probability: f64) -> bool {
+    pub(crate) fn draw_bool(&self, probability: f64) -> bool {
         self.draw(|random| random.gen_bool(probability))
     }
 
@@ -84,32 +84,36 @@
     }
 
     /// Draws from the exponential distribution with this mean, in seconds.
-    pub(crate) fn draw_exponential(&self, mean_s: f64) -> f64 {
+    pub(crate) fn draw_exponential_s(&self, mean_s: f64) -> f64 {
         -mean_s * self.draw(|random| random.gen::<f64>().max(1e-6)).ln()
     }
 
-    /// Calls `with` with the ledger.
-    pub(crate) fn ledger<T>(&self, with: impl FnOnce(&mut Ledger) -> T) -> T {
-        with(&mut self.state.borrow_mut().ledger)
+    /// Calls `access` with the ledger.
+    pub(crate) fn with_ledger<T>(&self, access: impl FnOnce(&mut Ledger) -> T) -> T {
+        access(&mut self.state.borrow_mut().ledger)
     }
 
     /// Records a new request and returns its id.
     pub(crate) fn add_request(&self, request: RequestRecord) -> u64 {
         let mut state = self.state.borrow_mut();
-        state.last_request += 1;
-        let id = state.last_request;
+        state.last_request_id += 1;
+        let id = state.last_request_id;
         state.ledger.requests.insert(id, request);
         id
     }
 
     /// Reads the record of a request; `None` if there is none.
-    pub(crate) fn request<T>(&self, id: u64, read: impl FnOnce(&RequestRecord) -> T) -> Option<T> {
-        self.ledger(|ledger| ledger.requests.get(&id).map(read))
+    pub(crate) fn read_request<T>(
+        &self,
+        id: u64,
+        read: impl FnOnce(&RequestRecord) -> T,
+    ) -> Option<T> {
+        self.with_ledger(|ledger| ledger.requests.get(&id).map(read))
     }
 
     /// Updates the record of a request, if there is one.
     pub(crate) fn update_request(&self, id: u64, update: impl FnOnce(&mut RequestRecord)) {
-        self.ledger(|ledger| {
+        self.with_ledger(|ledger| {
             if let Some(request) = ledger.requests.get_mut(&id) {
                 update(request);
             }
@@ -118,22 +122,22 @@
 
     /// Logs a fault or a change of state of a proxy, an endpoint or an agent.
     pub(crate) fn log_event(&self, description: String) {
-        self.ledger(|ledger| ledger.log_event(description));
+        self.with_ledger(|ledger| ledger.log_event(description));
     }
 
     /// Records a violation of a rule at the current time.
     pub(crate) fn record_violation(&self, rule: Rule, description: String) {
-        self.ledger(|ledger| ledger.record_violation(rule, description));
+        self.with_ledger(|ledger| ledger.record_violation(rule, description));
     }
 
     /// Updates the record of an attempt, if there is one.
     pub(crate) fn update_attempt(
         &self,
         id: u64,
-        number: usize,
+        index: usize,
         update: impl FnOnce(&mut AttemptRecord),
     ) {
-        self.ledger(|ledger| ledger.update_attempt(id, number, update));
+        self.with_ledger(|ledger| ledger.update_attempt(id, index, update));
     }
 
     /// Records an attempt that arrived at an endpoint, and checks it against its request and the
@@ -152,18 +156,18 @@
             complete_at,
             ..
         } = attempt;
-        let number =
-            self.ledger(|ledger| ledger.record_attempt(id, attempt, advertised_timeout, body))?;
-        let proxy = self.request(id, |request| request.proxy)?;
+        let index = self
+            .with_ledger(|ledger| ledger.record_attempt(id, attempt, advertised_timeout, body))?;
+        let proxy = self.read_request(id, |request| request.proxy)?;
         self.check_drain(id, proxy, process, first_byte_at);
         if complete_at.is_some() {
             self.check_slow_start(process, first_byte_at);
         }
-        Some(number)
+        Some(index)
     }
 
     fn check_drain(&self, request: u64, proxy: usize, process: u64, first_byte_at: Instant) {
-        let Some(notified) = self.notified_of_draining(proxy, process) else {
+        let Some(notified) = self.drain_notified_at(proxy, process) else {
             return;
         };
         if first_byte_at <= notified + self.config.drain_grace + DRAIN_SLACK {
@@ -171,7 +175,7 @@
         }
         let late = first_byte_at - notified;
         let disruptions =
-            self.notifications(proxy, |notifications| notifications.disruptions().clone());
+            self.with_notifications(proxy, |notifications| notifications.disruptions().clone());
         let description = format!(
             "request {request:016x} sent to draining endpoint process {process} by proxy {proxy}, \
              {late:?} after the proxy was notified; {disruptions:?}"
@@ -179,14 +183,14 @@
         self.record_violation(Rule::Drain, description);
     }
 
-    fn notified_of_draining(&self, proxy: usize, process: u64) -> Option<Instant> {
+    fn drain_notified_at(&self, proxy: usize, process: u64) -> Option<Instant> {
         let state = self.state.borrow();
         let change = state.list.draining_since(process)?;
         state.notifications[proxy].notified_at(change, self.config.discovery)
     }
 
     fn check_slow_start(&self, process: u64, at: Instant) {
-        let overload = self.processes(|processes| {
+        let overload = self.with_processes(|processes| {
             let process = processes.iter_mut().find(|known| known.number == process)?;
             let overload = process.record_arrival(at, &self.config)?;
             Some((process.name.clone(), overload))
@@ -202,12 +206,12 @@
     }
 
     /// Calls `read` with the endpoint list.
-    pub(crate) fn list<T>(&self, read: impl FnOnce(&EndpointList) -> T) -> T {
+    pub(crate) fn with_list<T>(&self, read: impl FnOnce(&EndpointList) -> T) -> T {
         read(&self.state.borrow().list)
     }
 
     /// Changes the health of a process in the endpoint list, and wakes the agents.
-    pub(crate) fn list_endpoint(&self, process: u64, health: EndpointHealth) {
+    pub(crate) fn set_listed_health(&self, process: u64, health: EndpointHealth) {
         let mut state = self.state.borrow_mut();
         let State {
             list,
@@ -223,35 +227,38 @@
     }
 
     /// Returns a receiver of the endpoint list's versions.
-    pub(crate) fn list_versions(&self) -> watch::Receiver<u64> {
+    pub(crate) fn subscribe_to_list_versions(&self) -> watch::Receiver<u64> {
         self.state.borrow().list_version.subscribe()
     }
 
-    /// Calls `with` with the notifications of a proxy.
-    pub(crate) fn notifications<T>(
+    /// Calls `access` with the notifications of a proxy.
+    pub(crate) fn with_notifications<T>(
         &self,
         proxy: usize,
-        with: impl FnOnce(&mut Notifications) -> T,
+        access: impl FnOnce(&mut Notifications) -> T,
     ) -> T {
-        with(&mut self.state.borrow_mut().notifications[proxy])
+        access(&mut self.state.borrow_mut().notifications[proxy])
     }
 
     /// Returns a number for a new endpoint process.
-    pub(crate) fn next_process(&self) -> u64 {
+    pub(crate) fn next_process_number(&self) -> u64 {
         let mut state = self.state.borrow_mut();
-        state.last_process += 1;
-        state.last_process
+        state.last_process_number += 1;
+        state.last_process_number
     }
 
     /// Adds an endpoint process and lists it as ready.
     pub(crate) fn add_endpoint(&self, process: EndpointProcess) {
         let number = process.number;
-        self.processes(|processes| processes.push(process));
-        self.list_endpoint(number, EndpointHealth::Ready);
+        self.with_processes(|processes| processes.push(process));
+        self.set_listed_health(number, EndpointHealth::Ready);
     }
 
-    /// Calls `with` with the endpoint processes.
-    pub(crate) fn processes<T>(&self, with: impl FnOnce(&mut Vec<EndpointProcess>) -> T) -> T {
-        with(&mut self.state.borrow_mut().processes)
+    /// Calls `access` with the endpoint processes.
+    pub(crate) fn with_processes<T>(
+        &self,
+        access: impl FnOnce(&mut Vec<EndpointProcess>) -> T,
+    ) -> T {
+        access(&mut self.state.borrow_mut().processes)
     }
 }
--- a/soak/src/environment/tests.rs
+++ b/soak/src/environment/tests.rs
@@ -23,7 +23,7 @@
 /// Returns an environment with an endpoint that has just started, and the id of a request.
 fn environment(discovery: DiscoveryMode) -> (Environment, u64) {
     let environment = Environment::new(1, config(discovery, false));
-    environment.notifications(PROXY, |notifications| {
+    environment.with_notifications(PROXY, |notifications| {
         notifications.process_started(Instant::now())
     });
     environment.add_endpoint(EndpointProcess {
@@ -75,7 +75,7 @@
 }
 
 fn count(environment: &Environment, rule: Rule) -> usize {
-    environment.ledger(|ledger| {
+    environment.with_ledger(|ledger| {
         ledger
             .violations
             .iter()
@@ -92,10 +92,10 @@
             !breaks_drain_rule(&environment, request, 10_000),
             "a ready endpoint may be sent requests"
         );
-        environment.list_endpoint(PROCESS, EndpointHealth::Draining);
+        environment.set_listed_health(PROCESS, EndpointHealth::Draining);
         assert!(!breaks_drain_rule(&environment, request, 400));
         assert!(breaks_drain_rule(&environment, request, 600));
-        environment.list_endpoint(PROCESS, EndpointHealth::Ready);
+        environment.set_listed_health(PROCESS, EndpointHealth::Ready);
         assert!(
             !breaks_drain_rule(&environment, request, 600),
             "an endpoint that is ready again may be sent requests"
@@ -107,16 +107,16 @@
 fn a_polled_change_binds_when_it_is_delivered_or_after_the_timeout() {
     run(|| {
         let (environment, request) = environment(DiscoveryMode::Poll);
-        environment.list_endpoint(PROCESS, EndpointHealth::Draining);
+        environment.set_listed_health(PROCESS, EndpointHealth::Draining);
         assert!(!breaks_drain_rule(&environment, request, 6_300));
         assert!(breaks_drain_rule(&environment, request, 6_700));
-        let version = environment.list(EndpointList::version);
-        environment.notifications(PROXY, |notifications| notifications.delivered(version - 1));
+        let version = environment.with_list(EndpointList::version);
+        environment.with_notifications(PROXY, |notifications| notifications.delivered(version - 1));
         assert!(
             !breaks_drain_rule(&environment, request, 600),
             "the version that was delivered is older than the drain"
         );
-        environment.notifications(PROXY, |notifications| notifications.delivered(version));
+        environment.with_notifications(PROXY, |notifications| notifications.delivered(version));
         assert!(breaks_drain_rule(&environment, request, 600));
     });
 }
@@ -125,20 +125,20 @@
 fn an_outage_and_a_reload_delay_a_pushed_change() {
     run(|| {
         let (environment, request) = environment(DiscoveryMode::Push);
-        environment.notifications(PROXY, Notifications::outage_started);
-        environment.list_endpoint(PROCESS, EndpointHealth::Draining);
+        environment.with_notifications(PROXY, Notifications::outage_started);
+        environment.set_listed_health(PROCESS, EndpointHealth::Draining);
         assert!(
             !breaks_drain_rule(&environment, request, 60_000),
             "a proxy is not notified during an outage of its agent"
         );
-        environment.notifications(PROXY, Notifications::outage_ended);
+        environment.with_notifications(PROXY, Notifications::outage_ended);
         assert!(!breaks_drain_rule(&environment, request, 6_300));
         assert!(breaks_drain_rule(&environment, request, 6_700));
     });
     run(|| {
         let (environment, request) = environment(DiscoveryMode::Push);
-        environment.notifications(PROXY, Notifications::reloaded);
-        environment.list_endpoint(PROCESS, EndpointHealth::Draining);
+        environment.with_notifications(PROXY, Notifications::reloaded);
+        environment.set_listed_health(PROCESS, EndpointHealth::Draining);
         assert!(!breaks_drain_rule(&environment, request, 4_300));
         assert!(breaks_drain_rule(&environment, request, 4_700));
     });
@@ -148,7 +148,7 @@
 fn too_many_requests_overload_an_endpoint_that_warms_up() {
     run(|| {
         let (environment, _) = environment(DiscoveryMode::Push);
-        let started_at = environment.processes(|processes| processes[0].started_at);
+        let started_at = environment.with_processes(|processes| processes[0].started_at);
         // At its start the endpoint has a tenth of its capacity: c = 2 * 60 * 0.1 * 2 = 24 requests
         // are allowed, and a tolerance of 3 * sqrt(c) + 3.
         let allowed = 41;
--- a/soak/src/faults/endpoints.rs
+++ b/soak/src/faults/endpoints.rs
@@ -16,7 +16,7 @@
 /// Adds an endpoint with a new name.
 pub(super) async fn add(environment: &Environment) -> Result<(), SetupError> {
     let name = endpoint_name(environment.draw(|random| random.gen()));
-    let zone = if environment.chance(0.5) { 'a' } else { 'b' };
+    let zone = if environment.draw_bool(0.5) { 'a' } else { 'b' };
     let process = endpoint_server::start(environment, &name, zone).await?;
     environment.add_endpoint(process);
     Ok(())
@@ -24,9 +24,9 @@
 
 /// Gives an endpoint this behaviour for a random time.
 pub(super) async fn misbehave(environment: &Environment, behaviour: Behaviour) {
-    let count = environment.processes(|processes| processes.len());
+    let count = environment.with_processes(|processes| processes.len());
     let index = environment.draw(|random| random.gen_range(0..count));
-    let state = environment.processes(|processes| processes[index].state.clone());
+    let state = environment.with_processes(|processes| processes[index].state.clone());
     state.behaviour.set(behaviour);
     sleep(environment.draw_seconds(0.5, 3.0)).await;
     state.behaviour.set(Behaviour::Normal);
@@ -34,7 +34,7 @@
 
 /// Lists all ready endpoints as draining for a random time.
 pub(super) async fn drain_all(environment: &Environment) {
-    let mut ready: Vec<u64> = environment.processes(|processes| {
+    let mut ready: Vec<u64> = environment.with_processes(|processes| {
         processes
             .iter()
             .filter(|process| !process.is_draining())
@@ -45,19 +45,19 @@
         "endpoint processes {ready:?} are listed as draining"
     ));
     for &number in &ready {
-        environment.list_endpoint(number, EndpointHealth::Draining);
+        environment.set_listed_health(number, EndpointHealth::Draining);
     }
     sleep(environment.draw_seconds(0.1, 0.7)).await;
     // An overlapping fault may have started to drain some of them, which must not become ready.
     ready.retain(|&number| {
-        environment.processes(|processes| {
+        environment.with_processes(|processes| {
             processes
                 .iter()
                 .any(|process| process.number == number && !process.is_draining())
         })
     });
     for number in ready {
-        environment.list_endpoint(number, EndpointHealth::Ready);
+        environment.set_listed_health(number, EndpointHealth::Ready);
     }
 }
 
@@ -78,7 +78,7 @@
     let Some(old) = choose_replaced(environment, notice) else {
         return Ok(());
     };
-    let same_name = environment.chance(0.5);
+    let same_name = environment.draw_bool(0.5);
     let name = if same_name {
         old.name.clone()
     } else {
@@ -89,25 +89,26 @@
         old.number
     ));
     if orderly {
-        environment.list_endpoint(old.number, EndpointHealth::Draining);
+        environment.set_listed_health(old.number, EndpointHealth::Draining);
     } else {
         kill(environment, old.number);
     }
     sleep(notice).await;
     let new = endpoint_server::start(environment, &name, old.zone).await?;
     if !same_name {
-        environment.list_endpoint(old.number, EndpointHealth::Removed);
+        environment.set_listed_health(old.number, EndpointHealth::Removed);
     }
     environment.add_endpoint(new);
     sleep(REPLACED_DELAY).await;
     kill(environment, old.number);
-    environment.processes(|processes| processes.retain(|process| process.number != old.number));
+    environment
+        .with_processes(|processes| processes.retain(|process| process.number != old.number));
     Ok(())
 }
 
 /// Chooses a ready process in a zone that has more than the minimum, and marks it as draining.
 fn choose_replaced(environment: &Environment, notice: Duration) -> Option<Replaced> {
-    environment.processes(|processes| {
+    environment.with_processes(|processes| {
         let ready: Vec<_> = processes
             .iter()
             .filter(|process| !process.is_draining())
@@ -131,11 +132,11 @@
 
 fn kill(environment: &Environment, number: u64) {
     environment.log_event(format!("endpoint process {number} is killed"));
-    environment.processes(|processes| {
+    environment.with_processes(|processes| {
         processes
             .iter()
             .filter(|process| process.number == number)
             .for_each(EndpointProcess::kill);
     });
-    environment.ledger(|ledger| ledger.record_kill(number));
+    environment.with_ledger(|ledger| ledger.record_kill(number));
 }
--- a/soak/src/faults/mod.rs
+++ b/soak/src/faults/mod.rs
@@ -101,7 +101,7 @@
             random.gen_range(0.1..0.6),
         )
     });
-    let added = environment.chance(0.1);
+    let added = environment.draw_bool(0.1);
     (
         if added { Fault::EndpointAdded } else { fault },
         Duration::from_secs_f64(pause_s),
--- a/soak/src/ledger/mod.rs
+++ b/soak/src/ledger/mod.rs
@@ -126,23 +126,23 @@
             hedging: self.hedging,
         };
         let findings = arrival.findings();
-        let number = request.attempts.len();
+        let index = request.attempts.len();
         request.attempts.push(attempt);
         for finding in findings {
             self.record_request_violation(finding.rule, id, &finding.reason);
         }
-        Some(number)
+        Some(index)
     }
 
     /// Updates the record of an attempt, if there is one.
     pub(crate) fn update_attempt(
         &mut self,
         id: u64,
-        number: usize,
+        index: usize,
         update: impl FnOnce(&mut AttemptRecord),
     ) {
         let request = self.requests.get_mut(&id);
-        if let Some(attempt) = request.and_then(|request| request.attempts.get_mut(number)) {
+        if let Some(attempt) = request.and_then(|request| request.attempts.get_mut(index)) {
             update(attempt);
         }
     }
--- a/soak/src/proxy/handoff.rs
+++ b/soak/src/proxy/handoff.rs
@@ -57,7 +57,7 @@
     fn replace_process(&self, new: Child) {
         let now = Instant::now();
         self.environment
-            .notifications(self.number, |notifications| {
+            .with_notifications(self.number, |notifications| {
                 notifications.process_started(now + NOTIFICATION_DELAY);
             });
         self.disturbed_at.borrow_mut().push(now);
--- a/soak/src/proxy/process.rs
+++ b/soak/src/proxy/process.rs
@@ -197,7 +197,7 @@
     pub(crate) async fn start(&self) -> Result<(), SetupError> {
         let started = Instant::now();
         self.environment
-            .notifications(self.number, |notifications| {
+            .with_notifications(self.number, |notifications| {
                 notifications.process_started(started);
             });
         self.process_count.set(self.process_count.get() + 1);
@@ -308,7 +308,7 @@
         let old = self.agent.replace(agent);
         self.write_configuration()?;
         self.environment
-            .notifications(self.number, |notifications| notifications.reloaded());
+            .with_notifications(self.number, |notifications| notifications.reloaded());
         self.log_event("SIGHUP");
         self.signal(Signal::SIGHUP);
         sleep(OLD_AGENT_DELAY).await;
@@ -319,7 +319,7 @@
     /// Sets how its agent behaves from now on.
     pub(crate) fn set_agent_mode(&self, mode: AgentMode) {
         self.environment
-            .notifications(self.number, |notifications| {
+            .with_notifications(self.number, |notifications| {
                 if mode == AgentMode::Responding {
                     notifications.outage_ended();
                 } else {
--- a/soak/src/verdict.rs
+++ b/soak/src/verdict.rs
@@ -25,7 +25,7 @@
     seed: u64,
     lateness: Duration,
 ) -> bool {
-    let violations = environment.ledger(|ledger| {
+    let violations = environment.with_ledger(|ledger| {
         ledger.record_unanswered();
         println!(
             "requests: {:?}, longest scheduling delay of this program: {lateness:?}",
--- a/soak/src/watch_delivery.rs
+++ b/soak/src/watch_delivery.rs
@@ -103,8 +103,10 @@
     /// Delivers the whole list, then its changes and heartbeats, until the agent's mode or the
     /// proxy ends the watch.
     async fn deliver(mut self) {
-        let mut list_versions = self.environment.list_versions();
-        let (full, mut delivered) = self.environment.list(|list| (list.full(), list.version()));
+        let mut list_versions = self.environment.subscribe_to_list_versions();
+        let (full, mut delivered) = self
+            .environment
+            .with_list(|list| (list.full(), list.version()));
         let mut message = Some(full);
         loop {
             let line = message
@@ -113,9 +115,10 @@
             if !self.write_chunk(&line).await {
                 return;
             }
-            self.environment.notifications(self.proxy, |notifications| {
-                notifications.delivered(delivered)
-            });
+            self.environment
+                .with_notifications(self.proxy, |notifications| {
+                    notifications.delivered(delivered)
+                });
             tokio::select! {
                 () = sleep_until((Instant::now() + HEARTBEAT_INTERVAL).into()) => {}
                 changed = list_versions.changed() => if changed.is_err() { return },
@@ -127,9 +130,9 @@
                 AgentMode::Silent => return self.be_silent().await,
                 AgentMode::Refusing => return,
             }
-            message = self.environment.list(|list| list.delta(delivered));
+            message = self.environment.with_list(|list| list.delta(delivered));
             if message.is_some() {
-                delivered = self.environment.list(|list| list.version());
+                delivered = self.environment.with_list(|list| list.version());
             }
         }
     }
