--- a/soak/src/endpoint_list.rs
+++ b/soak/src/endpoint_list.rs
@@ -39,7 +39,7 @@
     }
 
     /// Changes the entry of a process to this health.
-    pub(crate) fn change(&mut self, process: &EndpointProcess, health: EndpointHealth) {
+    pub(crate) fn set_health(&mut self, process: &EndpointProcess, health: EndpointHealth) {
         self.version += 1;
         let entry = json!({"host": process.name, "dial": process.address.to_string(),
             "site": process.zone.to_string(), "class": "m", "block": 0,
@@ -55,7 +55,7 @@
     }
 
     /// Returns a message with the whole list.
-    pub(crate) fn full(&self) -> Value {
+    pub(crate) fn snapshot(&self) -> Value {
         let mut last: HashMap<&str, &Change> = HashMap::new();
         for change in &self.changes {
             last.insert(&change.endpoint, change);
@@ -73,7 +73,7 @@
     }
 
     /// Returns a message with the changes since a version; `None` if there are none.
-    pub(crate) fn delta(&self, since: u64) -> Option<Value> {
+    pub(crate) fn changes_since(&self, since: u64) -> Option<Value> {
         let changes = self.changes.iter().filter(|change| change.version > since);
         let entries: Vec<_> = changes.map(|change| change.entry.clone()).collect();
         let message = json!({"seq": self.version, "whole": false, "hosts": entries});
@@ -85,13 +85,13 @@
     pub(crate) fn draining_since(&self, process: u64) -> Option<ChangeTime> {
         let ready =
             |change: &Change| change.process == process && change.health == EndpointHealth::Ready;
-        let own = self.changes.iter().rposition(ready)?;
-        let endpoint = &self.changes[own].endpoint;
+        let ready_index = self.changes.iter().rposition(ready)?;
+        let endpoint = &self.changes[ready_index].endpoint;
         // The entry of another process under the same endpoint name ends this process's entry too.
-        let later = self.changes[own + 1..]
+        let next_change = self.changes[ready_index + 1..]
             .iter()
             .find(|change| &change.endpoint == endpoint);
-        later.map(|change| ChangeTime {
+        next_change.map(|change| ChangeTime {
             at: change.at,
             version: change.version,
         })
--- a/soak/src/endpoint_server.rs
+++ b/soak/src/endpoint_server.rs
@@ -123,7 +123,7 @@
 
     fn record_violation(&self, description: &str) {
         self.environment
-            .record_violation(Rule::Void, description.to_owned());
+            .record_violation(Rule::RequestIntegrity, description.to_owned());
     }
 
     /// Records a request and responds to it. Returns `None` if no client sent the request.
--- a/soak/src/environment/mod.rs
+++ b/soak/src/environment/mod.rs
@@ -220,7 +220,7 @@
             ..
         } = &mut *state;
         if let Some(process) = processes.iter().find(|known| known.number == process) {
-            list.change(process, health);
+            list.set_health(process, health);
         }
         // This fails only while there are no watches, which need no wake-up.
         let _ = list_version.send(list.version());
--- a/soak/src/environment/tests.rs
+++ b/soak/src/environment/tests.rs
@@ -24,7 +24,7 @@
 fn environment(discovery: DiscoveryMode) -> (Environment, u64) {
     let environment = Environment::new(1, config(discovery, false));
     environment.with_notifications(PROXY, |notifications| {
-        notifications.process_started(Instant::now())
+        notifications.record_process_start(Instant::now())
     });
     environment.add_endpoint(EndpointProcess {
         number: PROCESS,
@@ -69,12 +69,12 @@
         served: false,
         fully_written: false,
     };
-    let before = count(environment, Rule::Drain);
+    let before = count_violations(environment, Rule::Drain);
     environment.record_attempt(request, attempt, None, &[]);
-    count(environment, Rule::Drain) > before
+    count_violations(environment, Rule::Drain) > before
 }
 
-fn count(environment: &Environment, rule: Rule) -> usize {
+fn count_violations(environment: &Environment, rule: Rule) -> usize {
     environment.with_ledger(|ledger| {
         ledger
             .violations
@@ -111,12 +111,16 @@
         assert!(!breaks_drain_rule(&environment, request, 6_300));
         assert!(breaks_drain_rule(&environment, request, 6_700));
         let version = environment.with_list(EndpointList::version);
-        environment.with_notifications(PROXY, |notifications| notifications.delivered(version - 1));
+        environment.with_notifications(PROXY, |notifications| {
+            notifications.record_delivery(version - 1)
+        });
         assert!(
             !breaks_drain_rule(&environment, request, 600),
             "the version that was delivered is older than the drain"
         );
-        environment.with_notifications(PROXY, |notifications| notifications.delivered(version));
+        environment.with_notifications(PROXY, |notifications| {
+            notifications.record_delivery(version)
+        });
         assert!(breaks_drain_rule(&environment, request, 600));
     });
 }
@@ -125,19 +129,19 @@
 fn an_outage_and_a_reload_delay_a_pushed_change() {
     run(|| {
         let (environment, request) = environment(DiscoveryMode::Push);
-        environment.with_notifications(PROXY, Notifications::outage_started);
+        environment.with_notifications(PROXY, Notifications::record_outage_start);
         environment.set_listed_health(PROCESS, EndpointHealth::Draining);
         assert!(
             !breaks_drain_rule(&environment, request, 60_000),
             "a proxy is not notified during an outage of its agent"
         );
-        environment.with_notifications(PROXY, Notifications::outage_ended);
+        environment.with_notifications(PROXY, Notifications::record_outage_end);
         assert!(!breaks_drain_rule(&environment, request, 6_300));
         assert!(breaks_drain_rule(&environment, request, 6_700));
     });
     run(|| {
         let (environment, request) = environment(DiscoveryMode::Push);
-        environment.with_notifications(PROXY, Notifications::reloaded);
+        environment.with_notifications(PROXY, Notifications::record_reload);
         environment.set_listed_health(PROCESS, EndpointHealth::Draining);
         assert!(!breaks_drain_rule(&environment, request, 4_300));
         assert!(breaks_drain_rule(&environment, request, 4_700));
@@ -155,14 +159,14 @@
         for _ in 0..allowed {
             environment.check_slow_start(PROCESS, started_at);
         }
-        assert_eq!(count(&environment, Rule::SlowStart), 0);
+        assert_eq!(count_violations(&environment, Rule::SlowStart), 0);
         environment.check_slow_start(PROCESS, started_at);
-        assert_eq!(count(&environment, Rule::SlowStart), 1);
+        assert_eq!(count_violations(&environment, Rule::SlowStart), 1);
         for _ in 0..10 * allowed {
             environment.check_slow_start(PROCESS, started_at + Duration::from_secs(9));
         }
         assert_eq!(
-            count(&environment, Rule::SlowStart),
+            count_violations(&environment, Rule::SlowStart),
             1,
             "after the slow start there is no limit"
         );
--- a/soak/src/faults/endpoints.rs
+++ b/soak/src/faults/endpoints.rs
@@ -138,5 +138,5 @@
             .filter(|process| process.number == number)
             .for_each(EndpointProcess::kill);
     });
-    environment.with_ledger(|ledger| ledger.record_kill(number));
+    environment.with_ledger(|ledger| ledger.record_process_kill(number));
 }
--- a/soak/src/ledger/mod.rs
+++ b/soak/src/ledger/mod.rs
@@ -66,7 +66,7 @@
     }
 
     /// Records that an endpoint process was killed, which ends its attempts in flight.
-    pub(crate) fn record_kill(&mut self, process: u64) {
+    pub(crate) fn record_process_kill(&mut self, process: u64) {
         let now = Some(Instant::now());
         self.killed_processes.insert(process);
         let attempts = self
@@ -92,7 +92,7 @@
             Some(request) => {
                 format!(
                     "{reason}; request {id:016x}\n{}",
-                    timeline::timeline(self.start, request)
+                    timeline::format_request(self.start, request)
                 )
             }
             None => format!("{reason}; no client sent request {id:016x}"),
@@ -114,7 +114,11 @@
             attempt.ended_at = attempt.ended_at.or(Some(attempt.first_byte_at));
         }
         let Some(request) = self.requests.get_mut(&id) else {
-            self.record_request_violation(Rule::Void, id, "an attempt of an unknown request");
+            self.record_request_violation(
+                Rule::RequestIntegrity,
+                id,
+                "an attempt of an unknown request",
+            );
             return None;
         };
         let arrival = AttemptArrival {
@@ -172,10 +176,10 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let available = |attempt: &AttemptRecord| {
+        let written_by_running_process = |attempt: &AttemptRecord| {
             attempt.fully_written && !self.killed_processes.contains(&attempt.process)
         };
-        if request.attempts.iter().any(available) {
+        if request.attempts.iter().any(written_by_running_process) {
             let reason = "a response that its endpoint wrote completely was truncated";
             self.record_request_violation(Rule::Lost, id, reason);
         }
@@ -183,7 +187,7 @@
 
     /// Records a violation for each complete request that still lacks its response. To be called at
     /// the end of a run.
-    pub(crate) fn record_unanswered(&mut self) {
+    pub(crate) fn record_unanswered_requests(&mut self) {
         let unanswered =
             |request: &RequestRecord| request.complete_at.is_some() && request.is_unanswered();
         let requests = self
--- a/soak/src/ledger/records.rs
+++ b/soak/src/ledger/records.rs
@@ -131,7 +131,7 @@
     /// An endpoint in its slow start is not overloaded.
     SlowStart,
     /// Endpoints get only requests that clients sent, with their bodies unchanged.
-    Void,
+    RequestIntegrity,
 }
 
 impl fmt::Display for Rule {
@@ -146,7 +146,7 @@
             Rule::Lost => "lost",
             Rule::Readiness => "readiness",
             Rule::SlowStart => "slow start",
-            Rule::Void => "void",
+            Rule::RequestIntegrity => "void",
         })
     }
 }
--- a/soak/src/ledger/rules.rs
+++ b/soak/src/ledger/rules.rs
@@ -66,7 +66,7 @@
         let changed = self.attempt.complete_at.is_some() && self.request.body != self.body;
         changed.then(|| {
             Finding::new(
-                Rule::Void,
+                Rule::RequestIntegrity,
                 "its body was changed on the way to the endpoint",
             )
         })
--- a/soak/src/ledger/tests.rs
+++ b/soak/src/ledger/tests.rs
@@ -45,15 +45,19 @@
 }
 
 /// Records a request with its attempts and returns the rules that they break, in order.
-fn broken(ledger: &mut Ledger, request: RequestRecord, attempts: Vec<AttemptRecord>) -> Vec<Rule> {
+fn broken_rules(
+    ledger: &mut Ledger,
+    request: RequestRecord,
+    attempts: Vec<AttemptRecord>,
+) -> Vec<Rule> {
     ledger.requests.insert(ID, request);
     for attempt in attempts {
         ledger.record_attempt(ID, attempt, Some(Duration::from_millis(10)), b"body");
     }
-    rules(ledger)
+    recorded_rules(ledger)
 }
 
-fn rules(ledger: &Ledger) -> Vec<Rule> {
+fn recorded_rules(ledger: &Ledger) -> Vec<Rule> {
     ledger
         .violations
         .iter()
@@ -65,14 +69,14 @@
 fn an_idempotent_request_may_be_retried_twice_and_no_more() {
     let attempts = |count| (0..count).map(|_| attempt(0)).collect();
     assert_eq!(
-        broken(
+        broken_rules(
             &mut ledger(false),
             request(RequestClass::Idempotent),
             attempts(3)
         ),
         []
     );
-    let rules = broken(
+    let rules = broken_rules(
         &mut ledger(false),
         request(RequestClass::Idempotent),
         attempts(4),
@@ -92,7 +96,7 @@
     };
     let allowed = vec![rejected, incomplete, attempt(0)];
     assert_eq!(
-        broken(
+        broken_rules(
             &mut ledger(true),
             request(RequestClass::NonIdempotent),
             allowed
@@ -100,7 +104,7 @@
         []
     );
     let repeated = vec![attempt(0), attempt(0)];
-    let rules = broken(
+    let rules = broken_rules(
         &mut ledger(true),
         request(RequestClass::NonIdempotent),
         repeated,
@@ -112,16 +116,16 @@
 fn a_keyed_request_is_retried_within_its_zone_and_window() {
     let keyed = || request(RequestClass::Keyed);
     assert_eq!(
-        broken(&mut ledger(false), keyed(), vec![attempt(0), attempt(300)]),
+        broken_rules(&mut ledger(false), keyed(), vec![attempt(0), attempt(300)]),
         []
     );
     let other_zone = AttemptRecord {
         zone: 'b',
         ..attempt(0)
     };
-    let rules = broken(&mut ledger(false), keyed(), vec![attempt(0), other_zone]);
+    let rules = broken_rules(&mut ledger(false), keyed(), vec![attempt(0), other_zone]);
     assert_eq!(rules, [Rule::Duplicate]);
-    let rules = broken(&mut ledger(false), keyed(), vec![attempt(0), attempt(450)]);
+    let rules = broken_rules(&mut ledger(false), keyed(), vec![attempt(0), attempt(450)]);
     assert_eq!(rules, [Rule::Duplicate]);
 }
 
@@ -137,14 +141,14 @@
         ]
     };
     assert_eq!(
-        broken(
+        broken_rules(
             &mut ledger(true),
             request(RequestClass::Idempotent),
             attempts()
         ),
         []
     );
-    let rules = broken(
+    let rules = broken_rules(
         &mut ledger(false),
         request(RequestClass::Idempotent),
         attempts(),
@@ -160,11 +164,11 @@
         ..request(RequestClass::Idempotent)
     };
     assert_eq!(
-        broken(&mut ledger(false), disconnected.clone(), vec![attempt(150)]),
+        broken_rules(&mut ledger(false), disconnected.clone(), vec![attempt(150)]),
         []
     );
     assert_eq!(
-        broken(&mut ledger(false), disconnected, vec![attempt(250)]),
+        broken_rules(&mut ledger(false), disconnected, vec![attempt(250)]),
         [Rule::Lost]
     );
     let completion = Some(Completion {
@@ -176,7 +180,7 @@
         ..request(RequestClass::Idempotent)
     };
     assert_eq!(
-        broken(&mut ledger(false), answered, vec![attempt(250)]),
+        broken_rules(&mut ledger(false), answered, vec![attempt(250)]),
         [Rule::Lost]
     );
 }
@@ -194,8 +198,12 @@
     );
     assert_eq!(ledger.record_attempt(ID + 1, attempt(0), None, b""), None);
     assert_eq!(
-        rules(&ledger),
-        [Rule::Void, Rule::AdvertisedTimeout, Rule::Void]
+        recorded_rules(&ledger),
+        [
+            Rule::RequestIntegrity,
+            Rule::AdvertisedTimeout,
+            Rule::RequestIntegrity
+        ]
     );
 }
 
@@ -215,7 +223,7 @@
             },
         );
         ledger.record_completion(ID, status, body);
-        rules(&ledger)
+        recorded_rules(&ledger)
     };
     let body = response_body(ID, 100);
     let idempotent = RequestClass::Idempotent;
@@ -256,15 +264,15 @@
             ..request(RequestClass::Keyed)
         },
     );
-    ledger.record_unanswered();
-    assert_eq!(rules(&ledger), [Rule::Lost, Rule::Lost]);
+    ledger.record_unanswered_requests();
+    assert_eq!(recorded_rules(&ledger), [Rule::Lost, Rule::Lost]);
     ledger.update_attempt(ID, 0, |_| unreachable!("the request has no attempts yet"));
     ledger.record_attempt(ID, attempt(0), None, b"body");
     ledger.update_attempt(ID, 0, |attempt| attempt.fully_written = true);
     let before = ledger.violations.len();
     ledger.record_truncated_response(ID);
     assert_eq!(ledger.violations.len(), before + 1);
-    ledger.record_kill(PROCESS);
+    ledger.record_process_kill(PROCESS);
     ledger.record_truncated_response(ID);
     assert_eq!(
         ledger.violations.len(),
--- a/soak/src/ledger/timeline.rs
+++ b/soak/src/ledger/timeline.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 /// Returns one line for each event of a request; times are in seconds since `start`.
-pub(super) fn timeline(start: Instant, request: &RequestRecord) -> String {
-    let at = |instant: Instant| seconds(start, instant);
+pub(super) fn format_request(start: Instant, request: &RequestRecord) -> String {
+    let at = |instant: Instant| format_seconds(start, instant);
     let mut lines = vec![format!(
         "    {} proxy {} {:?}, client timeout {:?}, new connection: {}",
         at(request.started_at),
@@ -36,13 +36,13 @@
         request
             .attempts
             .iter()
-            .map(|attempt| attempt_line(start, attempt)),
+            .map(|attempt| format_attempt(start, attempt)),
     );
     lines.join("\n")
 }
 
-fn attempt_line(start: Instant, attempt: &AttemptRecord) -> String {
-    let at = |instant: Instant| seconds(start, instant);
+fn format_attempt(start: Instant, attempt: &AttemptRecord) -> String {
+    let at = |instant: Instant| format_seconds(start, instant);
     let AttemptRecord {
         process,
         zone,
@@ -59,7 +59,7 @@
     )
 }
 
-fn seconds(start: Instant, instant: Instant) -> String {
+fn format_seconds(start: Instant, instant: Instant) -> String {
     format!(
         "{:.3}",
         instant.saturating_duration_since(start).as_secs_f64()
--- a/soak/src/notification.rs
+++ b/soak/src/notification.rs
@@ -49,12 +49,12 @@
 
     /// Records that a process of the proxy started or took over. Earlier deliveries went to another
     /// process and no longer count.
-    pub(crate) fn process_started(&mut self, at: Instant) {
+    pub(crate) fn record_process_start(&mut self, at: Instant) {
         self.disruptions.process_started_at = Some(at);
     }
 
     /// Records that the agent stopped responding.
-    pub(crate) fn outage_started(&mut self) {
+    pub(crate) fn record_outage_start(&mut self) {
         self.disruptions.outages.push(Outage {
             from: Instant::now(),
             until: None,
@@ -62,19 +62,19 @@
     }
 
     /// Records that the agent responds again.
-    pub(crate) fn outage_ended(&mut self) {
+    pub(crate) fn record_outage_end(&mut self) {
         if let Some(outage) = self.disruptions.outages.last_mut() {
             outage.until = Some(Instant::now());
         }
     }
 
     /// Records that the proxy got SIGHUP with a new agent in its configuration.
-    pub(crate) fn reloaded(&mut self) {
+    pub(crate) fn record_reload(&mut self) {
         self.disruptions.reloads.push(Instant::now());
     }
 
     /// Records that a version of the list was written to the proxy's watch.
-    pub(crate) fn delivered(&mut self, version: u64) {
+    pub(crate) fn record_delivery(&mut self, version: u64) {
         self.deliveries.push(Delivery {
             at: Instant::now(),
             version,
@@ -85,12 +85,12 @@
     /// time by which it should have been delivered, whichever is earlier. `None`: not yet.
     pub(crate) fn notified_at(&self, change: ChangeTime, mode: DiscoveryMode) -> Option<Instant> {
         let started = self.disruptions.process_started_at?;
-        let reached =
+        let includes_change =
             |delivery: &&Delivery| delivery.at >= started && delivery.version >= change.version;
         let delivered = self
             .deliveries
             .iter()
-            .find(reached)
+            .find(includes_change)
             .map(|delivery| delivery.at);
         let due = self.disruptions.due_by(change.at, mode);
         [delivered, due]
@@ -103,16 +103,16 @@
 
 impl Disruptions {
     /// Returns the time by which a proxy should have been notified of a change that discovery had
-    /// at `had_at`; `None` if this is not known yet.
-    fn due_by(&self, had_at: Instant, mode: DiscoveryMode) -> Option<Instant> {
+    /// at `available_at`; `None` if this is not known yet.
+    fn due_by(&self, available_at: Instant, mode: DiscoveryMode) -> Option<Instant> {
         let pushed = mode == DiscoveryMode::Push;
         let mut due = if pushed {
-            had_at
+            available_at
         } else {
-            had_at + NOTIFICATION_TIMEOUT
+            available_at + NOTIFICATION_TIMEOUT
         };
         for outage in &self.outages {
-            if outage.affects(had_at) {
+            if outage.may_delay(available_at) {
                 let until = outage.until?;
                 due = due.max(if pushed {
                     until.max(outage.from + NOTIFICATION_TIMEOUT)
@@ -127,8 +127,8 @@
             NOTIFICATION_TIMEOUT
         };
         for &reload in &self.reloads {
-            let before_reload = had_at + NOTIFICATION_TIMEOUT < reload;
-            let after_reload = had_at > reload + RELOAD_NOTIFICATION_TIMEOUT;
+            let before_reload = available_at + NOTIFICATION_TIMEOUT < reload;
+            let after_reload = available_at > reload + RELOAD_NOTIFICATION_TIMEOUT;
             if !before_reload && !after_reload {
                 due = due.max(reload + timeout);
             }
@@ -141,10 +141,11 @@
     /// Whether the outage may delay the delivery of a change. A watch that falls silent may have
     /// lost a change from just before the outage, and stays silent after it until the proxy gives
     /// it up.
-    fn affects(&self, had_at: Instant) -> bool {
+    fn may_delay(&self, available_at: Instant) -> bool {
         let broken_until = self
             .until
             .map(|until| until.max(self.from + NOTIFICATION_TIMEOUT));
-        had_at + HEARTBEAT_INTERVAL >= self.from && broken_until.is_none_or(|until| had_at <= until)
+        available_at + HEARTBEAT_INTERVAL >= self.from
+            && broken_until.is_none_or(|until| available_at <= until)
     }
 }
--- a/soak/src/proxy/configuration.rs
+++ b/soak/src/proxy/configuration.rs
@@ -21,7 +21,7 @@
     listen: SocketAddr,
     discovery: SocketAddr,
 ) -> Value {
-    let known = environment.with_list(|list| list.full());
+    let known = environment.with_list(|list| list.snapshot());
     json!({
         "name": format!("n{proxy}"),
         "listen": listen.to_string(),
--- a/soak/src/proxy/handoff.rs
+++ b/soak/src/proxy/handoff.rs
@@ -58,7 +58,7 @@
         let now = Instant::now();
         self.environment
             .with_notifications(self.number, |notifications| {
-                notifications.process_started(now + NOTIFICATION_DELAY);
+                notifications.record_process_start(now + NOTIFICATION_DELAY);
             });
         self.disturbed_at.borrow_mut().push(now);
         self.signal(Signal::SIGTERM);
--- a/soak/src/proxy/process.rs
+++ b/soak/src/proxy/process.rs
@@ -198,7 +198,7 @@
         let started = Instant::now();
         self.environment
             .with_notifications(self.number, |notifications| {
-                notifications.process_started(started);
+                notifications.record_process_start(started);
             });
         self.process_count.set(self.process_count.get() + 1);
         let child = self.spawn(None)?;
@@ -308,7 +308,7 @@
         let old = self.agent.replace(agent);
         self.write_configuration()?;
         self.environment
-            .with_notifications(self.number, |notifications| notifications.reloaded());
+            .with_notifications(self.number, |notifications| notifications.record_reload());
         self.log_event("SIGHUP");
         self.signal(Signal::SIGHUP);
         sleep(OLD_AGENT_DELAY).await;
@@ -321,9 +321,9 @@
         self.environment
             .with_notifications(self.number, |notifications| {
                 if mode == AgentMode::Responding {
-                    notifications.outage_ended();
+                    notifications.record_outage_end();
                 } else {
-                    notifications.outage_started();
+                    notifications.record_outage_start();
                 }
             });
         // This fails only if the agent has already ended with the run.
--- a/soak/src/verdict.rs
+++ b/soak/src/verdict.rs
@@ -26,7 +26,7 @@
     lateness: Duration,
 ) -> bool {
     let violations = environment.with_ledger(|ledger| {
-        ledger.record_unanswered();
+        ledger.record_unanswered_requests();
         println!(
             "requests: {:?}, longest scheduling delay of this program: {lateness:?}",
             completions(ledger)
--- a/soak/src/watch_delivery.rs
+++ b/soak/src/watch_delivery.rs
@@ -14,9 +14,9 @@
 use tokio::time::sleep_until;
 
 /// Response to a watch that the agent refuses.
-const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+const REFUSAL_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 /// Head of the response to a watch; the lines of the list follow as chunks.
-const WATCH_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const WATCH_RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// How the agent of a proxy behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,7 +64,7 @@
                 reader: Reader::new(stream),
                 mode: mode.clone(),
             };
-            watches.spawn_local(watch.run());
+            watches.spawn_local(watch.serve());
         }
     });
     Ok(Agent {
@@ -82,20 +82,20 @@
 }
 
 impl Watch {
-    async fn run(mut self) {
+    async fn serve(mut self) {
         if self.reader.message().await.is_err() {
             return;
         }
         let mode = *self.mode.borrow_and_update();
         match mode {
             AgentMode::Responding => {}
-            AgentMode::Silent => return self.be_silent().await,
+            AgentMode::Silent => return self.stay_silent().await,
             AgentMode::Refusing => {
-                write(&mut self.reader.stream, REFUSAL).await;
+                write(&mut self.reader.stream, REFUSAL_RESPONSE).await;
                 return;
             }
         }
-        if write(&mut self.reader.stream, WATCH_HEAD).await {
+        if write(&mut self.reader.stream, WATCH_RESPONSE_HEAD).await {
             self.deliver().await;
         }
     }
@@ -104,10 +104,10 @@
     /// proxy ends the watch.
     async fn deliver(mut self) {
         let mut list_versions = self.environment.subscribe_to_list_versions();
-        let (full, mut delivered) = self
+        let (snapshot, mut delivered) = self
             .environment
-            .with_list(|list| (list.full(), list.version()));
-        let mut message = Some(full);
+            .with_list(|list| (list.snapshot(), list.version()));
+        let mut message = Some(snapshot);
         loop {
             let line = message
                 .take()
@@ -117,7 +117,7 @@
             }
             self.environment
                 .with_notifications(self.proxy, |notifications| {
-                    notifications.delivered(delivered)
+                    notifications.record_delivery(delivered)
                 });
             tokio::select! {
                 () = sleep_until((Instant::now() + HEARTBEAT_INTERVAL).into()) => {}
@@ -127,10 +127,12 @@
             let mode = *self.mode.borrow_and_update();
             match mode {
                 AgentMode::Responding => {}
-                AgentMode::Silent => return self.be_silent().await,
+                AgentMode::Silent => return self.stay_silent().await,
                 AgentMode::Refusing => return,
             }
-            message = self.environment.with_list(|list| list.delta(delivered));
+            message = self
+                .environment
+                .with_list(|list| list.changes_since(delivered));
             if message.is_some() {
                 delivered = self.environment.with_list(|list| list.version());
             }
@@ -150,7 +152,7 @@
 
     /// Keeps the watch open without sending anything. It stays silent even after the agent responds
     /// again, like a connection that was lost unnoticed.
-    async fn be_silent(self) {
+    async fn stay_silent(self) {
         std::future::pending::<()>().await;
     }
 }
