--- a/soak/src/environment/tests.rs
+++ b/soak/src/environment/tests.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_pushed_change_binds_at_once() {
+fn an_attempt_past_the_grace_of_a_pushed_drain_is_a_violation_until_the_endpoint_is_ready_again() {
     run(|| {
         let (environment, request) = environment(DiscoveryMode::Push);
         assert!(
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_polled_change_binds_when_it_is_delivered_or_after_the_timeout() {
+fn a_polled_drain_counts_from_its_delivery_or_at_the_latest_from_the_notification_timeout() {
     run(|| {
         let (environment, request) = environment(DiscoveryMode::Poll);
         environment.set_listed_health(PROCESS, EndpointHealth::Draining);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn an_outage_and_a_reload_delay_a_pushed_change() {
+fn an_agent_outage_or_a_reload_postpones_when_a_pushed_drain_counts() {
     run(|| {
         let (environment, request) = environment(DiscoveryMode::Push);
         environment.with_notifications(PROXY, Notifications::record_outage_start);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn too_many_requests_overload_an_endpoint_that_warms_up() {
+fn too_many_requests_to_an_endpoint_are_a_violation_only_during_its_slow_start() {
     run(|| {
         let (environment, _) = environment(DiscoveryMode::Push);
         let started_at = environment.with_processes(|processes| processes[0].started_at);
--- a/soak/src/ledger/tests.rs
+++ b/soak/src/ledger/tests.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_idempotent_request_may_be_retried_twice_and_no_more() {
+fn a_third_retry_of_an_idempotent_request_is_a_violation() {
     let attempts = |count| (0..count).map(|_| attempt(0)).collect();
     assert_eq!(
         broken_rules(
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_non_idempotent_request_is_retried_only_where_it_was_not_executed() {
+fn a_retry_of_a_non_idempotent_request_that_may_have_been_executed_is_a_violation() {
     let rejected = AttemptRecord {
         rejected: true,
         ..attempt(0)
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_keyed_request_is_retried_within_its_zone_and_window() {
+fn a_retry_of_a_keyed_request_in_another_zone_or_past_its_window_is_a_violation() {
     let keyed = || request(RequestClass::Keyed);
     assert_eq!(
         broken_rules(&mut ledger(false), keyed(), vec![attempt(0), attempt(300)]),
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn two_attempts_are_in_flight_only_where_hedging_is_allowed() {
+fn two_attempts_in_flight_are_a_violation_without_hedging() {
     let attempts = || {
         vec![
             AttemptRecord {
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn nothing_begins_after_the_client_has_gone() {
+fn an_attempt_after_the_client_disconnected_or_was_answered_is_a_violation() {
     let now = Instant::now();
     let disconnected = RequestRecord {
         disconnected_at: Some(now),
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn endpoints_get_requests_as_their_clients_sent_them() {
+fn a_changed_body_an_excessive_advertised_timeout_and_an_unknown_request_are_violations() {
     let mut ledger = ledger(false);
     ledger
         .requests
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn responses_are_those_of_an_endpoint_complete_and_in_time() {
+fn a_forged_wrong_or_missing_response_and_a_rejection_after_execution_are_violations() {
     let completed = |class, served, status, body: &[u8]| {
         let mut ledger = ledger(false);
         let attempts = vec![AttemptRecord {
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn late_missing_and_truncated_responses_are_lost_unless_the_request_is_exempt() {
+fn late_missing_and_truncated_responses_are_violations_unless_exempt_or_the_endpoint_was_killed() {
     let past = Instant::now()
         .checked_sub(Duration::from_secs(2))
         .expect("the monotonic clock reads at least 2 s");
