--- a/soak/src/clients/connection.rs
+++ b/soak/src/clients/connection.rs
@@ -13,7 +13,7 @@
 pub(super) struct Connection {
     pub(super) reader: Reader,
     /// Number of the proxy's process at the time of connecting.
-    pub(super) process: u64,
+    pub(super) process_number: u64,
     /// Whether a request has been answered on it, and further ones may follow.
     pub(super) used: bool,
 }
@@ -24,7 +24,7 @@
         if !proxy.accepts_connections() {
             return None;
         }
-        let process = proxy.process();
+        let process_number = proxy.process_number();
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(proxy.address))
             .await
             .ok()?
@@ -33,7 +33,7 @@
         let _ = stream.set_nodelay(true);
         Some(Connection {
             reader: Reader::new(stream),
-            process,
+            process_number,
             used: false,
         })
     }
--- a/soak/src/clients/exchange.rs
+++ b/soak/src/clients/exchange.rs
@@ -3,7 +3,7 @@
 use super::connection::Connection;
 use super::request::DrawnRequest;
 use crate::environment::Environment;
-use crate::http::{close_on_drop, Close, ReadError, Reader};
+use crate::http::{set_close_mode, CloseMode, ReadError, Reader};
 use crate::proxy::Proxy;
 use rand::Rng;
 use std::time::{Duration, Instant};
@@ -11,17 +11,17 @@
 use tokio::time::{sleep, timeout};
 
 /// How long past its timeout a client that does not disconnect still waits.
-const RESPONSE_DELAY: Duration = Duration::from_secs(3);
+const EXTRA_WAIT: Duration = Duration::from_secs(3);
 
 /// How long a client waits for a response, and what it does then.
-struct Wait {
+struct ResponseWait {
     duration: Duration,
     /// Whether it disconnects when the time is over. If not, the proxy must respond before.
     disconnects: bool,
 }
 
-impl Wait {
-    fn draw(environment: &Environment, client_timeout: Duration) -> Wait {
+impl ResponseWait {
+    fn draw(environment: &Environment, client_timeout: Duration) -> ResponseWait {
         // Half of the clients that disconnect do so within 3 % of their timeout.
         let max_fraction = if environment.draw_bool(0.5) {
             0.03
@@ -32,9 +32,9 @@
         let duration = if disconnects {
             client_timeout.mul_f64(environment.draw(|random| random.gen_range(0.0..max_fraction)))
         } else {
-            client_timeout + RESPONSE_DELAY
+            client_timeout + EXTRA_WAIT
         };
-        Wait {
+        ResponseWait {
             duration,
             disconnects,
         }
@@ -44,7 +44,7 @@
 /// Writes a request and reads its response. If the proxy closed a reused connection before it can
 /// have read the request, the request is sent once more on a new connection. Returns whether the
 /// connection can be reused.
-pub(super) async fn exchange(
+pub(super) async fn exchange_one(
     environment: &Environment,
     proxy: &Proxy,
     connection: &mut Connection,
@@ -53,7 +53,7 @@
     let id = request.id;
     let mut may_resend = true;
     loop {
-        let written = write(environment, &mut connection.reader, &request.bytes).await;
+        let written = write_request(environment, &mut connection.reader, &request.bytes).await;
         if written {
             environment.update_request(id, |record| record.complete_at = Some(Instant::now()));
         }
@@ -61,27 +61,29 @@
         else {
             return false;
         };
-        let wait = Wait::draw(environment, client_timeout);
-        match timeout(wait.duration, connection.reader.message()).await {
+        let wait = ResponseWait::draw(environment, client_timeout);
+        match timeout(wait.duration, connection.reader.read_message()).await {
             Ok(Ok(message)) => {
                 environment.with_ledger(|ledger| {
                     ledger.record_completion(id, message.status, &message.body)
                 });
                 return message.header("connection") != Some("close");
             }
-            Ok(Err(ReadError::Closed)) if may_resend && was_closed_between(environment, id) => {
+            Ok(Err(ReadError::Closed))
+                if may_resend && was_closed_between_requests(environment, id) =>
+            {
                 may_resend = false;
-                if !reopen(environment, proxy, connection, id).await {
+                if !reopen_connection(environment, proxy, connection, id).await {
                     return false;
                 }
             }
             Ok(Err(error)) => {
-                let killed = proxy.was_killed(connection.process);
+                let killed = proxy.was_killed(connection.process_number);
                 record_broken_response(environment, id, &error, killed, written);
                 return false;
             }
             Err(_) => {
-                end_wait(environment, proxy, connection, id, wait.disconnects);
+                record_missing_response(environment, proxy, connection, id, wait.disconnects);
                 return false;
             }
         }
@@ -90,7 +92,7 @@
 
 /// Whether the connection was closed between two requests: the request is not the first on it, and
 /// no attempt of it has reached an endpoint.
-fn was_closed_between(environment: &Environment, id: u64) -> bool {
+fn was_closed_between_requests(environment: &Environment, id: u64) -> bool {
     let unread = environment.read_request(id, |record| {
         !record.new_connection && record.attempts.is_empty()
     });
@@ -98,7 +100,7 @@
 }
 
 /// Replaces a connection that was closed between two requests. Returns whether that succeeded.
-async fn reopen(
+async fn reopen_connection(
     environment: &Environment,
     proxy: &Proxy,
     connection: &mut Connection,
@@ -135,7 +137,7 @@
 
 /// Records that the client's wait ended without a response: the client disconnects, or the
 /// response is overdue, which is excused only if the proxy's process was killed.
-fn end_wait(
+fn record_missing_response(
     environment: &Environment,
     proxy: &Proxy,
     connection: &Connection,
@@ -143,20 +145,20 @@
     disconnects: bool,
 ) {
     if disconnects {
-        let close = if environment.draw_bool(0.3) {
-            Close::Reset
+        let close_mode = if environment.draw_bool(0.3) {
+            CloseMode::Reset
         } else {
-            Close::Graceful
+            CloseMode::Graceful
         };
-        close_on_drop(&connection.reader.stream, close);
+        set_close_mode(&connection.reader.stream, close_mode);
         environment.update_request(id, |record| record.disconnected_at = Some(Instant::now()));
-    } else if proxy.was_killed(connection.process) {
+    } else if proxy.was_killed(connection.process_number) {
         environment.update_request(id, |record| record.exempt = true);
     }
 }
 
 /// Writes a request at once or, in one of ten cases, in two parts with a pause between them.
-async fn write(environment: &Environment, reader: &mut Reader, bytes: &[u8]) -> bool {
+async fn write_request(environment: &Environment, reader: &mut Reader, bytes: &[u8]) -> bool {
     if environment.draw_bool(0.9) {
         return reader.stream.write_all(bytes).await.is_ok();
     }
--- a/soak/src/clients/invalid.rs
+++ b/soak/src/clients/invalid.rs
@@ -38,7 +38,7 @@
 enum Reaction {
     Status(u16),
     Closed,
-    None,
+    Missing,
 }
 
 /// Repeatedly connects and sends an invalid request, until `end`.
@@ -62,15 +62,15 @@
     let _ = connection.reader.stream.write_all(request.as_bytes()).await;
     let until = connected_at + INVALID_CLIENT_TIMEOUT + SLACK;
     let reaction = tokio::select! {
-        answer = connection.reader.message() => match answer {
+        reply = connection.reader.read_message() => match reply {
             Ok(message) => message.status.map_or(Reaction::Closed, Reaction::Status),
             Err(_) => Reaction::Closed,
         },
-        () = sleep_until(until.into()) => Reaction::None,
+        () = sleep_until(until.into()) => Reaction::Missing,
     };
-    let excused = proxy.was_killed(connection.process) || proxy.was_disturbed(connected_at);
+    let excused = proxy.was_killed(connection.process_number) || proxy.was_disturbed(connected_at);
     match reaction {
-        Reaction::None if !excused => {
+        Reaction::Missing if !excused => {
             let excerpt = &request[..request.len().min(EXCERPT_BYTES)];
             let description = format!(
                 "proxy {}: no error and no close within 3 s after {excerpt:?}, {} bytes in all",
@@ -83,7 +83,7 @@
             let description = format!("an invalid client was answered with {status}");
             environment.record_violation(Rule::Lost, description);
         }
-        Reaction::Status(_) | Reaction::Closed | Reaction::None => {}
+        Reaction::Status(_) | Reaction::Closed | Reaction::Missing => {}
     }
 }
 
--- a/soak/src/clients/mod.rs
+++ b/soak/src/clients/mod.rs
@@ -50,8 +50,8 @@
         let count = environment.draw(|random| random.gen_range(2..5));
         pipelining::exchange_pipelined(environment, proxy, &mut connection, count).await
     } else {
-        let request = request::draw(environment, proxy, &connection);
-        exchange::exchange(environment, proxy, &mut connection, &request).await
+        let request = request::draw_request(environment, proxy, &connection);
+        exchange::exchange_one(environment, proxy, &mut connection, &request).await
     };
     connection.used.then_some(connection)
 }
--- a/soak/src/clients/pipelining.rs
+++ b/soak/src/clients/pipelining.rs
@@ -20,7 +20,7 @@
     connection: &mut Connection,
     count: usize,
 ) -> bool {
-    let ids = send(environment, proxy, connection, count).await;
+    let ids = write_requests(environment, proxy, connection, count).await;
     let disconnects = environment.draw_bool(0.3);
     let wait = if disconnects {
         environment.draw_millis(0, 60)
@@ -29,20 +29,26 @@
     };
     let until = Instant::now() + wait;
     for index in 0..ids.len() {
-        match timeout_at(until.into(), connection.reader.message()).await {
+        match timeout_at(until.into(), connection.reader.read_message()).await {
             Ok(Ok(message)) => {
                 if !record_response(environment, &ids[index..], &message) {
                     return false;
                 }
             }
             Ok(Err(error)) => {
-                let killed = proxy.was_killed(connection.process);
-                record_broken(environment, &ids[index..], &error, killed, connection.used);
+                let killed = proxy.was_killed(connection.process_number);
+                record_broken_connection(
+                    environment,
+                    &ids[index..],
+                    &error,
+                    killed,
+                    connection.used,
+                );
                 return false;
             }
             Err(_) => {
-                let killed = proxy.was_killed(connection.process);
-                record_timeout(environment, &ids[index..], disconnects, killed);
+                let killed = proxy.was_killed(connection.process_number);
+                record_missing_responses(environment, &ids[index..], disconnects, killed);
                 return false;
             }
         }
@@ -51,14 +57,14 @@
 }
 
 /// Writes the requests and returns their ids.
-async fn send(
+async fn write_requests(
     environment: &Environment,
     proxy: &Proxy,
     connection: &mut Connection,
     count: usize,
 ) -> Vec<u64> {
     let requests: Vec<_> = (0..count)
-        .map(|_| request::draw(environment, proxy, connection))
+        .map(|_| request::draw_request(environment, proxy, connection))
         .collect();
     let bytes: Vec<u8> = requests
         .iter()
@@ -101,7 +107,7 @@
 /// Records that the connection broke. The proxy owes no response to a request that it may not have
 /// read: one after a truncated response, or one that was sent while the proxy closed a reused
 /// connection between two requests.
-fn record_broken(
+fn record_broken_connection(
     environment: &Environment,
     open: &[u64],
     error: &ReadError,
@@ -121,7 +127,12 @@
     }
 }
 
-fn record_timeout(environment: &Environment, open: &[u64], disconnects: bool, killed: bool) {
+fn record_missing_responses(
+    environment: &Environment,
+    open: &[u64],
+    disconnects: bool,
+    killed: bool,
+) {
     for &id in open {
         environment.update_request(id, |record| {
             record.disconnected_at = disconnects.then(Instant::now);
--- a/soak/src/clients/request.rs
+++ b/soak/src/clients/request.rs
@@ -24,7 +24,7 @@
 }
 
 /// Draws a request and records it in the ledger.
-pub(super) fn draw(
+pub(super) fn draw_request(
     environment: &Environment,
     proxy: &Proxy,
     connection: &Connection,
--- a/soak/src/endpoint_response.rs
+++ b/soak/src/endpoint_response.rs
@@ -7,11 +7,11 @@
 use rand::Rng;
 
 /// Response that rejects a request without executing it.
-pub(crate) const REJECTION: &[u8] =
+pub(crate) const REJECTION_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
 
 /// Error responses; the last two are invalid HTTP.
-const FAILURES: [&str; 4] = [
+const ERROR_RESPONSES: [&str; 4] = [
     "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n",
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
     "noise\r\n\r\n",
@@ -43,12 +43,17 @@
 }
 
 /// Draws an error response.
-pub(crate) fn failure(environment: &Environment) -> &'static [u8] {
-    FAILURES[environment.draw(|random| random.gen_range(0..FAILURES.len()))].as_bytes()
+pub(crate) fn draw_error_response(environment: &Environment) -> &'static [u8] {
+    ERROR_RESPONSES[environment.draw(|random| random.gen_range(0..ERROR_RESPONSES.len()))]
+        .as_bytes()
 }
 
 /// Draws a response with status 200. Only an endpoint that resets connections truncates it.
-pub(crate) fn success(environment: &Environment, id: u64, behaviour: Behaviour) -> PlannedResponse {
+pub(crate) fn draw_success_response(
+    environment: &Environment,
+    id: u64,
+    behaviour: Behaviour,
+) -> PlannedResponse {
     let length = environment.draw(|random| {
         if random.gen_bool(0.02) {
             random.gen_range(70_000..200_000)
@@ -58,7 +63,7 @@
     });
     let body = response_body(id, length);
     let truncated = behaviour == Behaviour::Resetting && environment.draw_bool(0.4);
-    let sent = if truncated {
+    let written_body = if truncated {
         &body[..length / 2]
     } else {
         &body[..]
@@ -67,19 +72,20 @@
     let bytes = match environment.draw(|random| random.gen_range(0..4)) {
         0 => {
             after = AfterResponse::Close;
-            until_close(sent)
+            close_delimited(written_body)
         }
-        1 => chunked(sent, truncated),
+        1 => chunked(written_body, truncated),
         _ => {
             if !truncated && environment.draw_bool(0.05) {
                 after = AfterResponse::Close;
             }
-            with_length(sent, length)
+            length_delimited(written_body, length)
         }
     };
     // A response with a length or chunks is complete before the reset and remains valid.
-    let reset_behind = behaviour == Behaviour::Resetting && after == AfterResponse::KeepAlive;
-    if truncated || reset_behind {
+    let reset_after_complete =
+        behaviour == Behaviour::Resetting && after == AfterResponse::KeepAlive;
+    if truncated || reset_after_complete {
         after = AfterResponse::Reset;
     }
     PlannedResponse {
@@ -89,7 +95,7 @@
     }
 }
 
-fn until_close(body: &[u8]) -> Vec<u8> {
+fn close_delimited(body: &[u8]) -> Vec<u8> {
     let mut bytes = b"HTTP/1.1 200 OK\r\n\r\n".to_vec();
     bytes.extend(body);
     bytes
@@ -108,7 +114,7 @@
     bytes
 }
 
-fn with_length(body: &[u8], length: usize) -> Vec<u8> {
+fn length_delimited(body: &[u8], length: usize) -> Vec<u8> {
     let mut bytes = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n").into_bytes();
     bytes.extend(body);
     bytes
--- a/soak/src/endpoint_server.rs
+++ b/soak/src/endpoint_server.rs
@@ -5,7 +5,7 @@
 use crate::endpoint_response::{self, AfterResponse};
 use crate::environment::Environment;
 use crate::error::SetupError;
-use crate::http::{close_on_drop, Close, Message, ReadError, Reader};
+use crate::http::{set_close_mode, CloseMode, Message, ReadError, Reader};
 use crate::ledger::{AttemptRecord, Rule};
 use rand::Rng;
 use std::cell::Cell;
@@ -17,9 +17,9 @@
 use tokio::time::{sleep, timeout};
 
 /// Mean execution time of a request.
-const MEAN_WORK_S: f64 = 0.025;
+const MEAN_EXECUTION_S: f64 = 0.025;
 /// Longest execution time of a request.
-const MAX_WORK_S: f64 = 1.0;
+const MAX_EXECUTION_S: f64 = 1.0;
 
 /// Starts an endpoint process with its server task.
 pub(crate) async fn start(
@@ -46,7 +46,7 @@
         zone,
         state: state.clone(),
     };
-    let task = spawn_local(server.accept(listener)).abort_handle();
+    let task = spawn_local(server.accept_connections(listener)).abort_handle();
     let unix_time = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
@@ -72,49 +72,49 @@
 }
 
 impl Server {
-    async fn accept(self, listener: TcpListener) {
+    async fn accept_connections(self, listener: TcpListener) {
         // Dropping the set ends all connections when this task is aborted.
         let mut connections = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
             while connections.try_join_next().is_some() {}
-            close_on_drop(&stream, Close::Reset);
+            set_close_mode(&stream, CloseMode::Reset);
             // Not essential: without TCP_NODELAY responses are only delayed.
             let _ = stream.set_nodelay(true);
-            connections.spawn_local(self.clone().serve(stream));
+            connections.spawn_local(self.clone().serve_connection(stream));
         }
     }
 
-    async fn serve(self, stream: TcpStream) {
+    async fn serve_connection(self, stream: TcpStream) {
         let mut reader = Reader::new(stream);
         let idle_timeout = self.environment.config().endpoint_idle_timeout;
         loop {
-            let message = match timeout(idle_timeout, reader.message()).await {
+            let message = match timeout(idle_timeout, reader.read_message()).await {
                 Ok(Ok(message)) => message,
-                Ok(Err(error)) => return self.end_after_error(&reader, error),
+                Ok(Err(error)) => return self.handle_read_error(&reader, error),
                 Err(_) => {
                     if self.environment.draw_bool(0.5) {
-                        close_on_drop(&reader.stream, Close::Graceful);
+                        set_close_mode(&reader.stream, CloseMode::Graceful);
                     }
                     return;
                 }
             };
-            match self.handle(&message, &mut reader).await {
+            match self.handle_request(&message, &mut reader).await {
                 Some(AfterResponse::KeepAlive) => {}
                 Some(AfterResponse::Close) => {
-                    return close_on_drop(&reader.stream, Close::Graceful)
+                    return set_close_mode(&reader.stream, CloseMode::Graceful)
                 }
                 Some(AfterResponse::Reset) | None => return,
             }
         }
     }
 
-    fn end_after_error(&self, reader: &Reader, error: ReadError) {
+    fn handle_read_error(&self, reader: &Reader, error: ReadError) {
         match error {
-            ReadError::Closed => close_on_drop(&reader.stream, Close::Graceful),
+            ReadError::Closed => set_close_mode(&reader.stream, CloseMode::Graceful),
             ReadError::Truncated {
                 bytes,
                 first_byte_at,
-            } => self.record_truncated(&bytes, first_byte_at),
+            } => self.record_truncated_request(&bytes, first_byte_at),
             ReadError::Invalid => {
                 self.record_violation("an endpoint received bytes that are not a valid request")
             }
@@ -127,7 +127,11 @@
     }
 
     /// Records a request and responds to it. Returns `None` if no client sent the request.
-    async fn handle(&self, message: &Message, reader: &mut Reader) -> Option<AfterResponse> {
+    async fn handle_request(
+        &self,
+        message: &Message,
+        reader: &mut Reader,
+    ) -> Option<AfterResponse> {
         let id = message
             .header("x-call-id")
             .and_then(|id| u64::from_str_radix(id, 16).ok());
@@ -139,7 +143,7 @@
             .header("x-budget-ms")
             .and_then(|value| value.parse().ok());
         let advertised_timeout = advertised_ms.map(Duration::from_millis);
-        let attempt = self.attempt(message.first_byte_at, Some(message.last_byte_at));
+        let attempt = self.new_attempt(message.first_byte_at, Some(message.last_byte_at));
         let attempt =
             self.environment
                 .record_attempt(id, attempt, advertised_timeout, &message.body)?;
@@ -151,7 +155,7 @@
         Some(after)
     }
 
-    fn attempt(&self, first_byte_at: Instant, complete_at: Option<Instant>) -> AttemptRecord {
+    fn new_attempt(&self, first_byte_at: Instant, complete_at: Option<Instant>) -> AttemptRecord {
         AttemptRecord {
             process: self.number,
             zone: self.zone,
@@ -165,14 +169,14 @@
     }
 
     /// Records a truncated request as an attempt. It is not executed.
-    fn record_truncated(&self, bytes: &[u8], first_byte_at: Instant) {
+    fn record_truncated_request(&self, bytes: &[u8], first_byte_at: Instant) {
         let head = String::from_utf8_lossy(bytes).to_lowercase();
         let id = head
             .split("x-call-id: ")
             .nth(1)
             .and_then(|rest| rest.get(..16));
         if let Some(id) = id.and_then(|id| u64::from_str_radix(id, 16).ok()) {
-            let mut attempt = self.attempt(first_byte_at, None);
+            let mut attempt = self.new_attempt(first_byte_at, None);
             attempt.ended_at = Some(Instant::now());
             self.environment.record_attempt(id, attempt, None, &[]);
         }
@@ -185,25 +189,25 @@
                 .update_attempt(id, attempt, |record| record.rejected = true);
             return write(
                 reader,
-                endpoint_response::REJECTION,
+                endpoint_response::REJECTION_RESPONSE,
                 AfterResponse::KeepAlive,
             )
             .await;
         }
-        let work_s = self
+        let execution_s = self
             .environment
-            .draw_exponential_s(MEAN_WORK_S)
-            .min(MAX_WORK_S);
+            .draw_exponential_s(MEAN_EXECUTION_S)
+            .min(MAX_EXECUTION_S);
         match behaviour {
             Behaviour::Hanging => {
                 reader.wait_for_activity().await;
                 return AfterResponse::Reset;
             }
             Behaviour::Resetting if self.environment.draw_bool(0.3) => return AfterResponse::Reset,
-            _ => sleep(Duration::from_secs_f64(work_s)).await,
+            _ => sleep(Duration::from_secs_f64(execution_s)).await,
         }
         if behaviour == Behaviour::Failing && self.environment.draw_bool(0.6) {
-            let response = endpoint_response::failure(&self.environment);
+            let response = endpoint_response::draw_error_response(&self.environment);
             return write(reader, response, AfterResponse::KeepAlive).await;
         }
         self.respond_with_success(id, attempt, reader, behaviour)
@@ -217,7 +221,7 @@
         reader: &mut Reader,
         behaviour: Behaviour,
     ) -> AfterResponse {
-        let response = endpoint_response::success(&self.environment, id, behaviour);
+        let response = endpoint_response::draw_success_response(&self.environment, id, behaviour);
         // This must precede the write: the client may check the response before this task goes on.
         self.environment
             .update_attempt(id, attempt, |record| record.served = !response.truncated);
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -81,15 +81,15 @@
         received
     }
 
-    fn head_error(&mut self) -> ReadError {
+    fn eof_in_head(&mut self) -> ReadError {
         if self.first_byte_at.is_some() && !self.buffer.is_empty() {
-            self.body_error()
+            self.eof_in_body()
         } else {
             ReadError::Closed
         }
     }
 
-    fn body_error(&mut self) -> ReadError {
+    fn eof_in_body(&mut self) -> ReadError {
         ReadError::Truncated {
             bytes: std::mem::take(&mut self.buffer),
             first_byte_at: self.first_byte_at.unwrap_or_else(Instant::now),
@@ -97,20 +97,20 @@
     }
 
     /// Reads the next message.
-    pub(crate) async fn message(&mut self) -> Result<Message, ReadError> {
+    pub(crate) async fn read_message(&mut self) -> Result<Message, ReadError> {
         let Head {
             mut message,
             length,
-        } = self.head().await?;
+        } = self.read_head().await?;
         self.buffer.drain(..length);
         message.first_byte_at = self.first_byte_at.unwrap_or(message.first_byte_at);
         message.body = if message.header("transfer-encoding").is_some() {
-            self.chunks().await?
+            self.read_chunked_body().await?
         } else {
             let length = message
                 .header("content-length")
                 .and_then(|value| value.parse().ok());
-            self.exactly(length.unwrap_or(0)).await?
+            self.read_exactly(length.unwrap_or(0)).await?
         };
         message.last_byte_at = Instant::now();
         // Bytes that remain in the buffer belong to the next message.
@@ -118,24 +118,24 @@
         Ok(message)
     }
 
-    async fn head(&mut self) -> Result<Head, ReadError> {
+    async fn read_head(&mut self) -> Result<Head, ReadError> {
         loop {
             match parse_head(&self.buffer) {
                 Ok(Some(head)) => return Ok(head),
-                Ok(None) if !self.read_some().await => return Err(self.head_error()),
+                Ok(None) if !self.read_some().await => return Err(self.eof_in_head()),
                 Ok(None) => {}
                 Err(_) => return Err(ReadError::Invalid),
             }
         }
     }
 
-    async fn chunks(&mut self) -> Result<Vec<u8>, ReadError> {
+    async fn read_chunked_body(&mut self) -> Result<Vec<u8>, ReadError> {
         let mut body = Vec::new();
         loop {
-            let line = self.line().await?;
+            let line = self.read_line().await?;
             let digits = String::from_utf8_lossy(&line);
             let size = usize::from_str_radix(digits.trim(), 16).map_err(|_| ReadError::Invalid)?;
-            let mut chunk = self.exactly(size + 2).await?;
+            let mut chunk = self.read_exactly(size + 2).await?;
             chunk.truncate(size);
             if size == 0 {
                 return Ok(body);
@@ -144,21 +144,21 @@
         }
     }
 
-    async fn line(&mut self) -> Result<Vec<u8>, ReadError> {
+    async fn read_line(&mut self) -> Result<Vec<u8>, ReadError> {
         loop {
             if let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\r\n") {
                 return Ok(self.buffer.drain(..end + 2).collect());
             }
             if !self.read_some().await {
-                return Err(self.body_error());
+                return Err(self.eof_in_body());
             }
         }
     }
 
-    async fn exactly(&mut self, count: usize) -> Result<Vec<u8>, ReadError> {
+    async fn read_exactly(&mut self, count: usize) -> Result<Vec<u8>, ReadError> {
         while self.buffer.len() < count {
             if !self.read_some().await {
-                return Err(self.body_error());
+                return Err(self.eof_in_body());
             }
         }
         Ok(self.buffer.drain(..count).collect())
@@ -211,7 +211,7 @@
 
 /// How a connection ends when its stream is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Close {
+pub(crate) enum CloseMode {
     /// With FIN, after all written bytes have been sent.
     Graceful,
     /// With RST, which may discard written bytes.
@@ -219,8 +219,8 @@
 }
 
 /// Sets how the connection ends when the stream is dropped.
-pub(crate) fn close_on_drop(stream: &TcpStream, close: Close) {
-    let linger = (close == Close::Reset).then_some(Duration::ZERO);
+pub(crate) fn set_close_mode(stream: &TcpStream, mode: CloseMode) {
+    let linger = (mode == CloseMode::Reset).then_some(Duration::ZERO);
     // This fails only for a connection that has already ended.
     let _ = SockRef::from(stream).set_linger(linger);
 }
--- a/soak/src/proxy/handoff.rs
+++ b/soak/src/proxy/handoff.rs
@@ -26,13 +26,13 @@
         }
         let operators = SocketAddr::new(
             self.address.ip(),
-            FIRST_OPERATOR_PORT + self.process() as u16,
+            FIRST_OPERATOR_PORT + self.process_number() as u16,
         );
         let new = self.spawn(Some(operators))?;
         self.log_event("a new process was started for a handoff");
         self.wait_for_new_process(operators).await;
         self.replace_process(new);
-        let previous = self.process();
+        let previous = self.process_number();
         self.process_count.set(previous + 1);
         sleep(SHUTDOWN_TIMEOUT).await;
         self.killed_processes.borrow_mut().push(previous);
@@ -82,11 +82,11 @@
 
 /// Whether the process with this admin interface reports that it accepts client connections.
 async fn reports_ready(operators: SocketAddr) -> bool {
-    let mut answer = String::new();
+    let mut reply = String::new();
     if let Ok(mut stream) = TcpStream::connect(operators).await {
         // If either call fails, the reply stays empty or incomplete, which counts as not ready.
         let _ = stream.write_all(b"health\n").await;
-        let _ = stream.read_to_string(&mut answer).await;
+        let _ = stream.read_to_string(&mut reply).await;
     }
-    answer.starts_with("SUCCESS")
+    reply.starts_with("SUCCESS")
 }
--- a/soak/src/proxy/process.rs
+++ b/soak/src/proxy/process.rs
@@ -127,7 +127,7 @@
     }
 
     /// Returns the number of its present process.
-    pub(crate) fn process(&self) -> u64 {
+    pub(crate) fn process_number(&self) -> u64 {
         self.process_count.get()
     }
 
@@ -215,7 +215,7 @@
             sleep(POLL_INTERVAL).await;
         }
         self.accepts_connections.set(true);
-        self.log_event(&format!("ready, process {}", self.process()));
+        self.log_event(&format!("ready, process {}", self.process_number()));
         Ok(())
     }
 
@@ -230,9 +230,9 @@
             .await;
         written.is_ok()
             && reader
-                .message()
+                .read_message()
                 .await
-                .is_ok_and(|answer| answer.status == Some(200))
+                .is_ok_and(|reply| reply.status == Some(200))
     }
 
     pub(super) fn signal(&self, signal: Signal) {
@@ -264,7 +264,9 @@
     pub(crate) fn kill(&self) {
         self.log_event("killed");
         self.accepts_connections.set(false);
-        self.killed_processes.borrow_mut().push(self.process());
+        self.killed_processes
+            .borrow_mut()
+            .push(self.process_number());
         if let Some(mut child) = self.child.borrow_mut().take() {
             end_child(&mut child);
         }
--- a/soak/src/watch_delivery.rs
+++ b/soak/src/watch_delivery.rs
@@ -2,7 +2,7 @@
 
 use crate::environment::Environment;
 use crate::error::SetupError;
-use crate::http::{close_on_drop, Close, Reader};
+use crate::http::{set_close_mode, CloseMode, Reader};
 use crate::notification::HEARTBEAT_INTERVAL;
 use rand::Rng;
 use std::net::SocketAddr;
@@ -57,7 +57,7 @@
         let mut watches = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
             while watches.try_join_next().is_some() {}
-            close_on_drop(&stream, Close::Reset);
+            set_close_mode(&stream, CloseMode::Reset);
             let watch = Watch {
                 environment: environment.clone(),
                 proxy,
@@ -83,7 +83,7 @@
 
 impl Watch {
     async fn serve(mut self) {
-        if self.reader.message().await.is_err() {
+        if self.reader.read_message().await.is_err() {
             return;
         }
         let mode = *self.mode.borrow_and_update();
