--- a/soak/src/config.rs
+++ b/soak/src/config.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Combined with the seed so that the configuration and the run draw from different sequences.
-const CONFIG_STREAM: u64 = 0x5e77;
+const CONFIG_SEED_MASK: u64 = 0x5e77;
 
 /// How proxies expect to learn of changes of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,14 +47,14 @@
 impl SimulationConfig {
     /// Draws the parameters; the same seed gives the same ones.
     pub(crate) fn draw(proxy_count: usize, seed: u64) -> SimulationConfig {
-        let mut random = Pcg64Mcg::seed_from_u64(seed ^ CONFIG_STREAM);
+        let mut random = Pcg64Mcg::seed_from_u64(seed ^ CONFIG_SEED_MASK);
         let pushed = random.gen_bool(0.5);
-        let mut either_ms = |first, second| {
+        let mut draw_either_ms = |first, second| {
             Duration::from_millis(if random.gen_bool(0.5) { first } else { second })
         };
-        let drain_grace = either_ms(400, 200);
-        let deduplication_window = either_ms(800, 300);
-        let endpoint_idle_timeout = either_ms(3_000, 400);
+        let drain_grace = draw_either_ms(400, 200);
+        let deduplication_window = draw_either_ms(800, 300);
+        let endpoint_idle_timeout = draw_either_ms(3_000, 400);
         let hedging = random.gen_bool(0.5);
         SimulationConfig {
             proxy_count,
--- a/soak/src/faults/endpoints.rs
+++ b/soak/src/faults/endpoints.rs
@@ -9,12 +9,12 @@
 use tokio::time::sleep;
 
 /// How long a process continues after its replacement was listed.
-const REPLACED_DELAY: Duration = Duration::from_secs(1);
+const REPLACED_PROCESS_DELAY: Duration = Duration::from_secs(1);
 /// Minimum number of ready endpoints that a zone keeps.
 const MIN_READY_PER_ZONE: usize = 2;
 
 /// Adds an endpoint with a new name.
-pub(super) async fn add(environment: &Environment) -> Result<(), SetupError> {
+pub(super) async fn add_endpoint(environment: &Environment) -> Result<(), SetupError> {
     let name = endpoint_name(environment.draw(|random| random.gen()));
     let zone = if environment.draw_bool(0.5) { 'a' } else { 'b' };
     let process = endpoint_server::start(environment, &name, zone).await?;
@@ -23,7 +23,7 @@
 }
 
 /// Gives an endpoint this behaviour for a random time.
-pub(super) async fn misbehave(environment: &Environment, behaviour: Behaviour) {
+pub(super) async fn change_behaviour(environment: &Environment, behaviour: Behaviour) {
     let count = environment.with_processes(|processes| processes.len());
     let index = environment.draw(|random| random.gen_range(0..count));
     let state = environment.with_processes(|processes| processes[index].state.clone());
@@ -62,20 +62,20 @@
 }
 
 /// An endpoint process that is to be replaced.
-struct Replaced {
+struct ReplacedProcess {
     number: u64,
     name: String,
     zone: char,
 }
 
 /// Replaces an endpoint process by another one, under the same name or a new one. The old process
-/// drains during `notice` if `orderly`, and is killed first if not.
-pub(super) async fn replace(
+/// drains during `replacement_delay` if `graceful`, and is killed first if not.
+pub(super) async fn replace_process(
     environment: &Environment,
-    notice: Duration,
-    orderly: bool,
+    replacement_delay: Duration,
+    graceful: bool,
 ) -> Result<(), SetupError> {
-    let Some(old) = choose_replaced(environment, notice) else {
+    let Some(old) = choose_process_to_replace(environment, replacement_delay) else {
         return Ok(());
     };
     let same_name = environment.draw_bool(0.5);
@@ -85,21 +85,21 @@
         endpoint_name(environment.draw(|random| random.gen()))
     };
     environment.log_event(format!(
-        "endpoint process {} is to be replaced, drained first: {orderly}",
+        "endpoint process {} is to be replaced, drained first: {graceful}",
         old.number
     ));
-    if orderly {
+    if graceful {
         environment.set_listed_health(old.number, EndpointHealth::Draining);
     } else {
         kill(environment, old.number);
     }
-    sleep(notice).await;
+    sleep(replacement_delay).await;
     let new = endpoint_server::start(environment, &name, old.zone).await?;
     if !same_name {
         environment.set_listed_health(old.number, EndpointHealth::Removed);
     }
     environment.add_endpoint(new);
-    sleep(REPLACED_DELAY).await;
+    sleep(REPLACED_PROCESS_DELAY).await;
     kill(environment, old.number);
     environment
         .with_processes(|processes| processes.retain(|process| process.number != old.number));
@@ -107,7 +107,10 @@
 }
 
 /// Chooses a ready process in a zone that has more than the minimum, and marks it as draining.
-fn choose_replaced(environment: &Environment, notice: Duration) -> Option<Replaced> {
+fn choose_process_to_replace(
+    environment: &Environment,
+    replacement_delay: Duration,
+) -> Option<ReplacedProcess> {
     environment.with_processes(|processes| {
         let ready: Vec<_> = processes
             .iter()
@@ -118,11 +121,11 @@
             .iter()
             .filter(|process| in_zone(process.zone) > MIN_READY_PER_ZONE)
             .collect();
-        // The notice was drawn at random, so its nanoseconds select a random candidate.
-        let index = (notice.subsec_nanos() as usize).checked_rem(candidates.len())?;
+        // The delay was drawn at random, so its nanoseconds select a random candidate.
+        let index = (replacement_delay.subsec_nanos() as usize).checked_rem(candidates.len())?;
         let process = candidates[index];
         process.state.draining.set(true);
-        Some(Replaced {
+        Some(ReplacedProcess {
             number: process.number,
             name: process.name.clone(),
             zone: process.zone,
--- a/soak/src/faults/mod.rs
+++ b/soak/src/faults/mod.rs
@@ -4,7 +4,7 @@
 mod proxies;
 mod syscalls;
 
-pub(crate) use syscalls::syscall_faults;
+pub(crate) use syscalls::draw_syscall_schedule;
 
 use crate::endpoint::Behaviour;
 use crate::environment::Environment;
@@ -117,15 +117,15 @@
     let proxies = &proxies;
     match fault {
         Fault::ProxyShutdown | Fault::ProxyKill => {
-            let orderly = fault == Fault::ProxyShutdown;
-            proxies::restart_some(environment, proxies, orderly).await
+            let graceful = fault == Fault::ProxyShutdown;
+            proxies::restart_proxies(environment, proxies, graceful).await
         }
         Fault::ProxyPause => {
-            proxies::pause_some(environment, proxies).await;
+            proxies::pause_proxies(environment, proxies).await;
             Ok(())
         }
-        Fault::ProxyReload => proxies::reload_some(environment, proxies).await,
-        Fault::ProxyHandoff => proxies::hand_off_some(environment, proxies).await,
+        Fault::ProxyReload => proxies::reload_proxies(environment, proxies).await,
+        Fault::ProxyHandoff => proxies::hand_off_proxies(environment, proxies).await,
         Fault::IdleConnections => {
             proxies::open_idle_connections(environment, proxies).await;
             Ok(())
@@ -135,16 +135,16 @@
             Ok(())
         }
         Fault::EndpointDrain => {
-            let notice = environment.draw_seconds(0.6, 3.0);
-            endpoints::replace(environment, notice, true).await
+            let replacement_delay = environment.draw_seconds(0.6, 3.0);
+            endpoints::replace_process(environment, replacement_delay, true).await
         }
         Fault::EndpointCrash => {
-            let notice = environment.draw_seconds(0.2, 2.5);
-            endpoints::replace(environment, notice, false).await
+            let replacement_delay = environment.draw_seconds(0.2, 2.5);
+            endpoints::replace_process(environment, replacement_delay, false).await
         }
-        Fault::EndpointAdded => endpoints::add(environment).await,
+        Fault::EndpointAdded => endpoints::add_endpoint(environment).await,
         Fault::EndpointBehaviour(behaviour) => {
-            endpoints::misbehave(environment, behaviour).await;
+            endpoints::change_behaviour(environment, behaviour).await;
             Ok(())
         }
         Fault::AllEndpointsDrain => {
--- a/soak/src/faults/proxies.rs
+++ b/soak/src/faults/proxies.rs
@@ -20,24 +20,24 @@
     environment.draw(|random| proxies.choose_multiple(random, count).cloned().collect())
 }
 
-/// Shuts down (if `orderly`) or kills some proxies at the same time, and starts them again.
-pub(super) async fn restart_some(
+/// Shuts down (if `graceful`) or kills some proxies at the same time, and starts them again.
+pub(super) async fn restart_proxies(
     environment: &Environment,
     proxies: &[Rc<Proxy>],
-    orderly: bool,
+    graceful: bool,
 ) -> Result<(), SetupError> {
     let chosen = draw_proxies(environment, proxies, 3);
     let restarts = chosen
         .into_iter()
-        .map(|proxy| spawn_local(restart(proxy, orderly)));
+        .map(|proxy| spawn_local(restart(proxy, graceful)));
     join_all(restarts.collect()).await
 }
 
-async fn restart(proxy: Rc<Proxy>, orderly: bool) -> Result<(), SetupError> {
+async fn restart(proxy: Rc<Proxy>, graceful: bool) -> Result<(), SetupError> {
     if !proxy.reserve() {
         return Ok(());
     }
-    if orderly {
+    if graceful {
         proxy.shut_down().await;
     } else {
         proxy.kill();
@@ -48,7 +48,7 @@
 }
 
 /// Pauses some proxies one after the other.
-pub(super) async fn pause_some(environment: &Environment, proxies: &[Rc<Proxy>]) {
+pub(super) async fn pause_proxies(environment: &Environment, proxies: &[Rc<Proxy>]) {
     let duration = environment.draw_seconds(0.02, 0.14);
     for proxy in draw_proxies(environment, proxies, 4) {
         proxy.pause(duration).await;
@@ -56,7 +56,7 @@
 }
 
 /// Reloads the configuration of some proxies one after the other.
-pub(super) async fn reload_some(
+pub(super) async fn reload_proxies(
     environment: &Environment,
     proxies: &[Rc<Proxy>],
 ) -> Result<(), SetupError> {
@@ -72,7 +72,7 @@
 }
 
 /// Hands off some proxies to new processes at the same time.
-pub(super) async fn hand_off_some(
+pub(super) async fn hand_off_proxies(
     environment: &Environment,
     proxies: &[Rc<Proxy>],
 ) -> Result<(), SetupError> {
--- a/soak/src/faults/syscalls.rs
+++ b/soak/src/faults/syscalls.rs
@@ -9,7 +9,7 @@
 const WALL_CLOCK_OFFSETS_MS: [i64; 4] = [0, 0, -3_600_000, -7_000];
 
 /// Draws the schedule of a proxy. Some proxies have no failing system calls.
-pub(crate) fn syscall_faults(environment: &Environment, seed: u64, proxy: usize) -> Value {
+pub(crate) fn draw_syscall_schedule(environment: &Environment, seed: u64, proxy: usize) -> Value {
     let fraction: f64 = environment.draw(|random| random.gen_range(0.01..0.15));
     let rules: Vec<Value> = failing_calls(proxy)
         .iter()
@@ -36,7 +36,7 @@
 }
 
 const SHORT_TRANSFERS: &[FailingCall] = &[failing("receive", "SHORT"), failing("send", "SHORT")];
-const FAILING_OPENINGS: &[FailingCall] = &[
+const FAILING_CONNECTION_SETUP: &[FailingCall] = &[
     failing("accept", "ECONNABORTED"),
     failing("socket", "ENOBUFS"),
 ];
@@ -44,12 +44,12 @@
     failing("connect", "EADDRNOTAVAIL"),
     failing("connect", "ENETUNREACH"),
 ];
-const INTERRUPTIONS: &[FailingCall] = &[
+const INTERRUPTED_CALLS: &[FailingCall] = &[
     failing("receive", "EINTR"),
     failing("send", "EINTR"),
     failing("wait", "EINTR"),
 ];
-const FAILING_FILES: &[FailingCall] = &[
+const FAILING_FILE_CALLS: &[FailingCall] = &[
     failing("accept", "ENFILE"),
     failing("open", "EIO"),
     failing("lock", "EIO"),
@@ -58,10 +58,10 @@
 fn failing_calls(proxy: usize) -> &'static [FailingCall] {
     match proxy % 9 {
         1 => SHORT_TRANSFERS,
-        2 => FAILING_OPENINGS,
+        2 => FAILING_CONNECTION_SETUP,
         4 => FAILING_CONNECTS,
-        5 => INTERRUPTIONS,
-        7 => FAILING_FILES,
+        5 => INTERRUPTED_CALLS,
+        7 => FAILING_FILE_CALLS,
         _ => &[],
     }
 }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -36,7 +36,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
-        if !LocalSet::new().block_on(&runtime, run::run(&arguments, seed))? {
+        if !LocalSet::new().block_on(&runtime, run::run_seed(&arguments, seed))? {
             failed += 1;
         }
     }
--- a/soak/src/proxy/configuration.rs
+++ b/soak/src/proxy/configuration.rs
@@ -15,7 +15,7 @@
 pub(super) const MAX_MEMORY_MB: usize = 64;
 
 /// Returns the configuration of a proxy, with a newly drawn seed and the present endpoint list.
-pub(super) fn configuration(
+pub(super) fn proxy_configuration(
     environment: &Environment,
     proxy: usize,
     listen: SocketAddr,
--- a/soak/src/proxy/handoff.rs
+++ b/soak/src/proxy/handoff.rs
@@ -1,6 +1,6 @@
 //! Process handoff: a new process takes over from the running one.
 
-use super::process::{end_child, Proxy, POLL_INTERVAL, READY_TIMEOUT, SHUTDOWN_TIMEOUT};
+use super::process::{kill_child, Proxy, POLL_INTERVAL, READY_TIMEOUT, SHUTDOWN_TIMEOUT};
 use crate::error::SetupError;
 use crate::ledger::Rule;
 use nix::sys::signal::Signal;
@@ -12,10 +12,10 @@
 use tokio::time::sleep;
 
 /// Port of the admin interface of the first process that takes over; later ones count up.
-const FIRST_OPERATOR_PORT: u16 = 4_000;
+const FIRST_ADMIN_PORT: u16 = 4_000;
 /// Time after a new process reported to be ready during which it does not yet count as notified of
 /// the endpoint list.
-const NOTIFICATION_DELAY: Duration = Duration::from_secs(2);
+const HANDOFF_NOTIFICATION_DELAY: Duration = Duration::from_secs(2);
 
 impl Proxy {
     /// Starts a new process beside the running one, and shuts the old one down when the new one is
@@ -24,25 +24,25 @@
         if !self.accepts_connections() {
             return Ok(());
         }
-        let operators = SocketAddr::new(
+        let admin_address = SocketAddr::new(
             self.address.ip(),
-            FIRST_OPERATOR_PORT + self.process_number() as u16,
+            FIRST_ADMIN_PORT + self.process_number() as u16,
         );
-        let new = self.spawn(Some(operators))?;
+        let new = self.spawn(Some(admin_address))?;
         self.log_event("a new process was started for a handoff");
-        self.wait_for_new_process(operators).await;
+        self.wait_for_new_process(admin_address).await;
         self.replace_process(new);
         let previous = self.process_number();
         self.process_count.set(previous + 1);
         sleep(SHUTDOWN_TIMEOUT).await;
         self.killed_processes.borrow_mut().push(previous);
-        self.end_previous();
+        self.end_previous_process();
         Ok(())
     }
 
-    async fn wait_for_new_process(&self, operators: SocketAddr) {
+    async fn wait_for_new_process(&self, admin_address: SocketAddr) {
         let started = Instant::now();
-        while !reports_ready(operators).await {
+        while !reports_ready(admin_address).await {
             if started.elapsed() > READY_TIMEOUT {
                 self.record_violation(
                     Rule::Readiness,
@@ -58,16 +58,16 @@
         let now = Instant::now();
         self.environment
             .with_notifications(self.number, |notifications| {
-                notifications.record_process_start(now + NOTIFICATION_DELAY);
+                notifications.record_process_start(now + HANDOFF_NOTIFICATION_DELAY);
             });
-        self.disturbed_at.borrow_mut().push(now);
+        self.disturbances.borrow_mut().push(now);
         self.signal(Signal::SIGTERM);
         self.log_event("SIGTERM to the old process");
         let previous = self.child.borrow_mut().replace(new);
         *self.previous.borrow_mut() = previous;
     }
 
-    fn end_previous(&self) {
+    fn end_previous_process(&self) {
         let Some(mut previous) = self.previous.borrow_mut().take() else {
             return;
         };
@@ -76,14 +76,14 @@
                 self.record_violation(Rule::Crash, &format!("ended with {status}"));
             }
         }
-        end_child(&mut previous);
+        kill_child(&mut previous);
     }
 }
 
 /// Whether the process with this admin interface reports that it accepts client connections.
-async fn reports_ready(operators: SocketAddr) -> bool {
+async fn reports_ready(admin_address: SocketAddr) -> bool {
     let mut reply = String::new();
-    if let Ok(mut stream) = TcpStream::connect(operators).await {
+    if let Ok(mut stream) = TcpStream::connect(admin_address).await {
         // If either call fails, the reply stays empty or incomplete, which counts as not ready.
         let _ = stream.write_all(b"health\n").await;
         let _ = stream.read_to_string(&mut reply).await;
--- a/soak/src/proxy/process.rs
+++ b/soak/src/proxy/process.rs
@@ -1,7 +1,7 @@
 //! A proxy across the processes that run it one after the other: starts and ends them and sends
 //! them signals.
 
-use super::configuration::configuration;
+use super::configuration::proxy_configuration;
 use crate::environment::Environment;
 use crate::error::SetupError;
 use crate::http::Reader;
@@ -33,7 +33,7 @@
 const OLD_AGENT_DELAY: Duration = Duration::from_millis(1_500);
 /// Time after a pause, a SIGTERM or a handoff in which the timeout of invalid clients is not
 /// enforced.
-const DISTURBANCE: Duration = Duration::from_secs(4);
+const DISTURBANCE_DURATION: Duration = Duration::from_secs(4);
 /// Interval at which the state of a process is polled.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -57,7 +57,7 @@
     pub(crate) address: SocketAddr,
     pub(super) environment: Environment,
     program: Program,
-    syscall_faults: serde_json::Value,
+    syscall_schedule: serde_json::Value,
     pub(super) child: RefCell<Option<Child>>,
     /// The previous process, while it shuts down beside the present one after a handoff.
     pub(super) previous: RefCell<Option<Child>>,
@@ -66,7 +66,7 @@
     pub(super) killed_processes: RefCell<Vec<u64>>,
     pub(super) accepts_connections: Cell<bool>,
     /// Times of pauses, SIGTERM and handoffs.
-    pub(super) disturbed_at: RefCell<Vec<Instant>>,
+    pub(super) disturbances: RefCell<Vec<Instant>>,
     agent_mode: watch::Sender<AgentMode>,
     agent: RefCell<Agent>,
     reserved: Cell<bool>,
@@ -78,7 +78,7 @@
         environment: &Environment,
         program: &Program,
         number: usize,
-        syscall_faults: serde_json::Value,
+        syscall_schedule: serde_json::Value,
     ) -> Result<Rc<Proxy>, SetupError> {
         // If the system chose the port, another program could get it between two processes of the
         // proxy. Instead the address is derived from this program's process id, so that parallel
@@ -97,13 +97,13 @@
             address: SocketAddr::from((ip, LISTEN_PORT)),
             environment: environment.clone(),
             program: program.clone(),
-            syscall_faults,
+            syscall_schedule,
             child: RefCell::default(),
             previous: RefCell::default(),
             process_count: Cell::new(0),
             killed_processes: RefCell::default(),
             accepts_connections: Cell::new(false),
-            disturbed_at: RefCell::default(),
+            disturbances: RefCell::default(),
             agent_mode,
             agent: RefCell::new(agent),
             reserved: Cell::new(false),
@@ -138,10 +138,10 @@
 
     /// Whether a pause, SIGTERM or handoff may have delayed a client that connected at `since`.
     pub(crate) fn was_disturbed(&self, since: Instant) -> bool {
-        self.disturbed_at
+        self.disturbances
             .borrow()
             .iter()
-            .any(|at| *at + DISTURBANCE >= since)
+            .any(|at| *at + DISTURBANCE_DURATION >= since)
     }
 
     fn folder(&self) -> PathBuf {
@@ -154,7 +154,8 @@
 
     fn write_configuration(&self) -> Result<PathBuf, SetupError> {
         let discovery = self.agent.borrow().address;
-        let configuration = configuration(&self.environment, self.number, self.address, discovery);
+        let configuration =
+            proxy_configuration(&self.environment, self.number, self.address, discovery);
         let path = self.folder().join("config.json");
         fs::create_dir_all(self.folder())
             .and_then(|()| fs::write(&path, configuration.to_string()))
@@ -166,7 +167,7 @@
     }
 
     /// Starts a process, whose admin interface listens at the given address, if there is one.
-    pub(super) fn spawn(&self, operators: Option<SocketAddr>) -> Result<Child, SetupError> {
+    pub(super) fn spawn(&self, admin_address: Option<SocketAddr>) -> Result<Child, SetupError> {
         let configuration = self.write_configuration()?;
         let path = self.log_path();
         let log = File::options().create(true).append(true).open(&path);
@@ -178,13 +179,13 @@
             .env("ROUTER_TRACE", "1")
             .stdout(Stdio::null())
             .stderr(log);
-        if let Some(operators) = operators {
-            command.env("ROUTER_ADMIN", operators.to_string());
+        if let Some(admin_address) = admin_address {
+            command.env("ROUTER_ADMIN", admin_address.to_string());
         }
         if let Some(faults) = &self.program.faults {
             command
                 .env("LD_PRELOAD", faults)
-                .env("SYSCALL_FAULTS", self.syscall_faults.to_string());
+                .env("SYSCALL_FAULTS", self.syscall_schedule.to_string());
         }
         let path = &self.program.path;
         command.spawn().map_err(|source| SetupError::Spawn {
@@ -268,14 +269,14 @@
             .borrow_mut()
             .push(self.process_number());
         if let Some(mut child) = self.child.borrow_mut().take() {
-            end_child(&mut child);
+            kill_child(&mut child);
         }
     }
 
     /// Shuts its process down by SIGTERM, and kills the process if it does not end in time.
     pub(crate) async fn shut_down(&self) {
         let started = Instant::now();
-        self.disturbed_at.borrow_mut().push(started);
+        self.disturbances.borrow_mut().push(started);
         self.log_event("SIGTERM");
         self.signal(Signal::SIGTERM);
         sleep(ACCEPT_AFTER_SIGTERM).await;
@@ -296,7 +297,7 @@
 
     /// Pauses its process by SIGSTOP and SIGCONT.
     pub(crate) async fn pause(&self, duration: Duration) {
-        self.disturbed_at.borrow_mut().push(Instant::now());
+        self.disturbances.borrow_mut().push(Instant::now());
         self.log_event("SIGSTOP");
         self.signal(Signal::SIGSTOP);
         sleep(duration).await;
@@ -334,7 +335,7 @@
 }
 
 /// Kills a process and waits for its end.
-pub(super) fn end_child(child: &mut Child) {
+pub(super) fn kill_child(child: &mut Child) {
     // Both fail only for a process that has already ended.
     let _ = child.kill();
     let _ = child.wait();
@@ -343,7 +344,7 @@
 impl Drop for Proxy {
     fn drop(&mut self) {
         if let Some(mut previous) = self.previous.borrow_mut().take() {
-            end_child(&mut previous);
+            kill_child(&mut previous);
         }
         self.kill();
     }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -10,7 +10,7 @@
 use crate::error::SetupError;
 use crate::faults;
 use crate::proxy::{Program, Proxy};
-use crate::verdict::verdict;
+use crate::verdict::print_verdict;
 use std::cell::Cell;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -20,25 +20,30 @@
 use tokio::time::sleep;
 
 /// How long clients continue after the last fault has been started.
-const CLIENTS_DELAY: Duration = Duration::from_secs(2);
+const CLIENTS_DURATION_AFTER_FAULTS: Duration = Duration::from_secs(2);
 /// Time after the fault schedule in which the last requests must get their responses.
 const FINAL_RESPONSES_DELAY: Duration = Duration::from_secs(6);
 /// Interval between checks of the proxies' processes and limits.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval between measurements of this program's scheduling delay.
-const LATENESS_INTERVAL: Duration = Duration::from_millis(5);
+const SCHEDULING_DELAY_INTERVAL: Duration = Duration::from_millis(5);
 /// Age of the first endpoints at the start of a run, which is past their slow start.
 const FIRST_ENDPOINTS_AGE: Duration = Duration::from_secs(3_600);
 
 /// Runs one seed and returns whether it passed.
-pub(crate) async fn run(arguments: &Arguments, seed: u64) -> Result<bool, SetupError> {
+pub(crate) async fn run_seed(arguments: &Arguments, seed: u64) -> Result<bool, SetupError> {
     let config = SimulationConfig::draw(arguments.proxies, seed);
     println!("seed {seed}: {config:?}");
     let environment = Environment::new(seed, config);
     start_endpoints(&environment, arguments.endpoints).await?;
     let proxies = start_proxies(&environment, arguments, seed).await?;
-    let lateness = run_schedule(arguments, &environment, &proxies).await?;
-    Ok(verdict(&environment, &proxies, seed, lateness))
+    let scheduling_delay = run_clients_and_faults(arguments, &environment, &proxies).await?;
+    Ok(print_verdict(
+        &environment,
+        &proxies,
+        seed,
+        scheduling_delay,
+    ))
 }
 
 /// Starts the first endpoints, dated back so that they are past their slow start.
@@ -61,20 +66,20 @@
     arguments: &Arguments,
     seed: u64,
 ) -> Result<Vec<Rc<Proxy>>, SetupError> {
-    let folder = absolute(&arguments.folder)?.join(format!("seed-{seed}"));
+    let folder = absolute_path(&arguments.folder)?.join(format!("seed-{seed}"));
     // Proxies append to their logs, so logs of an earlier run would be attributed to this one. The
     // folder usually does not exist, and removing it then fails.
     let _ = fs::remove_dir_all(&folder);
-    let faults = arguments.faults.as_deref().map(absolute).transpose()?;
+    let faults = arguments.faults.as_deref().map(absolute_path).transpose()?;
     let program = Program {
-        path: absolute(&arguments.program)?,
+        path: absolute_path(&arguments.program)?,
         faults,
         folder,
     };
     let mut proxies = Vec::new();
     for number in 0..arguments.proxies {
-        let syscall_faults = faults::syscall_faults(environment, seed, number);
-        proxies.push(Proxy::new(environment, &program, number, syscall_faults).await?);
+        let syscall_schedule = faults::draw_syscall_schedule(environment, seed, number);
+        proxies.push(Proxy::new(environment, &program, number, syscall_schedule).await?);
     }
     let start = |proxy: Rc<Proxy>| spawn_local(async move { proxy.start().await });
     let starts: Vec<_> = proxies.iter().cloned().map(start).collect();
@@ -84,7 +89,7 @@
     Ok(proxies)
 }
 
-fn absolute(path: &Path) -> Result<PathBuf, SetupError> {
+fn absolute_path(path: &Path) -> Result<PathBuf, SetupError> {
     let path_error = |source| SetupError::Path {
         path: path.to_owned(),
         source,
@@ -93,21 +98,21 @@
 }
 
 /// Runs the clients and the fault schedule. Returns the longest scheduling delay of this program.
-async fn run_schedule(
+async fn run_clients_and_faults(
     arguments: &Arguments,
     environment: &Environment,
     proxies: &[Rc<Proxy>],
 ) -> Result<Duration, SetupError> {
     let end = Instant::now() + Duration::from_secs(arguments.seconds);
     let checks = spawn_local(check_proxies(proxies.to_vec()));
-    let lateness = Rc::new(Cell::new(Duration::ZERO));
-    let measurement = spawn_local(measure_lateness(lateness.clone()));
+    let scheduling_delay = Rc::new(Cell::new(Duration::ZERO));
+    let measurement = spawn_local(measure_scheduling_delay(scheduling_delay.clone()));
     for proxy in proxies {
         for _ in 0..arguments.clients {
             spawn_local(run_client(
                 environment.clone(),
                 proxy.clone(),
-                end + CLIENTS_DELAY,
+                end + CLIENTS_DURATION_AFTER_FAULTS,
             ));
         }
         spawn_local(run_invalid_client(environment.clone(), proxy.clone(), end));
@@ -117,7 +122,7 @@
     sleep(FINAL_RESPONSES_DELAY).await;
     checks.abort();
     measurement.abort();
-    Ok(lateness.get())
+    Ok(scheduling_delay.get())
 }
 
 async fn check_proxies(proxies: Vec<Rc<Proxy>>) {
@@ -130,10 +135,10 @@
 }
 
 /// Measures repeatedly how late a task of this program runs, and keeps the longest delay.
-async fn measure_lateness(longest: Rc<Cell<Duration>>) {
+async fn measure_scheduling_delay(longest: Rc<Cell<Duration>>) {
     loop {
-        let due = Instant::now() + LATENESS_INTERVAL;
-        sleep(LATENESS_INTERVAL).await;
+        let due = Instant::now() + SCHEDULING_DELAY_INTERVAL;
+        sleep(SCHEDULING_DELAY_INTERVAL).await;
         longest.set(longest.get().max(due.elapsed()));
     }
 }
--- a/soak/src/verdict.rs
+++ b/soak/src/verdict.rs
@@ -9,7 +9,7 @@
 
 /// Longest scheduling delay of this program with which a run is judged. Observed times are not
 /// reliable beyond it.
-const MAX_LATENESS: Duration = Duration::from_millis(60);
+const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(60);
 /// Time before a violation from which events are printed with it.
 const EVENTS_BEFORE_S: f64 = 3.0;
 /// Time after a violation until which events are printed with it.
@@ -17,24 +17,24 @@
 /// Maximum number of failures from the proxies' logs that are printed.
 const MAX_PRINTED_FAILURES: usize = 10;
 
-/// Prints the report of a run and returns whether it passed. `lateness` is the longest scheduling
-/// delay of this program.
-pub(crate) fn verdict(
+/// Prints the report of a run and returns whether it passed. `scheduling_delay` is the longest
+/// scheduling delay of this program.
+pub(crate) fn print_verdict(
     environment: &Environment,
     proxies: &[Rc<Proxy>],
     seed: u64,
-    lateness: Duration,
+    scheduling_delay: Duration,
 ) -> bool {
     let violations = environment.with_ledger(|ledger| {
         ledger.record_unanswered_requests();
         println!(
-            "requests: {:?}, longest scheduling delay of this program: {lateness:?}",
-            completions(ledger)
+            "requests: {:?}, longest scheduling delay of this program: {scheduling_delay:?}",
+            count_completions(ledger)
         );
         for violation in &ledger.violations {
             print_violation(ledger, violation);
         }
-        count(
+        count_by_name(
             ledger
                 .violations
                 .iter()
@@ -48,7 +48,7 @@
     for line in failures.iter().take(MAX_PRINTED_FAILURES) {
         println!("  logged: {line}");
     }
-    let judged = lateness <= MAX_LATENESS;
+    let judged = scheduling_delay <= MAX_SCHEDULING_DELAY;
     let passed = judged && violations.is_empty() && failures.is_empty();
     let result = match (judged, passed) {
         (false, _) => "NOT JUDGED, this program's scheduling delay was too long",
@@ -60,11 +60,11 @@
 }
 
 /// Counts the requests by how they ended.
-fn completions(ledger: &Ledger) -> BTreeMap<String, usize> {
-    count(ledger.requests.values().map(completion))
+fn count_completions(ledger: &Ledger) -> BTreeMap<String, usize> {
+    count_by_name(ledger.requests.values().map(completion_label))
 }
 
-fn completion(request: &RequestRecord) -> String {
+fn completion_label(request: &RequestRecord) -> String {
     let status = request.completion.and_then(|completion| completion.status);
     match status {
         Some(status) => status.to_string(),
@@ -74,7 +74,7 @@
     }
 }
 
-fn count(names: impl Iterator<Item = String>) -> BTreeMap<String, usize> {
+fn count_by_name(names: impl Iterator<Item = String>) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for name in names {
         *counts.entry(name).or_default() += 1;
