--- a/soak/src/clients/mod.rs
+++ b/soak/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! The clients of each proxy: they send requests, disconnect now and then, and record what they
-//! get.
+//! The clients of each proxy. They send requests, sometimes disconnect early, and record the
+//! responses.
 
 mod connection;
 mod exchange;
@@ -17,23 +17,25 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Mean pause between two requests on a connection.
+/// Mean pause between two requests of a client.
 const MEAN_PAUSE_S: f64 = 0.25;
-/// Longest pause between two requests.
+/// Longest pause between two requests of a client.
 const MAX_PAUSE_S: f64 = 6.0;
 
-/// Sends requests on one connection after the other until the end.
+/// Sends requests until `end`, on one connection at a time.
 pub(crate) async fn run_client(environment: Environment, proxy: Rc<Proxy>, end: Instant) {
     let mut connection = None;
     while Instant::now() < end {
-        let pause_s = environment.draw_exponential(MEAN_PAUSE_S).min(MAX_PAUSE_S);
+        let pause_s = environment
+            .draw_exponential_s(MEAN_PAUSE_S)
+            .min(MAX_PAUSE_S);
         sleep(Duration::from_secs_f64(pause_s)).await;
-        let pipelined = environment.chance(0.05);
+        let pipelined = environment.draw_bool(0.05);
         connection = send_requests(&environment, &proxy, connection.take(), pipelined).await;
     }
 }
 
-/// Sends one request, or several at once. Returns the connection if it can be reused.
+/// Sends one request, or several pipelined ones. Returns the connection if it can be reused.
 async fn send_requests(
     environment: &Environment,
     proxy: &Proxy,
@@ -48,8 +50,8 @@
         let count = environment.draw(|random| random.gen_range(2..5));
         pipelining::exchange_pipelined(environment, proxy, &mut connection, count).await
     } else {
-        let request = request::draw(environment, proxy, &connection);
-        exchange::exchange(environment, proxy, &mut connection, &request).await
+        let request = request::draw_request(environment, proxy, &connection);
+        exchange::exchange_one(environment, proxy, &mut connection, &request).await
     };
     connection.used.then_some(connection)
 }
--- a/soak/src/clients/pipelining.rs
+++ b/soak/src/clients/pipelining.rs
@@ -1,4 +1,4 @@
-//! Several requests at once on a connection, and their responses in order.
+//! Sends pipelined requests on a connection and reads their responses in order.
 
 use super::connection::Connection;
 use super::request;
@@ -9,18 +9,19 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::timeout_at;
 
-/// How long a client that does not disconnect waits for all responses.
+/// How long a client that does not disconnect waits for all responses together.
 const RESPONSES_TIMEOUT: Duration = Duration::from_millis(9_000);
 
-/// Sends several requests at once. Returns whether the connection can be reused.
+/// Sends pipelined requests and reads their responses. Returns whether the connection can be
+/// reused.
 pub(super) async fn exchange_pipelined(
     environment: &Environment,
     proxy: &Proxy,
     connection: &mut Connection,
     count: usize,
 ) -> bool {
-    let ids = send(environment, proxy, connection, count).await;
-    let disconnects = environment.chance(0.3);
+    let ids = write_requests(environment, proxy, connection, count).await;
+    let disconnects = environment.draw_bool(0.3);
     let wait = if disconnects {
         environment.draw_millis(0, 60)
     } else {
@@ -28,20 +29,26 @@
     };
     let until = Instant::now() + wait;
     for index in 0..ids.len() {
-        match timeout_at(until.into(), connection.reader.message()).await {
+        match timeout_at(until.into(), connection.reader.read_message()).await {
             Ok(Ok(message)) => {
                 if !record_response(environment, &ids[index..], &message) {
                     return false;
                 }
             }
             Ok(Err(error)) => {
-                let killed = proxy.was_killed(connection.process);
-                record_broken(environment, &ids[index..], &error, killed, connection.used);
+                let killed = proxy.was_killed(connection.process_number);
+                record_broken_connection(
+                    environment,
+                    &ids[index..],
+                    &error,
+                    killed,
+                    connection.used,
+                );
                 return false;
             }
             Err(_) => {
-                let killed = proxy.was_killed(connection.process);
-                record_timeout(environment, &ids[index..], disconnects, killed);
+                let killed = proxy.was_killed(connection.process_number);
+                record_missing_responses(environment, &ids[index..], disconnects, killed);
                 return false;
             }
         }
@@ -49,15 +56,15 @@
     true
 }
 
-/// Writes the requests; their ids.
-async fn send(
+/// Writes the requests and returns their ids.
+async fn write_requests(
     environment: &Environment,
     proxy: &Proxy,
     connection: &mut Connection,
     count: usize,
 ) -> Vec<u64> {
     let requests: Vec<_> = (0..count)
-        .map(|_| request::draw(environment, proxy, connection))
+        .map(|_| request::draw_request(environment, proxy, connection))
         .collect();
     let bytes: Vec<u8> = requests
         .iter()
@@ -69,21 +76,23 @@
     for &id in &ids {
         environment.update_request(id, |record| {
             record.complete_at = Some(now);
-            // The proxy may not have read it when the connection ended.
+            // If writing failed, the proxy may not have read the request.
             record.exempt = !written;
         });
     }
     ids
 }
 
-/// Records the response to the first of the open requests; whether others may follow.
+/// Records the response to the first of the open requests. Returns whether further responses may
+/// follow on the connection.
 fn record_response(environment: &Environment, open: &[u64], message: &Message) -> bool {
     let Some((&answered, following)) = open.split_first() else {
         return false;
     };
-    environment.ledger(|ledger| ledger.record_completion(answered, message.status, &message.body));
+    environment
+        .with_ledger(|ledger| ledger.record_completion(answered, message.status, &message.body));
     if let Some(&next) = following.first() {
-        // Responses come in order: the next one's time begins only now.
+        // Responses come in order, so the next request's timeout begins only now.
         environment.update_request(next, |record| record.complete_at = Some(Instant::now()));
     }
     if message.header("connection") != Some("close") {
@@ -95,9 +104,10 @@
     false
 }
 
-/// The connection broke. The proxy owes no response to a request that it cannot have read: one
-/// behind a truncated response, or one that crossed the end of a connection between two requests.
-fn record_broken(
+/// Records that the connection broke. The proxy owes no response to a request that it may not have
+/// read: one after a truncated response, or one that was sent while the proxy closed a reused
+/// connection between two requests.
+fn record_broken_connection(
     environment: &Environment,
     open: &[u64],
     error: &ReadError,
@@ -108,7 +118,7 @@
     for (position, &id) in open.iter().enumerate() {
         let is_first = position == 0;
         if is_first && truncated && !killed {
-            environment.ledger(|ledger| ledger.record_truncated_response(id));
+            environment.with_ledger(|ledger| ledger.record_truncated_response(id));
         }
         environment.update_request(id, |record| {
             let unread = record.attempts.is_empty() && (truncated || !is_first || used);
@@ -117,7 +127,12 @@
     }
 }
 
-fn record_timeout(environment: &Environment, open: &[u64], disconnects: bool, killed: bool) {
+fn record_missing_responses(
+    environment: &Environment,
+    open: &[u64],
+    disconnects: bool,
+    killed: bool,
+) {
     for &id in open {
         environment.update_request(id, |record| {
             record.disconnected_at = disconnects.then(Instant::now);
--- a/soak/src/clients/request.rs
+++ b/soak/src/clients/request.rs
@@ -1,4 +1,4 @@
-//! Draws requests.
+//! Draws random requests.
 
 use super::connection::Connection;
 use crate::environment::Environment;
@@ -7,7 +7,7 @@
 use rand::Rng;
 use std::time::{Duration, Instant};
 
-/// Classes by their frequency.
+/// Classes to draw from; a class that is listed twice is drawn twice as often.
 const CLASSES: [RequestClass; 4] = [
     RequestClass::Idempotent,
     RequestClass::Idempotent,
@@ -15,16 +15,16 @@
     RequestClass::NonIdempotent,
 ];
 
-/// A request to be sent.
+/// A request that is recorded and ready to be sent.
 pub(super) struct DrawnRequest {
-    /// Its id in the ledger.
+    /// Id of the request in the ledger.
     pub(super) id: u64,
-    /// Its head and body.
+    /// Bytes of its head and body.
     pub(super) bytes: Vec<u8>,
 }
 
-/// Draws a request and records it.
-pub(super) fn draw(
+/// Draws a request and records it in the ledger.
+pub(super) fn draw_request(
     environment: &Environment,
     proxy: &Proxy,
     connection: &Connection,
@@ -52,7 +52,7 @@
 
 fn draw_timeout_ms(environment: &Environment, class: RequestClass) -> u64 {
     let deadline_ms = class.deadline_ms();
-    if environment.chance(0.1) {
+    if environment.draw_bool(0.1) {
         environment.draw(|random| random.gen_range(5..120))
     } else {
         environment.draw(|random| random.gen_range(deadline_ms / 2..=deadline_ms))
@@ -62,7 +62,7 @@
 fn draw_body_length(environment: &Environment, class: RequestClass) -> usize {
     if class == RequestClass::Idempotent {
         0
-    } else if environment.chance(0.02) {
+    } else if environment.draw_bool(0.02) {
         environment.draw(|random| random.gen_range(70_000..150_000))
     } else {
         environment.draw(|random| random.gen_range(0..2_000))
--- a/soak/src/endpoint_server.rs
+++ b/soak/src/endpoint_server.rs
@@ -1,11 +1,11 @@
-//! The endpoints' servers: real listeners on loopback that record what they receive and answer as
-//! their process behaves.
+//! The servers of endpoint processes: real listeners on loopback that record the requests they
+//! receive and respond according to the behaviour of their process.
 
 use crate::endpoint::{Behaviour, EndpointProcess, ProcessState};
 use crate::endpoint_response::{self, AfterResponse};
 use crate::environment::Environment;
 use crate::error::SetupError;
-use crate::http::{close_on_drop, Close, Message, ReadError, Reader};
+use crate::http::{set_close_mode, CloseMode, Message, ReadError, Reader};
 use crate::ledger::{AttemptRecord, Rule};
 use rand::Rng;
 use std::cell::Cell;
@@ -16,12 +16,12 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, timeout};
 
-/// Mean time that an endpoint works on a request.
-const MEAN_WORK_S: f64 = 0.025;
-/// Longest time that an endpoint works on a request.
-const MAX_WORK_S: f64 = 1.0;
+/// Mean execution time of a request.
+const MEAN_EXECUTION_S: f64 = 0.025;
+/// Longest execution time of a request.
+const MAX_EXECUTION_S: f64 = 1.0;
 
-/// Starts a process of an endpoint.
+/// Starts an endpoint process with its server task.
 pub(crate) async fn start(
     environment: &Environment,
     name: &str,
@@ -35,7 +35,7 @@
         .await
         .map_err(listen_error)?;
     let address = listener.local_addr().map_err(listen_error)?;
-    let number = environment.next_process();
+    let number = environment.next_process_number();
     let state = ProcessState {
         behaviour: Rc::new(Cell::new(Behaviour::Normal)),
         draining: Rc::new(Cell::new(false)),
@@ -46,7 +46,7 @@
         zone,
         state: state.clone(),
     };
-    let task = spawn_local(server.accept(listener)).abort_handle();
+    let task = spawn_local(server.accept_connections(listener)).abort_handle();
     let unix_time = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
@@ -72,72 +72,78 @@
 }
 
 impl Server {
-    async fn accept(self, listener: TcpListener) {
-        // The connections end with this task.
+    async fn accept_connections(self, listener: TcpListener) {
+        // Dropping the set ends all connections when this task is aborted.
         let mut connections = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
             while connections.try_join_next().is_some() {}
-            close_on_drop(&stream, Close::Reset);
-            // Without it responses are later, but not wrong.
+            set_close_mode(&stream, CloseMode::Reset);
+            // Not essential: without TCP_NODELAY responses are only delayed.
             let _ = stream.set_nodelay(true);
-            connections.spawn_local(self.clone().serve(stream));
+            connections.spawn_local(self.clone().serve_connection(stream));
         }
     }
 
-    async fn serve(self, stream: TcpStream) {
+    async fn serve_connection(self, stream: TcpStream) {
         let mut reader = Reader::new(stream);
         let idle_timeout = self.environment.config().endpoint_idle_timeout;
         loop {
-            let message = match timeout(idle_timeout, reader.message()).await {
+            let message = match timeout(idle_timeout, reader.read_message()).await {
                 Ok(Ok(message)) => message,
-                Ok(Err(error)) => return self.end_after_error(&reader, error),
+                Ok(Err(error)) => return self.handle_read_error(&reader, error),
                 Err(_) => {
-                    if self.environment.chance(0.5) {
-                        close_on_drop(&reader.stream, Close::Graceful);
+                    if self.environment.draw_bool(0.5) {
+                        set_close_mode(&reader.stream, CloseMode::Graceful);
                     }
                     return;
                 }
             };
-            match self.handle(&message, &mut reader).await {
+            match self.handle_request(&message, &mut reader).await {
                 Some(AfterResponse::KeepAlive) => {}
                 Some(AfterResponse::Close) => {
-                    return close_on_drop(&reader.stream, Close::Graceful)
+                    return set_close_mode(&reader.stream, CloseMode::Graceful)
                 }
                 Some(AfterResponse::Reset) | None => return,
             }
         }
     }
 
-    fn end_after_error(&self, reader: &Reader, error: ReadError) {
+    fn handle_read_error(&self, reader: &Reader, error: ReadError) {
         match error {
-            ReadError::Closed => close_on_drop(&reader.stream, Close::Graceful),
+            ReadError::Closed => set_close_mode(&reader.stream, CloseMode::Graceful),
             ReadError::Truncated {
                 bytes,
                 first_byte_at,
-            } => self.record_truncated(&bytes, first_byte_at),
-            ReadError::Invalid => self.record_violation("an endpoint got what is no request"),
+            } => self.record_truncated_request(&bytes, first_byte_at),
+            ReadError::Invalid => {
+                self.record_violation("an endpoint received bytes that are not a valid request")
+            }
         }
     }
 
     fn record_violation(&self, description: &str) {
         self.environment
-            .record_violation(Rule::Void, description.to_owned());
+            .record_violation(Rule::RequestIntegrity, description.to_owned());
     }
 
-    /// Answers a request; `None`: nobody sent it.
-    async fn handle(&self, message: &Message, reader: &mut Reader) -> Option<AfterResponse> {
+    /// Records a request and responds to it. Returns `None` if no client sent the request.
+    async fn handle_request(
+        &self,
+        message: &Message,
+        reader: &mut Reader,
+    ) -> Option<AfterResponse> {
         let id = message
             .header("x-call-id")
             .and_then(|id| u64::from_str_radix(id, 16).ok());
         let Some(id) = id else {
-            self.record_violation("an endpoint got a request without an id");
+            self.record_violation("an endpoint received a request without a valid X-Call-Id");
             return None;
         };
         let advertised_ms = message
             .header("x-budget-ms")
             .and_then(|value| value.parse().ok());
         let advertised_timeout = advertised_ms.map(Duration::from_millis);
-        let attempt = self.attempt(message.first_byte_at, Some(message.last_byte_at));
+        let attempt = self.new_attempt(message.first_byte_at, Some(message.last_byte_at));
         let attempt =
             self.environment
                 .record_attempt(id, attempt, advertised_timeout, &message.body)?;
@@ -149,7 +155,7 @@
         Some(after)
     }
 
-    fn attempt(&self, first_byte_at: Instant, complete_at: Option<Instant>) -> AttemptRecord {
+    fn new_attempt(&self, first_byte_at: Instant, complete_at: Option<Instant>) -> AttemptRecord {
         AttemptRecord {
             process: self.number,
             zone: self.zone,
@@ -162,15 +168,15 @@
         }
     }
 
-    /// A truncated request is not executed, but counts as an attempt.
-    fn record_truncated(&self, bytes: &[u8], first_byte_at: Instant) {
+    /// Records a truncated request as an attempt. It is not executed.
+    fn record_truncated_request(&self, bytes: &[u8], first_byte_at: Instant) {
         let head = String::from_utf8_lossy(bytes).to_lowercase();
         let id = head
             .split("x-call-id: ")
             .nth(1)
             .and_then(|rest| rest.get(..16));
         if let Some(id) = id.and_then(|id| u64::from_str_radix(id, 16).ok()) {
-            let mut attempt = self.attempt(first_byte_at, None);
+            let mut attempt = self.new_attempt(first_byte_at, None);
             attempt.ended_at = Some(Instant::now());
             self.environment.record_attempt(id, attempt, None, &[]);
         }
@@ -178,30 +184,30 @@
 
     async fn respond(&self, id: u64, attempt: usize, reader: &mut Reader) -> AfterResponse {
         let behaviour = self.state.behaviour.get();
-        if self.state.draining.get() && self.environment.chance(0.7) {
+        if self.state.draining.get() && self.environment.draw_bool(0.7) {
             self.environment
                 .update_attempt(id, attempt, |record| record.rejected = true);
             return write(
                 reader,
-                endpoint_response::REJECTION,
+                endpoint_response::REJECTION_RESPONSE,
                 AfterResponse::KeepAlive,
             )
             .await;
         }
-        let work_s = self
+        let execution_s = self
             .environment
-            .draw_exponential(MEAN_WORK_S)
-            .min(MAX_WORK_S);
+            .draw_exponential_s(MEAN_EXECUTION_S)
+            .min(MAX_EXECUTION_S);
         match behaviour {
             Behaviour::Hanging => {
                 reader.wait_for_activity().await;
                 return AfterResponse::Reset;
             }
-            Behaviour::Resetting if self.environment.chance(0.3) => return AfterResponse::Reset,
-            _ => sleep(Duration::from_secs_f64(work_s)).await,
+            Behaviour::Resetting if self.environment.draw_bool(0.3) => return AfterResponse::Reset,
+            _ => sleep(Duration::from_secs_f64(execution_s)).await,
         }
-        if behaviour == Behaviour::Failing && self.environment.chance(0.6) {
-            let response = endpoint_response::failure(&self.environment);
+        if behaviour == Behaviour::Failing && self.environment.draw_bool(0.6) {
+            let response = endpoint_response::draw_error_response(&self.environment);
             return write(reader, response, AfterResponse::KeepAlive).await;
         }
         self.respond_with_success(id, attempt, reader, behaviour)
@@ -215,8 +221,8 @@
         reader: &mut Reader,
         behaviour: Behaviour,
     ) -> AfterResponse {
-        let response = endpoint_response::success(&self.environment, id, behaviour);
-        // Before it is written: the client may have it before this task goes on.
+        let response = endpoint_response::draw_success_response(&self.environment, id, behaviour);
+        // This must precede the write: the client may check the response before this task goes on.
         self.environment
             .update_attempt(id, attempt, |record| record.served = !response.truncated);
         let cut = self
@@ -226,14 +232,14 @@
         if write(reader, first, AfterResponse::KeepAlive).await == AfterResponse::Reset {
             return AfterResponse::Reset;
         }
-        if self.environment.chance(0.1) {
+        if self.environment.draw_bool(0.1) {
             sleep(self.environment.draw_millis(1, 40)).await;
         }
         write(reader, second, response.after).await
     }
 }
 
-/// Writes a response, or a part of one; what follows is `after`, or a reset if writing fails.
+/// Writes a response or a part of one. Returns `after`, or a reset if writing fails.
 async fn write(reader: &mut Reader, bytes: &[u8], after: AfterResponse) -> AfterResponse {
     match reader.stream.write_all(bytes).await {
         Ok(()) => after,
--- a/soak/src/environment/tests.rs
+++ b/soak/src/environment/tests.rs
@@ -1,4 +1,5 @@
-//! The rules about endpoints that drain or warm up are broken once each, and counted.
+//! Tests that violations of the rules for draining and for slowly starting endpoints are recorded,
+//! and nothing else.
 
 use super::*;
 use crate::config::DiscoveryMode;
@@ -11,19 +12,19 @@
 const PROXY: usize = 0;
 const PROCESS: u64 = 7;
 
-/// Runs a test where tasks can be started.
+/// Runs a test in a context where local tasks can be spawned.
 fn run(test: impl FnOnce()) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
-        .expect("a runtime");
+        .expect("the runtime can be built");
     LocalSet::new().block_on(&runtime, async { test() });
 }
 
-/// An environment with a request and an endpoint that has just started.
+/// Returns an environment with an endpoint that has just started, and the id of a request.
 fn environment(discovery: DiscoveryMode) -> (Environment, u64) {
     let environment = Environment::new(1, config(discovery, false));
-    environment.notifications(PROXY, |notifications| {
-        notifications.process_started(Instant::now())
+    environment.with_notifications(PROXY, |notifications| {
+        notifications.record_process_start(Instant::now())
     });
     environment.add_endpoint(EndpointProcess {
         number: PROCESS,
@@ -55,7 +56,8 @@
     (environment, request)
 }
 
-/// Whether an attempt whose first byte arrives so long after now breaks the drain rule.
+/// Records an attempt whose first byte arrives `after_ms` from now; returns whether it breaks the
+/// drain rule.
 fn breaks_drain_rule(environment: &Environment, request: u64, after_ms: u64) -> bool {
     let attempt = AttemptRecord {
         process: PROCESS,
@@ -67,13 +69,13 @@
         served: false,
         fully_written: false,
     };
-    let before = count(environment, Rule::Drain);
+    let before = count_violations(environment, Rule::Drain);
     environment.record_attempt(request, attempt, None, &[]);
-    count(environment, Rule::Drain) > before
+    count_violations(environment, Rule::Drain) > before
 }
 
-fn count(environment: &Environment, rule: Rule) -> usize {
-    environment.ledger(|ledger| {
+fn count_violations(environment: &Environment, rule: Rule) -> usize {
+    environment.with_ledger(|ledger| {
         ledger
             .violations
             .iter()
@@ -83,81 +85,90 @@
 }
 
 #[test]
-fn a_pushed_change_binds_at_once() {
+fn an_attempt_past_the_grace_of_a_pushed_drain_is_a_violation_until_the_endpoint_is_ready_again() {
     run(|| {
         let (environment, request) = environment(DiscoveryMode::Push);
         assert!(
             !breaks_drain_rule(&environment, request, 10_000),
-            "it is ready"
+            "a ready endpoint may be sent requests"
         );
-        environment.list_endpoint(PROCESS, EndpointHealth::Draining);
+        environment.set_listed_health(PROCESS, EndpointHealth::Draining);
         assert!(!breaks_drain_rule(&environment, request, 400));
         assert!(breaks_drain_rule(&environment, request, 600));
-        environment.list_endpoint(PROCESS, EndpointHealth::Ready);
+        environment.set_listed_health(PROCESS, EndpointHealth::Ready);
         assert!(
             !breaks_drain_rule(&environment, request, 600),
-            "it is ready again"
+            "an endpoint that is ready again may be sent requests"
         );
     });
 }
 
 #[test]
-fn a_polled_change_binds_when_it_is_delivered_or_after_the_timeout() {
+fn a_polled_drain_counts_from_its_delivery_or_at_the_latest_from_the_notification_timeout() {
     run(|| {
         let (environment, request) = environment(DiscoveryMode::Poll);
-        environment.list_endpoint(PROCESS, EndpointHealth::Draining);
+        environment.set_listed_health(PROCESS, EndpointHealth::Draining);
         assert!(!breaks_drain_rule(&environment, request, 6_300));
         assert!(breaks_drain_rule(&environment, request, 6_700));
-        let version = environment.list(EndpointList::version);
-        environment.notifications(PROXY, |notifications| notifications.delivered(version - 1));
+        let version = environment.with_list(EndpointList::version);
+        environment.with_notifications(PROXY, |notifications| {
+            notifications.record_delivery(version - 1)
+        });
         assert!(
             !breaks_drain_rule(&environment, request, 600),
-            "an older version was delivered"
+            "the version that was delivered is older than the drain"
         );
-        environment.notifications(PROXY, |notifications| notifications.delivered(version));
+        environment.with_notifications(PROXY, |notifications| {
+            notifications.record_delivery(version)
+        });
         assert!(breaks_drain_rule(&environment, request, 600));
     });
 }
 
 #[test]
-fn an_outage_and_a_reload_delay_a_pushed_change() {
+fn an_agent_outage_or_a_reload_postpones_when_a_pushed_drain_counts() {
     run(|| {
         let (environment, request) = environment(DiscoveryMode::Push);
-        environment.notifications(PROXY, Notifications::outage_started);
-        environment.list_endpoint(PROCESS, EndpointHealth::Draining);
+        environment.with_notifications(PROXY, Notifications::record_outage_start);
+        environment.set_listed_health(PROCESS, EndpointHealth::Draining);
         assert!(
             !breaks_drain_rule(&environment, request, 60_000),
-            "the outage goes on"
+            "a proxy is not notified during an outage of its agent"
         );
-        environment.notifications(PROXY, Notifications::outage_ended);
+        environment.with_notifications(PROXY, Notifications::record_outage_end);
         assert!(!breaks_drain_rule(&environment, request, 6_300));
         assert!(breaks_drain_rule(&environment, request, 6_700));
     });
     run(|| {
         let (environment, request) = environment(DiscoveryMode::Push);
-        environment.notifications(PROXY, Notifications::reloaded);
-        environment.list_endpoint(PROCESS, EndpointHealth::Draining);
+        environment.with_notifications(PROXY, Notifications::record_reload);
+        environment.set_listed_health(PROCESS, EndpointHealth::Draining);
         assert!(!breaks_drain_rule(&environment, request, 4_300));
         assert!(breaks_drain_rule(&environment, request, 4_700));
     });
 }
 
 #[test]
-fn too_many_requests_overload_an_endpoint_that_warms_up() {
+fn too_many_requests_to_an_endpoint_are_a_violation_only_during_its_slow_start() {
     run(|| {
         let (environment, _) = environment(DiscoveryMode::Push);
-        let started_at = environment.processes(|processes| processes[0].started_at);
-        // A tenth of the capacity: 2 * 60 * 0.1 * 2, and 3 + 3 times the root of it.
+        let started_at = environment.with_processes(|processes| processes[0].started_at);
+        // At its start the endpoint has a tenth of its capacity: c = 2 * 60 * 0.1 * 2 = 24 requests
+        // are allowed, and a tolerance of 3 * sqrt(c) + 3.
         let allowed = 41;
         for _ in 0..allowed {
             environment.check_slow_start(PROCESS, started_at);
         }
-        assert_eq!(count(&environment, Rule::SlowStart), 0);
+        assert_eq!(count_violations(&environment, Rule::SlowStart), 0);
         environment.check_slow_start(PROCESS, started_at);
-        assert_eq!(count(&environment, Rule::SlowStart), 1);
+        assert_eq!(count_violations(&environment, Rule::SlowStart), 1);
         for _ in 0..10 * allowed {
             environment.check_slow_start(PROCESS, started_at + Duration::from_secs(9));
         }
-        assert_eq!(count(&environment, Rule::SlowStart), 1, "it is warm");
+        assert_eq!(
+            count_violations(&environment, Rule::SlowStart),
+            1,
+            "after the slow start there is no limit"
+        );
     });
 }
--- a/soak/src/faults/endpoints.rs
+++ b/soak/src/faults/endpoints.rs
@@ -1,4 +1,4 @@
-//! Faults of endpoints.
+//! Injects faults of endpoints.
 
 use crate::endpoint::{endpoint_name, Behaviour, EndpointHealth, EndpointProcess};
 use crate::endpoint_server;
@@ -8,104 +8,110 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A process goes on for so long after its replacement is listed.
-const REPLACED_DELAY: Duration = Duration::from_secs(1);
-/// Ready endpoints that a zone keeps at least.
+/// How long a process continues after its replacement was listed.
+const REPLACED_PROCESS_DELAY: Duration = Duration::from_secs(1);
+/// Minimum number of ready endpoints that a zone keeps.
 const MIN_READY_PER_ZONE: usize = 2;
 
-/// Adds an endpoint.
-pub(super) async fn add(environment: &Environment) -> Result<(), SetupError> {
+/// Adds an endpoint with a new name.
+pub(super) async fn add_endpoint(environment: &Environment) -> Result<(), SetupError> {
     let name = endpoint_name(environment.draw(|random| random.gen()));
-    let zone = if environment.chance(0.5) { 'a' } else { 'b' };
+    let zone = if environment.draw_bool(0.5) { 'a' } else { 'b' };
     let process = endpoint_server::start(environment, &name, zone).await?;
     environment.add_endpoint(process);
     Ok(())
 }
 
-/// Lets an endpoint misbehave for a while.
-pub(super) async fn misbehave(environment: &Environment, behaviour: Behaviour) {
-    let count = environment.processes(|processes| processes.len());
+/// Gives an endpoint this behaviour for a random time.
+pub(super) async fn change_behaviour(environment: &Environment, behaviour: Behaviour) {
+    let count = environment.with_processes(|processes| processes.len());
     let index = environment.draw(|random| random.gen_range(0..count));
-    let state = environment.processes(|processes| processes[index].state.clone());
+    let state = environment.with_processes(|processes| processes[index].state.clone());
     state.behaviour.set(behaviour);
     sleep(environment.draw_seconds(0.5, 3.0)).await;
     state.behaviour.set(Behaviour::Normal);
 }
 
-/// Lists all endpoints as draining for a while.
+/// Lists all ready endpoints as draining for a random time.
 pub(super) async fn drain_all(environment: &Environment) {
-    let mut ready: Vec<u64> = environment.processes(|processes| {
+    let mut ready: Vec<u64> = environment.with_processes(|processes| {
         processes
             .iter()
             .filter(|process| !process.is_draining())
             .map(|process| process.number)
             .collect()
     });
-    environment.log_event(format!("endpoint processes {ready:?} take no new requests"));
+    environment.log_event(format!(
+        "endpoint processes {ready:?} are listed as draining"
+    ));
     for &number in &ready {
-        environment.list_endpoint(number, EndpointHealth::Draining);
+        environment.set_listed_health(number, EndpointHealth::Draining);
     }
     sleep(environment.draw_seconds(0.1, 0.7)).await;
-    // Some may drain for another reason by now.
+    // An overlapping fault may have started to drain some of them, which must not become ready.
     ready.retain(|&number| {
-        environment.processes(|processes| {
+        environment.with_processes(|processes| {
             processes
                 .iter()
                 .any(|process| process.number == number && !process.is_draining())
         })
     });
     for number in ready {
-        environment.list_endpoint(number, EndpointHealth::Ready);
+        environment.set_listed_health(number, EndpointHealth::Ready);
     }
 }
 
-/// An endpoint's process that is to end.
-struct Replaced {
+/// An endpoint process that is to be replaced.
+struct ReplacedProcess {
     number: u64,
     name: String,
     zone: char,
 }
 
-/// An endpoint's process ends, in order or not, and another replaces it, under its name or a new
-/// one.
-pub(super) async fn replace(
+/// Replaces an endpoint process by another one, under the same name or a new one. The old process
+/// drains during `replacement_delay` if `graceful`, and is killed first if not.
+pub(super) async fn replace_process(
     environment: &Environment,
-    notice: Duration,
-    orderly: bool,
+    replacement_delay: Duration,
+    graceful: bool,
 ) -> Result<(), SetupError> {
-    let Some(old) = choose_replaced(environment, notice) else {
+    let Some(old) = choose_process_to_replace(environment, replacement_delay) else {
         return Ok(());
     };
-    let same_name = environment.chance(0.5);
+    let same_name = environment.draw_bool(0.5);
     let name = if same_name {
         old.name.clone()
     } else {
         endpoint_name(environment.draw(|random| random.gen()))
     };
     environment.log_event(format!(
-        "endpoint process {} ends, in order: {orderly}",
+        "endpoint process {} is to be replaced, drained first: {graceful}",
         old.number
     ));
-    if orderly {
-        environment.list_endpoint(old.number, EndpointHealth::Draining);
+    if graceful {
+        environment.set_listed_health(old.number, EndpointHealth::Draining);
     } else {
         kill(environment, old.number);
     }
-    sleep(notice).await;
+    sleep(replacement_delay).await;
     let new = endpoint_server::start(environment, &name, old.zone).await?;
     if !same_name {
-        environment.list_endpoint(old.number, EndpointHealth::Removed);
+        environment.set_listed_health(old.number, EndpointHealth::Removed);
     }
     environment.add_endpoint(new);
-    sleep(REPLACED_DELAY).await;
+    sleep(REPLACED_PROCESS_DELAY).await;
     kill(environment, old.number);
-    environment.processes(|processes| processes.retain(|process| process.number != old.number));
+    environment
+        .with_processes(|processes| processes.retain(|process| process.number != old.number));
     Ok(())
 }
 
-/// Chooses a ready process of a zone that has enough, and lets it drain.
-fn choose_replaced(environment: &Environment, notice: Duration) -> Option<Replaced> {
-    environment.processes(|processes| {
+/// Chooses a ready process in a zone that has more than the minimum, and marks it as draining.
+fn choose_process_to_replace(
+    environment: &Environment,
+    replacement_delay: Duration,
+) -> Option<ReplacedProcess> {
+    environment.with_processes(|processes| {
         let ready: Vec<_> = processes
             .iter()
             .filter(|process| !process.is_draining())
@@ -115,11 +121,11 @@
             .iter()
             .filter(|process| in_zone(process.zone) > MIN_READY_PER_ZONE)
             .collect();
-        // The notice is random too.
-        let index = (notice.subsec_nanos() as usize).checked_rem(candidates.len())?;
+        // The delay was drawn at random, so its nanoseconds select a random candidate.
+        let index = (replacement_delay.subsec_nanos() as usize).checked_rem(candidates.len())?;
         let process = candidates[index];
         process.state.draining.set(true);
-        Some(Replaced {
+        Some(ReplacedProcess {
             number: process.number,
             name: process.name.clone(),
             zone: process.zone,
@@ -129,11 +135,11 @@
 
 fn kill(environment: &Environment, number: u64) {
     environment.log_event(format!("endpoint process {number} is killed"));
-    environment.processes(|processes| {
+    environment.with_processes(|processes| {
         processes
             .iter()
             .filter(|process| process.number == number)
             .for_each(EndpointProcess::kill);
     });
-    environment.ledger(|ledger| ledger.record_kill(number));
+    environment.with_ledger(|ledger| ledger.record_process_kill(number));
 }
--- a/soak/src/faults/mod.rs
+++ b/soak/src/faults/mod.rs
@@ -1,10 +1,10 @@
-//! The fault schedule: overlapping faults, drawn from the seed.
+//! The fault schedule: draws and injects overlapping faults.
 
 mod endpoints;
 mod proxies;
 mod syscalls;
 
-pub(crate) use syscalls::syscall_faults;
+pub(crate) use syscalls::draw_syscall_schedule;
 
 use crate::endpoint::Behaviour;
 use crate::environment::Environment;
@@ -17,36 +17,36 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
-/// Kinds of faults.
+/// A fault that can be injected. The report prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
-    /// Proxies get SIGTERM and start again.
+    /// Proxies are shut down by SIGTERM and restarted.
     ProxyShutdown,
-    /// Proxies are killed and start again.
+    /// Proxies are killed and restarted.
     ProxyKill,
-    /// Proxies are paused.
+    /// Proxies are paused by SIGSTOP.
     ProxyPause,
     /// Proxies get SIGHUP with a new agent in their configuration.
     ProxyReload,
-    /// A new process takes over from a proxy's running one.
+    /// A new process takes over from a proxy's running one (process handoff).
     ProxyHandoff,
-    /// Many idle connections to a proxy.
+    /// Many idle connections are opened to a proxy.
     IdleConnections,
-    /// An endpoint drains, ends, and is replaced.
+    /// An endpoint process drains and is replaced.
     EndpointDrain,
-    /// An endpoint is killed, and replaced.
+    /// An endpoint process is killed and replaced.
     EndpointCrash,
     /// An endpoint is added.
     EndpointAdded,
-    /// An endpoint misbehaves for a while.
+    /// An endpoint behaves in this way for a while.
     EndpointBehaviour(Behaviour),
-    /// All endpoints drain for a while: requests queue, and clients disconnect.
+    /// All endpoints drain for a while, so that requests queue and clients disconnect.
     AllEndpointsDrain,
-    /// Agents fail for a while.
+    /// The agents of some proxies fail in this way for a while.
     AgentOutage(AgentMode),
 }
 
-/// Faults by their frequency.
+/// Faults to draw from; a fault that is listed twice is drawn twice as often.
 const FAULTS: [Fault; 17] = [
     Fault::ProxyShutdown,
     Fault::ProxyShutdown,
@@ -67,8 +67,8 @@
     Fault::ProxyHandoff,
 ];
 
-/// Starts one fault after the other until the end, and waits until all are over. Returns what was
-/// started and when.
+/// Starts faults at random intervals until `end`, and waits until all are over. Returns a
+/// description of each fault with the time of its start.
 pub(crate) async fn run_schedule(
     environment: Environment,
     proxies: Vec<Rc<Proxy>>,
@@ -93,7 +93,7 @@
     Ok(started)
 }
 
-/// Draws a fault and the pause after its start.
+/// Draws a fault, and the pause between its start and the next one's.
 fn draw_fault(environment: &Environment) -> (Fault, Duration) {
     let (fault, pause_s) = environment.draw(|random| {
         (
@@ -101,7 +101,7 @@
             random.gen_range(0.1..0.6),
         )
     });
-    let added = environment.chance(0.1);
+    let added = environment.draw_bool(0.1);
     (
         if added { Fault::EndpointAdded } else { fault },
         Duration::from_secs_f64(pause_s),
@@ -117,15 +117,15 @@
     let proxies = &proxies;
     match fault {
         Fault::ProxyShutdown | Fault::ProxyKill => {
-            let orderly = fault == Fault::ProxyShutdown;
-            proxies::restart_some(environment, proxies, orderly).await
+            let graceful = fault == Fault::ProxyShutdown;
+            proxies::restart_proxies(environment, proxies, graceful).await
         }
         Fault::ProxyPause => {
-            proxies::pause_some(environment, proxies).await;
+            proxies::pause_proxies(environment, proxies).await;
             Ok(())
         }
-        Fault::ProxyReload => proxies::reload_some(environment, proxies).await,
-        Fault::ProxyHandoff => proxies::hand_off_some(environment, proxies).await,
+        Fault::ProxyReload => proxies::reload_proxies(environment, proxies).await,
+        Fault::ProxyHandoff => proxies::hand_off_proxies(environment, proxies).await,
         Fault::IdleConnections => {
             proxies::open_idle_connections(environment, proxies).await;
             Ok(())
@@ -135,16 +135,16 @@
             Ok(())
         }
         Fault::EndpointDrain => {
-            let notice = environment.draw_seconds(0.6, 3.0);
-            endpoints::replace(environment, notice, true).await
+            let replacement_delay = environment.draw_seconds(0.6, 3.0);
+            endpoints::replace_process(environment, replacement_delay, true).await
         }
         Fault::EndpointCrash => {
-            let notice = environment.draw_seconds(0.2, 2.5);
-            endpoints::replace(environment, notice, false).await
+            let replacement_delay = environment.draw_seconds(0.2, 2.5);
+            endpoints::replace_process(environment, replacement_delay, false).await
         }
-        Fault::EndpointAdded => endpoints::add(environment).await,
+        Fault::EndpointAdded => endpoints::add_endpoint(environment).await,
         Fault::EndpointBehaviour(behaviour) => {
-            endpoints::misbehave(environment, behaviour).await;
+            endpoints::change_behaviour(environment, behaviour).await;
             Ok(())
         }
         Fault::AllEndpointsDrain => {
--- a/soak/src/faults/syscalls.rs
+++ b/soak/src/faults/syscalls.rs
@@ -1,15 +1,15 @@
-//! Which system calls of a proxy fail, under the names of the preloaded library's schedule.
+//! Draws the schedule of failing system calls of a proxy, in the format of the preloaded library.
 
 use crate::environment::Environment;
 use rand::seq::SliceRandom;
 use rand::Rng;
 use serde_json::{json, Value};
 
-/// Offsets of the wall clock, by their frequency.
+/// Offsets of a proxy's wall clock to draw from; one that is listed twice is drawn twice as often.
 const WALL_CLOCK_OFFSETS_MS: [i64; 4] = [0, 0, -3_600_000, -7_000];
 
-/// Draws the schedule of a proxy. Some proxies have no failing calls.
-pub(crate) fn syscall_faults(environment: &Environment, seed: u64, proxy: usize) -> Value {
+/// Draws the schedule of a proxy. Some proxies have no failing system calls.
+pub(crate) fn draw_syscall_schedule(environment: &Environment, seed: u64, proxy: usize) -> Value {
     let fraction: f64 = environment.draw(|random| random.gen_range(0.01..0.15));
     let rules: Vec<Value> = failing_calls(proxy)
         .iter()
@@ -19,7 +19,7 @@
     json!({"seed": seed.wrapping_add(proxy as u64), "wall_clock_ms": offset_ms, "rules": rules})
 }
 
-/// A call that fails, and how.
+/// A system call that fails, and its failure, as the library names them.
 struct FailingCall {
     call: &'static str,
     failure: &'static str,
@@ -36,7 +36,7 @@
 }
 
 const SHORT_TRANSFERS: &[FailingCall] = &[failing("receive", "SHORT"), failing("send", "SHORT")];
-const FAILING_OPENINGS: &[FailingCall] = &[
+const FAILING_CONNECTION_SETUP: &[FailingCall] = &[
     failing("accept", "ECONNABORTED"),
     failing("socket", "ENOBUFS"),
 ];
@@ -44,12 +44,12 @@
     failing("connect", "EADDRNOTAVAIL"),
     failing("connect", "ENETUNREACH"),
 ];
-const INTERRUPTIONS: &[FailingCall] = &[
+const INTERRUPTED_CALLS: &[FailingCall] = &[
     failing("receive", "EINTR"),
     failing("send", "EINTR"),
     failing("wait", "EINTR"),
 ];
-const FAILING_FILES: &[FailingCall] = &[
+const FAILING_FILE_CALLS: &[FailingCall] = &[
     failing("accept", "ENFILE"),
     failing("open", "EIO"),
     failing("lock", "EIO"),
@@ -58,10 +58,10 @@
 fn failing_calls(proxy: usize) -> &'static [FailingCall] {
     match proxy % 9 {
         1 => SHORT_TRANSFERS,
-        2 => FAILING_OPENINGS,
+        2 => FAILING_CONNECTION_SETUP,
         4 => FAILING_CONNECTS,
-        5 => INTERRUPTIONS,
-        7 => FAILING_FILES,
+        5 => INTERRUPTED_CALLS,
+        7 => FAILING_FILE_CALLS,
         _ => &[],
     }
 }
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -1,4 +1,4 @@
-//! Reads HTTP/1.1 messages off a stream, with the times of their first and last bytes.
+//! Reads HTTP/1.1 messages from a stream, with the arrival times of their first and last bytes.
 
 use socket2::SockRef;
 use std::time::{Duration, Instant};
@@ -8,23 +8,23 @@
 /// Maximum number of headers of a message.
 const MAX_HEADERS: usize = 64;
 
-/// A complete message.
+/// A complete HTTP/1.1 request or response.
 #[derive(Clone, Debug)]
 pub(crate) struct Message {
-    /// The status of a response; `None`: it is a request.
+    /// Status code of a response; `None` for a request.
     pub(crate) status: Option<u16>,
-    /// Names in lower case, and values.
+    /// Header names in lower case, with their values.
     pub(crate) headers: Vec<(String, String)>,
-    /// Its body without framing.
+    /// Body without its framing.
     pub(crate) body: Vec<u8>,
-    /// When its first byte was read.
+    /// Time at which its first byte was read.
     pub(crate) first_byte_at: Instant,
-    /// When its last byte was read.
+    /// Time at which its last byte was read.
     pub(crate) last_byte_at: Instant,
 }
 
 impl Message {
-    /// The value of a header, by its name in lower case.
+    /// Returns the value of a header, given its name in lower case.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -33,33 +33,33 @@
     }
 }
 
-/// Why no complete message could be read.
+/// Reason why no complete message could be read.
 #[derive(Debug)]
 pub(crate) enum ReadError {
-    /// The stream ended, or broke, before the first byte.
+    /// The stream ended or failed before the first byte of a message.
     Closed,
-    /// The stream ended, or broke, within a message.
+    /// The stream ended or failed within a message.
     Truncated {
-        /// What has not been parsed of it.
+        /// Bytes of the message that had not been parsed yet.
         bytes: Vec<u8>,
-        /// When its first byte was read.
+        /// Time at which the first byte of the message was read.
         first_byte_at: Instant,
     },
-    /// The bytes are no HTTP/1.1 message.
+    /// The bytes are not a valid HTTP/1.1 message.
     Invalid,
 }
 
-/// Reads messages off a stream.
+/// Reads messages from a stream.
 #[derive(Debug)]
 pub(crate) struct Reader {
-    /// The stream.
+    /// The stream, which may be written to directly.
     pub(crate) stream: TcpStream,
     buffer: Vec<u8>,
     first_byte_at: Option<Instant>,
 }
 
 impl Reader {
-    /// A reader at the stream's beginning.
+    /// Creates a reader for a stream from which nothing has been read.
     pub(crate) fn new(stream: TcpStream) -> Reader {
         Reader {
             stream,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Reads some bytes; `false`: the stream has ended or broken.
+    /// Reads available bytes into the buffer. Returns `false` if the stream has ended or failed.
     async fn read_some(&mut self) -> bool {
         let received = self
             .stream
@@ -81,15 +81,15 @@
         received
     }
 
-    fn head_error(&mut self) -> ReadError {
+    fn eof_in_head(&mut self) -> ReadError {
         if self.first_byte_at.is_some() && !self.buffer.is_empty() {
-            self.body_error()
+            self.eof_in_body()
         } else {
             ReadError::Closed
         }
     }
 
-    fn body_error(&mut self) -> ReadError {
+    fn eof_in_body(&mut self) -> ReadError {
         ReadError::Truncated {
             bytes: std::mem::take(&mut self.buffer),
             first_byte_at: self.first_byte_at.unwrap_or_else(Instant::now),
@@ -97,45 +97,45 @@
     }
 
     /// Reads the next message.
-    pub(crate) async fn message(&mut self) -> Result<Message, ReadError> {
+    pub(crate) async fn read_message(&mut self) -> Result<Message, ReadError> {
         let Head {
             mut message,
             length,
-        } = self.head().await?;
+        } = self.read_head().await?;
         self.buffer.drain(..length);
         message.first_byte_at = self.first_byte_at.unwrap_or(message.first_byte_at);
         message.body = if message.header("transfer-encoding").is_some() {
-            self.chunks().await?
+            self.read_chunked_body().await?
         } else {
             let length = message
                 .header("content-length")
                 .and_then(|value| value.parse().ok());
-            self.exactly(length.unwrap_or(0)).await?
+            self.read_exactly(length.unwrap_or(0)).await?
         };
         message.last_byte_at = Instant::now();
-        // Bytes behind it are the next message's first ones.
+        // Bytes that remain in the buffer belong to the next message.
         self.first_byte_at = (!self.buffer.is_empty()).then_some(message.last_byte_at);
         Ok(message)
     }
 
-    async fn head(&mut self) -> Result<Head, ReadError> {
+    async fn read_head(&mut self) -> Result<Head, ReadError> {
         loop {
             match parse_head(&self.buffer) {
                 Ok(Some(head)) => return Ok(head),
-                Ok(None) if !self.read_some().await => return Err(self.head_error()),
+                Ok(None) if !self.read_some().await => return Err(self.eof_in_head()),
                 Ok(None) => {}
                 Err(_) => return Err(ReadError::Invalid),
             }
         }
     }
 
-    async fn chunks(&mut self) -> Result<Vec<u8>, ReadError> {
+    async fn read_chunked_body(&mut self) -> Result<Vec<u8>, ReadError> {
         let mut body = Vec::new();
         loop {
-            let line = self.line().await?;
+            let line = self.read_line().await?;
             let digits = String::from_utf8_lossy(&line);
             let size = usize::from_str_radix(digits.trim(), 16).map_err(|_| ReadError::Invalid)?;
-            let mut chunk = self.exactly(size + 2).await?;
+            let mut chunk = self.read_exactly(size + 2).await?;
             chunk.truncate(size);
             if size == 0 {
                 return Ok(body);
@@ -144,39 +144,39 @@
         }
     }
 
-    async fn line(&mut self) -> Result<Vec<u8>, ReadError> {
+    async fn read_line(&mut self) -> Result<Vec<u8>, ReadError> {
         loop {
             if let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\r\n") {
                 return Ok(self.buffer.drain(..end + 2).collect());
             }
             if !self.read_some().await {
-                return Err(self.body_error());
+                return Err(self.eof_in_body());
             }
         }
     }
 
-    async fn exactly(&mut self, count: usize) -> Result<Vec<u8>, ReadError> {
+    async fn read_exactly(&mut self, count: usize) -> Result<Vec<u8>, ReadError> {
         while self.buffer.len() < count {
             if !self.read_some().await {
-                return Err(self.body_error());
+                return Err(self.eof_in_body());
             }
         }
         Ok(self.buffer.drain(..count).collect())
     }
 
-    /// Returns once the peer has closed or broken the connection, or has sent something.
+    /// Waits until the peer sends more bytes, or until the connection ends.
     pub(crate) async fn wait_for_activity(&mut self) {
         self.read_some().await;
     }
 }
 
-/// The head of a message, and its length in bytes.
+/// A message without its body, and the length of its head in bytes.
 struct Head {
     message: Message,
     length: usize,
 }
 
-/// Parses the head of a message; `None`: it is not complete.
+/// Parses the head of a message; `None` if it is incomplete.
 fn parse_head(bytes: &[u8]) -> Result<Option<Head>, httparse::Error> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut status = None;
@@ -211,16 +211,16 @@
 
 /// How a connection ends when its stream is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Close {
-    /// By FIN, after all that was written.
+pub(crate) enum CloseMode {
+    /// With FIN, after all written bytes have been sent.
     Graceful,
-    /// By RST.
+    /// With RST, which may discard written bytes.
     Reset,
 }
 
 /// Sets how the connection ends when the stream is dropped.
-pub(crate) fn close_on_drop(stream: &TcpStream, close: Close) {
-    let linger = (close == Close::Reset).then_some(Duration::ZERO);
-    // This fails only for a connection that has ended already.
+pub(crate) fn set_close_mode(stream: &TcpStream, mode: CloseMode) {
+    let linger = (mode == CloseMode::Reset).then_some(Duration::ZERO);
+    // This fails only for a connection that has already ended.
     let _ = SockRef::from(stream).set_linger(linger);
 }
--- a/soak/src/ledger/tests.rs
+++ b/soak/src/ledger/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule for requests is broken once, and counted.
+//! Tests that the ledger reports each violation of a rule for requests, and nothing else.
 
 use super::*;
 use crate::config::DiscoveryMode;
@@ -29,7 +29,7 @@
     }
 }
 
-/// An attempt that arrives so long after now, complete and ended at once.
+/// Returns an attempt that arrives `after_ms` from now, complete, and ends at the same instant.
 fn attempt(after_ms: u64) -> AttemptRecord {
     let at = Instant::now() + Duration::from_millis(after_ms);
     AttemptRecord {
@@ -44,16 +44,20 @@
     }
 }
 
-/// The rules that a request breaks by its attempts, in order.
-fn broken(ledger: &mut Ledger, request: RequestRecord, attempts: Vec<AttemptRecord>) -> Vec<Rule> {
+/// Records a request with its attempts and returns the rules that they break, in order.
+fn broken_rules(
+    ledger: &mut Ledger,
+    request: RequestRecord,
+    attempts: Vec<AttemptRecord>,
+) -> Vec<Rule> {
     ledger.requests.insert(ID, request);
     for attempt in attempts {
         ledger.record_attempt(ID, attempt, Some(Duration::from_millis(10)), b"body");
     }
-    rules(ledger)
+    recorded_rules(ledger)
 }
 
-fn rules(ledger: &Ledger) -> Vec<Rule> {
+fn recorded_rules(ledger: &Ledger) -> Vec<Rule> {
     ledger
         .violations
         .iter()
@@ -62,17 +66,17 @@
 }
 
 #[test]
-fn an_idempotent_request_may_be_retried_twice_and_no_more() {
+fn a_third_retry_of_an_idempotent_request_is_a_violation() {
     let attempts = |count| (0..count).map(|_| attempt(0)).collect();
     assert_eq!(
-        broken(
+        broken_rules(
             &mut ledger(false),
             request(RequestClass::Idempotent),
             attempts(3)
         ),
         []
     );
-    let rules = broken(
+    let rules = broken_rules(
         &mut ledger(false),
         request(RequestClass::Idempotent),
         attempts(4),
@@ -81,7 +85,7 @@
 }
 
 #[test]
-fn a_non_idempotent_request_is_retried_only_where_it_was_not_executed() {
+fn a_retry_of_a_non_idempotent_request_that_may_have_been_executed_is_a_violation() {
     let rejected = AttemptRecord {
         rejected: true,
         ..attempt(0)
@@ -92,7 +96,7 @@
     };
     let allowed = vec![rejected, incomplete, attempt(0)];
     assert_eq!(
-        broken(
+        broken_rules(
             &mut ledger(true),
             request(RequestClass::NonIdempotent),
             allowed
@@ -100,7 +104,7 @@
         []
     );
     let repeated = vec![attempt(0), attempt(0)];
-    let rules = broken(
+    let rules = broken_rules(
         &mut ledger(true),
         request(RequestClass::NonIdempotent),
         repeated,
@@ -109,24 +113,24 @@
 }
 
 #[test]
-fn a_keyed_request_is_retried_within_its_zone_and_window() {
+fn a_retry_of_a_keyed_request_in_another_zone_or_past_its_window_is_a_violation() {
     let keyed = || request(RequestClass::Keyed);
     assert_eq!(
-        broken(&mut ledger(false), keyed(), vec![attempt(0), attempt(300)]),
+        broken_rules(&mut ledger(false), keyed(), vec![attempt(0), attempt(300)]),
         []
     );
     let other_zone = AttemptRecord {
         zone: 'b',
         ..attempt(0)
     };
-    let rules = broken(&mut ledger(false), keyed(), vec![attempt(0), other_zone]);
+    let rules = broken_rules(&mut ledger(false), keyed(), vec![attempt(0), other_zone]);
     assert_eq!(rules, [Rule::Duplicate]);
-    let rules = broken(&mut ledger(false), keyed(), vec![attempt(0), attempt(450)]);
+    let rules = broken_rules(&mut ledger(false), keyed(), vec![attempt(0), attempt(450)]);
     assert_eq!(rules, [Rule::Duplicate]);
 }
 
 #[test]
-fn two_attempts_are_in_flight_only_where_hedging_is_allowed() {
+fn two_attempts_in_flight_are_a_violation_without_hedging() {
     let attempts = || {
         vec![
             AttemptRecord {
@@ -137,14 +141,14 @@
         ]
     };
     assert_eq!(
-        broken(
+        broken_rules(
             &mut ledger(true),
             request(RequestClass::Idempotent),
             attempts()
         ),
         []
     );
-    let rules = broken(
+    let rules = broken_rules(
         &mut ledger(false),
         request(RequestClass::Idempotent),
         attempts(),
@@ -153,18 +157,18 @@
 }
 
 #[test]
-fn nothing_begins_after_the_client_has_gone() {
+fn an_attempt_after_the_client_disconnected_or_was_answered_is_a_violation() {
     let now = Instant::now();
     let disconnected = RequestRecord {
         disconnected_at: Some(now),
         ..request(RequestClass::Idempotent)
     };
     assert_eq!(
-        broken(&mut ledger(false), disconnected.clone(), vec![attempt(150)]),
+        broken_rules(&mut ledger(false), disconnected.clone(), vec![attempt(150)]),
         []
     );
     assert_eq!(
-        broken(&mut ledger(false), disconnected, vec![attempt(250)]),
+        broken_rules(&mut ledger(false), disconnected, vec![attempt(250)]),
         [Rule::Lost]
     );
     let completion = Some(Completion {
@@ -176,13 +180,13 @@
         ..request(RequestClass::Idempotent)
     };
     assert_eq!(
-        broken(&mut ledger(false), answered, vec![attempt(250)]),
+        broken_rules(&mut ledger(false), answered, vec![attempt(250)]),
         [Rule::Lost]
     );
 }
 
 #[test]
-fn endpoints_get_requests_as_their_clients_sent_them() {
+fn a_changed_body_an_excessive_advertised_timeout_and_an_unknown_request_are_violations() {
     let mut ledger = ledger(false);
     ledger
         .requests
@@ -194,13 +198,17 @@
     );
     assert_eq!(ledger.record_attempt(ID + 1, attempt(0), None, b""), None);
     assert_eq!(
-        rules(&ledger),
-        [Rule::Void, Rule::AdvertisedTimeout, Rule::Void]
+        recorded_rules(&ledger),
+        [
+            Rule::RequestIntegrity,
+            Rule::AdvertisedTimeout,
+            Rule::RequestIntegrity
+        ]
     );
 }
 
 #[test]
-fn responses_are_those_of_an_endpoint_complete_and_in_time() {
+fn a_forged_wrong_or_missing_response_and_a_rejection_after_execution_are_violations() {
     let completed = |class, served, status, body: &[u8]| {
         let mut ledger = ledger(false);
         let attempts = vec![AttemptRecord {
@@ -215,7 +223,7 @@
             },
         );
         ledger.record_completion(ID, status, body);
-        rules(&ledger)
+        recorded_rules(&ledger)
     };
     let body = response_body(ID, 100);
     let idempotent = RequestClass::Idempotent;
@@ -235,10 +243,10 @@
 }
 
 #[test]
-fn late_missing_and_truncated_responses_are_lost_unless_the_request_is_exempt() {
+fn late_missing_and_truncated_responses_are_violations_unless_exempt_or_the_endpoint_was_killed() {
     let past = Instant::now()
         .checked_sub(Duration::from_secs(2))
-        .expect("the clock runs for longer");
+        .expect("the monotonic clock reads at least 2 s");
     let late = RequestRecord {
         complete_at: Some(past),
         ..request(RequestClass::Idempotent)
@@ -256,19 +264,19 @@
             ..request(RequestClass::Keyed)
         },
     );
-    ledger.record_unanswered();
-    assert_eq!(rules(&ledger), [Rule::Lost, Rule::Lost]);
-    ledger.update_attempt(ID, 0, |_| unreachable!("it has no attempt"));
+    ledger.record_unanswered_requests();
+    assert_eq!(recorded_rules(&ledger), [Rule::Lost, Rule::Lost]);
+    ledger.update_attempt(ID, 0, |_| unreachable!("the request has no attempts yet"));
     ledger.record_attempt(ID, attempt(0), None, b"body");
     ledger.update_attempt(ID, 0, |attempt| attempt.fully_written = true);
     let before = ledger.violations.len();
     ledger.record_truncated_response(ID);
     assert_eq!(ledger.violations.len(), before + 1);
-    ledger.record_kill(PROCESS);
+    ledger.record_process_kill(PROCESS);
     ledger.record_truncated_response(ID);
     assert_eq!(
         ledger.violations.len(),
         before + 1,
-        "its endpoint was killed"
+        "an endpoint that was killed may truncate its responses"
     );
 }
--- a/soak/src/proxy/handoff.rs
+++ b/soak/src/proxy/handoff.rs
@@ -1,6 +1,6 @@
-//! A new process takes over from the running one.
+//! Process handoff: a new process takes over from the running one.
 
-use super::process::{end_child, Proxy, POLL_INTERVAL, READY_TIMEOUT, SHUTDOWN_TIMEOUT};
+use super::process::{kill_child, Proxy, POLL_INTERVAL, READY_TIMEOUT, SHUTDOWN_TIMEOUT};
 use crate::error::SetupError;
 use crate::ledger::Rule;
 use nix::sys::signal::Signal;
@@ -11,36 +11,38 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Ports of the new processes' operator interfaces count up from here.
-const FIRST_OPERATOR_PORT: u16 = 4_000;
-/// Changes of the endpoint list bind a new process so long after it reported to be ready.
-const NOTIFICATION_DELAY: Duration = Duration::from_secs(2);
+/// Port of the admin interface of the first process that takes over; later ones count up.
+const FIRST_ADMIN_PORT: u16 = 4_000;
+/// Time after a new process reported to be ready during which it does not yet count as notified of
+/// the endpoint list.
+const HANDOFF_NOTIFICATION_DELAY: Duration = Duration::from_secs(2);
 
 impl Proxy {
-    /// Starts a new process beside the running one, and ends that when the new one is ready.
+    /// Starts a new process beside the running one, and shuts the old one down when the new one is
+    /// ready.
     pub(crate) async fn hand_off(&self) -> Result<(), SetupError> {
         if !self.accepts_connections() {
             return Ok(());
         }
-        let operators = SocketAddr::new(
+        let admin_address = SocketAddr::new(
             self.address.ip(),
-            FIRST_OPERATOR_PORT + self.process() as u16,
+            FIRST_ADMIN_PORT + self.process_number() as u16,
         );
-        let new = self.spawn(Some(operators))?;
-        self.log_event("a new process beside it");
-        self.wait_for_new_process(operators).await;
+        let new = self.spawn(Some(admin_address))?;
+        self.log_event("a new process was started for a handoff");
+        self.wait_for_new_process(admin_address).await;
         self.replace_process(new);
-        let previous = self.process();
+        let previous = self.process_number();
         self.process_count.set(previous + 1);
         sleep(SHUTDOWN_TIMEOUT).await;
         self.killed_processes.borrow_mut().push(previous);
-        self.end_previous();
+        self.end_previous_process();
         Ok(())
     }
 
-    async fn wait_for_new_process(&self, operators: SocketAddr) {
+    async fn wait_for_new_process(&self, admin_address: SocketAddr) {
         let started = Instant::now();
-        while !reports_ready(operators).await {
+        while !reports_ready(admin_address).await {
             if started.elapsed() > READY_TIMEOUT {
                 self.record_violation(
                     Rule::Readiness,
@@ -55,17 +57,17 @@
     fn replace_process(&self, new: Child) {
         let now = Instant::now();
         self.environment
-            .notifications(self.number, |notifications| {
-                notifications.process_started(now + NOTIFICATION_DELAY);
+            .with_notifications(self.number, |notifications| {
+                notifications.record_process_start(now + HANDOFF_NOTIFICATION_DELAY);
             });
-        self.disturbed_at.borrow_mut().push(now);
+        self.disturbances.borrow_mut().push(now);
         self.signal(Signal::SIGTERM);
         self.log_event("SIGTERM to the old process");
         let previous = self.child.borrow_mut().replace(new);
         *self.previous.borrow_mut() = previous;
     }
 
-    fn end_previous(&self) {
+    fn end_previous_process(&self) {
         let Some(mut previous) = self.previous.borrow_mut().take() else {
             return;
         };
@@ -74,17 +76,17 @@
                 self.record_violation(Rule::Crash, &format!("ended with {status}"));
             }
         }
-        end_child(&mut previous);
+        kill_child(&mut previous);
     }
 }
 
-/// Whether the process that answers operators here accepts connections of clients.
-async fn reports_ready(operators: SocketAddr) -> bool {
-    let mut answer = String::new();
-    if let Ok(mut stream) = TcpStream::connect(operators).await {
-        // What fails leaves no answer.
+/// Whether the process with this admin interface reports that it accepts client connections.
+async fn reports_ready(admin_address: SocketAddr) -> bool {
+    let mut reply = String::new();
+    if let Ok(mut stream) = TcpStream::connect(admin_address).await {
+        // If either call fails, the reply stays empty or incomplete, which counts as not ready.
         let _ = stream.write_all(b"health\n").await;
-        let _ = stream.read_to_string(&mut answer).await;
+        let _ = stream.read_to_string(&mut reply).await;
     }
-    answer.starts_with("SUCCESS")
+    reply.starts_with("SUCCESS")
 }
--- a/soak/src/proxy/process.rs
+++ b/soak/src/proxy/process.rs
@@ -1,6 +1,7 @@
-//! A proxy over all its processes: their starts and ends, and the signals that they get.
+//! A proxy across the processes that run it one after the other: starts and ends them and sends
+//! them signals.
 
-use super::configuration::configuration;
+use super::configuration::proxy_configuration;
 use crate::environment::Environment;
 use crate::error::SetupError;
 use crate::http::Reader;
@@ -20,66 +21,68 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Where all proxies listen, each at an address of its own.
+/// Port on which all proxies listen, each at its own address.
 const LISTEN_PORT: u16 = 3_000;
-/// A started proxy is ready within this time.
+/// Time within which a started proxy must be ready.
 pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// SIGKILL follows so long after SIGTERM: the longest deadline and 0.7 s.
+/// Time between SIGTERM and SIGKILL: the longest deadline of a class, and 0.7 s.
 pub(super) const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(2_000 + 700);
-/// Clients open connections for so long after SIGTERM.
+/// How long clients still open connections after SIGTERM.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(300);
-/// An old agent goes on for so long after SIGHUP.
+/// How long the old agent continues after SIGHUP.
 const OLD_AGENT_DELAY: Duration = Duration::from_millis(1_500);
-/// Invalid clients may wait longer if they connect this soon after a signal.
-const DISTURBANCE: Duration = Duration::from_secs(4);
-/// Interval at which a change of a process's state is looked for.
+/// Time after a pause, a SIGTERM or a handoff in which the timeout of invalid clients is not
+/// enforced.
+const DISTURBANCE_DURATION: Duration = Duration::from_secs(4);
+/// Interval at which the state of a process is polled.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the proxies run.
+/// The program that the proxies run, and its surroundings.
 #[derive(Clone, Debug)]
 pub(crate) struct Program {
-    /// The program.
+    /// Path of the executable.
     pub(crate) path: PathBuf,
-    /// The library that makes system calls fail.
+    /// Path of the preloaded library that makes system calls fail, if they are to fail.
     pub(crate) faults: Option<PathBuf>,
-    /// The folder for configurations and logs.
+    /// Folder for configurations and logs.
     pub(crate) folder: PathBuf,
 }
 
-/// A proxy, over all its processes.
+/// A proxy, which is run by one process after the other.
 #[derive(Debug)]
 pub(crate) struct Proxy {
-    /// Its number.
+    /// Number of the proxy.
     pub(crate) number: usize,
-    /// Where its clients connect.
+    /// Address to which its clients connect.
     pub(crate) address: SocketAddr,
     pub(super) environment: Environment,
     program: Program,
-    syscall_faults: serde_json::Value,
+    syscall_schedule: serde_json::Value,
     pub(super) child: RefCell<Option<Child>>,
-    /// The process before, while it ends beside the present one.
+    /// The previous process, while it shuts down beside the present one after a handoff.
     pub(super) previous: RefCell<Option<Child>>,
-    /// Number of processes so far, which is the number of the present one.
+    /// Number of processes started so far, which is also the number of the present one.
     pub(super) process_count: Cell<u64>,
     pub(super) killed_processes: RefCell<Vec<u64>>,
     pub(super) accepts_connections: Cell<bool>,
-    /// When it was paused or got SIGTERM.
-    pub(super) disturbed_at: RefCell<Vec<Instant>>,
+    /// Times of pauses, SIGTERM and handoffs.
+    pub(super) disturbances: RefCell<Vec<Instant>>,
     agent_mode: watch::Sender<AgentMode>,
     agent: RefCell<Agent>,
     reserved: Cell<bool>,
 }
 
 impl Proxy {
-    /// A proxy that does not run yet, with its agent.
+    /// Creates a proxy, which does not run yet, and starts its agent.
     pub(crate) async fn new(
         environment: &Environment,
         program: &Program,
         number: usize,
-        syscall_faults: serde_json::Value,
+        syscall_schedule: serde_json::Value,
     ) -> Result<Rc<Proxy>, SetupError> {
-        // A port that the system chose could be given to someone else between two processes of the
-        // proxy. The address is this run's own.
+        // If the system chose the port, another program could get it between two processes of the
+        // proxy. Instead the address is derived from this program's process id, so that parallel
+        // runs do not share addresses.
         let run = std::process::id();
         let ip = [
             127,
@@ -94,20 +97,21 @@
             address: SocketAddr::from((ip, LISTEN_PORT)),
             environment: environment.clone(),
             program: program.clone(),
-            syscall_faults,
+            syscall_schedule,
             child: RefCell::default(),
             previous: RefCell::default(),
             process_count: Cell::new(0),
             killed_processes: RefCell::default(),
             accepts_connections: Cell::new(false),
-            disturbed_at: RefCell::default(),
+            disturbances: RefCell::default(),
             agent_mode,
             agent: RefCell::new(agent),
             reserved: Cell::new(false),
         }))
     }
 
-    /// Reserves it for a fault that must not overlap others; `false`: another has it.
+    /// Reserves the proxy for a fault that must not overlap others on it. Returns `false` if it is
+    /// reserved already.
     pub(crate) fn reserve(&self) -> bool {
         !self.reserved.replace(true)
     }
@@ -122,22 +126,22 @@
         self.accepts_connections.get()
     }
 
-    /// The number of its present process.
-    pub(crate) fn process(&self) -> u64 {
+    /// Returns the number of its present process.
+    pub(crate) fn process_number(&self) -> u64 {
         self.process_count.get()
     }
 
-    /// Whether a process was killed, or its time for an orderly end is over.
+    /// Whether this process was killed, or its time for a graceful shutdown is over.
     pub(crate) fn was_killed(&self, process: u64) -> bool {
         self.killed_processes.borrow().contains(&process)
     }
 
-    /// Whether it was paused or got SIGTERM so late that a client of this time may notice.
+    /// Whether a pause, SIGTERM or handoff may have delayed a client that connected at `since`.
     pub(crate) fn was_disturbed(&self, since: Instant) -> bool {
-        self.disturbed_at
+        self.disturbances
             .borrow()
             .iter()
-            .any(|at| *at + DISTURBANCE >= since)
+            .any(|at| *at + DISTURBANCE_DURATION >= since)
     }
 
     fn folder(&self) -> PathBuf {
@@ -150,7 +154,8 @@
 
     fn write_configuration(&self) -> Result<PathBuf, SetupError> {
         let discovery = self.agent.borrow().address;
-        let configuration = configuration(&self.environment, self.number, self.address, discovery);
+        let configuration =
+            proxy_configuration(&self.environment, self.number, self.address, discovery);
         let path = self.folder().join("config.json");
         fs::create_dir_all(self.folder())
             .and_then(|()| fs::write(&path, configuration.to_string()))
@@ -161,8 +166,8 @@
         Ok(path)
     }
 
-    /// Starts a process of it, which answers operators at the given address if there is one.
-    pub(super) fn spawn(&self, operators: Option<SocketAddr>) -> Result<Child, SetupError> {
+    /// Starts a process, whose admin interface listens at the given address, if there is one.
+    pub(super) fn spawn(&self, admin_address: Option<SocketAddr>) -> Result<Child, SetupError> {
         let configuration = self.write_configuration()?;
         let path = self.log_path();
         let log = File::options().create(true).append(true).open(&path);
@@ -174,13 +179,13 @@
             .env("ROUTER_TRACE", "1")
             .stdout(Stdio::null())
             .stderr(log);
-        if let Some(operators) = operators {
-            command.env("ROUTER_ADMIN", operators.to_string());
+        if let Some(admin_address) = admin_address {
+            command.env("ROUTER_ADMIN", admin_address.to_string());
         }
         if let Some(faults) = &self.program.faults {
             command
                 .env("LD_PRELOAD", faults)
-                .env("SYSCALL_FAULTS", self.syscall_faults.to_string());
+                .env("SYSCALL_FAULTS", self.syscall_schedule.to_string());
         }
         let path = &self.program.path;
         command.spawn().map_err(|source| SetupError::Spawn {
@@ -189,19 +194,19 @@
         })
     }
 
-    /// Starts it and waits until it is ready.
+    /// Starts a process and waits until it is ready; records a violation if it is not in time.
     pub(crate) async fn start(&self) -> Result<(), SetupError> {
         let started = Instant::now();
         self.environment
-            .notifications(self.number, |notifications| {
-                notifications.process_started(started);
+            .with_notifications(self.number, |notifications| {
+                notifications.record_process_start(started);
             });
         self.process_count.set(self.process_count.get() + 1);
         let child = self.spawn(None)?;
         *self.child.borrow_mut() = Some(child);
         while !self.is_ready().await {
             if self.has_ended() {
-                self.record_violation(Rule::Crash, "ended at its start");
+                self.record_violation(Rule::Crash, "ended before it was ready");
                 return Ok(());
             }
             if started.elapsed() > READY_TIMEOUT {
@@ -211,7 +216,7 @@
             sleep(POLL_INTERVAL).await;
         }
         self.accepts_connections.set(true);
-        self.log_event(&format!("ready, process {}", self.process()));
+        self.log_event(&format!("ready, process {}", self.process_number()));
         Ok(())
     }
 
@@ -226,19 +231,19 @@
             .await;
         written.is_ok()
             && reader
-                .message()
+                .read_message()
                 .await
-                .is_ok_and(|answer| answer.status == Some(200))
+                .is_ok_and(|reply| reply.status == Some(200))
     }
 
     pub(super) fn signal(&self, signal: Signal) {
         if let Some(child) = self.child.borrow().as_ref() {
-            // It fails only for a process that has ended.
+            // This fails only for a process that has already ended.
             let _ = kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
 
-    /// Whether its process has ended by itself.
+    /// Whether its present process has ended.
     pub(super) fn has_ended(&self) -> bool {
         self.child
             .borrow_mut()
@@ -256,20 +261,22 @@
             .record_violation(rule, format!("proxy {} {description}", self.number));
     }
 
-    /// Kills it.
+    /// Kills its present process.
     pub(crate) fn kill(&self) {
         self.log_event("killed");
         self.accepts_connections.set(false);
-        self.killed_processes.borrow_mut().push(self.process());
+        self.killed_processes
+            .borrow_mut()
+            .push(self.process_number());
         if let Some(mut child) = self.child.borrow_mut().take() {
-            end_child(&mut child);
+            kill_child(&mut child);
         }
     }
 
-    /// Shuts it down by SIGTERM, and kills it when its time is over.
+    /// Shuts its process down by SIGTERM, and kills the process if it does not end in time.
     pub(crate) async fn shut_down(&self) {
         let started = Instant::now();
-        self.disturbed_at.borrow_mut().push(started);
+        self.disturbances.borrow_mut().push(started);
         self.log_event("SIGTERM");
         self.signal(Signal::SIGTERM);
         sleep(ACCEPT_AFTER_SIGTERM).await;
@@ -288,23 +295,23 @@
         self.kill();
     }
 
-    /// Pauses its process.
+    /// Pauses its process by SIGSTOP and SIGCONT.
     pub(crate) async fn pause(&self, duration: Duration) {
-        self.disturbed_at.borrow_mut().push(Instant::now());
+        self.disturbances.borrow_mut().push(Instant::now());
         self.log_event("SIGSTOP");
         self.signal(Signal::SIGSTOP);
         sleep(duration).await;
         self.signal(Signal::SIGCONT);
     }
 
-    /// Gives it a new agent by SIGHUP; the old agent ends a while later.
+    /// Reloads its configuration by SIGHUP, with a new agent in it. The old agent ends later.
     pub(crate) async fn reload(&self) -> Result<(), SetupError> {
         let agent =
             start_agent(&self.environment, self.number, self.agent_mode.subscribe()).await?;
         let old = self.agent.replace(agent);
         self.write_configuration()?;
         self.environment
-            .notifications(self.number, |notifications| notifications.reloaded());
+            .with_notifications(self.number, |notifications| notifications.record_reload());
         self.log_event("SIGHUP");
         self.signal(Signal::SIGHUP);
         sleep(OLD_AGENT_DELAY).await;
@@ -312,24 +319,24 @@
         Ok(())
     }
 
-    /// Lets its agent fail, or respond again.
+    /// Sets how its agent behaves from now on.
     pub(crate) fn set_agent_mode(&self, mode: AgentMode) {
         self.environment
-            .notifications(self.number, |notifications| {
+            .with_notifications(self.number, |notifications| {
                 if mode == AgentMode::Responding {
-                    notifications.outage_ended();
+                    notifications.record_outage_end();
                 } else {
-                    notifications.outage_started();
+                    notifications.record_outage_start();
                 }
             });
-        // It fails only when the agent has ended with the run.
+        // This fails only if the agent has already ended with the run.
         let _ = self.agent_mode.send(mode);
     }
 }
 
 /// Kills a process and waits for its end.
-pub(super) fn end_child(child: &mut Child) {
-    // Both fail only for a process that has ended.
+pub(super) fn kill_child(child: &mut Child) {
+    // Both fail only for a process that has already ended.
     let _ = child.kill();
     let _ = child.wait();
 }
@@ -337,7 +344,7 @@
 impl Drop for Proxy {
     fn drop(&mut self) {
         if let Some(mut previous) = self.previous.borrow_mut().take() {
-            end_child(&mut previous);
+            kill_child(&mut previous);
         }
         self.kill();
     }
--- a/soak/src/verdict.rs
+++ b/soak/src/verdict.rs
@@ -1,4 +1,4 @@
-//! The verdict on a run, and what is printed with it.
+//! Decides whether a run passed, and prints its report.
 
 use crate::environment::Environment;
 use crate::ledger::{Ledger, RequestRecord, Violation};
@@ -7,33 +7,34 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A run in which this program was later than this is not judged.
-const MAX_LATENESS: Duration = Duration::from_millis(60);
-/// Events of so many seconds before a violation are printed with it.
+/// Longest scheduling delay of this program with which a run is judged. Observed times are not
+/// reliable beyond it.
+const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(60);
+/// Time before a violation from which events are printed with it.
 const EVENTS_BEFORE_S: f64 = 3.0;
-/// Events of so many seconds after a violation are printed with it.
+/// Time after a violation until which events are printed with it.
 const EVENTS_AFTER_S: f64 = 0.1;
-/// Maximum number of the proxies' own failures that are printed.
+/// Maximum number of failures from the proxies' logs that are printed.
 const MAX_PRINTED_FAILURES: usize = 10;
 
-/// Prints the results of a run; whether it passed. `lateness` is the longest time by which this
-/// program was late.
-pub(crate) fn verdict(
+/// Prints the report of a run and returns whether it passed. `scheduling_delay` is the longest
+/// scheduling delay of this program.
+pub(crate) fn print_verdict(
     environment: &Environment,
     proxies: &[Rc<Proxy>],
     seed: u64,
-    lateness: Duration,
+    scheduling_delay: Duration,
 ) -> bool {
-    let violations = environment.ledger(|ledger| {
-        ledger.record_unanswered();
+    let violations = environment.with_ledger(|ledger| {
+        ledger.record_unanswered_requests();
         println!(
-            "requests: {:?}, this program late by up to {lateness:?}",
-            completions(ledger)
+            "requests: {:?}, longest scheduling delay of this program: {scheduling_delay:?}",
+            count_completions(ledger)
         );
         for violation in &ledger.violations {
             print_violation(ledger, violation);
         }
-        count(
+        count_by_name(
             ledger
                 .violations
                 .iter()
@@ -47,10 +48,10 @@
     for line in failures.iter().take(MAX_PRINTED_FAILURES) {
         println!("  logged: {line}");
     }
-    let judged = lateness <= MAX_LATENESS;
+    let judged = scheduling_delay <= MAX_SCHEDULING_DELAY;
     let passed = judged && violations.is_empty() && failures.is_empty();
     let result = match (judged, passed) {
-        (false, _) => "NOT JUDGED, this program was late",
+        (false, _) => "NOT JUDGED, this program's scheduling delay was too long",
         (true, true) => "passed",
         (true, false) => "FAILED",
     };
@@ -58,12 +59,12 @@
     passed
 }
 
-/// How many requests ended in which way.
-fn completions(ledger: &Ledger) -> BTreeMap<String, usize> {
-    count(ledger.requests.values().map(completion))
+/// Counts the requests by how they ended.
+fn count_completions(ledger: &Ledger) -> BTreeMap<String, usize> {
+    count_by_name(ledger.requests.values().map(completion_label))
 }
 
-fn completion(request: &RequestRecord) -> String {
+fn completion_label(request: &RequestRecord) -> String {
     let status = request.completion.and_then(|completion| completion.status);
     match status {
         Some(status) => status.to_string(),
@@ -73,7 +74,7 @@
     }
 }
 
-fn count(names: impl Iterator<Item = String>) -> BTreeMap<String, usize> {
+fn count_by_name(names: impl Iterator<Item = String>) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for name in names {
         *counts.entry(name).or_default() += 1;
--- a/soak/src/watch_delivery.rs
+++ b/soak/src/watch_delivery.rs
@@ -1,8 +1,8 @@
-//! Discovery's agents: each proxy has one, which delivers the endpoint list to its watches.
+//! Discovery agents. Each proxy has one, which delivers the endpoint list to the proxy's watches.
 
 use crate::environment::Environment;
 use crate::error::SetupError;
-use crate::http::{close_on_drop, Close, Reader};
+use crate::http::{set_close_mode, CloseMode, Reader};
 use crate::notification::HEARTBEAT_INTERVAL;
 use rand::Rng;
 use std::net::SocketAddr;
@@ -13,28 +13,28 @@
 use tokio::task::{spawn_local, AbortHandle, JoinSet};
 use tokio::time::sleep_until;
 
-/// Answers a watch that the agent refuses.
-const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-/// Begins a watch.
-const WATCH_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// Response to a watch that the agent refuses.
+const REFUSAL_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+/// Head of the response to a watch; the lines of the list follow as chunks.
+const WATCH_RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// What the agent of one proxy does.
+/// How the agent of a proxy behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AgentMode {
-    /// It answers.
+    /// It accepts watches and delivers the list.
     Responding,
-    /// It accepts connections and is silent, as are open watches from then on.
+    /// It accepts connections but sends nothing, and open watches stay silent from then on.
     Silent,
-    /// It refuses watches, and resets open ones.
+    /// It refuses new watches and resets open ones.
     Refusing,
 }
 
-/// An agent that runs.
+/// A running agent.
 #[derive(Debug)]
 pub(crate) struct Agent {
-    /// Where it answers.
+    /// Address on which it listens.
     pub(crate) address: SocketAddr,
-    /// Ends it.
+    /// The agent's task, which owns its watches.
     pub(crate) task: AbortHandle,
 }
 
@@ -57,14 +57,14 @@
         let mut watches = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
             while watches.try_join_next().is_some() {}
-            close_on_drop(&stream, Close::Reset);
+            set_close_mode(&stream, CloseMode::Reset);
             let watch = Watch {
                 environment: environment.clone(),
                 proxy,
                 reader: Reader::new(stream),
                 mode: mode.clone(),
             };
-            watches.spawn_local(watch.run());
+            watches.spawn_local(watch.serve());
         }
     });
     Ok(Agent {
@@ -73,7 +73,7 @@
     })
 }
 
-/// A watch of a proxy.
+/// A proxy's watch of the endpoint list.
 struct Watch {
     environment: Environment,
     proxy: usize,
@@ -82,29 +82,32 @@
 }
 
 impl Watch {
-    async fn run(mut self) {
-        if self.reader.message().await.is_err() {
+    async fn serve(mut self) {
+        if self.reader.read_message().await.is_err() {
             return;
         }
         let mode = *self.mode.borrow_and_update();
         match mode {
             AgentMode::Responding => {}
-            AgentMode::Silent => return self.be_silent().await,
+            AgentMode::Silent => return self.stay_silent().await,
             AgentMode::Refusing => {
-                write(&mut self.reader.stream, REFUSAL).await;
+                write(&mut self.reader.stream, REFUSAL_RESPONSE).await;
                 return;
             }
         }
-        if write(&mut self.reader.stream, WATCH_HEAD).await {
+        if write(&mut self.reader.stream, WATCH_RESPONSE_HEAD).await {
             self.deliver().await;
         }
     }
 
-    /// Delivers the list and then its changes, until the agent's mode ends the watch.
+    /// Delivers the whole list, then its changes and heartbeats, until the agent's mode or the
+    /// proxy ends the watch.
     async fn deliver(mut self) {
-        let mut list_versions = self.environment.list_versions();
-        let (full, mut delivered) = self.environment.list(|list| (list.full(), list.version()));
-        let mut message = Some(full);
+        let mut list_versions = self.environment.subscribe_to_list_versions();
+        let (snapshot, mut delivered) = self
+            .environment
+            .with_list(|list| (list.snapshot(), list.version()));
+        let mut message = Some(snapshot);
         loop {
             let line = message
                 .take()
@@ -112,9 +115,10 @@
             if !self.write_chunk(&line).await {
                 return;
             }
-            self.environment.notifications(self.proxy, |notifications| {
-                notifications.delivered(delivered)
-            });
+            self.environment
+                .with_notifications(self.proxy, |notifications| {
+                    notifications.record_delivery(delivered)
+                });
             tokio::select! {
                 () = sleep_until((Instant::now() + HEARTBEAT_INTERVAL).into()) => {}
                 changed = list_versions.changed() => if changed.is_err() { return },
@@ -123,17 +127,19 @@
             let mode = *self.mode.borrow_and_update();
             match mode {
                 AgentMode::Responding => {}
-                AgentMode::Silent => return self.be_silent().await,
+                AgentMode::Silent => return self.stay_silent().await,
                 AgentMode::Refusing => return,
             }
-            message = self.environment.list(|list| list.delta(delivered));
+            message = self
+                .environment
+                .with_list(|list| list.changes_since(delivered));
             if message.is_some() {
-                delivered = self.environment.list(|list| list.version());
+                delivered = self.environment.with_list(|list| list.version());
             }
         }
     }
 
-    /// Writes a line in two pieces.
+    /// Writes a line as a chunk, in two parts. Returns whether that succeeded.
     async fn write_chunk(&mut self, line: &str) -> bool {
         let chunk = format!("{:x}\r\n{line}\r\n", line.len());
         let cut = self
@@ -144,8 +150,9 @@
         write(stream, first).await && write(stream, second).await
     }
 
-    /// Stays open and silent, also when the agent responds again: this watch is broken.
-    async fn be_silent(self) {
+    /// Keeps the watch open without sending anything. It stays silent even after the agent responds
+    /// again, like a connection that was lost unnoticed.
+    async fn stay_silent(self) {
         std::future::pending::<()>().await;
     }
 }
