--- a/proxy/src/control/attempt.rs
+++ b/proxy/src/control/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: its connection, its exchange and its end.
+//! Runs one attempt: selects its connection, exchanges the request and the response, and determines
+//! the outcome.
 
 use crate::control::connection_pool::IdleConnection;
 use crate::control::endpoints::EndpointProcess;
@@ -12,23 +13,24 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, Instant};
 
-/// An attempt as its task runs it.
+/// An attempt and everything that its task needs to run it.
 pub(super) struct Attempt {
     pub(super) control: Control,
-    /// Where it is sent.
+    /// The endpoint process that the attempt is sent to.
     pub(super) process: EndpointProcess,
     pub(super) forwarded: Rc<ForwardedRequest>,
-    /// When it times out, unless its request is still being read.
+    /// When the attempt times out. Does not apply while the request's body is still being uploaded.
     pub(super) deadline: Instant,
     pub(super) write_guard: WriteGuard,
 }
 
 impl Attempt {
-    /// Runs the attempt, on the idle connection if that can be used. It ends at its deadline unless
-    /// its response is being streamed by then.
+    /// Runs the attempt, on the idle connection if that is still usable. The attempt ends at its
+    /// deadline at the latest, unless its response is being streamed to the client by then.
     pub(super) async fn run(&self, idle_connection: Option<IdleConnection>) -> AttemptEnd {
         let end = tokio::select! {
-            // A response that is there at the last moment is passed on.
+            // Polled in this order so that a response that arrives together with the deadline is
+            // forwarded.
             biased;
             end = self.exchange(idle_connection) => match end.outcome {
                 Outcome::ConnectFailed if self.write_guard.is_start_window_closed() => {
@@ -41,7 +43,7 @@
             }
             () = self.expired() => AttemptEnd::without_response(self.timeout_outcome()),
         };
-        // What the client did says nothing about the endpoint.
+        // The client's upload failed, which says nothing about the endpoint.
         match self
             .forwarded
             .payload
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Returns when the attempt times out, or shutdown must end.
+    /// Completes when the attempt times out or the graceful shutdown reaches its end.
     async fn expired(&self) {
         let shutdown = self.control.state().shutdown.clone();
         tokio::select! {
@@ -62,8 +64,9 @@
         }
     }
 
-    /// Returns when the client no longer waits. While its request is being read that is not known;
-    /// one whose upload fails is cancelled elsewhere.
+    /// Completes when the client no longer waits for a response. During an upload this time is not
+    /// known yet; if the upload fails, this never completes, and the request is cancelled
+    /// elsewhere.
     async fn deadline_passed(&self) {
         let deadline = match self.forwarded.payload.upload() {
             None => self.deadline,
@@ -96,19 +99,20 @@
             }
             self.write_guard.reset_written();
         }
-        // What a reused connection has taken is lost with it. What is written now is the beginning,
-        // and the endpoint may have been listed as draining since.
+        // Bytes written to a reused connection that broke are lost, so the request is written again
+        // from its first byte. Its start window may have closed since, or the endpoint may have
+        // been listed as draining.
         if self.write_guard.is_start_window_closed()
             || !self.control.state().endpoints.accepts(self.process)
         {
             return AttemptEnd::without_response(Outcome::NeverSent);
         }
-        // The request has not been written completely, so this does not send it twice.
+        // No endpoint has received the whole request, so sending it again cannot execute it twice.
         self.exchange_on_new().await
     }
 
-    /// `None`: the connection was closed before the request was written; all of it can be written
-    /// again.
+    /// Returns `None` if the connection was closed before the whole request was written and the
+    /// request can be written again from its first byte.
     async fn exchange_on_reused(&self, idle_connection: IdleConnection) -> Option<AttemptEnd> {
         let idle_time = idle_connection.since.elapsed();
         let end = self.exchange_on(idle_connection.connection).await;
@@ -167,8 +171,8 @@
         upstream::exchange(connection, message, context).await
     }
 
-    /// The end of an attempt that was not written completely because its client has disconnected;
-    /// that says nothing about the endpoint.
+    /// The end of an attempt that was not written completely because its client has disconnected,
+    /// which says nothing about the endpoint. `None` if the client is still connected.
     fn end_if_disconnected(&self) -> Option<AttemptEnd> {
         if !self.forwarded.client.has_disconnected() {
             return None;
@@ -187,7 +191,7 @@
     idle_connection?.settled().await
 }
 
-/// Returns the connection of a large response that has been passed on.
+/// Returns the connection of a streamed response to the pool once it can be reused.
 fn return_when_settled(control: Control, process: EndpointProcess, connection: Connection) {
     spawn_local(async move {
         if let Some(connection) = connection.into_reusable().await {
--- a/proxy/src/control/attempts.rs
+++ b/proxy/src/control/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts as the balancer orders them: their start, their cancellation and their outcome.
+//! Carries out the balancer's actions on attempts: starts them, cancels them and reports their
+//! outcomes.
 
 use crate::control::attempt::Attempt;
 use crate::control::connection_pool::IdleConnection;
@@ -15,8 +16,8 @@
 use tokio::time::Instant;
 
 impl ControlState {
-    /// Starts an attempt, or reports it as never sent. `start_within`: when its first byte must be
-    /// written, if that is limited.
+    /// Starts an attempt, or reports it as never sent. `start_within` limits the time until its
+    /// first byte is written.
     pub(super) fn start_attempt(
         &mut self,
         control: &Control,
@@ -59,8 +60,8 @@
         request.attempts.push(Some(in_flight));
     }
 
-    /// Cancels a request whose client is known to have disconnected, though the task of its
-    /// connection has not been run since.
+    /// Cancels a request whose client is known to have disconnected, even if the task of the
+    /// client's connection has not been polled since.
     fn cancel_if_disconnected(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Reports the request's next attempt as never sent.
+    /// Reports the request's next attempt to the balancer as never sent.
     fn skip_attempt(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -85,7 +86,7 @@
         self.requests.clean_up(id, &mut self.events);
     }
 
-    /// Cancels an attempt: its connection is closed.
+    /// Cancels an attempt and closes its connection.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, number: u32) {
         let Some((request, attempt)) = self.requests.take_attempt(id, number) else {
             return;
@@ -98,7 +99,8 @@
         self.requests.clean_up(id, &mut self.events);
     }
 
-    /// Returns a connection to the pool, if its endpoint may get another request on it.
+    /// Returns a connection to the pool if its endpoint process still accepts new attempts; closes
+    /// it otherwise.
     pub(super) fn return_connection(&mut self, process: EndpointProcess, connection: Connection) {
         if self.endpoints.accepts(process) {
             self.pool.put(process.endpoint_id, connection);
@@ -107,7 +109,7 @@
 }
 
 impl Attempt {
-    /// Runs the attempt in a task of its own, which reports how it ended.
+    /// Runs the attempt in its own task, which reports how it ended.
     fn spawn(
         self,
         id: RequestId,
@@ -122,7 +124,7 @@
 }
 
 impl Control {
-    /// Passes an attempt's response on and reports its outcome to the balancer.
+    /// Forwards the attempt's response to the client and reports the outcome to the balancer.
     fn end_attempt(&self, id: RequestId, number: u32, mut end: AttemptEnd) {
         let mut state = self.state_mut();
         let ControlState {
@@ -135,7 +137,7 @@
         if let Some(response) = end.response.take() {
             if let Some(sender) = request.reply.take() {
                 request.record.replied(ReplyKind::Served);
-                // A client that has just disconnected has no use for it.
+                // Fails only if the client has just disconnected.
                 let _ = sender.send(Reply::Served(response));
             }
         }
@@ -148,13 +150,15 @@
             load: end.load,
         });
         requests.clean_up(id, events);
-        // Before the outcome is reported: the next request would open another connection.
+        // Returned before the outcome is reported: otherwise the next request would open another
+        // connection.
         if let Some(connection) = end.connection {
             state.return_connection(attempt.process, connection);
         }
         drop(state);
         self.dispatch([]);
-        // Dropped last: this may be the very task of the attempt.
+        // Dropped last: this aborts the attempt's task, which may be the task that runs this
+        // function.
         drop(attempt);
     }
 }
--- a/proxy/src/control/background.rs
+++ b/proxy/src/control/background.rs
@@ -1,4 +1,4 @@
-//! Tasks that run beside all requests: the balancer's timer, and the periodic sweep and log line.
+//! Background tasks: the balancer's timer, and the periodic sweep and log line.
 
 use crate::control::Control;
 use balancer::Event;
@@ -6,13 +6,13 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How often idle connections that have expired are closed.
+/// Interval at which expired idle connections are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Sweeps from one line of metrics in the log to the next.
+/// Number of sweeps between two lines of metrics in the log.
 const SWEEPS_PER_LOG_LINE: u32 = 10;
 
 impl Control {
-    /// Starts the tasks. They run for as long as the thread's task set.
+    /// Starts the background tasks, which run until the thread's `LocalSet` is dropped.
     pub(super) fn spawn_background_tasks(&self) {
         spawn_local(self.clone().run_timer());
         spawn_local(self.clone().sweep_periodically());
--- a/proxy/src/control/clock.rs
+++ b/proxy/src/control/clock.rs
@@ -4,8 +4,9 @@
 use std::time::{Duration, SystemTime};
 use tokio::time::Instant;
 
-/// Counts microseconds from the Unix time at the proxy's start, so that the start times in the
-/// endpoint list can be compared with it. Changes of the system's clock do not affect it.
+/// Counts microseconds since the Unix epoch, so that its times are comparable with the endpoints'
+/// start times in the endpoint list. The system's clock is read only when the proxy starts; later
+/// changes to it have no effect.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     start: Instant,
@@ -23,13 +24,13 @@
         }
     }
 
-    /// The present time.
+    /// The current time.
     pub(super) fn now(&self) -> Micros {
         self.origin + to_micros(self.start.elapsed())
     }
 }
 
-/// A duration in the balancer's unit.
+/// Converts a duration to the balancer's unit.
 pub(super) fn to_micros(duration: Duration) -> Micros {
     duration.as_micros() as Micros
 }
--- a/proxy/src/control/connection_pool.rs
+++ b/proxy/src/control/connection_pool.rs
@@ -1,5 +1,5 @@
-//! Connections to endpoints: the idle ones, how long they may stay idle, and the limit on open
-//! ones.
+//! The pool of connections to endpoints: keeps idle connections for reuse, determines how long they
+//! may stay idle, and limits the number of open connections.
 
 use crate::metrics::{EndpointCloseReason, Metrics};
 use crate::upstream::idle_timeout::IdleTimeoutEstimate;
@@ -10,35 +10,37 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// Fraction of the endpoints' own idle timeout after which an idle connection is no longer used.
+/// Fraction of the endpoints' idle timeout after which an idle connection is no longer reused.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.9;
-/// How long a connection is left alone after a response: a second response may follow within
-/// milliseconds, and would be taken for that of the next request.
+/// Minimum time between a response and the next request on a connection: an endpoint may send a
+/// second, unexpected response within milliseconds, which would be taken for the response to the
+/// next request.
 const SETTLE_DELAY: Duration = Duration::from_millis(10);
 
-/// A connection without a request.
+/// An open connection that carries no request.
 #[derive(Debug)]
 pub(super) struct IdleConnection {
-    /// When its last exchange ended.
+    /// When the last exchange on it ended.
     pub(super) since: Instant,
     pub(super) connection: Connection,
 }
 
 impl IdleConnection {
-    /// Waits until the connection has settled. `None`: it cannot be used by then.
+    /// Waits until [`SETTLE_DELAY`] has passed. Returns `None` if the connection is no longer
+    /// usable by then.
     pub(super) async fn settled(self) -> Option<IdleConnection> {
         sleep_until(self.since + SETTLE_DELAY).await;
         self.connection.is_ready().then_some(self)
     }
 }
 
-/// Owns the idle connections and counts all open ones.
+/// Owns the idle connections and counts all open connections.
 pub(super) struct ConnectionPool {
-    /// Idle connections by endpoint, the most recently used last.
+    /// Idle connections by endpoint, the least recently used first.
     idle: HashMap<EndpointId, Vec<IdleConnection>>,
-    /// Learns from reused connections how long idle ones stay open.
+    /// Estimates from the reuse of connections how long they survive while idle.
     idle_timeout: IdleTimeoutEstimate,
-    /// One reference for each open connection, and this one.
+    /// Cloned once for each open or reserved connection, which counts them.
     permits: Rc<()>,
     metrics: Metrics,
 }
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Number of open connections, idle ones included.
+    /// Number of open connections, including idle ones.
     pub(super) fn open_count(&self) -> usize {
         Rc::strong_count(&self.permits) - 1
     }
@@ -63,8 +65,9 @@
         self.idle.values().map(Vec::len).sum()
     }
 
-    /// Reserves one of at most `max_open` connections, until the permit is dropped. The one that
-    /// has been idle for the longest is closed if that is needed. `None`: all are in use.
+    /// Reserves one of at most `max_open` connections until the permit is dropped, and closes the
+    /// least recently used idle connection if necessary. Returns `None` if all connections are in
+    /// use.
     pub(super) fn reserve(&mut self, max_open: usize) -> Option<Rc<()>> {
         if self.open_count() >= max_open && !self.close_oldest() {
             return None;
@@ -77,7 +80,8 @@
         while self.open_count() >= max_open && self.close_oldest() {}
     }
 
-    /// Closes the connection that has been idle for the longest; `false`: there is none.
+    /// Closes the connection that has been idle the longest. Returns `false` if no connection is
+    /// idle.
     fn close_oldest(&mut self) -> bool {
         let in_use = self
             .idle
@@ -93,7 +97,7 @@
         true
     }
 
-    /// Adds a connection to an endpoint.
+    /// Adds an idle connection to an endpoint.
     pub(super) fn put(&mut self, endpoint: EndpointId, connection: Connection) {
         let idle = IdleConnection {
             since: Instant::now(),
@@ -102,9 +106,9 @@
         self.idle.entry(endpoint).or_default().push(idle);
     }
 
-    /// Takes out the most recently used connection of those that have settled, or the one that will
-    /// settle first. Connections that the endpoint has closed, or may be closing, are closed first:
-    /// a request must not cross its endpoint's close.
+    /// Removes and returns the most recently used connection that has settled, or else the one that
+    /// will settle first. Expired connections and those that received data or an end of stream are
+    /// closed first: a request must not be written while the endpoint is closing its connection.
     pub(super) fn take(
         &mut self,
         endpoint: EndpointId,
@@ -121,7 +125,7 @@
         (!connections.is_empty()).then(|| connections.remove(settled.unwrap_or(0)))
     }
 
-    /// Closes all idle connections to an endpoint that takes no new requests, or has restarted.
+    /// Closes all idle connections to an endpoint that accepts no new requests or has restarted.
     pub(super) fn close_all(&mut self, endpoint: EndpointId) {
         self.close(endpoint, EndpointCloseReason::EndpointUnavailable, |_| {
             false
@@ -135,7 +139,7 @@
         });
     }
 
-    /// Closes the idle connections to an endpoint that are not to be retained, and counts them.
+    /// Closes and counts the idle connections to an endpoint for which `retain` returns `false`.
     fn close(
         &mut self,
         endpoint: EndpointId,
@@ -152,8 +156,8 @@
             .endpoint_connections_closed(reason, before - connections.len());
     }
 
-    /// How long a connection may have been idle and still be used. `endpoint_timeout`: after which
-    /// endpoints close idle connections, by the configuration.
+    /// The longest time that a connection may have been idle and still be reused.
+    /// `endpoint_timeout` is the configured time after which endpoints close idle connections.
     pub(super) fn max_idle(&self, endpoint_timeout: Duration) -> Duration {
         let configured = endpoint_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
         self.idle_timeout
@@ -161,12 +165,13 @@
             .map_or(configured, |estimate| estimate.min(configured))
     }
 
-    /// Notes that a connection was reused after this idle time, and whether it proved to be broken.
+    /// Records that a connection was reused after this idle time, and whether it turned out to be
+    /// broken.
     pub(super) fn note_reuse(&mut self, idle_time: Duration, is_broken: bool) {
         self.idle_timeout.record_reuse(idle_time, is_broken);
     }
 
-    /// To be called once a second: closes connections that have been idle for too long.
+    /// Closes connections that have been idle for too long. Called once a second.
     pub(super) fn sweep(&mut self, endpoint_timeout: Duration) {
         self.idle_timeout.decay();
         let max_idle = self.max_idle(endpoint_timeout);
--- a/proxy/src/control/endpoint_ids.rs
+++ b/proxy/src/control/endpoint_ids.rs
@@ -1,13 +1,14 @@
-//! Ids of endpoints. The balancer orders endpoints in a ring by their ids, and each proxy sends to
-//! a part of it. So an id is a hash of the endpoint's name: all proxies agree on it, whatever they
-//! have received of the list and in which order, and endpoints that join together, which are all in
-//! slow start, are not neighbours.
+//! Assigns ids to endpoints. The balancer orders endpoints by id on a ring, and each proxy uses a
+//! subset of neighbouring endpoints. Ids are hashes of the endpoints' names for two reasons: all
+//! proxies compute the same ids, whichever parts of the list they have received and in whichever
+//! order; and endpoints that join at the same time, which are all in slow start, are not neighbours
+//! on the ring.
 
 use balancer::EndpointId;
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Names of the listed endpoints and their ids.
+/// The names of the listed endpoints and their ids.
 #[derive(Debug, Default)]
 pub struct EndpointIds {
     by_name: HashMap<String, EndpointId>,
@@ -15,9 +16,9 @@
 }
 
 impl EndpointIds {
-    /// The id of an endpoint. It stays the same until the name is forgotten. `on_new` is called
-    /// with it if the name was not known. Of two names with the same hash the later one gets the
-    /// next free id.
+    /// Returns the id of an endpoint, which is stable until the name is forgotten. If the name is
+    /// new, an id is assigned and `on_new` is called with it. If two names have the same hash, the
+    /// later one gets the next free id.
     pub fn get(&mut self, name: &str, on_new: impl FnOnce(EndpointId)) -> EndpointId {
         if let Some(&id) = self.by_name.get(name) {
             return id;
@@ -33,7 +34,7 @@
         id
     }
 
-    /// Forgets the names of all endpoints that are not to be retained.
+    /// Forgets the names of all endpoints for which `retain` returns `false`.
     pub fn retain(&mut self, retain: impl Fn(EndpointId) -> bool) {
         self.by_name.retain(|_, id| retain(*id));
         self.names.retain(|id, _| retain(*id));
--- a/proxy/src/control/endpoint_list.rs
+++ b/proxy/src/control/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: the watch that brings them, and what follows from them.
+//! Watches the endpoint list and applies the lists and updates that arrive.
 
 use crate::control::{Control, ControlState};
 use crate::discovery::{self, EndpointList, WatchEvent, WatchTimeouts};
@@ -11,13 +11,13 @@
 struct WatchRequest {
     generation: u64,
     discovery: SocketAddr,
-    /// Version of the list to go on from.
+    /// Version of the list after which changes are requested.
     since: Option<u64>,
     timeouts: WatchTimeouts,
 }
 
 impl ControlState {
-    /// Opens a watch in place of the current one.
+    /// Opens a watch, which replaces the current one.
     pub(super) fn subscribe(&mut self, control: &Control) {
         let request = WatchRequest {
             generation: self.watch.next_generation(),
@@ -29,8 +29,9 @@
             .set_task(task::spawn(control.clone().follow_watch(request)));
     }
 
-    /// Ends what is not yet written to endpoints that are not ready, and closes their idle
-    /// connections: what counts is when an attempt is written, not when it was decided.
+    /// Ends the unwritten attempts for endpoints that are not ready, and closes the idle
+    /// connections to them. Whether an attempt may start depends on when it is written, not on when
+    /// the balancer decided on it.
     fn withdraw_from_unready(&mut self) {
         for endpoint_id in self.endpoints.unready() {
             self.pool.close_all(endpoint_id);
@@ -47,7 +48,8 @@
         let entries = self
             .endpoints
             .update(list, kind != ListUpdate::Delta, &mut self.pool);
-        // The balancer is notified of the list before the ends of the attempts that it withdraws.
+        // Queued first, so that the balancer knows the list before it handles the ends of the
+        // attempts that the list withdraws.
         self.events.push_back(Event::EndpointList { kind, entries });
         self.withdraw_from_unready();
         self.endpoints.forget_removed();
@@ -55,14 +57,15 @@
 }
 
 impl Control {
-    /// Applies the list that the configuration holds.
+    /// Applies the cached list of the configuration.
     pub(super) fn apply_cached_list(&self, list: &EndpointList) {
         self.state_mut().apply_list(list, ListUpdate::Cached);
         self.dispatch([]);
     }
 
     fn apply_watched_list(&self, list: &EndpointList, generation: u64) {
-        // A watch that was replaced may have more to deliver; its versions are another discovery's.
+        // A replaced watch may still deliver lists. Their versions belong to another discovery
+        // service.
         if !self.state().watch.is_current(generation) {
             return;
         }
@@ -81,7 +84,8 @@
         }
     }
 
-    /// Runs a watch until it ends, and opens the next one where the balancer does not poll.
+    /// Runs a watch until it ends. In push mode, opens the next one after that; otherwise the
+    /// balancer decides when to poll again.
     async fn follow_watch(self, request: WatchRequest) {
         let WatchRequest {
             generation,
--- a/proxy/src/control/endpoints.rs
+++ b/proxy/src/control/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints of the list, as far as the network code needs them.
+//! The listed endpoints, with the attributes that the network code needs.
 
 use crate::control::connection_pool::ConnectionPool;
 use crate::control::endpoint_ids::EndpointIds;
@@ -8,7 +8,8 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// A process of an endpoint. A later one at the same address is another one, which starts slowly.
+/// One process of an endpoint. An endpoint that restarts at the same address is a new process with
+/// a later start time, and goes through slow start.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndpointProcess {
     pub(super) endpoint_id: EndpointId,
@@ -16,12 +17,12 @@
     started_at_ms: u64,
 }
 
-/// An endpoint of the list.
+/// A listed endpoint.
 pub(super) struct Endpoint {
     address: SocketAddr,
     started_at_ms: u64,
     state: ListedState,
-    /// Where its attempts go, as the invariants see it.
+    /// Target of the endpoint's attempts, as recorded for the invariants.
     target: AttemptTarget,
 }
 
@@ -39,7 +40,7 @@
         self.state == ListedState::Ready
     }
 
-    /// Whether a new attempt may be written to this process of it.
+    /// Whether a new attempt may be written to this process of the endpoint.
     fn accepts(&self, process: EndpointProcess) -> bool {
         self.is_ready()
             && self.address == process.address
@@ -47,13 +48,13 @@
     }
 }
 
-/// An endpoint that takes new attempts.
+/// An endpoint that accepts new attempts.
 pub(super) struct ReadyEndpoint {
     pub(super) process: EndpointProcess,
     pub(super) target: AttemptTarget,
 }
 
-/// Owns the endpoints by their ids.
+/// Owns the listed endpoints.
 #[derive(Default)]
 pub(super) struct Endpoints {
     by_id: HashMap<EndpointId, Endpoint>,
@@ -61,12 +62,12 @@
 }
 
 impl Endpoints {
-    /// Number of endpoints.
+    /// Number of listed endpoints.
     pub(super) fn count(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Number of endpoints that the list says are ready.
+    /// Number of endpoints that are listed as ready.
     pub(super) fn ready_count(&self) -> usize {
         self.by_id
             .values()
@@ -74,7 +75,7 @@
             .count()
     }
 
-    /// The endpoint, if the list says that it is ready.
+    /// Returns the endpoint if it is listed as ready.
     pub(super) fn ready(&self, endpoint_id: EndpointId) -> Option<ReadyEndpoint> {
         let endpoint = self
             .by_id
@@ -102,8 +103,9 @@
             .is_some_and(|endpoint| endpoint.accepts(process))
     }
 
-    /// Updates the endpoints from a list and returns its entries for the balancer. Endpoints that a
-    /// full list does not name are marked as removed until [`Endpoints::forget_removed`].
+    /// Updates the endpoints from a list and returns the list's entries for the balancer. Endpoints
+    /// that are missing from a full list are marked as removed and kept until
+    /// [`Endpoints::forget_removed`] is called.
     pub(super) fn update(
         &mut self,
         list: &EndpointList,
@@ -132,7 +134,7 @@
         pool: &mut ConnectionPool,
     ) -> EndpointEntry {
         let endpoint_id = self.ids.get(&entry.name, |id| {
-            // The balancer's log lines have the id alone.
+            // Logged because the balancer's log lines identify endpoints by id only.
             crate::log::line(&format!(
                 "endpoint {} is {} at {}",
                 id.0, entry.name, entry.address
@@ -146,7 +148,7 @@
             endpoint.address = entry.address;
             endpoint.started_at_ms = entry.started_at_ms;
             pool.close_all(endpoint_id);
-            // Attempts for the process before may no longer start.
+            // Attempts for the previous process may no longer start.
             std::mem::take(&mut endpoint.target.drain_status).set_ready(false);
         }
         endpoint.state = entry.state;
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Ids of the endpoints that take no new attempts.
+    /// Ids of the endpoints that accept no new attempts.
     pub(super) fn unready(&self) -> impl Iterator<Item = EndpointId> + '_ {
         self.by_id
             .iter()
@@ -170,7 +172,7 @@
             .map(|(&id, _)| id)
     }
 
-    /// Forgets the endpoints that are no longer listed.
+    /// Removes the endpoints that are no longer listed.
     pub(super) fn forget_removed(&mut self) {
         self.by_id
             .retain(|_, endpoint| endpoint.state != ListedState::Removed);
--- a/proxy/src/control/in_flight.rs
+++ b/proxy/src/control/in_flight.rs
@@ -14,19 +14,20 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Owns the requests in flight: from their arrival until they have their reply and none of their
-/// attempts is in flight.
+/// Owns the requests in flight. A request is in flight from its arrival until it has a reply and
+/// none of its attempts is in flight.
 #[derive(Default)]
 pub(super) struct InFlightRequests {
     by_id: BTreeMap<RequestId, InFlightRequest>,
-    /// The clients' ids of these requests. Endpoints would take two requests with one id for the
-    /// same.
+    /// The request ids that the clients chose. No two requests in flight may share one: endpoints
+    /// would take them for the same request.
     client_ids: HashSet<HeaderValue>,
     last_id: u64,
 }
 
 impl InFlightRequests {
-    /// A number for a request with this id. `None`: there is one with this id already.
+    /// Reserves the client's id for a new request and assigns it an internal id. Returns `None` if
+    /// a request with this client id is in flight.
     pub(super) fn reserve_id(&mut self, client_id: &HeaderValue) -> Option<RequestId> {
         if !self.client_ids.insert(client_id.clone()) {
             return None;
@@ -35,7 +36,7 @@
         Some(RequestId(self.last_id))
     }
 
-    /// Adds a request under its reserved number.
+    /// Adds a request under its reserved id.
     pub(super) fn insert(&mut self, id: RequestId, request: InFlightRequest) {
         self.by_id.insert(id, request);
     }
@@ -44,7 +45,8 @@
         self.by_id.get_mut(&id)
     }
 
-    /// Takes an attempt that has ended out of its request.
+    /// Removes an ended attempt from its request and returns both. `None` if the attempt has
+    /// already been removed.
     pub(super) fn take_attempt(
         &mut self,
         id: RequestId,
@@ -55,14 +57,14 @@
         Some((request, ended))
     }
 
-    /// Lets no request end later than this.
+    /// Moves the deadlines of all requests that are later than `end` to `end`.
     pub(super) fn limit_deadlines(&mut self, end: Instant) {
         for request in self.by_id.values_mut() {
             request.deadline = request.deadline.min(end);
         }
     }
 
-    /// Ends the unwritten attempts of all requests for processes that take none now.
+    /// Ends all unwritten attempts for processes that no longer accept new attempts.
     pub(super) fn withdraw_attempts(
         &mut self,
         events: &mut VecDeque<Event>,
@@ -73,8 +75,8 @@
         }
     }
 
-    /// Once a request has its reply, nothing more is written for it, and it is removed when none of
-    /// its attempts is in flight.
+    /// If the request has its reply, ends the attempts that are not completely written, and removes
+    /// the request once none of its attempts is in flight.
     pub(super) fn clean_up(&mut self, id: RequestId, events: &mut VecDeque<Event>) {
         let Some(request) = self
             .by_id
@@ -98,14 +100,14 @@
     pub(super) forwarded: Rc<ForwardedRequest>,
     pub(super) deadline: Instant,
     pub(super) record: RequestRecord,
-    /// `None`: it has its reply, or its client has disconnected.
+    /// `None` once the reply has been sent or the client has disconnected.
     pub(super) reply: Option<oneshot::Sender<Reply>>,
-    /// `None`: that attempt has ended.
+    /// The attempts by number; `None` for those that have ended.
     pub(super) attempts: Vec<Option<InFlightAttempt>>,
 }
 
 impl InFlightRequest {
-    /// A request without attempts, and where its reply arrives.
+    /// Creates a request without attempts, and the receiver of its reply.
     pub(super) fn new(
         client_id: HeaderValue,
         forwarded: ForwardedRequest,
@@ -124,7 +126,7 @@
         (request, receiver)
     }
 
-    /// Whether it needs no further reply.
+    /// Whether the request has its reply or needs none because its client has disconnected.
     pub(super) fn has_reply(&self) -> bool {
         self.reply.is_none()
     }
@@ -134,7 +136,8 @@
         !self.has_reply() && (now < self.deadline || !self.forwarded.is_complete())
     }
 
-    /// The request has become complete: its deadline is known, and its attempts' time begins.
+    /// Called when the request's last byte has arrived: sets the deadline, which is known only now,
+    /// and restarts the attempts' elapsed time.
     pub(super) fn complete(&mut self, deadline: Instant) {
         self.deadline = deadline;
         self.record.completed(deadline);
@@ -143,7 +146,8 @@
         }
     }
 
-    /// Cancels it, as its client has disconnected. `false`: it had its reply before.
+    /// Cancels the request because its client has disconnected. Returns `false` if it already had
+    /// its reply.
     pub(super) fn cancel(&mut self, id: RequestId, events: &mut VecDeque<Event>) -> bool {
         if self.reply.take().is_none() {
             return false;
@@ -153,7 +157,7 @@
         true
     }
 
-    /// How long an attempt has taken so far; 0 while the request is still being read.
+    /// How long an attempt has taken so far; 0 while the request's body is still being uploaded.
     pub(super) fn elapsed(&self, attempt: &InFlightAttempt) -> Micros {
         if self.forwarded.is_complete() {
             to_micros(attempt.started_at.elapsed())
@@ -162,8 +166,8 @@
         }
     }
 
-    /// Ends the unwanted attempts of which nothing is written yet. Unlike cancelled ones, these
-    /// were certainly not executed.
+    /// Ends those unwanted attempts of which nothing has been written. Unlike cancelled attempts,
+    /// these are known not to have been executed.
     fn end_unwritten_attempts(
         &mut self,
         id: RequestId,
@@ -175,7 +179,8 @@
         });
     }
 
-    /// Ends the attempts that are not completely written. No endpoint executes those.
+    /// Ends the attempts that are not completely written. Endpoints do not execute a request that
+    /// they have not received completely.
     fn end_incomplete_attempts(&mut self, id: RequestId, events: &mut VecDeque<Event>) {
         self.end_unwritten_attempts(id, events, |_| true);
         self.end_attempts(id, events, Outcome::Cancelled, |attempt| {
@@ -210,22 +215,22 @@
 /// An attempt in flight.
 pub(super) struct InFlightAttempt {
     pub(super) process: EndpointProcess,
-    /// When it started, or its request became complete if that was later.
+    /// When the attempt started, or when the request's last byte arrived if that was later.
     pub(super) started_at: Instant,
     pub(super) write_guard: WriteGuard,
-    /// Ends the exchange and closes its connection when dropped.
+    /// Dropping the task ends the exchange and closes its connection.
     pub(super) _task: ScopedTask,
 }
 
 impl InFlightAttempt {
-    /// Ends it: nothing more of it is written.
+    /// Ends the attempt: no more of it is written, and the outcome is recorded.
     pub(super) fn end_by_proxy(&self, outcome: Outcome) {
         self.write_guard.withdraw();
         self.write_guard.finish(outcome);
     }
 }
 
-/// The end of an attempt that the proxy itself has ended.
+/// The event for an attempt that was ended by the proxy and not by its task.
 pub(super) fn ended_by_proxy(
     request: RequestId,
     attempt: u32,
--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -1,11 +1,11 @@
-//! The control plane: turns what happens on the sockets into the balancer's events, in one order
-//! and on one clock, and carries out its actions. It decides nothing itself.
+//! The control plane: reports what happens on the sockets to the balancer as events, in one order
+//! and on one clock, and carries out the balancer's actions. All decisions are the balancer's.
 //!
 //! This file has the state, the event loop and the dispatch of actions. Each part of the state is
-//! owned by a type in a module of its own, which needs nothing of this file: `clock`,
-//! `connection_pool`, `endpoints`, `in_flight`, `shutdown`, `timers`, `watch`. What is done with
-//! them is in `attempt`, `attempts`, `background`, `endpoint_list`, `reload`, `requests` and
-//! `snapshot`, which extend [`Control`] and the state.
+//! owned by a type in its own module, which does not depend on this file: `clock`,
+//! `connection_pool`, `endpoints`, `in_flight`, `shutdown`, `timers`, `watch`. The operations on
+//! these parts are in `attempt`, `attempts`, `background`, `endpoint_list`, `reload`, `requests`
+//! and `snapshot`, which extend [`Control`] and its state.
 
 mod attempt;
 mod attempts;
@@ -60,12 +60,12 @@
     shutdown: ShutdownState,
     metrics: Metrics,
     memory: BodyMemory,
-    /// The listener accepts connections.
+    /// Whether the listener accepts connections.
     is_accepting: bool,
 }
 
-/// A handle to the control plane, shared by the tasks of one thread. No method holds the state
-/// across an `await`, and none is called while another holds it.
+/// A handle to the control plane, shared by the tasks of one thread. No method holds a borrow of
+/// the state across an `await`, and no method is called while a borrow is held.
 #[derive(Clone)]
 pub struct Control(Rc<RefCell<ControlState>>);
 
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Carries out an action. Events that follow from it at once are queued.
+    /// Carries out an action. Events that result immediately are appended to the queue.
     fn apply(&mut self, control: &Control, action: Action) {
         match action {
             Action::Forward {
@@ -113,27 +113,28 @@
             Action::SetTimer { after } => self.timer.set(Duration::from_micros(after)),
             Action::Subscribe => self.subscribe(control),
             Action::Log(event) => log::line(&event.to_string()),
-            // Endpoints offer none; the settings do not allow them either.
+            // The endpoints offer no health checks, and the settings do not enable them.
             Action::CheckHealth { .. } => {}
         }
     }
 
-    /// Reserves a descriptor for a connection to an endpoint, until the permit is dropped.
+    /// Reserves a file descriptor for a connection to an endpoint, until the permit is dropped.
     fn reserve_connection(&mut self) -> Option<Rc<()>> {
         self.pool.reserve(self.config.max_endpoint_connections())
     }
 
-    /// Closes idle connections that have expired; to be called once a second.
+    /// Closes idle connections that have expired. Called once a second.
     fn sweep(&mut self) {
         self.pool.sweep(self.config.connection_idle_timeout);
     }
 }
 
 impl Control {
-    /// Starts the balancer with what the configuration holds.
+    /// Starts the balancer with the settings and the cached endpoint list of the configuration.
     pub fn start(config: Rc<Config>) -> Control {
         let control = Control(Rc::new(RefCell::new(ControlState::new(config.clone()))));
-        // Set before the start: the balancer may subscribe at once, from this version on.
+        // Set before `Event::Start`: the balancer may subscribe in response to it, and the watch
+        // then continues from this version.
         let cached_version = config.cached_list.as_ref().map(|list| list.version);
         control.state_mut().watch.version = cached_version;
         control.dispatch([Event::Start]);
@@ -155,8 +156,8 @@
         self.0.borrow_mut()
     }
 
-    /// The event loop: lets the balancer handle these events, after those that are queued, and
-    /// those that follow from its actions.
+    /// The event loop: appends these events to the queue, and lets the balancer handle queued
+    /// events, including those that result from its actions, until none is left.
     fn dispatch(&self, events: impl IntoIterator<Item = Event>) {
         let mut state = self.state_mut();
         state.events.extend(events);
@@ -173,32 +174,32 @@
         }
     }
 
-    /// The configuration in force.
+    /// The configuration that is currently in force.
     pub fn config(&self) -> Rc<Config> {
         self.state().config.clone()
     }
 
-    /// The metrics.
+    /// The metrics of this process.
     pub fn metrics(&self) -> Metrics {
         self.state().metrics.clone()
     }
 
-    /// The memory that buffered bodies share.
+    /// The memory limit that all buffered bodies share.
     pub fn memory(&self) -> BodyMemory {
         self.state().memory.clone()
     }
 
-    /// Counts a request that was answered with this status without the balancer.
+    /// Counts a request that was answered with this status and never reached the balancer.
     pub fn count_invalid_request(&self, status: StatusCode) {
         self.metrics().count().request_invalid(status);
     }
 
-    /// Notes whether the listener accepts connections.
+    /// Records whether the listener accepts connections.
     pub fn set_accepting(&self, is_accepting: bool) {
         self.state_mut().is_accepting = is_accepting;
     }
 
-    /// Whether there is an endpoint list, or it is no longer waited for.
+    /// Whether an endpoint list has been received, or the wait for one has ended.
     pub fn is_ready(&self) -> bool {
         let state = self.state();
         state.watch.has_list || state.watch.list_wait_ended
@@ -210,12 +211,12 @@
         state.is_accepting && state.watch.has_list
     }
 
-    /// Waits no longer for an endpoint list.
+    /// Ends the wait for the first endpoint list: from now on the process is ready without one.
     pub fn end_list_wait(&self) {
         self.state_mut().watch.list_wait_ended = true;
     }
 
-    /// Returns once there is an endpoint list.
+    /// Completes once an endpoint list has been received.
     pub async fn list_received(&self) {
         let list_received = self.state().watch.list_received.clone();
         while !self.state().watch.has_list {
@@ -223,7 +224,8 @@
         }
     }
 
-    /// Begins the graceful shutdown.
+    /// Begins the graceful shutdown: limits the deadlines of all requests and notifies the
+    /// balancer.
     pub fn begin_shutdown(&self, schedule: ShutdownSchedule) {
         let mut state = self.state_mut();
         state.requests.limit_deadlines(schedule.end);
@@ -233,7 +235,7 @@
         self.dispatch([Event::ShutdownStarted { time_left }]);
     }
 
-    /// Returns once shutdown has gone so far that requests that become complete are rejected.
+    /// Completes once the graceful shutdown rejects requests whose last byte arrives from now on.
     pub async fn request_cutoff(&self) {
         let shutdown = self.state().shutdown.clone();
         shutdown.request_cutoff().await;
--- a/proxy/src/control/reload.rs
+++ b/proxy/src/control/reload.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration while the proxy runs.
+//! Applies configuration changes while the proxy runs.
 
 use crate::config::{Config, Reloaded};
 use crate::control::Control;
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 
 impl Control {
-    /// Continues under a new configuration. Its discovery is watched at once, from the version of
-    /// the list that the proxy has.
+    /// Applies a new configuration. If the discovery address has changed, the new discovery service
+    /// is watched at once, starting from the version of the list that the proxy has.
     pub fn reload(&self, config: Config) {
         let mut state = self.state_mut();
         let Reloaded {
@@ -17,7 +17,7 @@
         } = state.config.reloaded(config);
         let discovery_changed = config.discovery != state.config.discovery;
         let note = if needs_restart {
-            "; its other changes need a restart"
+            "; the other changes take effect after a restart"
         } else {
             ""
         };
@@ -34,16 +34,16 @@
             return state.subscribe(self);
         }
         drop(state);
-        // The balancer polls again as after any watch that is lost: what it had planned before
-        // would interrupt a watch that is opened here.
+        // Reported as a lost watch, so that the balancer polls again. If the watch were opened
+        // here, a poll that the balancer had already planned would interrupt it.
         self.dispatch([Event::EndpointList {
             kind: ListUpdate::WatchLost,
             entries: Vec::new(),
         }]);
     }
 
-    /// Shares the descriptors with so many processes of the program, this one included. Idle
-    /// connections beyond this one's part are closed.
+    /// Divides the file descriptors among this number of processes of the program, including this
+    /// one. Closes idle connections in excess of this process's share.
     pub fn set_process_count(&self, process_count: usize) {
         let mut state = self.state_mut();
         state.config = Rc::new(Config {
--- a/proxy/src/control/request.rs
+++ b/proxy/src/control/request.rs
@@ -1,4 +1,4 @@
-//! A client's request: what is forwarded of it, what the balancer needs to know, and its reply.
+//! A client's request: the part that is forwarded, the part that the balancer needs, and the reply.
 
 use crate::body::{AttemptBody, RequestBody, ResponseBody};
 use crate::socket::Socket;
@@ -9,28 +9,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long the client still waits, in milliseconds, as advertised to endpoints.
+/// Header that tells endpoints how long the client still waits, in milliseconds.
 const TIMEOUT_MS_HEADER: &str = "x-budget-ms";
 
-/// A client's request as it is forwarded to endpoints.
+/// The part of a client's request that is forwarded to endpoints.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub target: Uri,
-    /// Its headers, without those of the client's connection.
+    /// The end-to-end headers, without the hop-by-hop headers of the client's connection.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body, buffered or streamed.
     pub payload: RequestBody,
-    /// How long the client waits for the response, from the request's last byte on.
+    /// How long the client waits for the response after the request's last byte.
     pub budget: Duration,
     /// The client's connection.
     pub client: Socket,
 }
 
 impl ForwardedRequest {
-    /// The message for an attempt that times out at `deadline`. It advertises the time left.
+    /// Builds the message for an attempt that times out at `deadline`. Its header advertises the
+    /// time left.
     pub(super) fn message(
         &self,
         deadline: Instant,
@@ -40,7 +41,8 @@
         *message.method_mut() = self.method.clone();
         *message.uri_mut() = self.target.clone();
         *message.headers_mut() = self.headers.clone();
-        // The last byte of one that is still being read may have arrived by now.
+        // The last byte of a streamed request may have arrived in the meantime, which starts the
+        // client's timeout.
         let deadline = if self.is_complete() {
             deadline
         } else {
@@ -55,7 +57,7 @@
         message
     }
 
-    /// Whether its last byte has arrived: the client's time has begun.
+    /// Whether the request's last byte has arrived, which starts the client's timeout.
     pub(super) fn is_complete(&self) -> bool {
         self.payload
             .upload()
@@ -63,28 +65,28 @@
     }
 }
 
-/// What the balancer needs to know of a request.
+/// The part of a request that the balancer needs.
 #[derive(Clone, Debug)]
 pub struct RequestDescriptor {
-    /// Its id, which no other request in flight has.
+    /// The client's request id, which must be unique among the requests in flight.
     pub id: HeaderValue,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant, if the client named a known one.
     pub tenant: Option<TenantId>,
-    /// By when the client must have its response.
+    /// When the client must have its response.
     pub deadline: Instant,
-    /// The client says that this is a retry of its own.
+    /// Whether the client marked this request as its own retry of an earlier one.
     pub client_retry: bool,
 }
 
 /// The final reply to a request.
 #[derive(Debug)]
 pub enum Reply {
-    /// An endpoint's response.
+    /// The response of an endpoint.
     Served(Response<ResponseBody>),
-    /// Rejected; the client may retry after this time.
+    /// The request was rejected; the client may retry after this time.
     Rejected(Duration),
-    /// Failed; it may have been executed.
+    /// The request failed and may have been executed.
     Failed,
 }
--- a/proxy/src/control/requests.rs
+++ b/proxy/src/control/requests.rs
@@ -1,4 +1,5 @@
-//! A request's course: its arrival, its completion, its cancellation and its final reply.
+//! The lifecycle of a request: its arrival, the arrival of its last byte, its cancellation and its
+//! final reply.
 
 use crate::control::clock::micros_until;
 use crate::control::in_flight::InFlightRequest;
@@ -11,8 +12,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A request that waits for its reply. Dropped before that, it is cancelled: its client has
-/// disconnected.
+/// A request that waits for its reply. Dropping it before the reply cancels the request: its client
+/// has disconnected.
 pub struct PendingReply {
     control: Control,
     request: RequestId,
@@ -21,9 +22,10 @@
 }
 
 impl PendingReply {
-    /// The request's final reply.
+    /// Waits for the final reply.
     pub async fn reply(&mut self) -> Reply {
-        // The sender is only ever dropped with the request, after a reply or with the process.
+        // The sender is dropped without a reply only when the request is cancelled because its
+        // client has disconnected, or when the process ends.
         let mut reply = (&mut self.reply).await.unwrap_or(Reply::Failed);
         if let Some(tracker) = self.tracker.take() {
             match &mut reply {
@@ -35,7 +37,7 @@
         reply
     }
 
-    /// The request is complete: its client waits for `time_left` from now.
+    /// Reports that the request's last byte has arrived: the client waits for `time_left` from now.
     pub fn completed(&mut self, time_left: Duration) {
         if let Some(tracker) = &mut self.tracker {
             tracker.set_complete();
@@ -51,7 +53,7 @@
 }
 
 impl Control {
-    /// Takes a request. `None`: one with its id is in flight already.
+    /// Submits a request to the balancer. Returns `None` if a request with its id is in flight.
     pub fn request(
         &self,
         descriptor: RequestDescriptor,
@@ -93,7 +95,8 @@
         })
     }
 
-    /// Rejects a request that the balancer never saw, or that it knows to be cancelled.
+    /// Rejects a request that was not submitted to the balancer, or whose [`PendingReply`] the
+    /// caller drops.
     pub fn reject(&self, class: ClassId) -> Reply {
         self.metrics().track(class, true).end(RequestEnd::Rejected);
         Reply::Rejected(Duration::ZERO)
@@ -131,7 +134,7 @@
 }
 
 impl ControlState {
-    /// Replies to a request that the balancer rejects or fails.
+    /// Replies to a request that the balancer has rejected or failed.
     pub(super) fn reply_unserved(&mut self, id: RequestId, reason: FailureReason, reply: Reply) {
         if let Some(request) = self.requests.get_mut(id) {
             if let Some(sender) = request.reply.take() {
@@ -141,14 +144,14 @@
                     Reply::Failed => ReplyKind::Failed,
                     Reply::Rejected(_) | Reply::Served(_) => ReplyKind::Rejected,
                 });
-                // A client that has just disconnected has no use for it.
+                // Fails only if the client has just disconnected.
                 let _ = sender.send(reply);
             }
         }
         self.requests.clean_up(id, &mut self.events);
     }
 
-    /// What the invariants allow for requests of a class.
+    /// The policy by which the invariants check requests of a class.
     fn request_policy(&self, class: ClassId) -> RequestPolicy {
         let settings = &self.config.settings;
         let class = settings.classes.get(class.0);
--- a/proxy/src/control/shutdown.rs
+++ b/proxy/src/control/shutdown.rs
@@ -1,20 +1,20 @@
-//! Graceful shutdown: its schedule, and tasks that wait for it.
+//! Graceful shutdown: the schedule, and waiting for its steps.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// When the steps of a graceful shutdown are taken.
+/// The times at which the steps of a graceful shutdown are taken.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownSchedule {
-    /// From here on requests that become complete are rejected.
+    /// Requests whose last byte arrives from this time on are rejected.
     pub reject_from: Instant,
-    /// By this time every request has its response, or the beginning of it.
+    /// When every request must have its response, or at least the beginning of a streamed one.
     pub end: Instant,
 }
 
-/// Whether shutdown has begun; clones share the state.
+/// Whether the graceful shutdown has begun, and its schedule. Clones share the state.
 #[derive(Clone, Default)]
 pub(super) struct ShutdownState {
     schedule: Rc<Cell<Option<ShutdownSchedule>>>,
@@ -22,20 +22,20 @@
 }
 
 impl ShutdownState {
-    /// Begins the shutdown and wakes all that wait for it.
+    /// Begins the shutdown and wakes all tasks that wait for it.
     pub(super) fn begin(&self, schedule: ShutdownSchedule) {
         self.schedule.set(Some(schedule));
         self.begun.notify_waiters();
     }
 
-    /// A deadline, or the shutdown's end if that comes first.
+    /// Returns the deadline, or the end of the shutdown if that is earlier.
     pub(super) fn limit(&self, deadline: Instant) -> Instant {
         self.schedule
             .get()
             .map_or(deadline, |schedule| deadline.min(schedule.end))
     }
 
-    /// Returns once shutdown has begun.
+    /// Completes once the shutdown has begun.
     async fn begun(&self) -> ShutdownSchedule {
         loop {
             let notified = self.begun.notified();
@@ -46,13 +46,13 @@
         }
     }
 
-    /// Returns once requests that become complete are rejected: long responses to them might be
-    /// truncated.
+    /// Completes once newly complete requests must be rejected: a long response to one of them
+    /// might be truncated when the process ends.
     pub(super) async fn request_cutoff(&self) {
         sleep_until(self.begun().await.reject_from).await;
     }
 
-    /// Returns when every request must have its response.
+    /// Completes when every request must have its response.
     pub(super) async fn ends(&self) {
         sleep_until(self.begun().await.end).await;
     }
--- a/proxy/src/control/snapshot.rs
+++ b/proxy/src/control/snapshot.rs
@@ -1,21 +1,21 @@
-//! Metrics as operators and the log get them.
+//! Reports the metrics to operators and to the log.
 
 use crate::control::Control;
 use crate::log;
 
 impl Control {
-    /// The metrics so far, as operators read them.
+    /// The metrics since the start of the process, under the names that operators read.
     pub fn metrics_json(&self) -> serde_json::Value {
         let state = self.state();
-        // Draining endpoints are unavailable by the list's word, whatever the balancer thinks of
-        // them.
+        // The balancer's count does not include draining endpoints, which the list makes
+        // unavailable whatever their health.
         let draining = state.endpoints.count() - state.endpoints.ready_count();
         let unavailable = state.balancer.unavailable_count(state.clock.now()) + draining;
         let metrics = state.metrics.snapshot();
         metrics.to_json(&state.config.classes, state.endpoints.count(), unavailable)
     }
 
-    /// Writes the metrics so far to the log.
+    /// Writes the metrics since the start of the process to the log.
     pub fn log_metrics(&self) {
         let snapshot = self.metrics_json();
         let state = self.state();
@@ -24,7 +24,7 @@
         let max_idle = state.pool.max_idle(state.config.connection_idle_timeout);
         let metrics = state.metrics.snapshot();
         log::line(&format!(
-            "{open} connections ({idle} idle, for at most {max_idle:?}), {snapshot}, {metrics}"
+            "{open} connections ({idle} idle, kept for at most {max_idle:?}), {snapshot}, {metrics}"
         ));
     }
 }
--- a/proxy/src/control/timers.rs
+++ b/proxy/src/control/timers.rs
@@ -1,4 +1,4 @@
-//! The balancer's one timer.
+//! The timer that the balancer sets.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// A timer that can be set anew while it is waited for; clones are the same timer.
+/// A timer that can be reset while a task waits for it. Clones share the timer.
 #[derive(Clone, Default)]
 pub(super) struct DeadlineTimer {
     deadline: Rc<Cell<Option<Instant>>>,
@@ -15,13 +15,13 @@
 }
 
 impl DeadlineTimer {
-    /// Lets the timer expire after this time, instead of when it would have.
+    /// Sets the timer to expire after this time, which replaces the previous setting.
     pub(super) fn set(&self, after: Duration) {
         self.deadline.set(Some(Instant::now() + after));
         self.changed.notify_one();
     }
 
-    /// Returns when the timer expires; it has to be set again after that.
+    /// Completes when the timer expires. It must then be set again.
     pub(super) async fn expired(&self) {
         loop {
             let deadline = self.deadline.get();
--- a/proxy/src/control/watch.rs
+++ b/proxy/src/control/watch.rs
@@ -1,4 +1,4 @@
-//! What is known of the watch of the endpoint list.
+//! The state of the watch of the endpoint list.
 
 use crate::discovery::WatchEnd;
 use crate::log;
@@ -7,52 +7,54 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The watch of the endpoint list, and how far the list has been received.
+/// The current watch of the endpoint list, and what has been received so far.
 #[derive(Default)]
 pub(super) struct WatchState {
-    /// Version of the last list or update.
+    /// Version of the last list or update that was received.
     pub(super) version: Option<u64>,
-    /// A list has been received, or the configuration has one that names endpoints.
+    /// Whether a list has been received, or the configuration contains a cached list with
+    /// endpoints.
     pub(super) has_list: bool,
-    /// The first list is no longer waited for: clients are served without one.
+    /// Whether the wait for the first list has ended: clients are served even without one.
     pub(super) list_wait_ended: bool,
-    /// Notified of each list and update.
+    /// Notified when a list or an update is received.
     pub(super) list_received: Rc<Notify>,
-    /// Number of the current watch; events of earlier ones are ignored.
+    /// Number of the current watch. Events of watches with other numbers are ignored.
     generation: u64,
     task: Option<ScopedTask>,
-    /// The last attempt to open a watch failed.
+    /// Whether the last attempt to open a watch failed.
     open_failed: bool,
-    /// The last watch that could be opened ended right away.
+    /// Whether the last watch that could be opened ended soon after it was opened.
     was_brief: bool,
 }
 
 impl WatchState {
-    /// Whether this is the number of the current watch.
+    /// Whether the current watch has this generation.
     pub(super) fn is_current(&self, generation: u64) -> bool {
         self.generation == generation
     }
 
-    /// The number for a new watch, which replaces the current one.
+    /// Returns the generation of a new watch, which replaces the current one.
     pub(super) fn next_generation(&mut self) -> u64 {
         self.generation += 1;
         self.generation
     }
 
-    /// Sets the task of the current watch. That of the one before, if there is one, ends.
+    /// Sets the task of the current watch and aborts the task of the previous one.
     pub(super) fn set_task(&mut self, task: ScopedTask) {
         self.task = Some(task);
     }
 
-    /// Ends the watch: its further events are ignored.
+    /// Stops the current watch and ignores its remaining events.
     pub(super) fn stop(&mut self) {
         self.generation += 1;
         self.task = None;
     }
 
-    /// Notes that the watch has ended and logs why; of attempts that fail one after the other, the
-    /// first is logged. Returns what the balancer is notified of: it opens the next watch soon
-    /// after one that was lost, with a backoff if watches keep ending as soon as they are open.
+    /// Records that the watch has ended and logs the reason; of consecutive failures to open a
+    /// watch, only the first is logged. Returns the update that the balancer is notified of. The
+    /// balancer opens the next watch soon after a lost one, and backs off if watches repeatedly end
+    /// soon after they are opened.
     pub(super) fn ended(&mut self, end: &WatchEnd) -> ListUpdate {
         let was_open = end.open_for.is_some();
         if was_open || !self.open_failed {
