--- a/proxy/src/invariants/history.rs
+++ b/proxy/src/invariants/history.rs
@@ -1,4 +1,4 @@
-//! What has happened to a request, and which rules the start of an attempt violates.
+//! The history of a request, and the rules that the start of an attempt violates.
 
 use crate::invariants::policy::{AttemptTarget, RequestPolicy};
 use crate::metrics::Violation;
@@ -7,24 +7,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Every time limit may be exceeded by this (protocol page).
+/// Tolerance that the protocol grants on every time limit.
 const TIME_LIMIT_SLACK: Duration = Duration::from_millis(50);
-/// The time advertised to an endpoint may exceed what is left of the client's by this.
+/// Tolerance by which the time advertised to an endpoint may exceed the time that the client still
+/// waits.
 const ADVERTISED_TIME_SLACK: Duration = Duration::from_millis(150);
-/// An attempt may start this long after its client has disconnected.
+/// Tolerance within which an attempt may still start after its client has disconnected.
 const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
-/// A reply that is later than this is worth nothing.
+/// A reply that is later than the deadline by more than this is of no use to the client.
 const REPLY_SLACK: Duration = Duration::from_millis(500);
 
-/// The course of an attempt.
+/// The history of an attempt.
 #[derive(Debug)]
 pub(super) struct AttemptHistory {
     pub(super) target: AttemptTarget,
-    /// Time that was advertised to the endpoint.
+    /// The client's remaining time, as advertised to the endpoint.
     pub(super) advertised_time: Option<Duration>,
-    /// When its first byte was written.
+    /// When the attempt's first byte was written.
     pub(super) started_at: Option<Instant>,
-    /// Whether it was certainly not executed; `None`: it is in flight.
+    /// Whether the attempt is known not to have been executed. `None` while it is in flight.
     pub(super) never_ran: Option<bool>,
 }
 
@@ -43,12 +44,12 @@
     }
 }
 
-/// The course of a request.
+/// The history of a request.
 #[derive(Debug)]
 pub(super) struct RequestHistory {
     pub(super) id: HeaderValue,
     policy: RequestPolicy,
-    /// By when it must have its reply; `None`: it is still being read.
+    /// When the request must have its reply. `None` while its body is still being read.
     pub(super) deadline: Option<Instant>,
     pub(super) attempts: Vec<AttemptHistory>,
     pub(super) has_reply: bool,
@@ -61,7 +62,8 @@
         policy: RequestPolicy,
         deadline: Option<Instant>,
     ) -> RequestHistory {
-        // One that was pipelined cannot be answered before the one ahead of it.
+        // A pipelined request cannot be answered before the request ahead of it, so its deadline
+        // may have passed already.
         let deadline = deadline.map(|deadline| deadline.max(Instant::now()));
         RequestHistory {
             id,
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Whether repeating it is harmless wherever it is repeated.
+    /// Whether the request may safely be repeated at any endpoint.
     pub(super) fn is_repeatable_anywhere(&self) -> bool {
         matches!(
             self.policy.idempotency,
@@ -90,13 +92,13 @@
         self.attempts.iter().any(AttemptHistory::may_have_run)
     }
 
-    /// Whether a reply now is too late for a client that still waits.
+    /// Whether a reply sent now is too late, and the client is still connected.
     pub(super) fn is_late(&self) -> bool {
         let is_late = |deadline: Instant| Instant::now() > deadline + REPLY_SLACK;
         self.disconnected_at.is_none() && self.deadline.is_some_and(is_late)
     }
 
-    /// The rules that an attempt violates if it starts now.
+    /// The rules that are violated if the attempt starts now.
     pub(super) fn start_violations(&self, index: usize, now: Instant) -> Vec<Violation> {
         let attempt = &self.attempts[index];
         let started = 1 + self.other_started(index).count();
@@ -168,7 +170,7 @@
         advertised > deadline.saturating_duration_since(now) + ADVERTISED_TIME_SLACK
     }
 
-    /// The rule that a retry violates if it starts now, after an attempt that may have been
+    /// The rule that is violated if a retry starts now, after an attempt that may have been
     /// executed.
     fn retry_violation(&self, index: usize, now: Instant) -> Option<Violation> {
         let first = self
--- a/proxy/src/invariants/mod.rs
+++ b/proxy/src/invariants/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' rules, checked where their effects happen: when an attempt's first byte is
-//! written, when an attempt ends, when a request gets its reply, when a client's connection is
-//! closed. Nothing here decides anything. A violation is a fault of this program; it is counted, in
-//! release builds too, and logged with its request.
+//! Checks the operators' rules at runtime, at the points where they take effect: when an attempt's
+//! first byte is written, when an attempt ends, when a request gets its reply, and when a client's
+//! connection is closed. The checks do not influence any decision. A violation is a bug in this
+//! program; it is counted, also in release builds, and logged with the request's history.
 
 mod history;
 mod policy;
@@ -20,18 +20,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How a request was replied to.
+/// The kind of reply that a request got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReplyKind {
-    /// With an endpoint's response.
+    /// The response of an endpoint.
     Served,
-    /// As rejected: it may be retried.
+    /// A rejection: the request was not executed, or can safely be retried.
     Rejected,
-    /// With an error that promises nothing.
+    /// An error: the request may or may not have been executed.
     Failed,
 }
 
-/// Records the course of one request; clones are the same record.
+/// Records the history of one request. Clones share the record.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestRecord {
     history: Rc<RefCell<RequestHistory>>,
@@ -39,15 +39,15 @@
 }
 
 impl RequestRecord {
-    /// The record of a request that was taken just now. `deadline`: by when it must have its reply,
-    /// if it is complete.
+    /// Creates the record of a request that has just been received. `deadline` is when it must have
+    /// its reply; `None` if its body is still being read.
     pub(crate) fn new(
         metrics: Metrics,
         id: HeaderValue,
         policy: RequestPolicy,
         deadline: Option<Instant>,
     ) -> RequestRecord {
-        tracing::debug!(request = ?id, idempotency = ?policy.idempotency, "received");
+        tracing::debug!(request = ?id, idempotency = ?policy.idempotency, "request received");
         let history = RequestHistory::new(id, policy, deadline);
         RequestRecord {
             history: Rc::new(RefCell::new(history)),
@@ -55,12 +55,12 @@
         }
     }
 
-    /// The request has become complete.
+    /// Records that the request's last byte has arrived, which determines its deadline.
     pub(crate) fn completed(&self, deadline: Instant) {
         self.history.borrow_mut().deadline = Some(deadline);
     }
 
-    /// The record of a further attempt, which has not started.
+    /// Creates the record of the request's next attempt, which has not started yet.
     pub(crate) fn attempt(&self, target: AttemptTarget) -> AttemptRecord {
         let mut history = self.history.borrow_mut();
         history.attempts.push(AttemptHistory::new(target));
@@ -70,25 +70,26 @@
         }
     }
 
-    /// The client is known to have disconnected.
+    /// Records that the client is known to have disconnected.
     pub(crate) fn client_disconnected(&self) {
         let mut history = self.history.borrow_mut();
         tracing::debug!(request = ?history.id, "client disconnected");
         history.disconnected_at.get_or_insert_with(Instant::now);
     }
 
-    /// The balancer serves it no longer.
+    /// Records that the balancer has rejected or failed the request.
     pub(crate) fn abandoned(&self, reason: FailureReason) {
         let history = self.history.borrow();
         let attempts = history.attempts.len();
-        tracing::debug!(request = ?history.id, attempts, reason = ?reason, "abandoned");
+        let request = &history.id;
+        tracing::debug!(?request, attempts, ?reason, "request rejected or failed");
     }
 
-    /// The request gets its final reply.
+    /// Records that the request gets its final reply, and checks that it may get this reply now.
     pub(crate) fn replied(&self, kind: ReplyKind) {
         let mut history = self.history.borrow_mut();
         history.has_reply = true;
-        tracing::debug!(request = ?history.id, reply = ?kind, "replied");
+        tracing::debug!(request = ?history.id, reply = ?kind, "reply sent to the client");
         let is_rejected = kind == ReplyKind::Rejected;
         if is_rejected && !history.is_repeatable_anywhere() && history.may_have_run() {
             self.report(&history, Violation::RejectedAfterRun);
@@ -107,7 +108,7 @@
     }
 }
 
-/// Records one attempt of a request; clones are the same record.
+/// Records one attempt of a request. Clones share the record.
 #[derive(Clone, Debug)]
 pub struct AttemptRecord {
     request: RequestRecord,
@@ -115,23 +116,23 @@
 }
 
 impl AttemptRecord {
-    /// The attempt advertises that this time is left to its client.
+    /// Records the client's remaining time, as the attempt advertises it to its endpoint.
     pub(crate) fn advertise_time(&self, time_left: Duration) {
         self.request.history.borrow_mut().attempts[self.index].advertised_time = Some(time_left);
     }
 
-    /// It may not be written.
+    /// Records that the write guard has denied a write of the attempt.
     pub(crate) fn write_denied(&self, denial: WriteDenial) {
         let history = self.request.history.borrow();
         let request = &history.id;
-        tracing::debug!(?request, attempt = self.index, reason = ?denial, "write denied");
+        tracing::debug!(?request, attempt = self.index, reason = ?denial, "attempt write denied");
     }
 
-    /// Its first byte has been written.
+    /// Records that the attempt's first byte has been written, and checks that it may start now.
     pub(crate) fn started(&self) {
         let now = Instant::now();
         let mut history = self.request.history.borrow_mut();
-        tracing::debug!(request = ?history.id, attempt = self.index, "started");
+        tracing::debug!(request = ?history.id, attempt = self.index, "attempt started");
         let violations = history.start_violations(self.index, now);
         history.attempts[self.index].started_at = Some(now);
         for violation in violations {
@@ -139,10 +140,12 @@
         }
     }
 
-    /// It has ended. `is_written`: its last byte had been written.
+    /// Records that the attempt has ended, and checks its outcome. `is_written`: whether the
+    /// attempt was written completely.
     pub(crate) fn ended(&self, outcome: Outcome, is_written: bool) {
         let mut history = self.request.history.borrow_mut();
-        tracing::debug!(request = ?history.id, attempt = self.index, outcome = ?outcome, "ended");
+        let request = &history.id;
+        tracing::debug!(?request, attempt = self.index, ?outcome, "attempt ended");
         history.attempts[self.index].never_ran = Some(outcome.never_ran());
         if is_written && outcome.never_ran() && outcome != Outcome::Rejected {
             self.request.report(&history, Violation::WrittenButNeverRan);
--- a/proxy/src/invariants/policy.rs
+++ b/proxy/src/invariants/policy.rs
@@ -1,4 +1,4 @@
-//! What is allowed for a request, and where its attempts go.
+//! The rules that apply to a request, and the targets of its attempts.
 
 use balancer::{CellId, Idempotency, ZoneId};
 use std::cell::Cell;
@@ -6,15 +6,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Whether an endpoint's process takes new attempts: shared by the list and the attempts for it.
+/// Whether an endpoint process accepts new attempts. Shared by the endpoint and all attempts for
+/// it.
 #[derive(Debug, Default)]
 pub(crate) struct DrainStatus {
-    /// Since when the list has said that it takes none.
+    /// Since when the endpoint list has not listed the process as ready; `None` while it is listed
+    /// as ready.
     unready_since: Cell<Option<Instant>>,
 }
 
 impl DrainStatus {
-    /// Notes what the list says.
+    /// Records whether the endpoint list lists the process as ready.
     pub(crate) fn set_ready(&self, is_ready: bool) {
         let since = self.unready_since.get().unwrap_or_else(Instant::now);
         self.unready_since.set((!is_ready).then_some(since));
@@ -25,26 +27,27 @@
     }
 }
 
-/// Where an attempt goes.
+/// The endpoint process that an attempt is sent to.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AttemptTarget {
-    /// State of the endpoint's process.
+    /// Whether the process accepts new attempts.
     pub(crate) drain_status: Rc<DrainStatus>,
-    /// Its zone, within which requests may be deduplicated.
+    /// The endpoint's zone, within which endpoints may deduplicate requests.
     pub(crate) zone: ZoneId,
-    /// Its cell, within which requests may be deduplicated.
+    /// The endpoint's cell, within which endpoints may deduplicate requests.
     pub(crate) cell: CellId,
 }
 
-/// What is allowed for a request.
+/// The rules that apply to a request.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestPolicy {
-    /// Whether it may be executed again.
+    /// Whether and where the request may be executed again.
     pub(crate) idempotency: Idempotency,
-    /// Most attempts.
+    /// Maximum number of attempts.
     pub(crate) max_attempts: usize,
-    /// Whether two attempts may be in flight at once.
+    /// Whether two attempts may be in flight at the same time.
     pub(crate) hedging: bool,
-    /// How long an attempt may still start at an endpoint that is draining or removed.
+    /// How long after an endpoint is listed as draining or removed an attempt may still start
+    /// there.
     pub(crate) drain_grace: Duration,
 }
--- a/proxy/src/invariants/tests.rs
+++ b/proxy/src/invariants/tests.rs
@@ -1,11 +1,12 @@
-//! Each violation is counted when it happens, and what is allowed is none.
+//! Tests that each violation is counted when it happens, and that permitted behaviour is not
+//! counted.
 
 use super::*;
 use balancer::{CellId, DeduplicationScope, Idempotency};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A request whose deadline is in a second, and its metrics.
+/// A request with a deadline in one second, and the metrics that count its violations.
 fn request(idempotency: Idempotency) -> (RequestRecord, Metrics) {
     let metrics = Metrics::new(1);
     let policy = RequestPolicy {
@@ -34,7 +35,7 @@
     snapshot
         .split("invariant_violations: ")
         .nth(1)
-        .expect("the last of the metrics")
+        .expect("the metrics end with the violations")
         .to_owned()
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// An attempt that starts and, if it has an outcome, ends.
+/// Starts an attempt, and ends it if an outcome is given.
 fn run_attempt(
     request: &RequestRecord,
     target: AttemptTarget,
@@ -135,7 +136,7 @@
         target.clone(),
         Some(Outcome::Rejected),
     );
-    assert_eq!(violations(&metrics), "{}", "within the grace");
+    assert_eq!(violations(&metrics), "{}", "the drain grace has not passed");
     tokio::time::advance(SECOND / 5).await;
     request_to_draining.attempt(target.clone()).started();
     assert_eq!(violations(&metrics), "{SentToDrainingEndpoint: 1}");
--- a/proxy/src/metrics/mod.rs
+++ b/proxy/src/metrics/mod.rs
@@ -1,5 +1,5 @@
-//! Metrics since the start. Events are counted here alone, where they happen, and read by
-//! operators' commands and the log.
+//! Metrics since the start of the process. Every event is counted here at the point where it
+//! happens; operators' commands and the log only read the counters.
 
 mod reasons;
 mod snapshot;
@@ -13,27 +13,28 @@
 use std::cell::{Ref, RefCell, RefMut};
 use std::rc::Rc;
 
-/// The metrics, shared by all that count; clones are the same.
+/// A handle to the metrics. Clones share the counters.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics(Rc<RefCell<MetricsSnapshot>>);
 
 impl Metrics {
-    /// All zero, for so many classes.
+    /// Creates metrics with all counters at 0, for this number of classes.
     pub fn new(class_count: usize) -> Metrics {
         Metrics(Rc::new(RefCell::new(MetricsSnapshot::new(class_count))))
     }
 
-    /// The metrics so far.
+    /// The current values of the counters.
     pub fn snapshot(&self) -> Ref<'_, MetricsSnapshot> {
         self.0.borrow()
     }
 
-    /// To count an event.
+    /// The counters, to count an event.
     pub fn count(&self) -> RefMut<'_, MetricsSnapshot> {
         self.0.borrow_mut()
     }
 
-    /// Tracks a request that was taken. One that is not complete counts from its last byte on.
+    /// Tracks a request that was received. A request that is not complete is counted only from its
+    /// last byte on.
     pub fn track(&self, class: ClassId, is_complete: bool) -> RequestTracker {
         let metrics = self.clone();
         let mut tracker = RequestTracker {
@@ -49,8 +50,8 @@
     }
 }
 
-/// Counts a request when it becomes complete and when it ends. Dropped without an end, it has
-/// failed: its client has disconnected.
+/// Counts a request when it becomes complete and when it ends. If it is dropped without an end, the
+/// client has disconnected, and the request counts as failed.
 #[derive(Debug)]
 pub struct RequestTracker {
     metrics: Metrics,
@@ -60,7 +61,7 @@
 }
 
 impl RequestTracker {
-    /// The request's last byte has arrived.
+    /// Records that the request's last byte has arrived.
     pub fn set_complete(&mut self) {
         if !self.is_complete {
             self.is_complete = true;
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The request has ended.
+    /// Counts the request as ended.
     pub fn end(mut self, end: RequestEnd) {
         self.set_complete();
         self.end = end;
--- a/proxy/src/metrics/reasons.rs
+++ b/proxy/src/metrics/reasons.rs
@@ -1,4 +1,4 @@
-//! Reasons that events are counted by.
+//! The reasons by which events are counted.
 
 use std::fmt;
 use std::io;
@@ -6,53 +6,54 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// Its response was passed on completely.
+    /// Its response was forwarded completely.
     Completed,
     /// It was rejected.
     Rejected,
-    /// Anything else.
+    /// It failed, or its client disconnected.
     Failed,
 }
 
-/// Why this side closed a client's connection.
+/// Why the proxy closed a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClientCloseReason {
-    /// It has been idle, or silent from its start, for as long as it may.
+    /// The connection was idle, or received nothing after it was opened, for the maximum time.
     Idle,
-    /// Its request did not become complete in time.
+    /// A request on it was not received completely in time.
     RequestTimeout,
-    /// It read nothing of its response for too long.
+    /// The client read nothing of a response for too long.
     ResponseStalled,
-    /// Another connection needed its descriptor.
+    /// Its file descriptor was needed for another connection.
     Evicted,
-    /// Its client has disconnected while a request was in flight.
+    /// The client disconnected while a request was in flight.
     ClientDisconnected,
 }
 
-/// Why this side closed an idle connection to an endpoint.
+/// Why the proxy closed an idle connection to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointCloseReason {
-    /// It has been idle for nearly as long as endpoints allow.
+    /// It was idle for almost as long as the endpoint keeps idle connections open.
     Idle,
-    /// Its endpoint takes no new requests, or has restarted.
+    /// Its endpoint accepts no new requests, or has restarted.
     EndpointUnavailable,
-    /// Another connection needed its descriptor.
+    /// Its file descriptor was needed for another connection.
     Evicted,
-    /// Bytes or its end have arrived, which would be taken for the next response.
+    /// It received data or an end of stream, which would be taken for the response to the next
+    /// request.
     UnexpectedBytes,
 }
 
-/// Why an attempt may not be written.
+/// Why a write of an attempt was denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WriteDenial {
-    /// It was withdrawn or cancelled.
+    /// The attempt was withdrawn or cancelled.
     Withdrawn,
-    /// The time within which it may start is over.
+    /// The start window closed before the attempt's first byte was written.
     StartWindowClosed,
-    /// Its client has disconnected.
+    /// The client disconnected before the attempt's first byte was written.
     ClientDisconnected,
-    /// Bytes or the end of its reused connection have arrived, which would be taken for its
-    /// response.
+    /// The reused connection received data or an end of stream, which would be taken for the
+    /// attempt's response.
     ConnectionUsed,
 }
 
@@ -70,7 +71,7 @@
     }
 }
 
-/// What must never happen.
+/// A violated invariant: something that the proxy must never do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
     /// An attempt started at an endpoint longer than the drain grace after the list said that it
@@ -80,24 +81,27 @@
     SentForDisconnectedClient,
     /// An attempt started after its request had its final reply.
     SentAfterReply,
-    /// An attempt started while another was in flight, and hedging is not allowed.
+    /// An attempt started while another one was in flight, although hedging is not allowed.
     ForbiddenHedge,
-    /// More attempts started than the settings allow.
+    /// More attempts of a request started than the settings allow.
     TooManyAttempts,
     /// A non-idempotent request that may have been executed was retried.
     RetriedNonIdempotent,
-    /// A keyed request that may have been executed was retried where it is not deduplicated.
+    /// A keyed request that may have been executed was retried outside the scope in which it is
+    /// deduplicated.
     RetriedOutOfScope,
-    /// A keyed request that may have been executed was retried when it is no longer deduplicated.
+    /// A keyed request that may have been executed was retried after the time for which it is
+    /// deduplicated.
     RetriedAfterWindow,
-    /// A longer time was advertised to an endpoint than the client waits.
+    /// The time advertised to an endpoint was longer than the client still waits.
     AdvertisedTimeTooLong,
     /// An attempt that was written completely was reported as never executed.
     WrittenButNeverRan,
-    /// A request that may have been executed was rejected as if it had not.
+    /// A request that may have been executed was rejected as if it had not been, although repeating
+    /// it is not safe.
     RejectedAfterRun,
     /// The final reply was too late.
     RepliedLate,
-    /// A connection with a request in flight was closed though its client was still connected.
+    /// A connection with a request in flight was closed although its client was still connected.
     ClosedWithoutReply,
 }
--- a/proxy/src/metrics/snapshot.rs
+++ b/proxy/src/metrics/snapshot.rs
@@ -1,4 +1,4 @@
-//! The counters, and how operators and the log read them.
+//! The counters, and their formats for operators and for the log.
 
 use crate::log;
 use crate::metrics::{ClientCloseReason, EndpointCloseReason, RequestEnd, Violation, WriteDenial};
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Requests of one class by how they ended.
+/// The ended requests of one class by how they ended.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassCounts {
     completed: u64,
@@ -27,31 +27,31 @@
     }
 }
 
-/// The counters since the start.
+/// The counters since the start of the process.
 #[derive(Debug, Default)]
 pub struct MetricsSnapshot {
     classes: Vec<ClassCounts>,
-    /// Complete requests without an end.
+    /// Number of complete requests that have not ended.
     pub(super) pending: u64,
     /// Attempts whose last byte was written.
     upstream_requests: u64,
-    /// Attempts that the balancer has ordered.
+    /// Attempts that the balancer has started.
     pub attempts: u64,
     /// Connections to endpoints that were established.
     pub opened: u64,
     /// Connections to endpoints that could not be established.
     pub open_failed: u64,
-    /// Reused connections that proved to be broken.
+    /// Reused connections that turned out to be broken.
     pub broken_reuse: u64,
     outcomes: BTreeMap<Outcome, u64>,
-    /// Requests that were invalid, by the status of their response.
+    /// Invalid requests by the status of their response.
     invalid_requests: BTreeMap<u16, u64>,
     write_denials: BTreeMap<WriteDenial, u64>,
-    /// Requests without an endpoint's response.
+    /// Requests that the balancer rejected or failed.
     abandoned_requests: BTreeMap<FailureReason, u64>,
-    /// Connections of clients that this side closed.
+    /// Client connections that the proxy closed.
     client_closes: BTreeMap<ClientCloseReason, u64>,
-    /// Idle connections to endpoints that this side closed.
+    /// Idle connections to endpoints that the proxy closed.
     endpoint_closes: BTreeMap<EndpointCloseReason, u64>,
     violations: BTreeMap<Violation, u64>,
 }
@@ -65,32 +65,33 @@
         }
     }
 
-    /// An attempt has ended.
+    /// Counts an attempt that has ended.
     pub fn attempt_ended(&mut self, outcome: Outcome) {
         *self.outcomes.entry(outcome).or_default() += 1;
     }
 
-    /// An invalid request got this status; the balancer never saw it.
+    /// Counts an invalid request, which was answered with this status and never reached the
+    /// balancer.
     pub fn request_invalid(&mut self, status: StatusCode) {
         *self.invalid_requests.entry(status.as_u16()).or_default() += 1;
     }
 
-    /// An attempt may not be written.
+    /// Counts a denied write of an attempt.
     pub fn write_denied(&mut self, denial: WriteDenial) {
         *self.write_denials.entry(denial).or_default() += 1;
     }
 
-    /// The balancer serves a request no longer.
+    /// Counts a request that the balancer has rejected or failed.
     pub fn request_abandoned(&mut self, reason: FailureReason) {
         *self.abandoned_requests.entry(reason).or_default() += 1;
     }
 
-    /// A client's connection was closed.
+    /// Counts a client connection that the proxy has closed.
     pub fn client_closed(&mut self, reason: ClientCloseReason) {
         *self.client_closes.entry(reason).or_default() += 1;
     }
 
-    /// Idle connections to endpoints were closed.
+    /// Counts idle connections to endpoints that the proxy has closed.
     pub fn endpoint_connections_closed(&mut self, reason: EndpointCloseReason, count: usize) {
         if count > 0 {
             *self.endpoint_closes.entry(reason).or_default() += count as u64;
@@ -98,17 +99,17 @@
         }
     }
 
-    /// An invariant was violated.
+    /// Counts a violated invariant.
     pub fn violation(&mut self, violation: Violation) {
         *self.violations.entry(violation).or_default() += 1;
     }
 
-    /// An attempt's last byte was written.
+    /// Counts an attempt whose last byte has been written.
     pub fn attempt_written(&mut self) {
         self.upstream_requests += 1;
     }
 
-    /// A request has ended.
+    /// Counts a request that has ended.
     pub(super) fn request_ended(&mut self, class: ClassId, end: RequestEnd) {
         let Some(counts) = self.classes.get_mut(class.0) else {
             return;
@@ -121,7 +122,8 @@
     }
 
     /// The counters under the names that operators read. `class_names` are in the order of the
-    /// settings; `endpoints` is the list's length, `unavailable` how many of these are not used.
+    /// settings; `endpoints` is the number of listed endpoints, and `unavailable` the number of
+    /// those that are not used.
     pub fn to_json(&self, class_names: &[String], endpoints: usize, unavailable: usize) -> Value {
         let classes = class_names
             .iter()
@@ -137,7 +139,7 @@
     }
 }
 
-/// The counters that only the log shows.
+/// Formats the counters that only the log shows.
 impl fmt::Display for MetricsSnapshot {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
--- a/proxy/src/metrics/tests.rs
+++ b/proxy/src/metrics/tests.rs
@@ -1,4 +1,4 @@
-//! Requests and closed connections are counted once, by how they ended.
+//! Tests that each request and each closed connection is counted once, by how it ended.
 
 use super::*;
 use serde_json::json;
--- a/proxy/src/write_guard.rs
+++ b/proxy/src/write_guard.rs
@@ -1,5 +1,5 @@
-//! The guard of one attempt's writes: whether its next byte may be written, checked as it is
-//! written, and how much of it was.
+//! Guards the writes of one attempt: checks at each write whether the attempt may still be written,
+//! and counts the bytes that were written.
 
 use crate::invariants::AttemptRecord;
 use crate::metrics::{Metrics, WriteDenial};
@@ -11,37 +11,38 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// The connection of the client whose request is written, as far as a write has to know it.
+/// The connection of the client on whose behalf an attempt is written, reduced to the check that
+/// writes need.
 pub trait ClientPresence: fmt::Debug {
-    /// Whether the client has closed or broken its connection. Asks the operating system, whose
-    /// readiness event may not have been delivered yet.
+    /// Whether the client has closed its connection or the connection is broken. Asks the operating
+    /// system, because a readiness event may not have been delivered yet.
     fn has_disconnected(&self) -> bool;
 }
 
-/// What is written of one attempt, and what it depends on.
+/// The progress of one attempt's writes, and the conditions under which it may be written.
 #[derive(Debug, Default)]
 struct GuardState {
     bytes_written: Cell<usize>,
-    /// The last byte has been handed to the connection.
+    /// Whether the request's last byte has been handed to the HTTP connection.
     has_request_ended: Cell<bool>,
     is_fully_written: Cell<bool>,
     is_withdrawn: Cell<bool>,
-    /// Before when the first byte must be written, if that is bounded.
+    /// When the start window closes, by which the first byte must be written. `None`: unlimited.
     begin_before: Option<Instant>,
-    /// The client whose request it is; `None`: no client's.
+    /// The client whose request is written. `None` if the request is not a client's.
     client: Option<Weak<dyn ClientPresence>>,
-    /// `None`: not an attempt of a request.
+    /// `None` if the request is not an attempt of a client's request.
     record: Option<AttemptRecord>,
     metrics: Metrics,
 }
 
-/// Guards the writes of one attempt; clones are the same guard. The default one permits everything.
+/// Guards the writes of one attempt. Clones share the guard. The default guard permits every write.
 #[derive(Clone, Debug, Default)]
 pub struct WriteGuard(Rc<GuardState>);
 
 impl WriteGuard {
-    /// The guard of a new attempt, on behalf of this client. The attempt may begin before
-    /// `begin_before` only; it is counted once its last byte is written.
+    /// Creates the guard of a new attempt on behalf of `client`. The attempt's first byte may be
+    /// written only before `begin_before`. The attempt is counted once its last byte is written.
     pub fn new(
         metrics: &Metrics,
         client: Weak<dyn ClientPresence>,
@@ -57,11 +58,11 @@
         }))
     }
 
-    /// Whether the next byte may be written now. All that forbids an attempt is checked here, at
-    /// the last point before the effect.
+    /// Checks whether the next byte may be written now. All reasons not to write an attempt are
+    /// checked here, immediately before the write.
     ///
-    /// `has_no_unread_input`: whether nothing is unread on the connection; `None` where that does
-    /// not matter.
+    /// `has_no_unread_input` says whether the connection has no unread input; `None` if unread
+    /// input does not forbid this write.
     pub fn may_write(&self, has_no_unread_input: Option<bool>) -> Result<(), WriteDenial> {
         let denial = if self.0.is_withdrawn.get() {
             WriteDenial::Withdrawn
@@ -81,12 +82,13 @@
         Err(denial)
     }
 
-    /// Whether the attempt has not begun, and may no longer.
+    /// Whether the start window closed before the attempt's first byte was written.
     pub fn is_start_window_closed(&self) -> bool {
         self.bytes_written() == 0 && self.0.begin_before.is_some_and(|end| Instant::now() >= end)
     }
 
-    /// Returns once the window for the attempt's beginning is over, if it has not begun by then.
+    /// Completes when the start window closes, if the attempt's first byte has not been written by
+    /// then; never completes otherwise.
     pub async fn start_window_closed(&self) {
         match self.0.begin_before {
             Some(end) => sleep_until(end).await,
@@ -97,41 +99,44 @@
         }
     }
 
-    /// Whether the attempt has not begun and its client has disconnected.
+    /// Whether the client disconnected before the attempt's first byte was written.
     fn is_abandoned_before_start(&self) -> bool {
         let client = self.0.client.as_ref().and_then(Weak::upgrade);
         self.bytes_written() == 0 && client.is_some_and(|client| client.has_disconnected())
     }
 
-    /// Bytes written so far: none means that no endpoint can have seen the attempt.
+    /// Number of bytes written so far. 0 means that no endpoint can have received any part of the
+    /// attempt.
     pub fn bytes_written(&self) -> usize {
         self.0.bytes_written.get()
     }
 
-    /// Records the timeout that the request advertises to its endpoint.
+    /// Records the timeout that the attempt advertises to its endpoint.
     pub fn advertise_timeout(&self, timeout: Duration) {
         if let Some(record) = &self.0.record {
             record.advertise_time(timeout);
         }
     }
 
-    /// Notes that the end of the request has been handed to the connection: once flushed, all of it
-    /// is written.
+    /// Records that the request's last byte has been handed to the HTTP connection: once that is
+    /// flushed, the attempt is written completely.
     pub fn set_request_ended(&self) {
         self.0.has_request_ended.set(true);
     }
 
-    /// Denies all further writes: tasks that still have the attempt may run once more.
+    /// Denies all further writes. Needed because tasks that hold the attempt may still be polled
+    /// once.
     pub fn withdraw(&self) {
         self.0.is_withdrawn.set(true);
     }
 
-    /// Notes that writing broke off before the request's end: all of it is written again.
+    /// Resets the count of written bytes because the connection broke before the request was
+    /// written completely: all of it is written again on another connection.
     pub fn reset_written(&self) {
         self.0.bytes_written.set(0);
     }
 
-    /// Notes that so many further bytes have been written.
+    /// Adds to the number of bytes written, and records the start of the attempt at the first byte.
     pub fn record_written(&self, bytes: usize) {
         let before = self.bytes_written();
         self.0.bytes_written.set(before + bytes);
@@ -147,13 +152,13 @@
         }
     }
 
-    /// Whether all of the attempt is written. No endpoint begins with a request whose last byte it
-    /// has not received.
+    /// Whether the attempt has been written completely. Endpoints do not begin to execute a request
+    /// before they have received its last byte.
     pub fn is_fully_written(&self) -> bool {
         self.0.is_fully_written.get()
     }
 
-    /// Notes that nothing of what was handed to the connection is left to be written.
+    /// Records that everything handed to the HTTP connection has been written.
     pub fn record_flush(&self) {
         let is_complete = self.0.has_request_ended.get() && self.bytes_written() > 0;
         if is_complete && !self.0.is_fully_written.replace(true) {
