--- a/proxy/src/control/attempt.rs
+++ b/proxy/src/control/attempt.rs
@@ -41,7 +41,7 @@
             () = self.write_guard.start_window_closed() => {
                 AttemptEnd::without_response(Outcome::NeverSent)
             }
-            () = self.expired() => AttemptEnd::without_response(self.timeout_outcome()),
+            () = self.timed_out() => AttemptEnd::without_response(self.timeout_outcome()),
         };
         // The client's upload failed, which says nothing about the endpoint.
         match self
@@ -56,11 +56,11 @@
     }
 
     /// Completes when the attempt times out or the graceful shutdown reaches its end.
-    async fn expired(&self) {
+    async fn timed_out(&self) {
         let shutdown = self.control.state().shutdown.clone();
         tokio::select! {
             () = self.deadline_passed() => {}
-            () = shutdown.ends() => {}
+            () = shutdown.ended() => {}
         }
     }
 
@@ -73,7 +73,7 @@
             Some(upload) => match upload.finished().await {
                 Ok(completed_at) => {
                     let deadline = completed_at + self.forwarded.budget;
-                    self.control.state().shutdown.limit(deadline)
+                    self.control.state().shutdown.limit_deadline(deadline)
                 }
                 Err(_) => pending().await,
             },
@@ -114,7 +114,7 @@
     /// Returns `None` if the connection was closed before the whole request was written and the
     /// request can be written again from its first byte.
     async fn exchange_on_reused(&self, idle_connection: IdleConnection) -> Option<AttemptEnd> {
-        let idle_time = idle_connection.since.elapsed();
+        let idle_time = idle_connection.idle_since.elapsed();
         let end = self.exchange_on(idle_connection.connection).await;
         if end.is_none() {
             if let Some(end) = self.end_if_disconnected() {
@@ -128,7 +128,7 @@
         self.control
             .state_mut()
             .pool
-            .note_reuse(idle_time, is_broken);
+            .record_reuse(idle_time, is_broken);
         end
     }
 
@@ -164,7 +164,7 @@
             write_guard: &self.write_guard,
             memory: &memory,
             return_connection: Box::new(move |connection| {
-                return_when_settled(control, process, connection)
+                return_when_reusable(control, process, connection)
             }),
         };
         let message = self.forwarded.message(self.deadline, &self.write_guard);
@@ -192,7 +192,7 @@
 }
 
 /// Returns the connection of a streamed response to the pool once it can be reused.
-fn return_when_settled(control: Control, process: EndpointProcess, connection: Connection) {
+fn return_when_reusable(control: Control, process: EndpointProcess, connection: Connection) {
     spawn_local(async move {
         if let Some(connection) = connection.into_reusable().await {
             control.state_mut().return_connection(process, connection);
--- a/proxy/src/control/attempts.rs
+++ b/proxy/src/control/attempts.rs
@@ -4,7 +4,7 @@
 use crate::control::attempt::Attempt;
 use crate::control::connection_pool::IdleConnection;
 use crate::control::endpoints::{EndpointProcess, ReadyEndpoint};
-use crate::control::in_flight::{ended_by_proxy, InFlightAttempt};
+use crate::control::in_flight::{attempt_ended_event, InFlightAttempt};
 use crate::control::request::Reply;
 use crate::control::{Control, ControlState};
 use crate::invariants::ReplyKind;
@@ -30,15 +30,15 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let endpoint = self.endpoints.ready(endpoint_id);
+        let endpoint = self.endpoints.ready_endpoint(endpoint_id);
         let Some(endpoint) = endpoint.filter(|_| request.may_start_attempt(now)) else {
-            return self.skip_attempt(id);
+            return self.report_unsent_attempt(id);
         };
         let ReadyEndpoint { process, target } = endpoint;
-        let start_before = start_within.map(|start_within| now + start_within);
+        let start_deadline = start_within.map(|start_within| now + start_within);
         let record = request.record.attempt(target);
         let presence = request.forwarded.client.client_presence();
-        let write_guard = WriteGuard::new(&self.metrics, presence, start_before, record);
+        let write_guard = WriteGuard::new(&self.metrics, presence, start_deadline, record);
         let attempt = Attempt {
             control: control.clone(),
             process,
@@ -73,7 +73,7 @@
     }
 
     /// Reports the request's next attempt to the balancer as never sent.
-    fn skip_attempt(&mut self, id: RequestId) {
+    fn report_unsent_attempt(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -81,9 +81,9 @@
         request.attempts.push(None);
         let request_finished = request.has_reply();
         let outcome = Outcome::NeverSent;
-        let event = ended_by_proxy(id, attempt, outcome, Duration::ZERO, request_finished);
+        let event = attempt_ended_event(id, attempt, outcome, Duration::ZERO, request_finished);
         self.events.push_back(event);
-        self.requests.clean_up(id, &mut self.events);
+        self.requests.finish_if_replied(id, &mut self.events);
     }
 
     /// Cancels an attempt and closes its connection.
@@ -94,9 +94,9 @@
         let outcome = Outcome::Cancelled;
         attempt.end_by_proxy(outcome);
         let elapsed = attempt.started_at.elapsed();
-        let event = ended_by_proxy(id, number, outcome, elapsed, request.has_reply());
+        let event = attempt_ended_event(id, number, outcome, elapsed, request.has_reply());
         self.events.push_back(event);
-        self.requests.clean_up(id, &mut self.events);
+        self.requests.finish_if_replied(id, &mut self.events);
     }
 
     /// Returns a connection to the pool if its endpoint process still accepts new attempts; closes
@@ -149,7 +149,7 @@
             request_finished: request.has_reply(),
             load: end.load,
         });
-        requests.clean_up(id, events);
+        requests.finish_if_replied(id, events);
         // Returned before the outcome is reported: otherwise the next request would open another
         // connection.
         if let Some(connection) = end.connection {
--- a/proxy/src/control/clock.rs
+++ b/proxy/src/control/clock.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     start: Instant,
-    origin: Micros,
+    unix_time_at_start: Micros,
 }
 
 impl Clock {
@@ -20,13 +20,13 @@
             .unwrap_or_default();
         Clock {
             start: Instant::now(),
-            origin: to_micros(unix),
+            unix_time_at_start: to_micros(unix),
         }
     }
 
     /// The current time.
     pub(super) fn now(&self) -> Micros {
-        self.origin + to_micros(self.start.elapsed())
+        self.unix_time_at_start + to_micros(self.start.elapsed())
     }
 }
 
--- a/proxy/src/control/connection_pool.rs
+++ b/proxy/src/control/connection_pool.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(super) struct IdleConnection {
     /// When the last exchange on it ended.
-    pub(super) since: Instant,
+    pub(super) idle_since: Instant,
     pub(super) connection: Connection,
 }
 
@@ -29,7 +29,7 @@
     /// Waits until [`SETTLE_DELAY`] has passed. Returns `None` if the connection is no longer
     /// usable by then.
     pub(super) async fn settled(self) -> Option<IdleConnection> {
-        sleep_until(self.since + SETTLE_DELAY).await;
+        sleep_until(self.idle_since + SETTLE_DELAY).await;
         self.connection.is_ready().then_some(self)
     }
 }
@@ -39,7 +39,7 @@
     /// Idle connections by endpoint, the least recently used first.
     idle: HashMap<EndpointId, Vec<IdleConnection>>,
     /// Estimates from the reuse of connections how long they survive while idle.
-    idle_timeout: IdleTimeoutEstimate,
+    idle_timeout_estimate: IdleTimeoutEstimate,
     /// Cloned once for each open or reserved connection, which counts them.
     permits: Rc<()>,
     metrics: Metrics,
@@ -49,7 +49,7 @@
     pub(super) fn new(metrics: Metrics) -> ConnectionPool {
         ConnectionPool {
             idle: HashMap::new(),
-            idle_timeout: IdleTimeoutEstimate::default(),
+            idle_timeout_estimate: IdleTimeoutEstimate::default(),
             permits: Rc::default(),
             metrics,
         }
@@ -69,25 +69,26 @@
     /// least recently used idle connection if necessary. Returns `None` if all connections are in
     /// use.
     pub(super) fn reserve(&mut self, max_open: usize) -> Option<Rc<()>> {
-        if self.open_count() >= max_open && !self.close_oldest() {
+        if self.open_count() >= max_open && !self.evict_oldest() {
             return None;
         }
         Some(self.permits.clone())
     }
 
     /// Closes idle connections until one more can be opened without exceeding `max_open`.
-    pub(super) fn shrink(&mut self, max_open: usize) {
-        while self.open_count() >= max_open && self.close_oldest() {}
+    pub(super) fn evict_until_below(&mut self, max_open: usize) {
+        while self.open_count() >= max_open && self.evict_oldest() {}
     }
 
     /// Closes the connection that has been idle the longest. Returns `false` if no connection is
     /// idle.
-    fn close_oldest(&mut self) -> bool {
-        let in_use = self
+    fn evict_oldest(&mut self) -> bool {
+        let non_empty = self
             .idle
             .values_mut()
             .filter(|connections| !connections.is_empty());
-        let Some(connections) = in_use.min_by_key(|connections| connections[0].since) else {
+        let Some(connections) = non_empty.min_by_key(|connections| connections[0].idle_since)
+        else {
             return false;
         };
         drop(connections.remove(0));
@@ -100,7 +101,7 @@
     /// Adds an idle connection to an endpoint.
     pub(super) fn put(&mut self, endpoint: EndpointId, connection: Connection) {
         let idle = IdleConnection {
-            since: Instant::now(),
+            idle_since: Instant::now(),
             connection,
         };
         self.idle.entry(endpoint).or_default().push(idle);
@@ -115,66 +116,69 @@
         max_idle: Duration,
     ) -> Option<IdleConnection> {
         self.close_expired(endpoint, max_idle);
-        self.close(endpoint, EndpointCloseReason::UnexpectedBytes, |idle| {
+        self.close_unless(endpoint, EndpointCloseReason::UnexpectedBytes, |idle| {
             idle.connection.is_ready()
         });
         let connections = self.idle.get_mut(&endpoint)?;
         let settled = connections
             .iter()
-            .rposition(|idle| idle.since.elapsed() >= SETTLE_DELAY);
+            .rposition(|idle| idle.idle_since.elapsed() >= SETTLE_DELAY);
         (!connections.is_empty()).then(|| connections.remove(settled.unwrap_or(0)))
     }
 
     /// Closes all idle connections to an endpoint that accepts no new requests or has restarted.
     pub(super) fn close_all(&mut self, endpoint: EndpointId) {
-        self.close(endpoint, EndpointCloseReason::EndpointUnavailable, |_| {
+        self.close_unless(endpoint, EndpointCloseReason::EndpointUnavailable, |_| {
             false
         });
         self.idle.remove(&endpoint);
     }
 
     fn close_expired(&mut self, endpoint: EndpointId, max_idle: Duration) {
-        self.close(endpoint, EndpointCloseReason::Idle, |idle| {
-            idle.since.elapsed() < max_idle
+        self.close_unless(endpoint, EndpointCloseReason::Idle, |idle| {
+            idle.idle_since.elapsed() < max_idle
         });
     }
 
-    /// Closes and counts the idle connections to an endpoint for which `retain` returns `false`.
-    fn close(
+    /// Closes and counts the idle connections to an endpoint for which `is_retained` returns
+    /// `false`.
+    fn close_unless(
         &mut self,
         endpoint: EndpointId,
         reason: EndpointCloseReason,
-        retain: impl Fn(&IdleConnection) -> bool,
+        is_retained: impl Fn(&IdleConnection) -> bool,
     ) {
         let Some(connections) = self.idle.get_mut(&endpoint) else {
             return;
         };
         let before = connections.len();
-        connections.retain(retain);
+        connections.retain(is_retained);
         self.metrics
             .count()
             .endpoint_connections_closed(reason, before - connections.len());
     }
 
     /// The longest time that a connection may have been idle and still be reused.
-    /// `endpoint_timeout` is the configured time after which endpoints close idle connections.
-    pub(super) fn max_idle(&self, endpoint_timeout: Duration) -> Duration {
-        let configured = endpoint_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
-        self.idle_timeout
+    /// `endpoint_idle_timeout` is the configured time after which endpoints close idle
+    /// connections.
+    pub(super) fn max_idle(&self, endpoint_idle_timeout: Duration) -> Duration {
+        let configured = endpoint_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
+        self.idle_timeout_estimate
             .limit()
             .map_or(configured, |estimate| estimate.min(configured))
     }
 
     /// Records that a connection was reused after this idle time, and whether it turned out to be
     /// broken.
-    pub(super) fn note_reuse(&mut self, idle_time: Duration, is_broken: bool) {
-        self.idle_timeout.record_reuse(idle_time, is_broken);
+    pub(super) fn record_reuse(&mut self, idle_time: Duration, is_broken: bool) {
+        self.idle_timeout_estimate
+            .record_reuse(idle_time, is_broken);
     }
 
     /// Closes connections that have been idle for too long. Called once a second.
-    pub(super) fn sweep(&mut self, endpoint_timeout: Duration) {
-        self.idle_timeout.decay();
-        let max_idle = self.max_idle(endpoint_timeout);
+    pub(super) fn sweep(&mut self, endpoint_idle_timeout: Duration) {
+        self.idle_timeout_estimate.decay();
+        let max_idle = self.max_idle(endpoint_idle_timeout);
         let endpoints: Vec<EndpointId> = self.idle.keys().copied().collect();
         for endpoint in endpoints {
             self.close_expired(endpoint, max_idle);
--- a/proxy/src/control/endpoint_list.rs
+++ b/proxy/src/control/endpoint_list.rs
@@ -33,7 +33,7 @@
     /// connections to them. Whether an attempt may start depends on when it is written, not on when
     /// the balancer decided on it.
     fn withdraw_from_unready(&mut self) {
-        for endpoint_id in self.endpoints.unready() {
+        for endpoint_id in self.endpoints.unready_ids() {
             self.pool.close_all(endpoint_id);
         }
         let endpoints = &self.endpoints;
@@ -78,7 +78,7 @@
         self.dispatch([]);
     }
 
-    fn heartbeat(&self, generation: u64) {
+    fn report_heartbeat(&self, generation: u64) {
         if self.state().watch.is_current(generation) {
             self.dispatch([Event::Heartbeat]);
         }
@@ -95,19 +95,19 @@
         } = request;
         let on_event = |event| match event {
             WatchEvent::List(list) => self.apply_watched_list(&list, generation),
-            WatchEvent::Heartbeat => self.heartbeat(generation),
+            WatchEvent::Heartbeat => self.report_heartbeat(generation),
         };
         let end = discovery::watch(discovery, since, timeouts, on_event).await;
         if !self.state().watch.is_current(generation) {
             return;
         }
-        let kind = self.state_mut().watch.ended(&end);
+        let kind = self.state_mut().watch.record_end(&end);
         self.dispatch([Event::EndpointList {
             kind,
             entries: Vec::new(),
         }]);
-        if let Some(pause) = timeouts.reopen_delay {
-            sleep(pause.saturating_sub(end.open_for.unwrap_or_default())).await;
+        if let Some(reopen_delay) = timeouts.reopen_delay {
+            sleep(reopen_delay.saturating_sub(end.open_for.unwrap_or_default())).await;
             self.state_mut().subscribe(&self);
         }
     }
--- a/proxy/src/control/endpoints.rs
+++ b/proxy/src/control/endpoints.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns the endpoint if it is listed as ready.
-    pub(super) fn ready(&self, endpoint_id: EndpointId) -> Option<ReadyEndpoint> {
+    pub(super) fn ready_endpoint(&self, endpoint_id: EndpointId) -> Option<ReadyEndpoint> {
         let endpoint = self
             .by_id
             .get(&endpoint_id)
@@ -165,7 +165,7 @@
     }
 
     /// Ids of the endpoints that accept no new attempts.
-    pub(super) fn unready(&self) -> impl Iterator<Item = EndpointId> + '_ {
+    pub(super) fn unready_ids(&self) -> impl Iterator<Item = EndpointId> + '_ {
         self.by_id
             .iter()
             .filter(|(_, endpoint)| !endpoint.is_ready())
--- a/proxy/src/control/in_flight.rs
+++ b/proxy/src/control/in_flight.rs
@@ -77,7 +77,7 @@
 
     /// If the request has its reply, ends the attempts that are not completely written, and removes
     /// the request once none of its attempts is in flight.
-    pub(super) fn clean_up(&mut self, id: RequestId, events: &mut VecDeque<Event>) {
+    pub(super) fn finish_if_replied(&mut self, id: RequestId, events: &mut VecDeque<Event>) {
         let Some(request) = self
             .by_id
             .get_mut(&id)
@@ -166,16 +166,16 @@
         }
     }
 
-    /// Ends those unwanted attempts of which nothing has been written. Unlike cancelled attempts,
-    /// these are known not to have been executed.
+    /// Ends the unwritten attempts for which `should_end` returns `true`. Unlike cancelled
+    /// attempts, these are known not to have been executed.
     fn end_unwritten_attempts(
         &mut self,
         id: RequestId,
         events: &mut VecDeque<Event>,
-        is_unwanted: impl Fn(&InFlightAttempt) -> bool,
+        should_end: impl Fn(&InFlightAttempt) -> bool,
     ) {
         self.end_attempts(id, events, Outcome::NeverSent, |attempt| {
-            attempt.write_guard.bytes_written() == 0 && is_unwanted(attempt)
+            attempt.write_guard.bytes_written() == 0 && should_end(attempt)
         });
     }
 
@@ -193,14 +193,14 @@
         id: RequestId,
         events: &mut VecDeque<Event>,
         outcome: Outcome,
-        is_unwanted: impl Fn(&InFlightAttempt) -> bool,
+        should_end: impl Fn(&InFlightAttempt) -> bool,
     ) {
         let request_finished = self.has_reply();
         for (number, attempt) in (0..).zip(&mut self.attempts) {
-            if let Some(attempt) = attempt.take_if(|attempt| is_unwanted(attempt)) {
+            if let Some(attempt) = attempt.take_if(|attempt| should_end(attempt)) {
                 attempt.end_by_proxy(outcome);
                 let elapsed = attempt.started_at.elapsed();
-                events.push_back(ended_by_proxy(
+                events.push_back(attempt_ended_event(
                     id,
                     number,
                     outcome,
@@ -231,7 +231,7 @@
 }
 
 /// The event for an attempt that was ended by the proxy and not by its task.
-pub(super) fn ended_by_proxy(
+pub(super) fn attempt_ended_event(
     request: RequestId,
     attempt: u32,
     outcome: Outcome,
--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -106,9 +106,11 @@
                 reason,
             } => {
                 let reply = Reply::Rejected(Duration::from_micros(retry_after));
-                self.reply_unserved(request, reason, reply);
+                self.reply_without_response(request, reason, reply);
+            }
+            Action::Fail { request, reason } => {
+                self.reply_without_response(request, reason, Reply::Failed)
             }
-            Action::Fail { request, reason } => self.reply_unserved(request, reason, Reply::Failed),
             Action::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
             Action::SetTimer { after } => self.timer.set(Duration::from_micros(after)),
             Action::Subscribe => self.subscribe(control),
--- a/proxy/src/control/reload.rs
+++ b/proxy/src/control/reload.rs
@@ -51,6 +51,6 @@
             ..Config::clone(&state.config)
         });
         let max_open = state.config.max_endpoint_connections();
-        state.pool.shrink(max_open);
+        state.pool.evict_until_below(max_open);
     }
 }
--- a/proxy/src/control/requests.rs
+++ b/proxy/src/control/requests.rs
@@ -70,7 +70,7 @@
         let mut state = self.state_mut();
         let request = state.requests.reserve_id(&client_id)?;
         let tracker = state.metrics.track(class, !non_replayable);
-        let deadline = state.shutdown.limit(deadline);
+        let deadline = state.shutdown.limit_deadline(deadline);
         let time_left = micros_until(deadline);
         let policy = state.request_policy(class);
         let record_deadline = (!non_replayable).then_some(deadline);
@@ -104,7 +104,7 @@
 
     fn complete_request(&self, id: RequestId, time_left: Duration) {
         let mut state = self.state_mut();
-        let deadline = state.shutdown.limit(Instant::now() + time_left);
+        let deadline = state.shutdown.limit_deadline(Instant::now() + time_left);
         let Some(request) = state.requests.get_mut(id) else {
             return;
         };
@@ -126,7 +126,7 @@
             .get_mut(id)
             .is_some_and(|request| request.cancel(id, events))
         {
-            requests.clean_up(id, events);
+            requests.finish_if_replied(id, events);
             drop(state);
             self.dispatch([]);
         }
@@ -135,7 +135,12 @@
 
 impl ControlState {
     /// Replies to a request that the balancer has rejected or failed.
-    pub(super) fn reply_unserved(&mut self, id: RequestId, reason: FailureReason, reply: Reply) {
+    pub(super) fn reply_without_response(
+        &mut self,
+        id: RequestId,
+        reason: FailureReason,
+        reply: Reply,
+    ) {
         if let Some(request) = self.requests.get_mut(id) {
             if let Some(sender) = request.reply.take() {
                 self.metrics.count().request_abandoned(reason);
@@ -148,7 +153,7 @@
                 let _ = sender.send(reply);
             }
         }
-        self.requests.clean_up(id, &mut self.events);
+        self.requests.finish_if_replied(id, &mut self.events);
     }
 
     /// The policy by which the invariants check requests of a class.
--- a/proxy/src/control/shutdown.rs
+++ b/proxy/src/control/shutdown.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns the deadline, or the end of the shutdown if that is earlier.
-    pub(super) fn limit(&self, deadline: Instant) -> Instant {
+    pub(super) fn limit_deadline(&self, deadline: Instant) -> Instant {
         self.schedule
             .get()
             .map_or(deadline, |schedule| deadline.min(schedule.end))
@@ -53,7 +53,7 @@
     }
 
     /// Completes when every request must have its response.
-    pub(super) async fn ends(&self) {
+    pub(super) async fn ended(&self) {
         sleep_until(self.begun().await.end).await;
     }
 }
--- a/proxy/src/control/watch.rs
+++ b/proxy/src/control/watch.rs
@@ -23,9 +23,9 @@
     generation: u64,
     task: Option<ScopedTask>,
     /// Whether the last attempt to open a watch failed.
-    open_failed: bool,
+    last_open_failed: bool,
     /// Whether the last watch that could be opened ended soon after it was opened.
-    was_brief: bool,
+    last_watch_was_brief: bool,
 }
 
 impl WatchState {
@@ -55,14 +55,15 @@
     /// watch, only the first is logged. Returns the update that the balancer is notified of. The
     /// balancer opens the next watch soon after a lost one, and backs off if watches repeatedly end
     /// soon after they are opened.
-    pub(super) fn ended(&mut self, end: &WatchEnd) -> ListUpdate {
+    pub(super) fn record_end(&mut self, end: &WatchEnd) -> ListUpdate {
         let was_open = end.open_for.is_some();
-        if was_open || !self.open_failed {
+        if was_open || !self.last_open_failed {
             log::line(&format!("discovery: {}", end.reason));
         }
-        self.open_failed = !was_open;
-        let is_flapping = end.was_brief() && self.was_brief;
-        self.was_brief = end.was_brief() || self.was_brief && self.open_failed;
+        self.last_open_failed = !was_open;
+        let is_flapping = end.was_brief() && self.last_watch_was_brief;
+        self.last_watch_was_brief =
+            end.was_brief() || self.last_watch_was_brief && self.last_open_failed;
         match was_open {
             true if is_flapping => ListUpdate::WatchFlapping,
             true => ListUpdate::WatchLost,
