--- a/proxy/src/control/attempts.rs
+++ b/proxy/src/control/attempts.rs
@@ -133,7 +133,7 @@
         let Some((request, attempt)) = requests.take_attempt(id, number) else {
             return;
         };
-        attempt.write_guard.finish(end.outcome);
+        attempt.write_guard.record_outcome(end.outcome);
         if let Some(response) = end.response.take() {
             if let Some(sender) = request.reply.take() {
                 request.record.replied(ReplyKind::Served);
--- a/proxy/src/control/in_flight.rs
+++ b/proxy/src/control/in_flight.rs
@@ -226,7 +226,7 @@
     /// Ends the attempt: no more of it is written, and the outcome is recorded.
     pub(super) fn end_by_proxy(&self, outcome: Outcome) {
         self.write_guard.withdraw();
-        self.write_guard.finish(outcome);
+        self.write_guard.record_outcome(outcome);
     }
 }
 
--- a/proxy/src/control/request.rs
+++ b/proxy/src/control/request.rs
@@ -50,7 +50,7 @@
         };
         let time_left = deadline.saturating_duration_since(Instant::now());
         let time_left_ms = time_left.as_millis() as u64;
-        write_guard.advertise_timeout(Duration::from_millis(time_left_ms));
+        write_guard.record_advertised_time(Duration::from_millis(time_left_ms));
         message
             .headers_mut()
             .insert(TIMEOUT_MS_HEADER, HeaderValue::from(time_left_ms.max(1)));
--- a/proxy/src/control/snapshot.rs
+++ b/proxy/src/control/snapshot.rs
@@ -11,20 +11,20 @@
         // unavailable whatever their health.
         let draining = state.endpoints.count() - state.endpoints.ready_count();
         let unavailable = state.balancer.unavailable_count(state.clock.now()) + draining;
-        let metrics = state.metrics.snapshot();
-        metrics.to_json(&state.config.classes, state.endpoints.count(), unavailable)
+        let counters = state.metrics.counters();
+        counters.to_json(&state.config.classes, state.endpoints.count(), unavailable)
     }
 
     /// Writes the metrics since the start of the process to the log.
     pub fn log_metrics(&self) {
-        let snapshot = self.metrics_json();
+        let json = self.metrics_json();
         let state = self.state();
         let open = state.pool.open_count();
         let idle = state.pool.idle_count();
         let max_idle = state.pool.max_idle(state.config.connection_idle_timeout);
-        let metrics = state.metrics.snapshot();
+        let counters = state.metrics.counters();
         log::line(&format!(
-            "{open} connections ({idle} idle, kept for at most {max_idle:?}), {snapshot}, {metrics}"
+            "{open} connections ({idle} idle, kept for at most {max_idle:?}), {json}, {counters}"
         ));
     }
 }
--- a/proxy/src/invariants/history.rs
+++ b/proxy/src/invariants/history.rs
@@ -101,24 +101,24 @@
     /// The rules that are violated if the attempt starts now.
     pub(super) fn start_violations(&self, index: usize, now: Instant) -> Vec<Violation> {
         let attempt = &self.attempts[index];
-        let started = 1 + self.other_started(index).count();
+        let started_count = 1 + self.other_started(index).count();
         let rules = [
             (
-                self.is_draining(attempt, now),
+                self.is_past_drain_grace(attempt, now),
                 Violation::SentToDrainingEndpoint,
             ),
             (
-                self.is_disconnected(now),
+                self.is_past_disconnect_slack(now),
                 Violation::SentForDisconnectedClient,
             ),
             (self.has_reply, Violation::SentAfterReply),
             (self.is_forbidden_hedge(index), Violation::ForbiddenHedge),
             (
-                started > self.policy.max_attempts,
+                started_count > self.policy.max_attempts,
                 Violation::TooManyAttempts,
             ),
             (
-                self.advertises_too_much(attempt, now),
+                self.advertises_too_long(attempt, now),
                 Violation::AdvertisedTimeTooLong,
             ),
         ];
@@ -140,7 +140,7 @@
             .filter(|other| other.started_at.is_some())
     }
 
-    fn is_draining(&self, attempt: &AttemptHistory, now: Instant) -> bool {
+    fn is_past_drain_grace(&self, attempt: &AttemptHistory, now: Instant) -> bool {
         let grace = self.policy.drain_grace.saturating_add(TIME_LIMIT_SLACK);
         attempt
             .target
@@ -149,7 +149,7 @@
             .is_some_and(|since| now > since + grace)
     }
 
-    fn is_disconnected(&self, now: Instant) -> bool {
+    fn is_past_disconnect_slack(&self, now: Instant) -> bool {
         self.disconnected_at
             .is_some_and(|since| now > since + DISCONNECT_SLACK)
     }
@@ -163,7 +163,7 @@
         is_hedge && !may_hedge
     }
 
-    fn advertises_too_much(&self, attempt: &AttemptHistory, now: Instant) -> bool {
+    fn advertises_too_long(&self, attempt: &AttemptHistory, now: Instant) -> bool {
         let (Some(deadline), Some(advertised)) = (self.deadline, attempt.advertised_time) else {
             return false;
         };
--- a/proxy/src/invariants/mod.rs
+++ b/proxy/src/invariants/mod.rs
@@ -117,7 +117,7 @@
 
 impl AttemptRecord {
     /// Records the client's remaining time, as the attempt advertises it to its endpoint.
-    pub(crate) fn advertise_time(&self, time_left: Duration) {
+    pub(crate) fn record_advertised_time(&self, time_left: Duration) {
         self.request.history.borrow_mut().attempts[self.index].advertised_time = Some(time_left);
     }
 
--- a/proxy/src/invariants/tests.rs
+++ b/proxy/src/invariants/tests.rs
@@ -31,8 +31,8 @@
 }
 
 fn violations(metrics: &Metrics) -> String {
-    let snapshot = metrics.snapshot().to_string();
-    snapshot
+    let counters = metrics.counters().to_string();
+    counters
         .split("invariant_violations: ")
         .nth(1)
         .expect("the metrics end with the violations")
@@ -53,7 +53,7 @@
     outcome: Option<Outcome>,
 ) -> AttemptRecord {
     let attempt = request.attempt(target);
-    attempt.advertise_time(SECOND);
+    attempt.record_advertised_time(SECOND);
     attempt.started();
     if let Some(outcome) = outcome {
         attempt.ended(outcome, !outcome.never_ran());
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_allowed_is_no_violation() {
+async fn permitted_attempts_and_retries_are_not_counted_as_violations() {
     for idempotency in [
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_may_have_run_is_retried_only_as_its_class_allows() {
+async fn a_retry_that_the_idempotency_of_a_possibly_executed_request_forbids_is_a_violation() {
     for (idempotency, cell, wait, violation) in [
         (
             Idempotency::NonIdempotent,
@@ -106,14 +106,14 @@
         let (request, metrics) = request(idempotency);
         run_attempt(&request, in_cell(1), Some(Outcome::Reset));
         tokio::time::advance(wait).await;
-        let again = request.attempt(in_cell(cell));
-        again.started();
+        let retry = request.attempt(in_cell(cell));
+        retry.started();
         assert_eq!(violations(&metrics), violation);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_forbidden_hedge_and_an_attempt_too_many_are_counted() {
+async fn a_forbidden_hedge_and_an_attempt_beyond_the_maximum_are_violations() {
     let (request, metrics) = request(Idempotency::Idempotent);
     let first = run_attempt(&request, in_cell(1), None);
     run_attempt(&request, in_cell(1), Some(Outcome::Error));
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn attempts_for_disconnected_clients_or_at_draining_endpoints_are_counted() {
+async fn attempts_after_drain_grace_disconnect_or_reply_are_violations() {
     let target = in_cell(1);
     target.drain_status.set_ready(false);
     let (request_to_draining, metrics) = request(Idempotency::Idempotent);
@@ -155,10 +155,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn wrong_advertised_times_and_late_replies_are_counted() {
+async fn excessive_advertised_times_false_outcomes_and_unsafe_or_late_replies_are_violations() {
     let (request, metrics) = request(Idempotency::NonIdempotent);
     let attempt = request.attempt(in_cell(1));
-    attempt.advertise_time(SECOND);
+    attempt.record_advertised_time(SECOND);
     tokio::time::advance(SECOND / 5).await;
     attempt.started();
     assert_eq!(violations(&metrics), "{AdvertisedTimeTooLong: 1}");
--- a/proxy/src/metrics/mod.rs
+++ b/proxy/src/metrics/mod.rs
@@ -7,7 +7,7 @@
 mod tests;
 
 pub use reasons::{ClientCloseReason, EndpointCloseReason, RequestEnd, Violation, WriteDenial};
-pub use snapshot::MetricsSnapshot;
+pub use snapshot::Counters;
 
 use balancer::ClassId;
 use std::cell::{Ref, RefCell, RefMut};
@@ -15,21 +15,21 @@
 
 /// A handle to the metrics. Clones share the counters.
 #[derive(Clone, Debug, Default)]
-pub struct Metrics(Rc<RefCell<MetricsSnapshot>>);
+pub struct Metrics(Rc<RefCell<Counters>>);
 
 impl Metrics {
     /// Creates metrics with all counters at 0, for this number of classes.
     pub fn new(class_count: usize) -> Metrics {
-        Metrics(Rc::new(RefCell::new(MetricsSnapshot::new(class_count))))
+        Metrics(Rc::new(RefCell::new(Counters::new(class_count))))
     }
 
     /// The current values of the counters.
-    pub fn snapshot(&self) -> Ref<'_, MetricsSnapshot> {
+    pub fn counters(&self) -> Ref<'_, Counters> {
         self.0.borrow()
     }
 
     /// The counters, to count an event.
-    pub fn count(&self) -> RefMut<'_, MetricsSnapshot> {
+    pub fn count(&self) -> RefMut<'_, Counters> {
         self.0.borrow_mut()
     }
 
--- a/proxy/src/metrics/snapshot.rs
+++ b/proxy/src/metrics/snapshot.rs
@@ -29,7 +29,7 @@
 
 /// The counters since the start of the process.
 #[derive(Debug, Default)]
-pub struct MetricsSnapshot {
+pub struct Counters {
     classes: Vec<ClassCounts>,
     /// Number of complete requests that have not ended.
     pub(super) pending: u64,
@@ -56,12 +56,12 @@
     violations: BTreeMap<Violation, u64>,
 }
 
-impl MetricsSnapshot {
-    pub(super) fn new(class_count: usize) -> MetricsSnapshot {
+impl Counters {
+    pub(super) fn new(class_count: usize) -> Counters {
         let classes = vec![ClassCounts::default(); class_count];
-        MetricsSnapshot {
+        Counters {
             classes,
-            ..MetricsSnapshot::default()
+            ..Counters::default()
         }
     }
 
@@ -140,7 +140,7 @@
 }
 
 /// Formats the counters that only the log shows.
-impl fmt::Display for MetricsSnapshot {
+impl fmt::Display for Counters {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
--- a/proxy/src/metrics/tests.rs
+++ b/proxy/src/metrics/tests.rs
@@ -4,14 +4,14 @@
 use serde_json::json;
 
 #[test]
-fn a_request_is_pending_until_it_ends_or_its_client_disconnects_and_is_counted_once() {
+fn a_complete_request_is_pending_until_it_ends_or_its_client_disconnects_and_is_counted_once() {
     let metrics = Metrics::new(2);
     let names = ["a".to_owned(), "b".to_owned()];
     let trackers: Vec<RequestTracker> = [0, 1, 1, 1]
         .map(|class| metrics.track(ClassId(class), true))
         .into();
     let _incomplete = metrics.track(ClassId(1), false);
-    assert_eq!(metrics.snapshot().to_json(&names, 0, 0)["pending"], 4);
+    assert_eq!(metrics.counters().to_json(&names, 0, 0)["pending"], 4);
     let ends = [
         RequestEnd::Completed,
         RequestEnd::Rejected,
@@ -20,7 +20,7 @@
     for (tracker, end) in trackers.into_iter().zip(ends) {
         tracker.end(end);
     }
-    let counted = metrics.snapshot().to_json(&names, 3, 1);
+    let counted = metrics.counters().to_json(&names, 3, 1);
     let expected = json!({
         "downstream_requests": {
             "a": {"completed": 1, "rejected": 0, "failed": 0},
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn closed_connections_to_endpoints_are_counted_by_their_reason() {
+fn closed_endpoint_connections_are_added_up_by_reason_and_zero_closes_are_not_listed() {
     let metrics = Metrics::new(1);
     metrics
         .count()
@@ -44,7 +44,7 @@
         .count()
         .endpoint_connections_closed(EndpointCloseReason::Idle, 1);
     assert!(metrics
-        .snapshot()
+        .counters()
         .to_string()
         .contains("endpoint_closes: {Idle: 3}, "));
 }
--- a/proxy/src/write_guard.rs
+++ b/proxy/src/write_guard.rs
@@ -24,11 +24,11 @@
 struct GuardState {
     bytes_written: Cell<usize>,
     /// Whether the request's last byte has been handed to the HTTP connection.
-    has_request_ended: Cell<bool>,
+    is_last_byte_queued: Cell<bool>,
     is_fully_written: Cell<bool>,
     is_withdrawn: Cell<bool>,
     /// When the start window closes, by which the first byte must be written. `None`: unlimited.
-    begin_before: Option<Instant>,
+    start_deadline: Option<Instant>,
     /// The client whose request is written. `None` if the request is not a client's.
     client: Option<Weak<dyn ClientPresence>>,
     /// `None` if the request is not an attempt of a client's request.
@@ -42,15 +42,15 @@
 
 impl WriteGuard {
     /// Creates the guard of a new attempt on behalf of `client`. The attempt's first byte may be
-    /// written only before `begin_before`. The attempt is counted once its last byte is written.
+    /// written only before `start_deadline`. The attempt is counted once its last byte is written.
     pub fn new(
         metrics: &Metrics,
         client: Weak<dyn ClientPresence>,
-        begin_before: Option<Instant>,
+        start_deadline: Option<Instant>,
         record: AttemptRecord,
     ) -> WriteGuard {
         WriteGuard(Rc::new(GuardState {
-            begin_before,
+            start_deadline,
             metrics: metrics.clone(),
             client: Some(client),
             record: Some(record),
@@ -68,7 +68,7 @@
             WriteDenial::Withdrawn
         } else if self.is_start_window_closed() {
             WriteDenial::StartWindowClosed
-        } else if self.is_abandoned_before_start() {
+        } else if self.has_client_disconnected_before_start() {
             WriteDenial::ClientDisconnected
         } else if has_no_unread_input == Some(false) {
             WriteDenial::ConnectionUsed
@@ -84,13 +84,13 @@
 
     /// Whether the start window closed before the attempt's first byte was written.
     pub fn is_start_window_closed(&self) -> bool {
-        self.bytes_written() == 0 && self.0.begin_before.is_some_and(|end| Instant::now() >= end)
+        self.bytes_written() == 0 && self.0.start_deadline.is_some_and(|at| Instant::now() >= at)
     }
 
     /// Completes when the start window closes, if the attempt's first byte has not been written by
     /// then; never completes otherwise.
     pub async fn start_window_closed(&self) {
-        match self.0.begin_before {
+        match self.0.start_deadline {
             Some(end) => sleep_until(end).await,
             None => pending().await,
         }
@@ -100,7 +100,7 @@
     }
 
     /// Whether the client disconnected before the attempt's first byte was written.
-    fn is_abandoned_before_start(&self) -> bool {
+    fn has_client_disconnected_before_start(&self) -> bool {
         let client = self.0.client.as_ref().and_then(Weak::upgrade);
         self.bytes_written() == 0 && client.is_some_and(|client| client.has_disconnected())
     }
@@ -111,17 +111,17 @@
         self.0.bytes_written.get()
     }
 
-    /// Records the timeout that the attempt advertises to its endpoint.
-    pub fn advertise_timeout(&self, timeout: Duration) {
+    /// Records the client's remaining time, as the attempt advertises it to its endpoint.
+    pub fn record_advertised_time(&self, time_left: Duration) {
         if let Some(record) = &self.0.record {
-            record.advertise_time(timeout);
+            record.record_advertised_time(time_left);
         }
     }
 
     /// Records that the request's last byte has been handed to the HTTP connection: once that is
     /// flushed, the attempt is written completely.
     pub fn set_request_ended(&self) {
-        self.0.has_request_ended.set(true);
+        self.0.is_last_byte_queued.set(true);
     }
 
     /// Denies all further writes. Needed because tasks that hold the attempt may still be polled
@@ -146,7 +146,7 @@
     }
 
     /// Records the attempt's outcome.
-    pub fn finish(&self, outcome: Outcome) {
+    pub fn record_outcome(&self, outcome: Outcome) {
         if let Some(record) = &self.0.record {
             record.ended(outcome, self.is_fully_written());
         }
@@ -160,7 +160,7 @@
 
     /// Records that everything handed to the HTTP connection has been written.
     pub fn record_flush(&self) {
-        let is_complete = self.0.has_request_ended.get() && self.bytes_written() > 0;
+        let is_complete = self.0.is_last_byte_queued.get() && self.bytes_written() > 0;
         if is_complete && !self.0.is_fully_written.replace(true) {
             self.0.metrics.count().attempt_written();
         }
