--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -3,39 +3,39 @@
 //!
 //! This file has the state, the event loop and the dispatch of actions. Each part of the state is
 //! owned by a type in its own module, which does not depend on this file: `clock`,
-//! `connection_pool`, `endpoints`, `in_flight`, `shutdown`, `timers`, `watch`. The operations on
-//! these parts are in `attempt`, `attempts`, `background`, `endpoint_list`, `reload`, `requests`
-//! and `snapshot`, which extend [`Control`] and its state.
+//! `connection_pool`, `deadline_timer`, `endpoints`, `in_flight`, `shutdown`, `watch`. The
+//! operations on these parts are in `attempt`, `attempt_lifecycle`, `background`, `endpoint_list`,
+//! `metrics_report`, `reload` and `request_lifecycle`, which extend [`Control`] and its state.
 
 mod attempt;
-mod attempts;
+mod attempt_lifecycle;
 mod background;
 mod clock;
 mod connection_pool;
+mod deadline_timer;
 pub mod endpoint_ids;
 mod endpoint_list;
 mod endpoints;
 mod in_flight;
+mod metrics_report;
 mod reload;
 pub mod request;
-mod requests;
+mod request_lifecycle;
 mod shutdown;
-mod snapshot;
-mod timers;
 mod watch;
 
-pub use requests::PendingReply;
+pub use request_lifecycle::PendingReply;
 pub use shutdown::ShutdownSchedule;
 
 use crate::body::BodyMemory;
 use crate::config::Config;
 use crate::control::clock::{micros_until, Clock};
 use crate::control::connection_pool::ConnectionPool;
+use crate::control::deadline_timer::DeadlineTimer;
 use crate::control::endpoints::Endpoints;
 use crate::control::in_flight::InFlightRequests;
 use crate::control::request::Reply;
 use crate::control::shutdown::ShutdownState;
-use crate::control::timers::DeadlineTimer;
 use crate::control::watch::WatchState;
 use crate::log;
 use crate::metrics::Metrics;
--- a/proxy/src/metrics/mod.rs
+++ b/proxy/src/metrics/mod.rs
@@ -1,13 +1,13 @@
 //! Metrics since the start of the process. Every event is counted here at the point where it
 //! happens; operators' commands and the log only read the counters.
 
+mod counters;
 mod reasons;
-mod snapshot;
 #[cfg(test)]
 mod tests;
 
+pub use counters::Counters;
 pub use reasons::{ClientCloseReason, EndpointCloseReason, RequestEnd, Violation, WriteDenial};
-pub use snapshot::Counters;
 
 use balancer::ClassId;
 use std::cell::{Ref, RefCell, RefMut};
