--- a/proxy/src/control/attempts.rs
+++ b/proxy/src/control/attempt_lifecycle.rs
@@ -1,9 +1,10 @@
-//! Attempts as the balancer orders them: their start, their cancellation and their outcome.
+//! Carries out the balancer's actions on attempts: starts them, cancels them and reports their
+//! outcomes.
 
 use crate::control::attempt::Attempt;
 use crate::control::connection_pool::IdleConnection;
 use crate::control::endpoints::{EndpointProcess, ReadyEndpoint};
-use crate::control::in_flight::{ended_by_proxy, InFlightAttempt};
+use crate::control::in_flight::{attempt_ended_event, InFlightAttempt};
 use crate::control::request::Reply;
 use crate::control::{Control, ControlState};
 use crate::invariants::ReplyKind;
@@ -15,8 +16,8 @@
 use tokio::time::Instant;
 
 impl ControlState {
-    /// Starts an attempt, or reports it as never sent. `start_within`: when its first byte must be
-    /// written, if that is limited.
+    /// Starts an attempt, or reports it as never sent. `start_within` limits the time until its
+    /// first byte is written.
     pub(super) fn start_attempt(
         &mut self,
         control: &Control,
@@ -29,15 +30,15 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let endpoint = self.endpoints.ready(endpoint_id);
+        let endpoint = self.endpoints.ready_endpoint(endpoint_id);
         let Some(endpoint) = endpoint.filter(|_| request.may_start_attempt(now)) else {
-            return self.skip_attempt(id);
+            return self.report_unsent_attempt(id);
         };
         let ReadyEndpoint { process, target } = endpoint;
-        let start_before = start_within.map(|start_within| now + start_within);
+        let start_deadline = start_within.map(|start_within| now + start_within);
         let record = request.record.attempt(target);
         let presence = request.forwarded.client.client_presence();
-        let write_guard = WriteGuard::new(&self.metrics, presence, start_before, record);
+        let write_guard = WriteGuard::new(&self.metrics, presence, start_deadline, record);
         let attempt = Attempt {
             control: control.clone(),
             process,
@@ -59,8 +60,8 @@
         request.attempts.push(Some(in_flight));
     }
 
-    /// Cancels a request whose client is known to have disconnected, though the task of its
-    /// connection has not been run since.
+    /// Cancels a request whose client is known to have disconnected, even if the task of the
+    /// client's connection has not been polled since.
     fn cancel_if_disconnected(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Reports the request's next attempt as never sent.
-    fn skip_attempt(&mut self, id: RequestId) {
+    /// Reports the request's next attempt to the balancer as never sent.
+    fn report_unsent_attempt(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -80,12 +81,12 @@
         request.attempts.push(None);
         let request_finished = request.has_reply();
         let outcome = Outcome::NeverSent;
-        let event = ended_by_proxy(id, attempt, outcome, Duration::ZERO, request_finished);
+        let event = attempt_ended_event(id, attempt, outcome, Duration::ZERO, request_finished);
         self.events.push_back(event);
-        self.requests.clean_up(id, &mut self.events);
+        self.requests.finish_if_replied(id, &mut self.events);
     }
 
-    /// Cancels an attempt: its connection is closed.
+    /// Cancels an attempt and closes its connection.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, number: u32) {
         let Some((request, attempt)) = self.requests.take_attempt(id, number) else {
             return;
@@ -93,12 +94,13 @@
         let outcome = Outcome::Cancelled;
         attempt.end_by_proxy(outcome);
         let elapsed = attempt.started_at.elapsed();
-        let event = ended_by_proxy(id, number, outcome, elapsed, request.has_reply());
+        let event = attempt_ended_event(id, number, outcome, elapsed, request.has_reply());
         self.events.push_back(event);
-        self.requests.clean_up(id, &mut self.events);
+        self.requests.finish_if_replied(id, &mut self.events);
     }
 
-    /// Returns a connection to the pool, if its endpoint may get another request on it.
+    /// Returns a connection to the pool if its endpoint process still accepts new attempts; closes
+    /// it otherwise.
     pub(super) fn return_connection(&mut self, process: EndpointProcess, connection: Connection) {
         if self.endpoints.accepts(process) {
             self.pool.put(process.endpoint_id, connection);
@@ -107,7 +109,7 @@
 }
 
 impl Attempt {
-    /// Runs the attempt in a task of its own, which reports how it ended.
+    /// Runs the attempt in its own task, which reports how it ended.
     fn spawn(
         self,
         id: RequestId,
@@ -122,7 +124,7 @@
 }
 
 impl Control {
-    /// Passes an attempt's response on and reports its outcome to the balancer.
+    /// Forwards the attempt's response to the client and reports the outcome to the balancer.
     fn end_attempt(&self, id: RequestId, number: u32, mut end: AttemptEnd) {
         let mut state = self.state_mut();
         let ControlState {
@@ -131,11 +133,11 @@
         let Some((request, attempt)) = requests.take_attempt(id, number) else {
             return;
         };
-        attempt.write_guard.finish(end.outcome);
+        attempt.write_guard.record_outcome(end.outcome);
         if let Some(response) = end.response.take() {
             if let Some(sender) = request.reply.take() {
                 request.record.replied(ReplyKind::Served);
-                // A client that has just disconnected has no use for it.
+                // Fails only if the client has just disconnected.
                 let _ = sender.send(Reply::Served(response));
             }
         }
@@ -147,14 +149,16 @@
             request_finished: request.has_reply(),
             load: end.load,
         });
-        requests.clean_up(id, events);
-        // Before the outcome is reported: the next request would open another connection.
+        requests.finish_if_replied(id, events);
+        // Returned before the outcome is reported: otherwise the next request would open another
+        // connection.
         if let Some(connection) = end.connection {
             state.return_connection(attempt.process, connection);
         }
         drop(state);
         self.dispatch([]);
-        // Dropped last: this may be the very task of the attempt.
+        // Dropped last: this aborts the attempt's task, which may be the task that runs this
+        // function.
         drop(attempt);
     }
 }
--- a/proxy/src/control/clock.rs
+++ b/proxy/src/control/clock.rs
@@ -4,12 +4,13 @@
 use std::time::{Duration, SystemTime};
 use tokio::time::Instant;
 
-/// Counts microseconds from the Unix time at the proxy's start, so that the start times in the
-/// endpoint list can be compared with it. Changes of the system's clock do not affect it.
+/// Counts microseconds since the Unix epoch, so that its times are comparable with the endpoints'
+/// start times in the endpoint list. The system's clock is read only when the proxy starts; later
+/// changes to it have no effect.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     start: Instant,
-    origin: Micros,
+    unix_time_at_start: Micros,
 }
 
 impl Clock {
@@ -19,17 +20,17 @@
             .unwrap_or_default();
         Clock {
             start: Instant::now(),
-            origin: to_micros(unix),
+            unix_time_at_start: to_micros(unix),
         }
     }
 
-    /// The present time.
+    /// The current time.
     pub(super) fn now(&self) -> Micros {
-        self.origin + to_micros(self.start.elapsed())
+        self.unix_time_at_start + to_micros(self.start.elapsed())
     }
 }
 
-/// A duration in the balancer's unit.
+/// Converts a duration to the balancer's unit.
 pub(super) fn to_micros(duration: Duration) -> Micros {
     duration.as_micros() as Micros
 }
--- a/proxy/src/control/connection_pool.rs
+++ b/proxy/src/control/connection_pool.rs
@@ -1,5 +1,5 @@
-//! Connections to endpoints: the idle ones, how long they may stay idle, and the limit on open
-//! ones.
+//! The pool of connections to endpoints: keeps idle connections for reuse, determines how long they
+//! may stay idle, and limits the number of open connections.
 
 use crate::metrics::{EndpointCloseReason, Metrics};
 use crate::upstream::idle_timeout::IdleTimeoutEstimate;
@@ -10,35 +10,37 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// Fraction of the endpoints' own idle timeout after which an idle connection is no longer used.
+/// Fraction of the endpoints' idle timeout after which an idle connection is no longer reused.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.9;
-/// How long a connection is left alone after a response: a second response may follow within
-/// milliseconds, and would be taken for that of the next request.
+/// Minimum time between a response and the next request on a connection: an endpoint may send a
+/// second, unexpected response within milliseconds, which would be taken for the response to the
+/// next request.
 const SETTLE_DELAY: Duration = Duration::from_millis(10);
 
-/// A connection without a request.
+/// An open connection that carries no request.
 #[derive(Debug)]
 pub(super) struct IdleConnection {
-    /// When its last exchange ended.
-    pub(super) since: Instant,
+    /// When the last exchange on it ended.
+    pub(super) idle_since: Instant,
     pub(super) connection: Connection,
 }
 
 impl IdleConnection {
-    /// Waits until the connection has settled. `None`: it cannot be used by then.
+    /// Waits until [`SETTLE_DELAY`] has passed. Returns `None` if the connection is no longer
+    /// usable by then.
     pub(super) async fn settled(self) -> Option<IdleConnection> {
-        sleep_until(self.since + SETTLE_DELAY).await;
+        sleep_until(self.idle_since + SETTLE_DELAY).await;
         self.connection.is_ready().then_some(self)
     }
 }
 
-/// Owns the idle connections and counts all open ones.
+/// Owns the idle connections and counts all open connections.
 pub(super) struct ConnectionPool {
-    /// Idle connections by endpoint, the most recently used last.
+    /// Idle connections by endpoint, the least recently used first.
     idle: HashMap<EndpointId, Vec<IdleConnection>>,
-    /// Learns from reused connections how long idle ones stay open.
-    idle_timeout: IdleTimeoutEstimate,
-    /// One reference for each open connection, and this one.
+    /// Estimates from the reuse of connections how long they survive while idle.
+    idle_timeout_estimate: IdleTimeoutEstimate,
+    /// Cloned once for each open or reserved connection, which counts them.
     permits: Rc<()>,
     metrics: Metrics,
 }
@@ -47,13 +49,13 @@
     pub(super) fn new(metrics: Metrics) -> ConnectionPool {
         ConnectionPool {
             idle: HashMap::new(),
-            idle_timeout: IdleTimeoutEstimate::default(),
+            idle_timeout_estimate: IdleTimeoutEstimate::default(),
             permits: Rc::default(),
             metrics,
         }
     }
 
-    /// Number of open connections, idle ones included.
+    /// Number of open connections, including idle ones.
     pub(super) fn open_count(&self) -> usize {
         Rc::strong_count(&self.permits) - 1
     }
@@ -63,27 +65,30 @@
         self.idle.values().map(Vec::len).sum()
     }
 
-    /// Reserves one of at most `max_open` connections, until the permit is dropped. The one that
-    /// has been idle for the longest is closed if that is needed. `None`: all are in use.
+    /// Reserves one of at most `max_open` connections until the permit is dropped, and closes the
+    /// least recently used idle connection if necessary. Returns `None` if all connections are in
+    /// use.
     pub(super) fn reserve(&mut self, max_open: usize) -> Option<Rc<()>> {
-        if self.open_count() >= max_open && !self.close_oldest() {
+        if self.open_count() >= max_open && !self.evict_oldest() {
             return None;
         }
         Some(self.permits.clone())
     }
 
     /// Closes idle connections until one more can be opened without exceeding `max_open`.
-    pub(super) fn shrink(&mut self, max_open: usize) {
-        while self.open_count() >= max_open && self.close_oldest() {}
+    pub(super) fn evict_until_below(&mut self, max_open: usize) {
+        while self.open_count() >= max_open && self.evict_oldest() {}
     }
 
-    /// Closes the connection that has been idle for the longest; `false`: there is none.
-    fn close_oldest(&mut self) -> bool {
-        let in_use = self
+    /// Closes the connection that has been idle the longest. Returns `false` if no connection is
+    /// idle.
+    fn evict_oldest(&mut self) -> bool {
+        let non_empty = self
             .idle
             .values_mut()
             .filter(|connections| !connections.is_empty());
-        let Some(connections) = in_use.min_by_key(|connections| connections[0].since) else {
+        let Some(connections) = non_empty.min_by_key(|connections| connections[0].idle_since)
+        else {
             return false;
         };
         drop(connections.remove(0));
@@ -93,83 +98,87 @@
         true
     }
 
-    /// Adds a connection to an endpoint.
+    /// Adds an idle connection to an endpoint.
     pub(super) fn put(&mut self, endpoint: EndpointId, connection: Connection) {
         let idle = IdleConnection {
-            since: Instant::now(),
+            idle_since: Instant::now(),
             connection,
         };
         self.idle.entry(endpoint).or_default().push(idle);
     }
 
-    /// Takes out the most recently used connection of those that have settled, or the one that will
-    /// settle first. Connections that the endpoint has closed, or may be closing, are closed first:
-    /// a request must not cross its endpoint's close.
+    /// Removes and returns the most recently used connection that has settled, or else the one that
+    /// will settle first. Expired connections and those that received data or an end of stream are
+    /// closed first: a request must not be written while the endpoint is closing its connection.
     pub(super) fn take(
         &mut self,
         endpoint: EndpointId,
         max_idle: Duration,
     ) -> Option<IdleConnection> {
         self.close_expired(endpoint, max_idle);
-        self.close(endpoint, EndpointCloseReason::UnexpectedBytes, |idle| {
+        self.close_unless(endpoint, EndpointCloseReason::UnexpectedBytes, |idle| {
             idle.connection.is_ready()
         });
         let connections = self.idle.get_mut(&endpoint)?;
         let settled = connections
             .iter()
-            .rposition(|idle| idle.since.elapsed() >= SETTLE_DELAY);
+            .rposition(|idle| idle.idle_since.elapsed() >= SETTLE_DELAY);
         (!connections.is_empty()).then(|| connections.remove(settled.unwrap_or(0)))
     }
 
-    /// Closes all idle connections to an endpoint that takes no new requests, or has restarted.
+    /// Closes all idle connections to an endpoint that accepts no new requests or has restarted.
     pub(super) fn close_all(&mut self, endpoint: EndpointId) {
-        self.close(endpoint, EndpointCloseReason::EndpointUnavailable, |_| {
+        self.close_unless(endpoint, EndpointCloseReason::EndpointUnavailable, |_| {
             false
         });
         self.idle.remove(&endpoint);
     }
 
     fn close_expired(&mut self, endpoint: EndpointId, max_idle: Duration) {
-        self.close(endpoint, EndpointCloseReason::Idle, |idle| {
-            idle.since.elapsed() < max_idle
+        self.close_unless(endpoint, EndpointCloseReason::Idle, |idle| {
+            idle.idle_since.elapsed() < max_idle
         });
     }
 
-    /// Closes the idle connections to an endpoint that are not to be retained, and counts them.
-    fn close(
+    /// Closes and counts the idle connections to an endpoint for which `is_retained` returns
+    /// `false`.
+    fn close_unless(
         &mut self,
         endpoint: EndpointId,
         reason: EndpointCloseReason,
-        retain: impl Fn(&IdleConnection) -> bool,
+        is_retained: impl Fn(&IdleConnection) -> bool,
     ) {
         let Some(connections) = self.idle.get_mut(&endpoint) else {
             return;
         };
         let before = connections.len();
-        connections.retain(retain);
+        connections.retain(is_retained);
         self.metrics
             .count()
             .endpoint_connections_closed(reason, before - connections.len());
     }
 
-    /// How long a connection may have been idle and still be used. `endpoint_timeout`: after which
-    /// endpoints close idle connections, by the configuration.
-    pub(super) fn max_idle(&self, endpoint_timeout: Duration) -> Duration {
-        let configured = endpoint_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
-        self.idle_timeout
+    /// The longest time that a connection may have been idle and still be reused.
+    /// `endpoint_idle_timeout` is the configured time after which endpoints close idle
+    /// connections.
+    pub(super) fn max_idle(&self, endpoint_idle_timeout: Duration) -> Duration {
+        let configured = endpoint_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
+        self.idle_timeout_estimate
             .limit()
             .map_or(configured, |estimate| estimate.min(configured))
     }
 
-    /// Notes that a connection was reused after this idle time, and whether it proved to be broken.
-    pub(super) fn note_reuse(&mut self, idle_time: Duration, is_broken: bool) {
-        self.idle_timeout.record_reuse(idle_time, is_broken);
+    /// Records that a connection was reused after this idle time, and whether it turned out to be
+    /// broken.
+    pub(super) fn record_reuse(&mut self, idle_time: Duration, is_broken: bool) {
+        self.idle_timeout_estimate
+            .record_reuse(idle_time, is_broken);
     }
 
-    /// To be called once a second: closes connections that have been idle for too long.
-    pub(super) fn sweep(&mut self, endpoint_timeout: Duration) {
-        self.idle_timeout.decay();
-        let max_idle = self.max_idle(endpoint_timeout);
+    /// Closes connections that have been idle for too long. Called once a second.
+    pub(super) fn sweep(&mut self, endpoint_idle_timeout: Duration) {
+        self.idle_timeout_estimate.decay();
+        let max_idle = self.max_idle(endpoint_idle_timeout);
         let endpoints: Vec<EndpointId> = self.idle.keys().copied().collect();
         for endpoint in endpoints {
             self.close_expired(endpoint, max_idle);
--- /dev/null
+++ b/proxy/src/control/metrics_report.rs
@@ -0,0 +1,30 @@
+//! Reports the metrics to operators and to the log.
+
+use crate::control::Control;
+use crate::log;
+
+impl Control {
+    /// The metrics since the start of the process, under the names that operators read.
+    pub fn metrics_json(&self) -> serde_json::Value {
+        let state = self.state();
+        // The balancer's count does not include draining endpoints, which the list makes
+        // unavailable whatever their health.
+        let draining = state.endpoints.count() - state.endpoints.ready_count();
+        let unavailable = state.balancer.unavailable_count(state.clock.now()) + draining;
+        let counters = state.metrics.counters();
+        counters.to_json(&state.config.classes, state.endpoints.count(), unavailable)
+    }
+
+    /// Writes the metrics since the start of the process to the log.
+    pub fn log_metrics(&self) {
+        let json = self.metrics_json();
+        let state = self.state();
+        let open = state.pool.open_count();
+        let idle = state.pool.idle_count();
+        let max_idle = state.pool.max_idle(state.config.connection_idle_timeout);
+        let counters = state.metrics.counters();
+        log::line(&format!(
+            "{open} connections ({idle} idle, kept for at most {max_idle:?}), {json}, {counters}"
+        ));
+    }
+}
--- a/proxy/src/invariants/tests.rs
+++ b/proxy/src/invariants/tests.rs
@@ -1,11 +1,12 @@
-//! Each violation is counted when it happens, and what is allowed is none.
+//! Tests that each violation is counted when it happens, and that permitted behaviour is not
+//! counted.
 
 use super::*;
 use balancer::{CellId, DeduplicationScope, Idempotency};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A request whose deadline is in a second, and its metrics.
+/// A request with a deadline in one second, and the metrics that count its violations.
 fn request(idempotency: Idempotency) -> (RequestRecord, Metrics) {
     let metrics = Metrics::new(1);
     let policy = RequestPolicy {
@@ -30,11 +31,11 @@
 }
 
 fn violations(metrics: &Metrics) -> String {
-    let snapshot = metrics.snapshot().to_string();
-    snapshot
+    let counters = metrics.counters().to_string();
+    counters
         .split("invariant_violations: ")
         .nth(1)
-        .expect("the last of the metrics")
+        .expect("the metrics end with the violations")
         .to_owned()
 }
 
@@ -45,14 +46,14 @@
     }
 }
 
-/// An attempt that starts and, if it has an outcome, ends.
+/// Starts an attempt, and ends it if an outcome is given.
 fn run_attempt(
     request: &RequestRecord,
     target: AttemptTarget,
     outcome: Option<Outcome>,
 ) -> AttemptRecord {
     let attempt = request.attempt(target);
-    attempt.advertise_time(SECOND);
+    attempt.record_advertised_time(SECOND);
     attempt.started();
     if let Some(outcome) = outcome {
         attempt.ended(outcome, !outcome.never_ran());
@@ -61,7 +62,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_allowed_is_no_violation() {
+async fn permitted_attempts_and_retries_are_not_counted_as_violations() {
     for idempotency in [
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
@@ -81,7 +82,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_may_have_run_is_retried_only_as_its_class_allows() {
+async fn a_retry_that_the_idempotency_of_a_possibly_executed_request_forbids_is_a_violation() {
     for (idempotency, cell, wait, violation) in [
         (
             Idempotency::NonIdempotent,
@@ -105,14 +106,14 @@
         let (request, metrics) = request(idempotency);
         run_attempt(&request, in_cell(1), Some(Outcome::Reset));
         tokio::time::advance(wait).await;
-        let again = request.attempt(in_cell(cell));
-        again.started();
+        let retry = request.attempt(in_cell(cell));
+        retry.started();
         assert_eq!(violations(&metrics), violation);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_forbidden_hedge_and_an_attempt_too_many_are_counted() {
+async fn a_forbidden_hedge_and_an_attempt_beyond_the_maximum_are_violations() {
     let (request, metrics) = request(Idempotency::Idempotent);
     let first = run_attempt(&request, in_cell(1), None);
     run_attempt(&request, in_cell(1), Some(Outcome::Error));
@@ -126,7 +127,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn attempts_for_disconnected_clients_or_at_draining_endpoints_are_counted() {
+async fn attempts_after_drain_grace_disconnect_or_reply_are_violations() {
     let target = in_cell(1);
     target.drain_status.set_ready(false);
     let (request_to_draining, metrics) = request(Idempotency::Idempotent);
@@ -135,7 +136,7 @@
         target.clone(),
         Some(Outcome::Rejected),
     );
-    assert_eq!(violations(&metrics), "{}", "within the grace");
+    assert_eq!(violations(&metrics), "{}", "the drain grace has not passed");
     tokio::time::advance(SECOND / 5).await;
     request_to_draining.attempt(target.clone()).started();
     assert_eq!(violations(&metrics), "{SentToDrainingEndpoint: 1}");
@@ -154,10 +155,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn wrong_advertised_times_and_late_replies_are_counted() {
+async fn excessive_advertised_times_false_outcomes_and_unsafe_or_late_replies_are_violations() {
     let (request, metrics) = request(Idempotency::NonIdempotent);
     let attempt = request.attempt(in_cell(1));
-    attempt.advertise_time(SECOND);
+    attempt.record_advertised_time(SECOND);
     tokio::time::advance(SECOND / 5).await;
     attempt.started();
     assert_eq!(violations(&metrics), "{AdvertisedTimeTooLong: 1}");
