--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -3,29 +3,30 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Longest duration that a setting may have.
+/// Longest duration that a setting may have: 24 hours.
 pub(crate) const MAX_DURATION_US: u64 = 24 * 3_600 * 1_000_000;
 
-/// Why settings are not usable. Keys are named as the operators write them.
+/// Why settings cannot be used. Messages name keys as they are written in the settings.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// A key is missing, or its value has the wrong type.
     #[error("{}{reason}", prefix(key))]
     Malformed {
-        /// The key with the wrong value; `None`: a key is missing, which the reason names.
+        /// The key whose value has the wrong type. `None` if a key is missing: then the reason
+        /// names it.
         key: Option<String>,
-        /// Names the value, and what is allowed.
+        /// What was found and what was expected, or which key is missing.
         reason: serde_json::Error,
     },
     /// There is no class.
-    #[error("classes is empty, allowed is one class or more")]
+    #[error("classes is empty; at least one class is required")]
     NoClasses,
     /// A value is outside its range.
-    #[error("{key} is {value}, allowed is {allowed}")]
+    #[error("{key} is {value}; it must be {allowed}")]
     OutOfRange {
-        /// The setting's key.
-        key: &'static str,
-        /// The value as it was given.
+        /// Path of the key in the settings, such as `classes[0].worth`.
+        key: String,
+        /// The value in the settings.
         value: String,
         /// The values that are allowed.
         allowed: AllowedRange,
@@ -59,13 +60,17 @@
 impl fmt::Display for AllowedRange {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AllowedRange::Duration => write!(formatter, "1 to {MAX_DURATION_US} us"),
-            AllowedRange::DurationOrZero => write!(formatter, "0 to {MAX_DURATION_US} us"),
+            AllowedRange::Duration => {
+                write!(formatter, "from 1 to {MAX_DURATION_US} us (24 hours)")
+            }
+            AllowedRange::DurationOrZero => {
+                write!(formatter, "from 0 to {MAX_DURATION_US} us (24 hours)")
+            }
             AllowedRange::NonNegative => formatter.write_str("a finite number of 0 or more"),
             AllowedRange::Positive => formatter.write_str("a finite number above 0"),
             AllowedRange::AtLeastOne => formatter.write_str("1 or more"),
-            AllowedRange::Fraction => formatter.write_str("0 to 1"),
-            AllowedRange::PositiveFraction => formatter.write_str("above 0, up to 1"),
+            AllowedRange::Fraction => formatter.write_str("from 0 to 1"),
+            AllowedRange::PositiveFraction => formatter.write_str("above 0 and at most 1"),
         }
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! A site's settings: reads them as the simulator's first message and a proxy's configuration
-//! contain them, and checks them.
+//! Reads and validates a site's settings. The simulator sends them when it creates a balancer, and
+//! a proxy's configuration contains them in the same form.
 #![forbid(unsafe_code)]
 
 mod error;
@@ -15,18 +15,18 @@
 use message::SettingsMessage;
 use serde_json::Value;
 
-/// Settings in the balancer's terms, with the names that it numbers.
+/// Settings for a balancer, and the names of the classes and tenants that it knows by index only.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteSettings {
-    /// What a balancer is created with.
+    /// Settings that a balancer is created with.
     pub settings: Settings,
-    /// Names of the classes, in the order of the settings.
+    /// Names of the classes, in the order of `settings.classes`.
     pub class_names: Vec<String>,
-    /// Names of the tenants, in the order of the settings.
+    /// Names of the tenants, in the order of `settings.tenants`.
     pub tenant_names: Vec<String>,
 }
 
-/// Reads settings. Values are taken as they are; [`validate`] checks them.
+/// Reads settings. Only the types of the values are checked here; [`validate`] checks their ranges.
 ///
 /// # Errors
 /// A key is missing, or its value has the wrong type.
--- a/settings/src/message.rs
+++ b/settings/src/message.rs
@@ -1,5 +1,6 @@
-//! The settings as they are written, under the operators' names, and their translation to the
-//! balancer's terms. Unknown keys are ignored, absent optional ones get neutral defaults.
+//! The JSON form of the settings and its conversion to the balancer's [`Settings`]. The fields here
+//! have the balancer's terms; `rename` gives the key in the JSON. Unknown keys are ignored, and
+//! absent optional keys get defaults.
 
 use crate::error::SettingsError;
 use crate::zone::zone;
@@ -10,7 +11,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The settings as they are written, under the operators' names.
+/// The settings as JSON.
 #[derive(Deserialize)]
 pub(crate) struct SettingsMessage {
     #[serde(rename = "balancers")]
@@ -136,7 +137,8 @@
         }
     }
 
-    /// An unknown idempotency or scope counts as non-idempotent, which is always safe.
+    /// Unknown values of `idempotency` or `dedup_scope` count as non-idempotent, because not repeating
+    /// a request is always safe.
     fn idempotency(&self) -> Idempotency {
         let scope = match self.deduplication_scope.as_str() {
             "all" => Some(DeduplicationScope::All),
@@ -156,7 +158,7 @@
 }
 
 impl SettingsMessage {
-    /// Reads the settings as they are written.
+    /// Reads the settings from JSON.
     pub(crate) fn read(message: &Value) -> Result<SettingsMessage, SettingsError> {
         SettingsMessage::deserialize(message).map_err(|reason| SettingsError::Malformed {
             key: wrong_key(message),
@@ -164,7 +166,7 @@
         })
     }
 
-    /// The settings in the balancer's terms.
+    /// The settings that a balancer is created with.
     pub(crate) fn settings(&self) -> Settings {
         let mode = if self.discovery_mode == "ask" {
             DiscoveryMode::Poll
@@ -189,8 +191,8 @@
                 health_checks: self.limits.health_checks,
                 hedging: self.limits.hedging,
                 max_attempts: self.limits.max_attempts,
-                // Taken even if clients are declared not to respect it: a rejection over HTTP
-                // always carries `Retry-After`.
+                // Applies even if clients are declared not to respect `Retry-After`, because
+                // every HTTP rejection carries the header.
                 max_retry_after: self.limits.max_retry_after_us,
             },
             slow_start: SlowStart {
@@ -211,8 +213,8 @@
     }
 }
 
-/// The key whose value can't be read. Serde's errors have no keys, but the lines of a text: each
-/// value is printed on one with its key.
+/// The key whose value has the wrong type. Serde's error contains a line number but no key, so the
+/// settings are printed with one key per line and parsed again to find the key on that line.
 fn wrong_key(message: &Value) -> Option<String> {
     let text = serde_json::to_string_pretty(message).ok()?;
     let error = serde_json::from_str::<SettingsMessage>(&text).err()?;
--- a/settings/src/validation.rs
+++ b/settings/src/validation.rs
@@ -1,13 +1,13 @@
-//! Whether a program can run under given settings. A value that makes no sense is better reported
-//! at the start than met under load.
+//! Range checks of settings, made before a program starts so that an invalid value is reported then
+//! and not first noticed under load.
 
 use crate::error::{AllowedRange, SettingsError, MAX_DURATION_US};
 use balancer::{Class, Settings};
 
-/// Checks that every value is within its range.
+/// Checks that the values are within their ranges.
 ///
 /// # Errors
-/// The first value that is not, with its key and what is allowed.
+/// The first value out of range, with its key and the allowed range.
 pub fn validate(settings: &Settings) -> Result<(), SettingsError> {
     let Settings {
         classes,
@@ -19,9 +19,12 @@
     if classes.is_empty() {
         return Err(SettingsError::NoClasses);
     }
-    classes.iter().try_for_each(validate_class)?;
-    for tenant in tenants {
-        number("portion", tenant.quota, AllowedRange::Fraction)?;
+    for (index, class) in classes.iter().enumerate() {
+        validate_class(index, class)?;
+    }
+    for (index, tenant) in tenants.iter().enumerate() {
+        let key = format!("tenants[{index}].portion");
+        number(&key, tenant.quota, AllowedRange::Fraction)?;
     }
     duration(
         "tick_us",
@@ -34,49 +37,58 @@
         AllowedRange::AtLeastOne,
     )?;
     number(
-        "max_attempts",
+        "limits.max_attempts",
         settings.limits.max_attempts.into(),
         AllowedRange::AtLeastOne,
     )?;
     number(
-        "cold_from",
+        "invariants.cold_from",
         slow_start.initial_capacity,
         AllowedRange::PositiveFraction,
     )?;
     number(
-        "fall_multiple",
+        "invariants.fall_multiple",
         slow_start.overload_multiple,
         AllowedRange::Positive,
     )?;
-    duration("cold_us", slow_start.duration, AllowedRange::DurationOrZero)?;
     duration(
-        "ask_every_us",
+        "invariants.cold_us",
+        slow_start.duration,
+        AllowedRange::DurationOrZero,
+    )?;
+    duration(
+        "invariants.ask_every_us",
         discovery.max_poll_interval,
         AllowedRange::Duration,
     )?;
     duration(
-        "told_after_us",
+        "invariants.told_after_us",
         discovery.notification_deadline,
         AllowedRange::Duration,
     )
 }
 
-fn validate_class(class: &Class) -> Result<(), SettingsError> {
+fn validate_class(index: usize, class: &Class) -> Result<(), SettingsError> {
+    let key = |name| format!("classes[{index}].{name}");
     duration(
-        "objective_us",
+        &key("objective_us"),
         class.latency_objective,
         AllowedRange::Duration,
     )?;
-    duration("deadline_us", class.deadline, AllowedRange::Duration)?;
-    number("worth", class.priority_weight, AllowedRange::NonNegative)?;
+    duration(&key("deadline_us"), class.deadline, AllowedRange::Duration)?;
+    number(
+        &key("worth"),
+        class.priority_weight,
+        AllowedRange::NonNegative,
+    )?;
     number(
-        "late_value",
+        &key("late_value"),
         class.late_weight_fraction,
         AllowedRange::NonNegative,
     )
 }
 
-fn duration(key: &'static str, value_us: u64, allowed: AllowedRange) -> Result<(), SettingsError> {
+fn duration(key: &str, value_us: u64, allowed: AllowedRange) -> Result<(), SettingsError> {
     let min_us = if allowed == AllowedRange::Duration {
         1
     } else {
@@ -86,13 +98,13 @@
         return Ok(());
     }
     Err(SettingsError::OutOfRange {
-        key,
+        key: key.to_owned(),
         value: value_us.to_string(),
         allowed,
     })
 }
 
-fn number(key: &'static str, value: f64, allowed: AllowedRange) -> Result<(), SettingsError> {
+fn number(key: &str, value: f64, allowed: AllowedRange) -> Result<(), SettingsError> {
     let (min, max) = match allowed {
         AllowedRange::Positive => (f64::MIN_POSITIVE, f64::MAX),
         AllowedRange::AtLeastOne => (1.0, f64::MAX),
@@ -106,7 +118,7 @@
         return Ok(());
     }
     Err(SettingsError::OutOfRange {
-        key,
+        key: key.to_owned(),
         value: value.to_string(),
         allowed,
     })
--- a/settings/src/zone.rs
+++ b/settings/src/zone.rs
@@ -1,4 +1,4 @@
-//! Zone ids: the same for a zone name in every program.
+//! Zone ids, which are the same in every program for a given zone name.
 
 use balancer::ZoneId;
 
--- a/settings/tests/names.rs
+++ b/settings/tests/names.rs
@@ -1,5 +1,5 @@
-//! The settings' keys and values, each with one that is not its default. The names are the
-//! operators' own and never change.
+//! Names of the settings' keys and of their enumerated values. Configurations and the simulator use
+//! them, so they must not change.
 
 use balancer::{
     Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights,
@@ -8,7 +8,8 @@
 use balancer_settings::{read, zone};
 use serde_json::{json, Value};
 
-/// A message that gives each key a value that is not its default.
+/// Settings in which each key has a value that is not its default, so that a key that is not read
+/// shows.
 fn message() -> Value {
     let class = |name: &str, idempotency: &str, scope: &str| {
         json!({"name": name, "objective_us": 1, "deadline_us": 2, "worth": 3.0, "late_value": 0.5,
@@ -29,7 +30,7 @@
     })
 }
 
-/// The settings of that message.
+/// What [`message`] is read as.
 fn expected_settings() -> Settings {
     let class = |idempotency| Class {
         latency_objective: 1,
@@ -78,13 +79,13 @@
 
 #[test]
 fn each_key_of_the_settings_is_read_under_its_name() {
-    let site = read(&message()).expect("settings");
+    let site = read(&message()).expect("well-formed settings");
     assert_eq!(site.settings, expected_settings());
     assert_eq!(site.class_names, ["a", "b", "c", "d", "e"]);
     assert_eq!(site.tenant_names, ["t", "u"]);
 }
 
-/// Two programs that number zones differently would treat each other's zones as foreign.
+/// Programs that derived different ids from the same zone name would treat it as two zones.
 #[test]
 fn a_zones_number_is_the_hash_of_its_name() {
     assert_eq!(zone("").0, 0x811c_9dc5);
