--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// A key is missing, or its value has the wrong type.
-    #[error("{}{reason}", prefix(key))]
+    #[error("{}{reason}", key_prefix(key))]
     Malformed {
         /// The key whose value has the wrong type. `None` if a key is missing: then the reason
         /// names it.
@@ -33,7 +33,7 @@
     },
 }
 
-fn prefix(key: &Option<String>) -> String {
+fn key_prefix(key: &Option<String>) -> String {
     key.as_ref()
         .map_or_else(String::new, |key| format!("{key}: "))
 }
--- a/settings/src/message.rs
+++ b/settings/src/message.rs
@@ -161,7 +161,7 @@
     /// Reads the settings from JSON.
     pub(crate) fn read(message: &Value) -> Result<SettingsMessage, SettingsError> {
         SettingsMessage::deserialize(message).map_err(|reason| SettingsError::Malformed {
-            key: wrong_key(message),
+            key: key_with_wrong_type(message),
             reason,
         })
     }
@@ -215,7 +215,7 @@
 
 /// The key whose value has the wrong type. Serde's error contains a line number but no key, so the
 /// settings are printed with one key per line and parsed again to find the key on that line.
-fn wrong_key(message: &Value) -> Option<String> {
+fn key_with_wrong_type(message: &Value) -> Option<String> {
     let text = serde_json::to_string_pretty(message).ok()?;
     let error = serde_json::from_str::<SettingsMessage>(&text).err()?;
     let line = text.lines().nth(error.line().checked_sub(1)?)?;
--- a/settings/src/validation.rs
+++ b/settings/src/validation.rs
@@ -20,75 +20,75 @@
         return Err(SettingsError::NoClasses);
     }
     for (index, class) in classes.iter().enumerate() {
-        validate_class(index, class)?;
+        check_class(index, class)?;
     }
     for (index, tenant) in tenants.iter().enumerate() {
         let key = format!("tenants[{index}].portion");
-        number(&key, tenant.quota, AllowedRange::Fraction)?;
+        check_number(&key, tenant.quota, AllowedRange::Fraction)?;
     }
-    duration(
+    check_duration(
         "tick_us",
         settings.clock_resolution,
         AllowedRange::DurationOrZero,
     )?;
-    number(
+    check_number(
         "balancers",
         settings.balancer_count.into(),
         AllowedRange::AtLeastOne,
     )?;
-    number(
+    check_number(
         "limits.max_attempts",
         settings.limits.max_attempts.into(),
         AllowedRange::AtLeastOne,
     )?;
-    number(
+    check_number(
         "invariants.cold_from",
         slow_start.initial_capacity,
         AllowedRange::PositiveFraction,
     )?;
-    number(
+    check_number(
         "invariants.fall_multiple",
         slow_start.overload_multiple,
         AllowedRange::Positive,
     )?;
-    duration(
+    check_duration(
         "invariants.cold_us",
         slow_start.duration,
         AllowedRange::DurationOrZero,
     )?;
-    duration(
+    check_duration(
         "invariants.ask_every_us",
         discovery.max_poll_interval,
         AllowedRange::Duration,
     )?;
-    duration(
+    check_duration(
         "invariants.told_after_us",
         discovery.notification_deadline,
         AllowedRange::Duration,
     )
 }
 
-fn validate_class(index: usize, class: &Class) -> Result<(), SettingsError> {
+fn check_class(index: usize, class: &Class) -> Result<(), SettingsError> {
     let key = |name| format!("classes[{index}].{name}");
-    duration(
+    check_duration(
         &key("objective_us"),
         class.latency_objective,
         AllowedRange::Duration,
     )?;
-    duration(&key("deadline_us"), class.deadline, AllowedRange::Duration)?;
-    number(
+    check_duration(&key("deadline_us"), class.deadline, AllowedRange::Duration)?;
+    check_number(
         &key("worth"),
         class.priority_weight,
         AllowedRange::NonNegative,
     )?;
-    number(
+    check_number(
         &key("late_value"),
         class.late_weight_fraction,
         AllowedRange::NonNegative,
     )
 }
 
-fn duration(key: &str, value_us: u64, allowed: AllowedRange) -> Result<(), SettingsError> {
+fn check_duration(key: &str, value_us: u64, allowed: AllowedRange) -> Result<(), SettingsError> {
     let min_us = if allowed == AllowedRange::Duration {
         1
     } else {
@@ -104,7 +104,7 @@
     })
 }
 
-fn number(key: &str, value: f64, allowed: AllowedRange) -> Result<(), SettingsError> {
+fn check_number(key: &str, value: f64, allowed: AllowedRange) -> Result<(), SettingsError> {
     let (min, max) = match allowed {
         AllowedRange::Positive => (f64::MIN_POSITIVE, f64::MAX),
         AllowedRange::AtLeastOne => (1.0, f64::MAX),
--- a/settings/tests/names.rs
+++ b/settings/tests/names.rs
@@ -10,7 +10,7 @@
 
 /// Settings in which each key has a value that is not its default, so that a key that is not read
 /// shows.
-fn message() -> Value {
+fn settings_message() -> Value {
     let class = |name: &str, idempotency: &str, scope: &str| {
         json!({"name": name, "objective_us": 1, "deadline_us": 2, "worth": 3.0, "late_value": 0.5,
             "idempotency": idempotency, "dedup_scope": scope, "repeat_window_us": 6})
@@ -30,7 +30,7 @@
     })
 }
 
-/// What [`message`] is read as.
+/// What [`settings_message`] is read as.
 fn expected_settings() -> Settings {
     let class = |idempotency| Class {
         latency_objective: 1,
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn each_key_of_the_settings_is_read_under_its_name() {
-    let site = read(&message()).expect("well-formed settings");
+fn every_key_and_enumerated_value_is_read_under_its_external_name() {
+    let site = read(&settings_message()).expect("well-formed settings");
     assert_eq!(site.settings, expected_settings());
     assert_eq!(site.class_names, ["a", "b", "c", "d", "e"]);
     assert_eq!(site.tenant_names, ["t", "u"]);
@@ -87,7 +87,7 @@
 
 /// Programs that derived different ids from the same zone name would treat it as two zones.
 #[test]
-fn a_zones_number_is_the_hash_of_its_name() {
+fn a_zone_id_is_the_fnv_1a_hash_of_the_zone_name() {
     assert_eq!(zone("").0, 0x811c_9dc5);
     assert_eq!(zone("a").0, 0xe40c_292c);
 }
--- a/settings/tests/validation.rs
+++ b/settings/tests/validation.rs
@@ -4,13 +4,13 @@
 use serde_json::{json, Value};
 
 #[test]
-fn values_out_of_range_are_refused_and_absent_keys_get_defaults() {
+fn out_of_range_values_are_rejected_and_absent_or_unknown_keys_are_accepted() {
     let class =
         json!({"name": "a", "objective_us": 500_000, "deadline_us": 900_000, "idempotency": "odd"});
-    let good = json!({"balancers": 2, "tick_us": 1_000, "classes": [class], "odd": {"more": [1]},
+    let valid = json!({"balancers": 2, "tick_us": 1_000, "classes": [class], "odd": {"more": [1]},
         "invariants": {"cold_from": 0.1, "cold_us": 1}});
-    let checked = |message: &Value| validate(&read(message)?.settings);
-    assert!(checked(&good).is_ok(), "{good}");
+    let read_and_validate = |message: &Value| validate(&read(message)?.settings);
+    assert!(read_and_validate(&valid).is_ok(), "{valid}");
     for (path, value) in [
         ("/classes", json!([])),
         ("/classes/0/objective_us", 0.into()),
@@ -24,14 +24,19 @@
         ("/invariants/cold_from", 7.into()),
         ("/invariants/cold_us", u64::MAX.into()),
     ] {
-        let mut bad = good.clone();
-        *bad.pointer_mut(path).expect("the settings have the key") = value;
-        assert!(checked(&bad).is_err(), "{path} is accepted: {bad}");
+        let mut invalid = valid.clone();
+        *invalid
+            .pointer_mut(path)
+            .expect("the settings have the key") = value;
+        assert!(
+            read_and_validate(&invalid).is_err(),
+            "{path} is accepted: {invalid}"
+        );
     }
 }
 
 #[test]
-fn the_balancers_zone_equals_that_of_endpoints_with_its_name() {
+fn the_locality_key_gives_the_same_zone_id_as_the_zone_name_of_an_endpoint() {
     let mut message = json!({"balancers": 2, "classes": [], "limits": {},
         "invariants": {"cold_from": 0.1, "cold_us": 1}});
     assert_eq!(
@@ -46,7 +51,7 @@
 }
 
 #[test]
-fn an_error_names_the_key_the_value_and_what_is_allowed() {
+fn errors_name_the_key_and_for_an_invalid_value_also_the_value_and_what_is_allowed() {
     let class = json!({"name": "a", "objective_us": 1, "deadline_us": 2, "worth": -1.5,
         "idempotency": "free"});
     let message =
