--- a/adapter/src/adapter.rs
+++ b/adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! All balancers of the simulator and the endpoint lists that it has sent: answers a line of input.
+//! Dispatches the messages of a line of input to the simulated balancers and collects the reply.
 
 use crate::command::{Command, Reply};
 use crate::endpoint_message::EndpointMessage;
@@ -9,7 +9,8 @@
 use balancer::{EndpointEntry, Event, Micros};
 use std::collections::HashMap;
 
-/// Balancers and endpoint lists under their numbers on the wire.
+/// The simulated balancers and the endpoint lists that the simulator has sent, by their numbers on
+/// the wire.
 #[derive(Default)]
 pub(crate) struct Adapter {
     instances: HashMap<i64, Instance>,
@@ -17,7 +18,7 @@
 }
 
 impl Adapter {
-    /// Handles a batch of messages; the reply as a line.
+    /// Handles a line with a batch of messages. Returns the reply as a line without its end.
     pub(crate) fn reply(&mut self, line: &str) -> Result<String, InputError> {
         let batch: Batch = serde_json::from_str(line).map_err(InputError::NotABatch)?;
         let mut reply = Reply {
@@ -31,8 +32,8 @@
         serde_json::to_string(&reply).map_err(InputError::Reply)
     }
 
-    /// Whether a message concerns a request that is forgotten. It is ignored, whatever else it
-    /// says.
+    /// Whether a message is about an earlier request that the balancer no longer tracks or never
+    /// received. Such a message is ignored, even if its other fields are invalid.
     fn is_outdated(&self, message: &Message) -> bool {
         message
             .earlier_request()
@@ -105,7 +106,7 @@
     }
 }
 
-/// The entries of a list; none if an update has no list.
+/// The entries of an endpoint list; empty if an update refers to no list.
 fn entries(
     lists: &HashMap<i64, Vec<EndpointMessage>>,
     list: Option<i64>,
--- a/adapter/src/command.rs
+++ b/adapter/src/command.rs
@@ -1,4 +1,4 @@
-//! The balancers' actions as the wire's commands.
+//! The commands in a reply, and the conversion of the balancer's actions to them.
 
 use crate::requests::Requests;
 use balancer::{Action, Micros, RequestId};
@@ -7,16 +7,16 @@
 /// The reply to a line of input.
 #[derive(Serialize)]
 pub(crate) struct Reply {
-    /// What the simulator is to do, in order.
+    /// What the simulator has to do, in order.
     #[serde(rename = "cmds")]
     pub(crate) commands: Vec<Command>,
 }
 
-/// A command and the balancer that it comes from.
+/// A command of a balancer to the simulator.
 #[derive(Serialize)]
 #[serde(tag = "verb")]
 pub(crate) enum Command {
-    /// Forward a request.
+    /// Forward a request to an endpoint.
     #[serde(rename = "ROUTE")]
     Forward {
         #[serde(rename = "proxy")]
@@ -36,7 +36,7 @@
         #[serde(rename = "seq_no")]
         attempt: u32,
     },
-    /// Send a health check.
+    /// Send a health check to an endpoint.
     #[serde(rename = "TEST")]
     CheckHealth {
         #[serde(rename = "proxy")]
@@ -44,7 +44,7 @@
         #[serde(rename = "host")]
         endpoint: u32,
     },
-    /// Set the timer.
+    /// Set the balancer's timer, which replaces the one set before.
     #[serde(rename = "SET_ALARM")]
     SetTimer {
         #[serde(rename = "proxy")]
@@ -88,7 +88,8 @@
     },
 }
 
-/// The command for an action of a balancer; `None`: the action's request has been forgotten.
+/// The command for an action of a balancer. `None` if the action is about a request that is no
+/// longer tracked.
 pub(crate) fn command(balancer: i64, requests: &mut Requests, action: Action) -> Option<Command> {
     Some(match action {
         Action::Forward {
@@ -139,7 +140,7 @@
     })
 }
 
-/// Marks a request as finished; its name on the wire.
+/// Marks a request as finished and returns its id on the wire.
 fn finish(requests: &mut Requests, request: RequestId) -> Option<String> {
     let wire_id = requests.wire_id(request)?;
     requests.finished(request);
--- a/adapter/src/endpoint_message.rs
+++ b/adapter/src/endpoint_message.rs
@@ -1,11 +1,11 @@
-//! An endpoint as the simulator's lists describe it.
+//! The wire form of an endpoint in the simulator's lists.
 
 use crate::error::InputError;
 use balancer::{CellId, EndpointEntry, EndpointId, EndpointState, Micros};
 use balancer_settings::zone;
 use serde::Deserialize;
 
-/// An endpoint of a list.
+/// An endpoint in a list. `rename` gives the field's name on the wire.
 #[derive(Deserialize)]
 pub(crate) struct EndpointMessage {
     #[serde(rename = "last_start_us", default)]
@@ -22,7 +22,7 @@
 }
 
 impl EndpointMessage {
-    /// The endpoint in the balancer's terms.
+    /// Converts it to the balancer's type.
     pub(crate) fn entry(&self) -> Result<EndpointEntry, InputError> {
         let state = match self.state {
             0 => EndpointState::Draining,
--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of a line of input. They name fields as the wire does.
+//! Errors in a line of input. Messages use the wire's names of verbs and fields.
 
 use balancer_settings::SettingsError;
 use thiserror::Error;
@@ -7,40 +7,49 @@
 #[derive(Debug, Error)]
 pub(crate) enum InputError {
     /// The line is not a batch of messages.
-    #[error("not a batch")]
+    #[error("the line is not a JSON batch of messages")]
     NotABatch(#[source] serde_json::Error),
-    /// A field that the verb needs is absent.
-    #[error("{verb} without {field}")]
+    /// A message lacks a field that its verb requires.
+    #[error("{verb}: the required field {field} is missing")]
     MissingField {
         /// The message's verb.
         verb: String,
-        /// The absent field.
+        /// The missing field.
         field: &'static str,
     },
-    /// The verb is none of the wire's.
-    #[error("unknown verb {0}")]
+    /// The wire format has no such verb.
+    #[error(
+        "unknown verb {0}; allowed are CREATE, DETACH, POOL, MEMBERS, ALARM, WHISPER, PROBED, \
+         JOB_IN, DONE, UNDER_WAY and CANCELLED_BY_CLIENT"
+    )]
     UnknownVerb(String),
-    /// The balancer was not created, or has been removed.
-    #[error("message for unknown proxy {0}")]
+    /// No balancer has this number: it was not created, or it has been removed.
+    #[error("message for unknown proxy {0}: it was not created, or DETACH has removed it")]
     UnknownBalancer(i64),
-    /// The kind of list update is none of the wire's.
-    #[error("MEMBERS with scope {0}, allowed are 0 to 3")]
+    /// The wire format has no such kind of list update.
+    #[error(
+        "MEMBERS: scope is {0}; allowed are 0 (failed poll), 1 (cached list), 2 (changed entries) \
+         and 3 (full list)"
+    )]
     UnknownScope(i64),
-    /// The list has not been sent.
-    #[error("MEMBERS with unknown roster_id {0}")]
+    /// A list update refers to an endpoint list that no earlier message contains.
+    #[error("MEMBERS: unknown roster_id {0}; a POOL message must define it first")]
     UnknownList(i64),
-    /// The state of an endpoint is none of the wire's.
-    #[error("host {endpoint} with state {state}, allowed are 0 to 2")]
+    /// The wire format has no such endpoint state.
+    #[error(
+        "POOL: state of host {endpoint} is {state}; allowed are 0 (draining), 1 (ready) \
+         and 2 (removed)"
+    )]
     UnknownState {
-        /// Which endpoint.
+        /// The endpoint's number.
         endpoint: u32,
-        /// Its state.
+        /// Its state in the message.
         state: u32,
     },
-    /// The settings cannot be used.
-    #[error("facts cannot be used")]
+    /// The settings for a new balancer are malformed.
+    #[error("CREATE: facts are not valid settings")]
     Settings(#[source] SettingsError),
-    /// The reply could not be written as JSON.
-    #[error("the reply cannot be written")]
+    /// The reply could not be serialized.
+    #[error("the reply cannot be serialized as JSON")]
     Reply(#[source] serde_json::Error),
 }
--- a/adapter/src/input.rs
+++ b/adapter/src/input.rs
@@ -1,5 +1,5 @@
-//! What the simulator reports to balancers, in the field's terms. Requests, classes and tenants
-//! still have their names on the wire.
+//! Typed forms of the simulator's messages. Requests, classes and tenants are still identified by
+//! their names on the wire, not by the balancer's ids.
 
 use crate::endpoint_message::EndpointMessage;
 use balancer::{EndpointId, ListUpdate, LoadReport, Micros, Outcome};
@@ -8,78 +8,78 @@
 
 /// A message in its typed form.
 pub(crate) enum Input<'a> {
-    /// A list that later messages refer to.
+    /// An endpoint list that later messages refer to.
     List {
-        /// Which list.
+        /// The list's number.
         list: i64,
         /// Its endpoints.
         endpoints: Vec<EndpointMessage>,
     },
-    /// Something that concerns one balancer.
+    /// An event for one balancer.
     Balancer {
-        /// Which balancer.
+        /// The balancer's number.
         balancer: i64,
         /// What happened.
         input: BalancerInput<'a>,
     },
 }
 
-/// Something that concerns one balancer.
+/// An event for one balancer.
 pub(crate) enum BalancerInput<'a> {
-    /// It is created, and starts.
+    /// The balancer is created and starts.
     Create {
-        /// Seed of its random numbers.
+        /// Seed of the balancer's random numbers.
         seed: u64,
-        /// Its site's settings.
+        /// The site's settings.
         settings: Value,
     },
-    /// It is removed.
+    /// The balancer is removed.
     Remove,
     /// An update of the endpoint list.
     ListUpdate {
-        /// What the update contains, or why there is none.
+        /// What the update contains, or that the poll failed.
         kind: ListUpdate,
-        /// The list with the entries; `None`: there is no update.
+        /// Number of the list with the entries. `None` if the poll failed.
         list: Option<i64>,
     },
-    /// Its timer has expired.
+    /// The balancer's timer has expired.
     TimerExpired,
-    /// A message of another balancer; there is nothing to learn from it.
+    /// A message from another balancer. It carries nothing that the balancer uses and is ignored.
     Gossip,
     /// A health check was answered.
     HealthChecked {
-        /// By which endpoint.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
         /// The endpoint's load report.
         load: LoadReport,
     },
-    /// Something that concerns one request.
+    /// An event of one request.
     Request {
-        /// Which request, under its name on the wire.
+        /// The request's id on the wire.
         request: Cow<'a, str>,
         /// What happened.
         input: RequestInput<'a>,
     },
 }
 
-/// Something that concerns one request.
+/// An event of one request.
 pub(crate) enum RequestInput<'a> {
-    /// It has arrived.
+    /// The request has arrived.
     Received {
-        /// Name of its class.
+        /// Name of the request's class.
         class: Cow<'a, str>,
-        /// Name of its tenant.
+        /// Name of the request's tenant.
         tenant: Option<Cow<'a, str>>,
         /// How long the client still waits.
         time_left: Micros,
-        /// It is a retry of the client's own.
+        /// The client says that this is a retry of its own.
         client_retry: bool,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// Which attempt.
+        /// The attempt's number within the request, from 0.
         attempt: u32,
         /// How it ended.
         outcome: Outcome,
@@ -92,9 +92,9 @@
     },
     /// The response of an attempt is being streamed to the client.
     ResponseStarted {
-        /// Which attempt.
+        /// The attempt's number within the request, from 0.
         attempt: u32,
     },
-    /// The client has cancelled it.
+    /// The client has cancelled the request.
     Cancelled,
 }
--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One balancer with the names that the wire uses for what it numbers.
+//! One balancer, with the mapping of the wire's names of classes, tenants and requests to its ids.
 
 use crate::command::{command, Command};
 use crate::error::InputError;
@@ -7,7 +7,7 @@
 use balancer::{Action, Balancer, ClassId, Event, Micros, RequestId, TenantId};
 use balancer_settings::SiteSettings;
 
-/// One balancer of the simulator.
+/// One of the simulated balancers.
 pub(crate) struct Instance {
     id: i64,
     balancer: Balancer,
@@ -19,7 +19,7 @@
 }
 
 impl Instance {
-    /// A balancer that has not started.
+    /// Creates a balancer; [`Event::Start`] starts it.
     pub(crate) fn new(
         id: i64,
         seed: u64,
@@ -40,12 +40,12 @@
         })
     }
 
-    /// Whether a request of this name is known.
+    /// Whether a request with this id on the wire is tracked.
     pub(crate) fn knows(&self, request: &str) -> bool {
         self.requests.contains(request)
     }
 
-    /// Hands an event to the balancer and appends its commands.
+    /// Passes an event to the balancer and appends the resulting commands.
     pub(crate) fn handle(&mut self, now: Micros, event: Event, commands: &mut Vec<Command>) {
         self.balancer.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Handles what concerns one request.
+    /// Converts an event of one request to the balancer's event and handles it.
     pub(crate) fn handle_request(
         &mut self,
         now: Micros,
@@ -78,7 +78,7 @@
                 let tenant = tenant.and_then(|name| index(&self.tenant_names, &name));
                 Event::RequestReceived {
                     request,
-                    // The balancer takes an index out of range as an unknown class.
+                    // The balancer treats an index out of range as an unknown class.
                     class: ClassId(index(&self.class_names, &class).unwrap_or(usize::MAX)),
                     tenant: tenant.map(TenantId),
                     time_left,
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs balancers on the simulator's wire: one JSON batch a line in, one JSON reply a line out.
-//! Takes no decision of its own.
+//! Connects balancers to the simulator: reads one JSON batch of messages per line from standard
+//! input and writes one JSON reply per line to standard output. All decisions are the balancer's.
 #![forbid(unsafe_code)]
 
 mod adapter;
@@ -26,18 +26,20 @@
     }
 }
 
-/// Answers each line of input until its end.
+/// Answers each line of input until end of file.
 fn run(input: impl BufRead, mut output: impl Write) -> anyhow::Result<ExitCode> {
     let mut adapter = Adapter::default();
     for (index, line) in input.lines().enumerate() {
         let position = || format!("line {}", index + 1);
-        let line = line.context("unreadable").with_context(position)?;
+        let line = line
+            .context("cannot read standard input")
+            .with_context(position)?;
         let reply = adapter.reply(&line).with_context(position)?;
         if writeln!(output, "{reply}")
             .and_then(|()| output.flush())
             .is_err()
         {
-            // The simulator has closed its end: there is nobody to report to.
+            // The simulator has closed the pipe, so no further reply can reach it.
             return Ok(ExitCode::FAILURE);
         }
     }
--- a/adapter/src/message.rs
+++ b/adapter/src/message.rs
@@ -1,5 +1,5 @@
-//! The simulator's messages as they are read, under the wire's names, and their conversion to typed
-//! inputs.
+//! The wire form of the simulator's messages and their conversion to typed inputs. `rename` gives a
+//! field's name on the wire.
 
 use crate::endpoint_message::EndpointMessage;
 use crate::error::InputError;
@@ -15,13 +15,13 @@
     /// The simulated time.
     #[serde(rename = "clock_us")]
     pub(crate) now: Micros,
-    /// What happened, in order.
+    /// The messages, in order.
     #[serde(borrow, rename = "input")]
     pub(crate) messages: Vec<Message<'a>>,
 }
 
-/// Any message as it is read; its verb says which fields it needs. A tagged enum would buffer each
-/// message once more, and this program's CPU time counts.
+/// A message of any kind; its verb determines which fields are required. An enum tagged by the verb
+/// would make serde buffer each message once more, and this program is to use little CPU time.
 #[derive(Deserialize)]
 pub(crate) struct Message<'a> {
     #[serde(borrow)]
@@ -61,8 +61,9 @@
     load: Option<LoadMessage>,
 }
 
-/// A string that is borrowed from the line where it has no escapes. (Serde borrows a `Cow` in a
-/// field of its own, but copies it in an `Option`.)
+/// A string that is borrowed from the line unless it has escape sequences. This type is needed
+/// because serde copies the string of an `Option<Cow<str>>`: it borrows only where the field's type
+/// is `Cow` itself.
 #[derive(Deserialize)]
 #[serde(transparent)]
 struct Text<'a>(#[serde(borrow)] Cow<'a, str>);
@@ -88,7 +89,7 @@
     }
 }
 
-/// Reads the fields that a verb needs.
+/// Checks that fields which a verb requires are present.
 struct Required<'v>(&'v str);
 
 impl Required<'_> {
@@ -101,8 +102,8 @@
 }
 
 impl<'a> Message<'a> {
-    /// The balancer and the request of a message that only makes sense for a request received
-    /// earlier.
+    /// The balancer and the request, if the message is of a kind that must follow the request's
+    /// arrival.
     pub(crate) fn earlier_request(&self) -> Option<(i64, &str)> {
         match self.verb.as_ref() {
             "DONE" | "UNDER_WAY" | "CANCELLED_BY_CLIENT" => {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The typed form.
+    /// Checks that the required fields are present and converts the message.
     pub(crate) fn typed(mut self) -> Result<Input<'a>, InputError> {
         let verb = std::mem::take(&mut self.verb);
         let required = Required(&verb);
@@ -189,7 +190,8 @@
     }
 }
 
-/// How an attempt or a health check ended; codes of a later version count as unknown.
+/// The outcome of an attempt or a health check. A result that is not listed here, such as one of a
+/// later version of the wire format, counts as unknown.
 fn outcome(code: &str) -> Outcome {
     match code {
         "served" => Outcome::Served,
--- a/adapter/src/requests.rs
+++ b/adapter/src/requests.rs
@@ -1,5 +1,5 @@
-//! The requests of one balancer: their numbers, their names on the wire, and when they may be
-//! forgotten.
+//! The requests that one balancer tracks. Maps their ids on the wire to the balancer's ids, and
+//! drops a request when no further message or action can be about it.
 
 use balancer::RequestId;
 use std::collections::HashMap;
@@ -10,7 +10,7 @@
     finished: bool,
 }
 
-/// The requests that a balancer may still name.
+/// The requests that messages or actions may still be about.
 #[derive(Default)]
 pub(crate) struct Requests {
     ids: HashMap<String, RequestId>,
@@ -19,12 +19,13 @@
 }
 
 impl Requests {
-    /// Whether a request of this name is known.
+    /// Whether a request with this id on the wire is tracked.
     pub(crate) fn contains(&self, wire_id: &str) -> bool {
         self.ids.contains_key(wire_id)
     }
 
-    /// The number of the request with this name; a new one gets the next number.
+    /// The balancer's id of the request with this id on the wire. A request that is not tracked yet
+    /// gets the next id.
     pub(crate) fn id(&mut self, wire_id: &str) -> RequestId {
         if let Some(&id) = self.ids.get(wire_id) {
             return id;
@@ -41,33 +42,33 @@
         id
     }
 
-    /// The request's name on the wire.
+    /// The request's id on the wire.
     pub(crate) fn wire_id(&self, id: RequestId) -> Option<String> {
         self.tracked.get(&id).map(|request| request.wire_id.clone())
     }
 
-    /// An attempt has been forwarded; the request's name on the wire.
+    /// Counts an attempt as in flight and returns the request's id on the wire.
     pub(crate) fn forwarded(&mut self, id: RequestId) -> Option<String> {
         let request = self.tracked.get_mut(&id)?;
         request.attempts_in_flight += 1;
         Some(request.wire_id.clone())
     }
 
-    /// An attempt has ended.
+    /// Counts an attempt as no longer in flight.
     pub(crate) fn attempt_ended(&mut self, id: RequestId) {
         if let Some(request) = self.tracked.get_mut(&id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
         }
     }
 
-    /// The request needs no further response.
+    /// Marks the request as needing no further response.
     pub(crate) fn finished(&mut self, id: RequestId) {
         if let Some(request) = self.tracked.get_mut(&id) {
             request.finished = true;
         }
     }
 
-    /// Forgets a request that is finished and has no attempt in flight.
+    /// Stops tracking the request if it is finished and has no attempt in flight.
     pub(crate) fn forget_if_done(&mut self, id: RequestId) {
         let done = |request: &TrackedRequest| request.finished && request.attempts_in_flight == 0;
         if self.tracked.get(&id).is_some_and(done) {
--- a/adapter/tests/names.rs
+++ b/adapter/tests/names.rs
@@ -1,14 +1,13 @@
-//! The simulator's wire to the letter: each verb, field and result that it names, and the replies
-//! byte by byte. The names are the operators' own and never change, whatever the program calls
-//! these things inside.
+//! The wire format: verbs, fields and results by name, and replies byte for byte. The simulator
+//! defines these names, so they stay as they are when identifiers in the program are renamed.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// Stands for the text of a log line, which the wire leaves open.
+/// Placeholder for the text of a log line, which the wire format does not fix.
 const TEXT: &str = "…";
 
-/// Batches and the replies to them.
+/// Input lines and the expected replies.
 const EXCHANGE: [(&str, &str); 12] = [
     (
         r#"{"clock_us":5,"input":[{"verb":"CREATE","proxy":3,"seed":9,"facts":{"balancers":2,"me":1,"locality":"z","classes":[{"name":"free","objective_us":500000,"deadline_us":900000,"worth":1.0,"idempotency":"free"},{"name":"once","objective_us":500000,"deadline_us":900000,"worth":1.0,"idempotency":"single_shot"}],"tenants":[{"name":"t","portion":0.5}],"discovery":"ask","limits":{"cancel":true,"max_attempts":3,"second_copies":true,"max_retry_after_us":700000},"invariants":{"cold_from":0.2,"cold_us":9000000,"ask_every_us":6000000}}}]}"#,
@@ -67,23 +66,27 @@
         .stdout(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut input = child.stdin.take().expect("piped");
+    let mut input = child.stdin.take().expect("stdin is piped");
     for (batch, _) in EXCHANGE {
-        writeln!(input, "{batch}").expect("written");
+        writeln!(input, "{batch}").expect("the adapter reads its input");
     }
     drop(input);
-    let output = child.wait_with_output().expect("it ends");
-    let replies = String::from_utf8(output.stdout).expect("text");
+    let output = child.wait_with_output().expect("the adapter exits");
+    let replies = String::from_utf8(output.stdout).expect("replies are UTF-8");
     for ((batch, expected), reply) in EXCHANGE.iter().zip(replies.lines()) {
         let (before, after) = expected.split_once(TEXT).unwrap_or((expected, ""));
         assert!(
             reply.starts_with(before) && reply.ends_with(after),
-            "{batch}: {reply}"
+            "input {batch}\nexpected {expected}\nreceived {reply}"
         );
         assert!(
             expected.contains(TEXT) || reply == *expected,
-            "{batch}: {reply}"
+            "input {batch}\nexpected {expected}\nreceived {reply}"
         );
     }
-    assert_eq!(replies.lines().count(), EXCHANGE.len());
+    assert_eq!(
+        replies.lines().count(),
+        EXCHANGE.len(),
+        "one reply per input line: {replies}"
+    );
 }
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The adapter as the simulator runs it: lines in, lines out, plain messages for malformed ones.
+//! The adapter as a process, as the simulator runs it: replies to input lines, and error messages
+//! and exit codes for malformed lines.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -16,15 +17,16 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut input = child.stdin.take().expect("piped");
+    let mut input = child.stdin.take().expect("stdin is piped");
     for line in lines {
-        // A child that has already exited has closed the pipe; its exit code is what counts.
+        // An adapter that has exited because of an earlier line has closed the pipe. That is not a
+        // failure here: the tests check its exit code and messages.
         if writeln!(input, "{}", line.replace('\n', " ")).is_err() {
             break;
         }
     }
     drop(input);
-    child.wait_with_output().expect("it ends")
+    child.wait_with_output().expect("the adapter exits")
 }
 
 #[test]
@@ -39,7 +41,10 @@
         done,
         late,
     ]);
-    assert!(output.status.success(), "end of input is no fault");
+    assert!(
+        output.status.success(),
+        "the adapter succeeds at end of input"
+    );
     let replies: Vec<String> = String::from_utf8_lossy(&output.stdout)
         .lines()
         .map(str::to_owned)
@@ -58,33 +63,36 @@
 #[test]
 fn malformed_lines_end_it_with_a_plain_message() {
     let faults = [
-        ("not json", "line 1"),
-        (r#"{"clock_us":1}"#, "input"),
+        (
+            "not json",
+            "line 1: the line is not a JSON batch of messages: ",
+        ),
+        (r#"{"clock_us":1}"#, "missing field `input`"),
         (
             r#"{"clock_us":1,"input":[{"verb":"ALARM"}]}"#,
-            "ALARM without proxy",
+            "ALARM: the required field proxy is missing",
         ),
         (
             r#"{"clock_us":1,"input":[{"verb":"ALARM","proxy":8,"tag":1}]}"#,
-            "unknown proxy 8",
+            "message for unknown proxy 8: it was not created",
         ),
         (
             r#"{"clock_us":1,"input":[{"verb":"DANCE","proxy":8}]}"#,
-            "line 1",
+            "unknown verb DANCE; allowed are CREATE",
         ),
         (
             r#"{"clock_us":1,"input":[{"verb":"CREATE","proxy":8,"seed":1,"facts":{}}]}"#,
-            "facts",
+            "CREATE: facts are not valid settings: missing field `balancers`",
         ),
         (
             r#"{"clock_us":1,"input":[{"verb":"CREATE","proxy":8,"seed":1}]}"#,
-            "CREATE without facts",
+            "CREATE: the required field facts is missing",
         ),
     ];
     for (line, wanted) in faults {
         let output = run(&[line]);
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success(), "{line}");
+        assert!(!output.status.success(), "{line}: {message}");
         assert!(
             message.contains(wanted) && message.contains("line 1"),
             "{line}: {message}"
@@ -92,11 +100,34 @@
         assert!(!message.contains("panicked"), "{message}");
         assert!(output.stdout.is_empty());
     }
-    let output = run(&[
-        CREATE,
-        r#"{"clock_us":9,"input":[{"verb":"JOB_IN","proxy":3,"call":"r-x"}]}"#,
-    ]);
-    assert!(String::from_utf8_lossy(&output.stderr).contains("line 2: JOB_IN without"));
+}
+
+#[test]
+fn errors_name_the_field_of_the_wire_its_value_and_what_is_allowed() {
+    let cases = [
+        (
+            r#"{"clock_us":9,"input":[{"verb":"JOB_IN","proxy":3,"call":"r-x"}]}"#,
+            "JOB_IN: the required field tier_class is missing",
+        ),
+        (
+            r#"{"clock_us":9,"input":[{"verb":"MEMBERS","proxy":3,"scope":4}]}"#,
+            "MEMBERS: scope is 4; allowed are 0 (failed poll), 1 (cached list), \
+             2 (changed entries) and 3 (full list)",
+        ),
+        (
+            r#"{"clock_us":9,"input":[{"verb":"MEMBERS","proxy":3,"scope":3,"roster_id":6}]}"#,
+            "MEMBERS: unknown roster_id 6; a POOL message must define it first",
+        ),
+        (
+            r#"{"clock_us":9,"input":[{"verb":"POOL","roster_id":6,"elements":[{"host":77,"state":3}]},{"verb":"MEMBERS","proxy":3,"scope":3,"roster_id":6}]}"#,
+            "POOL: state of host 77 is 3; allowed are 0 (draining), 1 (ready) and 2 (removed)",
+        ),
+    ];
+    for (line, wanted) in cases {
+        let output = run(&[CREATE, line]);
+        let message = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(message, format!("simulator-adapter: line 2: {wanted}\n"));
+    }
 }
 
 #[test]
