--- a/settings/src/message.rs
+++ b/settings/src/message.rs
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Unknown values of `idempotency` or `dedup_scope` count as non-idempotent, because not repeating
-    /// a request is always safe.
+    /// Unknown values of `idempotency` or `dedup_scope` count as non-idempotent, because not
+    /// repeating a request is always safe.
     fn idempotency(&self) -> Idempotency {
         let scope = match self.deduplication_scope.as_str() {
             "all" => Some(DeduplicationScope::All),
