--- a/adapter/src/adapter.rs
+++ b/adapter/src/adapter.rs
@@ -4,8 +4,8 @@
 use crate::endpoint_message::EndpointMessage;
 use crate::error::InputError;
 use crate::input::{BalancerInput, Input};
-use crate::instance::Instance;
 use crate::message::{Batch, Message};
+use crate::simulated_balancer::Instance;
 use balancer::{EndpointEntry, Event, Micros};
 use std::collections::HashMap;
 
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -7,9 +7,9 @@
 mod endpoint_message;
 mod error;
 mod input;
-mod instance;
 mod message;
 mod requests;
+mod simulated_balancer;
 
 use adapter::Adapter;
 use anyhow::Context;
