--- a/adapter/src/adapter.rs
+++ b/adapter/src/adapter.rs
@@ -5,7 +5,7 @@
 use crate::error::InputError;
 use crate::input::{BalancerInput, Input};
 use crate::message::{Batch, Message};
-use crate::simulated_balancer::Instance;
+use crate::simulated_balancer::SimulatedBalancer;
 use balancer::{EndpointEntry, Event, Micros};
 use std::collections::HashMap;
 
@@ -13,20 +13,20 @@
 /// the wire.
 #[derive(Default)]
 pub(crate) struct Adapter {
-    instances: HashMap<i64, Instance>,
+    balancers: HashMap<i64, SimulatedBalancer>,
     lists: HashMap<i64, Vec<EndpointMessage>>,
 }
 
 impl Adapter {
     /// Handles a line with a batch of messages. Returns the reply as a line without its end.
-    pub(crate) fn reply(&mut self, line: &str) -> Result<String, InputError> {
+    pub(crate) fn handle_line(&mut self, line: &str) -> Result<String, InputError> {
         let batch: Batch = serde_json::from_str(line).map_err(InputError::NotABatch)?;
         let mut reply = Reply {
             commands: Vec::with_capacity(batch.messages.len()),
         };
         for message in batch.messages {
-            if !self.is_outdated(&message) {
-                self.handle(batch.now, message.typed()?, &mut reply.commands)?;
+            if !self.is_for_untracked_request(&message) {
+                self.handle(batch.now, message.into_input()?, &mut reply.commands)?;
             }
         }
         serde_json::to_string(&reply).map_err(InputError::Reply)
@@ -34,13 +34,13 @@
 
     /// Whether a message is about an earlier request that the balancer no longer tracks or never
     /// received. Such a message is ignored, even if its other fields are invalid.
-    fn is_outdated(&self, message: &Message) -> bool {
+    fn is_for_untracked_request(&self, message: &Message) -> bool {
         message
-            .earlier_request()
+            .existing_request()
             .is_some_and(|(balancer, request)| {
-                self.instances
+                self.balancers
                     .get(&balancer)
-                    .is_some_and(|instance| !instance.knows(request))
+                    .is_some_and(|simulated| !simulated.is_tracked(request))
             })
     }
 
@@ -69,21 +69,21 @@
         commands: &mut Vec<Command>,
     ) -> Result<(), InputError> {
         if let BalancerInput::Create { seed, settings } = &input {
-            self.instances
-                .insert(balancer, Instance::new(balancer, *seed, settings)?);
+            self.balancers
+                .insert(balancer, SimulatedBalancer::new(balancer, *seed, settings)?);
         } else if matches!(input, BalancerInput::Remove) {
-            self.instances.remove(&balancer);
+            self.balancers.remove(&balancer);
             return Ok(());
         }
-        let instance = self
-            .instances
+        let simulated = self
+            .balancers
             .get_mut(&balancer)
             .ok_or(InputError::UnknownBalancer(balancer))?;
         let event = match input {
             BalancerInput::Create { .. } => Event::Start,
             BalancerInput::ListUpdate { kind, list } => Event::EndpointList {
                 kind,
-                entries: entries(&self.lists, list)?,
+                entries: list_entries(&self.lists, list)?,
             },
             BalancerInput::TimerExpired => Event::Timer,
             BalancerInput::HealthChecked {
@@ -97,17 +97,17 @@
             },
             BalancerInput::Gossip | BalancerInput::Remove => return Ok(()),
             BalancerInput::Request { request, input } => {
-                instance.handle_request(now, &request, input, commands);
+                simulated.handle_request(now, &request, input, commands);
                 return Ok(());
             }
         };
-        instance.handle(now, event, commands);
+        simulated.handle(now, event, commands);
         Ok(())
     }
 }
 
 /// The entries of an endpoint list; empty if an update refers to no list.
-fn entries(
+fn list_entries(
     lists: &HashMap<i64, Vec<EndpointMessage>>,
     list: Option<i64>,
 ) -> Result<Vec<EndpointEntry>, InputError> {
--- a/adapter/src/command.rs
+++ b/adapter/src/command.rs
@@ -90,12 +90,16 @@
 
 /// The command for an action of a balancer. `None` if the action is about a request that is no
 /// longer tracked.
-pub(crate) fn command(balancer: i64, requests: &mut Requests, action: Action) -> Option<Command> {
+pub(crate) fn command_for(
+    balancer: i64,
+    requests: &mut Requests,
+    action: Action,
+) -> Option<Command> {
     Some(match action {
         Action::Forward {
             request, endpoint, ..
         } => {
-            let request = requests.forwarded(request)?;
+            let request = requests.record_forwarded(request)?;
             Command::Forward {
                 balancer,
                 request,
@@ -108,12 +112,12 @@
             ..
         } => Command::Reject {
             balancer,
-            request: finish(requests, request)?,
+            request: finish_request(requests, request)?,
             retry_after,
         },
         Action::Fail { request, .. } => Command::Fail {
             balancer,
-            request: finish(requests, request)?,
+            request: finish_request(requests, request)?,
         },
         Action::CancelAttempt { request, attempt } => Command::CancelAttempt {
             balancer,
@@ -141,9 +145,9 @@
 }
 
 /// Marks a request as finished and returns its id on the wire.
-fn finish(requests: &mut Requests, request: RequestId) -> Option<String> {
+fn finish_request(requests: &mut Requests, request: RequestId) -> Option<String> {
     let wire_id = requests.wire_id(request)?;
-    requests.finished(request);
-    requests.forget_if_done(request);
+    requests.mark_finished(request);
+    requests.untrack_if_complete(request);
     Some(wire_id)
 }
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -34,7 +34,7 @@
         let line = line
             .context("cannot read standard input")
             .with_context(position)?;
-        let reply = adapter.reply(&line).with_context(position)?;
+        let reply = adapter.handle_line(&line).with_context(position)?;
         if writeln!(output, "{reply}")
             .and_then(|()| output.flush())
             .is_err()
--- a/adapter/src/message.rs
+++ b/adapter/src/message.rs
@@ -36,13 +36,13 @@
     #[serde(rename = "elements")]
     endpoints: Option<Vec<EndpointMessage>>,
     #[serde(rename = "scope")]
-    update: Option<i64>,
+    update_kind: Option<i64>,
     #[serde(borrow, rename = "call")]
-    request: Option<Text<'a>>,
+    request: Option<BorrowedText<'a>>,
     #[serde(borrow, rename = "user_group")]
-    tenant: Option<Text<'a>>,
+    tenant: Option<BorrowedText<'a>>,
     #[serde(borrow, rename = "tier_class")]
-    class: Option<Text<'a>>,
+    class: Option<BorrowedText<'a>>,
     #[serde(rename = "time_budget_us")]
     time_left: Option<Micros>,
     #[serde(rename = "resent", default)]
@@ -52,13 +52,13 @@
     #[serde(rename = "host")]
     endpoint: Option<u32>,
     #[serde(borrow, rename = "result")]
-    outcome: Option<Text<'a>>,
+    outcome: Option<BorrowedText<'a>>,
     #[serde(rename = "elapsed_us")]
     elapsed: Option<Micros>,
     #[serde(rename = "terminal", default)]
     request_finished: bool,
     #[serde(rename = "stats")]
-    load: Option<LoadMessage>,
+    load: Option<LoadReportMessage>,
 }
 
 /// A string that is borrowed from the line unless it has escape sequences. This type is needed
@@ -66,11 +66,11 @@
 /// is `Cow` itself.
 #[derive(Deserialize)]
 #[serde(transparent)]
-struct Text<'a>(#[serde(borrow)] Cow<'a, str>);
+struct BorrowedText<'a>(#[serde(borrow)] Cow<'a, str>);
 
 /// An endpoint's load report.
 #[derive(Clone, Copy, Default, Deserialize)]
-struct LoadMessage {
+struct LoadReportMessage {
     #[serde(rename = "active")]
     in_flight: Option<f64>,
     #[serde(rename = "waiting")]
@@ -79,8 +79,8 @@
     cpu_utilization: Option<f64>,
 }
 
-impl From<LoadMessage> for LoadReport {
-    fn from(message: LoadMessage) -> Self {
+impl From<LoadReportMessage> for LoadReport {
+    fn from(message: LoadReportMessage) -> Self {
         LoadReport {
             in_flight: message.in_flight,
             queued: message.queued,
@@ -90,12 +90,14 @@
 }
 
 /// Checks that fields which a verb requires are present.
-struct Required<'v>(&'v str);
+struct RequiredFields<'v> {
+    verb: &'v str,
+}
 
-impl Required<'_> {
-    fn field<T>(&self, value: Option<T>, field: &'static str) -> Result<T, InputError> {
+impl RequiredFields<'_> {
+    fn check<T>(&self, value: Option<T>, field: &'static str) -> Result<T, InputError> {
         value.ok_or_else(|| InputError::MissingField {
-            verb: self.0.to_owned(),
+            verb: self.verb.to_owned(),
             field,
         })
     }
@@ -104,7 +106,7 @@
 impl<'a> Message<'a> {
     /// The balancer and the request, if the message is of a kind that must follow the request's
     /// arrival.
-    pub(crate) fn earlier_request(&self) -> Option<(i64, &str)> {
+    pub(crate) fn existing_request(&self) -> Option<(i64, &str)> {
         match self.verb.as_ref() {
             "DONE" | "UNDER_WAY" | "CANCELLED_BY_CLIENT" => {
                 Some((self.balancer?, &self.request.as_ref()?.0))
@@ -114,33 +116,33 @@
     }
 
     /// Checks that the required fields are present and converts the message.
-    pub(crate) fn typed(mut self) -> Result<Input<'a>, InputError> {
+    pub(crate) fn into_input(mut self) -> Result<Input<'a>, InputError> {
         let verb = std::mem::take(&mut self.verb);
-        let required = Required(&verb);
+        let required = RequiredFields { verb: &verb };
         if verb == "POOL" {
-            let list = required.field(self.list, "roster_id")?;
+            let list = required.check(self.list, "roster_id")?;
             return Ok(Input::List {
                 list,
                 endpoints: self.endpoints.unwrap_or_default(),
             });
         }
-        let balancer = required.field(self.balancer, "proxy")?;
+        let balancer = required.check(self.balancer, "proxy")?;
         let input = match verb.as_ref() {
             "CREATE" => BalancerInput::Create {
-                settings: required.field(self.settings, "facts")?,
-                seed: required.field(self.seed, "seed")?,
+                settings: required.check(self.settings, "facts")?,
+                seed: required.check(self.seed, "seed")?,
             },
             "DETACH" => BalancerInput::Remove,
             "MEMBERS" => self.list_update(&required)?,
             "ALARM" => BalancerInput::TimerExpired,
             "WHISPER" => BalancerInput::Gossip,
             "PROBED" => BalancerInput::HealthChecked {
-                endpoint: EndpointId(required.field(self.endpoint, "host")?),
-                outcome: outcome(&required.field(self.outcome, "result")?.0),
+                endpoint: EndpointId(required.check(self.endpoint, "host")?),
+                outcome: outcome(&required.check(self.outcome, "result")?.0),
                 load: self.load.unwrap_or_default().into(),
             },
             "JOB_IN" | "DONE" | "UNDER_WAY" | "CANCELLED_BY_CLIENT" => BalancerInput::Request {
-                request: required.field(self.request.take(), "call")?.0,
+                request: required.check(self.request.take(), "call")?.0,
                 input: self.request_input(&required)?,
             },
             _ => return Err(InputError::UnknownVerb(verb.into_owned())),
@@ -148,8 +150,8 @@
         Ok(Input::Balancer { balancer, input })
     }
 
-    fn list_update(self, required: &Required) -> Result<BalancerInput<'a>, InputError> {
-        let kind = match required.field(self.update, "scope")? {
+    fn list_update(self, required: &RequiredFields) -> Result<BalancerInput<'a>, InputError> {
+        let kind = match required.check(self.update_kind, "scope")? {
             0 => {
                 return Ok(BalancerInput::ListUpdate {
                     kind: ListUpdate::PollFailed,
@@ -163,27 +165,27 @@
         };
         Ok(BalancerInput::ListUpdate {
             kind,
-            list: Some(required.field(self.list, "roster_id")?),
+            list: Some(required.check(self.list, "roster_id")?),
         })
     }
 
-    fn request_input(self, required: &Required) -> Result<RequestInput<'a>, InputError> {
-        Ok(match required.0 {
+    fn request_input(self, required: &RequiredFields) -> Result<RequestInput<'a>, InputError> {
+        Ok(match required.verb {
             "JOB_IN" => RequestInput::Received {
-                class: required.field(self.class, "tier_class")?.0,
+                class: required.check(self.class, "tier_class")?.0,
                 tenant: self.tenant.map(|tenant| tenant.0),
-                time_left: required.field(self.time_left, "time_budget_us")?,
+                time_left: required.check(self.time_left, "time_budget_us")?,
                 client_retry: self.client_retry,
             },
             "DONE" => RequestInput::AttemptEnded {
-                outcome: outcome(&required.field(self.outcome, "result")?.0),
-                attempt: required.field(self.attempt, "seq_no")?,
+                outcome: outcome(&required.check(self.outcome, "result")?.0),
+                attempt: required.check(self.attempt, "seq_no")?,
                 elapsed: self.elapsed.unwrap_or(0),
                 finished: self.request_finished,
                 load: self.load.unwrap_or_default().into(),
             },
             "UNDER_WAY" => RequestInput::ResponseStarted {
-                attempt: required.field(self.attempt, "seq_no")?,
+                attempt: required.check(self.attempt, "seq_no")?,
             },
             _ => RequestInput::Cancelled,
         })
@@ -192,8 +194,8 @@
 
 /// The outcome of an attempt or a health check. A result that is not listed here, such as one of a
 /// later version of the wire format, counts as unknown.
-fn outcome(code: &str) -> Outcome {
-    match code {
+fn outcome(result: &str) -> Outcome {
+    match result {
         "served" => Outcome::Served,
         "server_error" => Outcome::Error,
         "turned_away" => Outcome::Rejected,
--- a/adapter/src/simulated_balancer.rs
+++ b/adapter/src/simulated_balancer.rs
@@ -1,6 +1,6 @@
 //! One balancer, with the mapping of the wire's names of classes, tenants and requests to its ids.
 
-use crate::command::{command, Command};
+use crate::command::{command_for, Command};
 use crate::error::InputError;
 use crate::input::RequestInput;
 use crate::requests::Requests;
@@ -8,7 +8,7 @@
 use balancer_settings::SiteSettings;
 
 /// One of the simulated balancers.
-pub(crate) struct Instance {
+pub(crate) struct SimulatedBalancer {
     id: i64,
     balancer: Balancer,
     class_names: Vec<String>,
@@ -18,19 +18,19 @@
     actions: Vec<Action>,
 }
 
-impl Instance {
+impl SimulatedBalancer {
     /// Creates a balancer; [`Event::Start`] starts it.
     pub(crate) fn new(
         id: i64,
         seed: u64,
         settings: &serde_json::Value,
-    ) -> Result<Instance, InputError> {
+    ) -> Result<SimulatedBalancer, InputError> {
         let SiteSettings {
             settings,
             class_names,
             tenant_names,
         } = balancer_settings::read(settings).map_err(InputError::Settings)?;
-        Ok(Instance {
+        Ok(SimulatedBalancer {
             id,
             balancer: Balancer::new(seed, settings),
             class_names,
@@ -41,15 +41,15 @@
     }
 
     /// Whether a request with this id on the wire is tracked.
-    pub(crate) fn knows(&self, request: &str) -> bool {
-        self.requests.contains(request)
+    pub(crate) fn is_tracked(&self, wire_id: &str) -> bool {
+        self.requests.is_tracked(wire_id)
     }
 
     /// Passes an event to the balancer and appends the resulting commands.
     pub(crate) fn handle(&mut self, now: Micros, event: Event, commands: &mut Vec<Command>) {
         self.balancer.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            commands.extend(command(self.id, &mut self.requests, action));
+            commands.extend(command_for(self.id, &mut self.requests, action));
         }
     }
 
@@ -61,10 +61,10 @@
         input: RequestInput,
         commands: &mut Vec<Command>,
     ) {
-        let request = self.requests.id(wire_id);
+        let request = self.requests.id_for(wire_id);
         let event = self.request_event(request, input);
         self.handle(now, event, commands);
-        self.requests.forget_if_done(request);
+        self.requests.untrack_if_complete(request);
     }
 
     fn request_event(&mut self, request: RequestId, input: RequestInput) -> Event {
@@ -75,11 +75,11 @@
                 time_left,
                 client_retry,
             } => {
-                let tenant = tenant.and_then(|name| index(&self.tenant_names, &name));
+                let tenant = tenant.and_then(|name| position_of(&self.tenant_names, &name));
                 Event::RequestReceived {
                     request,
                     // The balancer treats an index out of range as an unknown class.
-                    class: ClassId(index(&self.class_names, &class).unwrap_or(usize::MAX)),
+                    class: ClassId(position_of(&self.class_names, &class).unwrap_or(usize::MAX)),
                     tenant: tenant.map(TenantId),
                     time_left,
                     client_retry,
@@ -93,9 +93,9 @@
                 finished,
                 load,
             } => {
-                self.requests.attempt_ended(request);
+                self.requests.record_attempt_end(request);
                 if finished {
-                    self.requests.finished(request);
+                    self.requests.mark_finished(request);
                 }
                 Event::AttemptEnded {
                     request,
@@ -110,13 +110,13 @@
                 Event::ResponseStarted { request, attempt }
             }
             RequestInput::Cancelled => {
-                self.requests.finished(request);
+                self.requests.mark_finished(request);
                 Event::RequestCancelled { request }
             }
         }
     }
 }
 
-fn index(names: &[String], name: &str) -> Option<usize> {
+fn position_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
--- a/adapter/tests/names.rs
+++ b/adapter/tests/names.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Stdio};
 
 /// Placeholder for the text of a log line, which the wire format does not fix.
-const TEXT: &str = "…";
+const LOG_TEXT: &str = "…";
 
 /// Input lines and the expected replies.
 const EXCHANGE: [(&str, &str); 12] = [
@@ -60,7 +60,7 @@
 ];
 
 #[test]
-fn replies_keep_the_names_of_the_wire_to_the_byte() {
+fn replies_match_the_wire_format_byte_for_byte() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -74,13 +74,13 @@
     let output = child.wait_with_output().expect("the adapter exits");
     let replies = String::from_utf8(output.stdout).expect("replies are UTF-8");
     for ((batch, expected), reply) in EXCHANGE.iter().zip(replies.lines()) {
-        let (before, after) = expected.split_once(TEXT).unwrap_or((expected, ""));
+        let (before, after) = expected.split_once(LOG_TEXT).unwrap_or((expected, ""));
         assert!(
             reply.starts_with(before) && reply.ends_with(after),
             "input {batch}\nexpected {expected}\nreceived {reply}"
         );
         assert!(
-            expected.contains(TEXT) || reply == *expected,
+            expected.contains(LOG_TEXT) || reply == *expected,
             "input {batch}\nexpected {expected}\nreceived {reply}"
         );
     }
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -30,16 +30,17 @@
 }
 
 #[test]
-fn a_request_is_forwarded_and_answered() {
-    let done = r#"{"clock_us":99,"input":[{"verb":"DONE","proxy":3,"call":"r-x","seq_no":0,"host":77,"result":"served","elapsed_us":90,"terminal":true,"stats":{"odd":1,"cpu":0.5}}]}"#;
-    let late = r#"{"clock_us":99,"input":[{"verb":"CANCELLED_BY_CLIENT","proxy":3,"call":"r-x"}]}"#;
+fn a_request_is_forwarded_and_messages_after_its_response_are_ignored() {
+    let attempt_ended = r#"{"clock_us":99,"input":[{"verb":"DONE","proxy":3,"call":"r-x","seq_no":0,"host":77,"result":"served","elapsed_us":90,"terminal":true,"stats":{"odd":1,"cpu":0.5}}]}"#;
+    let cancelled_later =
+        r#"{"clock_us":99,"input":[{"verb":"CANCELLED_BY_CLIENT","proxy":3,"call":"r-x"}]}"#;
     let output = run(&[
         r#"{"clock_us":1,"input":[]}"#,
         CREATE,
         LIST,
         REQUEST,
-        done,
-        late,
+        attempt_ended,
+        cancelled_later,
     ]);
     assert!(
         output.status.success(),
@@ -61,8 +62,8 @@
 }
 
 #[test]
-fn malformed_lines_end_it_with_a_plain_message() {
-    let faults = [
+fn a_malformed_line_ends_the_adapter_with_an_error_that_names_the_line_and_the_reason() {
+    let cases = [
         (
             "not json",
             "line 1: the line is not a JSON batch of messages: ",
@@ -89,12 +90,12 @@
             "CREATE: the required field facts is missing",
         ),
     ];
-    for (line, wanted) in faults {
+    for (line, expected) in cases {
         let output = run(&[line]);
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{line}: {message}");
         assert!(
-            message.contains(wanted) && message.contains("line 1"),
+            message.contains(expected) && message.contains("line 1"),
             "{line}: {message}"
         );
         assert!(!message.contains("panicked"), "{message}");
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn errors_name_the_field_of_the_wire_its_value_and_what_is_allowed() {
+fn errors_name_the_wire_field_and_for_an_invalid_value_also_the_value_and_what_is_allowed() {
     let cases = [
         (
             r#"{"clock_us":9,"input":[{"verb":"JOB_IN","proxy":3,"call":"r-x"}]}"#,
@@ -123,21 +124,21 @@
             "POOL: state of host 77 is 3; allowed are 0 (draining), 1 (ready) and 2 (removed)",
         ),
     ];
-    for (line, wanted) in cases {
+    for (line, expected) in cases {
         let output = run(&[CREATE, line]);
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(message, format!("simulator-adapter: line 2: {wanted}\n"));
+        assert_eq!(message, format!("simulator-adapter: line 2: {expected}\n"));
     }
 }
 
 #[test]
-fn unknown_verbs_are_named_and_messages_about_forgotten_requests_are_ignored() {
-    let dance = r#"{"clock_us":9,"input":[{"verb":"DANCE","proxy":3}]}"#;
-    let output = run(&[CREATE, dance]);
+fn an_unknown_verb_is_an_error_but_a_message_about_an_unknown_request_is_ignored() {
+    let unknown_verb = r#"{"clock_us":9,"input":[{"verb":"DANCE","proxy":3}]}"#;
+    let output = run(&[CREATE, unknown_verb]);
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("line 2: unknown verb DANCE"));
-    let forgotten = r#"{"clock_us":9,"input":[{"verb":"DONE","proxy":3,"call":"r-y"}]}"#;
-    let output = run(&[CREATE, forgotten]);
+    let unknown_request = r#"{"clock_us":9,"input":[{"verb":"DONE","proxy":3,"call":"r-y"}]}"#;
+    let output = run(&[CREATE, unknown_request]);
     assert!(output.status.success());
     assert_eq!(
         String::from_utf8_lossy(&output.stdout).lines().last(),
