--- a/faults/src/active.rs
+++ b/faults/src/active.rs
@@ -1,12 +1,13 @@
-//! The schedule of this process: read before the program starts, asked at each call.
+//! The fault schedule of this process. It is read before `main` and consulted at each replaced
+//! call.
 
 use crate::schedule::{Call, Failure, Schedule};
 use libc::{c_int, clockid_t, socklen_t, timespec};
 use std::sync::OnceLock;
 
-/// Names the schedule; see [`Schedule`] for its form.
+/// Environment variable that contains the schedule as JSON; [`Schedule`] describes its keys.
 const SCHEDULE_VARIABLE: &str = "SYSCALL_FAULTS";
-/// Maximum length of a short read or write.
+/// Maximum number of bytes that a short read or write transfers.
 const MAX_SHORT_BYTES: usize = 512;
 
 struct ActiveSchedule {
@@ -16,7 +17,8 @@
 
 static ACTIVE: OnceLock<ActiveSchedule> = OnceLock::new();
 
-/// The loader calls this before the program starts, so that no call finds the schedule unread.
+/// Makes the dynamic loader call [`read_schedule`] before `main`, so that the schedule also applies
+/// to the program's first calls.
 #[used]
 #[link_section = ".init_array"]
 static READ_SCHEDULE: extern "C" fn() = read_schedule;
@@ -24,7 +26,7 @@
 extern "C" fn read_schedule() {
     let schedule = match std::env::var(SCHEDULE_VARIABLE) {
         Ok(text) => Schedule::parse(&text).unwrap_or_else(|error| {
-            eprintln!("{SCHEDULE_VARIABLE}: {error}");
+            eprintln!("{SCHEDULE_VARIABLE}: {error}; the process aborts");
             std::process::abort();
         }),
         Err(_) => Schedule::default(),
@@ -33,7 +35,7 @@
         schedule,
         started_ms: monotonic_ms(),
     };
-    // The loader calls this once: nothing has been set before.
+    // The loader calls this function once, so `ACTIVE` is not set yet.
     let _ = ACTIVE.set(active);
 }
 
@@ -46,7 +48,7 @@
         "clock_gettime",
         unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int
     );
-    // SAFETY: it writes one time.
+    // SAFETY: `time` is valid for a write of one `timespec`.
     unsafe { clock_gettime(libc::CLOCK_MONOTONIC, &mut time) };
     time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000
 }
@@ -57,14 +59,14 @@
     active.schedule.failure(call, elapsed_ms, path)
 }
 
-/// By how much the wall clock is ahead, in milliseconds.
+/// By how much the wall clock runs ahead, in milliseconds; negative if it runs behind.
 pub(crate) fn wall_clock_offset_ms() -> i64 {
     ACTIVE
         .get()
         .map_or(0, |active| active.schedule.wall_clock_offset_ms())
 }
 
-/// Whether a call fails now; if so, `errno` is set.
+/// Whether the schedule makes this call fail now; if so, `errno` is set.
 pub(crate) fn fails(call: Call) -> bool {
     match failure(call, &[]) {
         Some(failure) if failure != Failure::Short => {
@@ -75,7 +77,7 @@
     }
 }
 
-/// Whether opening this path fails now; if so, `errno` is set.
+/// Whether the schedule makes opening this path fail now; if so, `errno` is set.
 pub(crate) fn open_fails(path: &[u8]) -> bool {
     match failure(Call::Open, path) {
         Some(failure) => {
@@ -87,7 +89,7 @@
 }
 
 fn set_errno(failure: Failure) {
-    // SAFETY: the place is this thread's own.
+    // SAFETY: `__errno_location` returns a valid pointer to the calling thread's `errno`.
     unsafe { *libc::__errno_location() = failure.errno() };
 }
 
@@ -96,7 +98,7 @@
     let mut domain: c_int = 0;
     let mut length = size_of::<c_int>() as socklen_t;
     let value: *mut c_int = &mut domain;
-    // SAFETY: it writes one number of this length.
+    // SAFETY: `value` is valid for a write of `length` bytes, and `length` for a write.
     let result = unsafe {
         libc::getsockopt(
             socket,
@@ -109,8 +111,8 @@
     result == 0 && matches!(domain, libc::AF_INET | libc::AF_INET6)
 }
 
-/// How many of `length` bytes a read or write transfers at most; `None`: it fails, and `errno` is
-/// set.
+/// Maximum number of bytes that a read or write of `length` bytes may transfer. `None`: the call
+/// fails, and `errno` is set.
 pub(crate) fn transfer_length(call: Call, socket: c_int, length: usize) -> Option<usize> {
     if length == 0 || !is_internet_socket(socket) {
         return Some(length);
--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -1,6 +1,7 @@
-//! A library to be preloaded (`LD_PRELOAD`) into a process under test. It replaces functions of the
-//! C library and makes them fail by the schedule in the environment variable `SYSCALL_FAULTS`
-//! (JSON); without one all calls pass. No program links it.
+//! Injects faults into system calls of a process under test. The library is preloaded with
+//! `LD_PRELOAD`, replaces functions of the C library and makes their calls fail as the JSON
+//! schedule in the environment variable `SYSCALL_FAULTS` says. Without a schedule no call fails. No
+//! crate depends on it.
 
 #[macro_use]
 mod next_symbol;
@@ -166,7 +167,8 @@
     if active::open_fails(CStr::from_ptr(path).to_bytes()) {
         return -1;
     }
-    // The C library's function is variadic; its third argument is passed in the same way.
+    // The C library's function is variadic, and its callers pass `mode` as they would to this
+    // function with three fixed parameters.
     next_symbol!(
         "open64",
         unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int
--- a/faults/src/schedule.rs
+++ b/faults/src/schedule.rs
@@ -1,37 +1,37 @@
-//! The schedule of failures: its form, and whether a call fails now. Nothing here takes a lock or
-//! allocates after the start, because signal handlers make calls too.
+//! The fault schedule: its JSON form, and the decision whether a call fails. Once the schedule is
+//! read, nothing here locks or allocates, because signal handlers make calls too.
 
 use serde::Deserialize;
 use std::sync::atomic::{AtomicU64, Ordering};
 use thiserror::Error;
 
-/// A call that can be made to fail.
+/// Kinds of calls that can be made to fail.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Call {
     /// `socket(2)`.
     Socket,
-    /// `accept(2)` and `accept4(2)`.
+    /// `accept4(2)`.
     Accept,
     /// `connect(2)`.
     Connect,
-    /// Reads from internet sockets.
+    /// `recv(2)` on internet sockets.
     Receive,
-    /// Writes to internet sockets.
+    /// `send(2)` and `writev(2)` on internet sockets.
     Send,
     /// `epoll_wait(2)`.
     Wait,
-    /// `open(2)` of a path that contains the rule's `path`.
+    /// `open64` of a path that contains the rule's `path`.
     Open,
     /// `flock(2)`.
     Lock,
 }
 
-/// How a call fails. All but `Short` are named as in `errno(3)`.
+/// How a call fails. All variants but `Short` are values of `errno`; see `errno(3)`.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
 pub(crate) enum Failure {
-    /// Fewer bytes are transferred than could be; reads and writes only.
+    /// Fewer bytes are transferred than requested. Only for reads and writes.
     Short,
     /// A signal interrupted the call.
     Eintr,
@@ -39,30 +39,30 @@
     Eio,
     /// The device is full.
     Enospc,
-    /// The process has no descriptor left.
+    /// The process has reached its limit of open descriptors.
     Emfile,
-    /// The system has no descriptor left.
+    /// The system has reached its limit of open files.
     Enfile,
-    /// No buffer is left.
+    /// No buffer space is available.
     Enobufs,
-    /// No memory is left.
+    /// No memory is available.
     Enomem,
-    /// The connection ended before it was accepted.
+    /// The connection was aborted before it was accepted.
     Econnaborted,
-    /// No local port is left.
+    /// No local port is available.
     Eaddrnotavail,
-    /// There is no route to the network.
+    /// The network is unreachable.
     Enetunreach,
-    /// There is no route to the host.
+    /// The host is unreachable.
     Ehostunreach,
-    /// The peer does not answer.
+    /// The connection attempt timed out.
     Etimedout,
-    /// There is no such file.
+    /// The file does not exist.
     Enoent,
 }
 
 impl Failure {
-    /// The value of `errno`; 0 for a short read or write.
+    /// The value of `errno`; 0 for [`Failure::Short`], which is no error.
     pub(crate) fn errno(self) -> libc::c_int {
         match self {
             Failure::Short => 0,
@@ -83,33 +83,34 @@
     }
 }
 
-/// A rule without a fraction applies to all calls.
+/// The default of `share`: the rule makes all calls fail that it matches.
 fn all_calls() -> f64 {
     1.0
 }
 
-/// A kind of failure, and when it happens.
+/// Which calls fail in which way, and when.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Rule {
     call: Call,
     failure: Failure,
-    /// Fraction of the calls that fail, 0 to 1.
+    /// Fraction of the matching calls that fail, 0 to 1.
     #[serde(rename = "share", default = "all_calls")]
     fraction: f64,
-    /// When it begins, in milliseconds since the process's start.
+    /// When the rule begins to apply, in milliseconds since the process started.
     #[serde(default)]
     from_ms: u64,
-    /// When it ends, in milliseconds since the process's start.
+    /// When the rule ceases to apply, in milliseconds since the process started. `None`: never.
     #[serde(default)]
     to_ms: Option<u64>,
-    /// How many calls pass before the first may fail.
+    /// Number of matching calls that pass before the first may fail.
     #[serde(rename = "after", default)]
     skipped_calls: u64,
-    /// How many calls fail at most.
+    /// Maximum number of calls that fail. After that many the calls pass, and no later rule is
+    /// tried for them. `None`: no maximum.
     #[serde(rename = "most", default)]
     max_failures: Option<u64>,
-    /// For `open`: a part of the path.
+    /// A substring of the path, for `open`. Empty: any path.
     #[serde(default)]
     path: String,
     #[serde(skip)]
@@ -118,39 +119,40 @@
     failed_calls: AtomicU64,
 }
 
-/// All failures of a process.
+/// The fault schedule of a process.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct Schedule {
-    /// Seed of the draws that the rules' fractions are compared with.
+    /// Seed of the random numbers that are compared with the rules' fractions.
     seed: u64,
-    /// By how much the wall clock is ahead, in milliseconds.
+    /// By how much the wall clock runs ahead, in milliseconds; negative if it runs behind.
     #[serde(rename = "wall_clock_ms")]
     wall_clock_offset_ms: i64,
-    /// The first one that matches a call decides.
+    /// Tried in order. The first rule that matches the call, has skipped enough calls and whose
+    /// fraction is above a random number decides.
     rules: Vec<Rule>,
     #[serde(skip)]
     draws: AtomicU64,
 }
 
-/// A schedule could not be read.
+/// Why a schedule could not be read.
 #[derive(Debug, Error)]
-#[error("not a schedule of failures: {0}")]
+#[error("not a valid fault schedule: {0}")]
 pub(crate) struct ScheduleError(serde_json::Error);
 
 impl Schedule {
-    /// Reads a schedule.
+    /// Reads a schedule from JSON.
     pub(crate) fn parse(text: &str) -> Result<Schedule, ScheduleError> {
         serde_json::from_str(text).map_err(ScheduleError)
     }
 
-    /// By how much the wall clock is ahead, in milliseconds.
+    /// By how much the wall clock runs ahead, in milliseconds; negative if it runs behind.
     pub(crate) fn wall_clock_offset_ms(&self) -> i64 {
         self.wall_clock_offset_ms
     }
 
-    /// How a call fails now, `elapsed_ms` milliseconds after the process's start; `None`: it
-    /// passes.
+    /// How a call fails that is made `elapsed_ms` milliseconds after the process started. `None`:
+    /// it passes. `path` is empty except for `open`.
     pub(crate) fn failure(&self, call: Call, elapsed_ms: u64, path: &[u8]) -> Option<Failure> {
         let rule = self.rules.iter().find(|rule| {
             rule.matches(call, elapsed_ms, path)
@@ -162,7 +164,8 @@
         fails.then_some(rule.failure)
     }
 
-    /// A number from 0 to 1 (SplitMix64 of a counter: any thread and any signal handler may draw).
+    /// A random number from 0 up to but not including 1: SplitMix64 of an atomic counter, so that
+    /// all threads and signal handlers may draw without a lock.
     fn draw(&self) -> f64 {
         let step = self.draws.fetch_add(1, Ordering::Relaxed).wrapping_add(1);
         let mut mixed = self
@@ -175,7 +178,7 @@
 }
 
 impl Rule {
-    /// Whether it is about this call, path and time.
+    /// Whether the rule applies to this call, path and time.
     fn matches(&self, call: Call, elapsed_ms: u64, path: &[u8]) -> bool {
         self.call == call
             && elapsed_ms >= self.from_ms
