--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -6,7 +6,7 @@
 #[macro_use]
 mod next_symbol;
 
-mod active;
+mod process_schedule;
 mod schedule;
 
 use libc::{
@@ -21,7 +21,7 @@
 /// The same conditions as for `socket(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    if matches!(domain, libc::AF_INET | libc::AF_INET6) && active::fails(Call::Socket) {
+    if matches!(domain, libc::AF_INET | libc::AF_INET6) && process_schedule::fails(Call::Socket) {
         return -1;
     }
     next_symbol!("socket", unsafe extern "C" fn(c_int, c_int, c_int) -> c_int)(
@@ -40,7 +40,7 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if active::fails(Call::Accept) {
+    if process_schedule::fails(Call::Accept) {
         return -1;
     }
     let real = next_symbol!(
@@ -60,7 +60,7 @@
     address: *const sockaddr,
     length: socklen_t,
 ) -> c_int {
-    if active::is_internet_socket(socket) && active::fails(Call::Connect) {
+    if process_schedule::is_internet_socket(socket) && process_schedule::fails(Call::Connect) {
         return -1;
     }
     next_symbol!(
@@ -80,7 +80,7 @@
     length: usize,
     flags: c_int,
 ) -> ssize_t {
-    let Some(length) = active::transfer_length(Call::Receive, socket, length) else {
+    let Some(length) = process_schedule::transfer_length(Call::Receive, socket, length) else {
         return -1;
     };
     next_symbol!(
@@ -100,7 +100,7 @@
     length: usize,
     flags: c_int,
 ) -> ssize_t {
-    let Some(length) = active::transfer_length(Call::Send, socket, length) else {
+    let Some(length) = process_schedule::transfer_length(Call::Send, socket, length) else {
         return -1;
     };
     next_symbol!(
@@ -123,7 +123,7 @@
         return real(file, parts, count);
     }
     let first = *parts;
-    match active::transfer_length(Call::Send, file, first.iov_len) {
+    match process_schedule::transfer_length(Call::Send, file, first.iov_len) {
         None => -1,
         Some(length) if length == first.iov_len => real(file, parts, count),
         Some(length) => real(
@@ -148,7 +148,7 @@
     max_events: c_int,
     timeout: c_int,
 ) -> c_int {
-    if active::fails(Call::Wait) {
+    if process_schedule::fails(Call::Wait) {
         return -1;
     }
     let real = next_symbol!(
@@ -164,7 +164,7 @@
 /// The same conditions as for `open(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    if active::open_fails(CStr::from_ptr(path).to_bytes()) {
+    if process_schedule::open_fails(CStr::from_ptr(path).to_bytes()) {
         return -1;
     }
     // The C library's function is variadic, and its callers pass `mode` as they would to this
@@ -181,7 +181,7 @@
 /// The same conditions as for `flock(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn flock(file: c_int, operation: c_int) -> c_int {
-    if active::fails(Call::Lock) {
+    if process_schedule::fails(Call::Lock) {
         return -1;
     }
     next_symbol!("flock", unsafe extern "C" fn(c_int, c_int) -> c_int)(file, operation)
@@ -199,7 +199,7 @@
     );
     let result = real(clock, time);
     if result == 0 && clock == libc::CLOCK_REALTIME {
-        let offset_ms = active::wall_clock_offset_ms();
+        let offset_ms = process_schedule::wall_clock_offset_ms();
         (*time).tv_sec += offset_ms.div_euclid(1_000);
         (*time).tv_nsec += offset_ms.rem_euclid(1_000) * 1_000_000;
         if (*time).tv_nsec >= 1_000_000_000 {
