--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -21,7 +21,9 @@
 /// The same conditions as for `socket(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    if matches!(domain, libc::AF_INET | libc::AF_INET6) && process_schedule::fails(Call::Socket) {
+    if matches!(domain, libc::AF_INET | libc::AF_INET6)
+        && process_schedule::inject_failure(Call::Socket)
+    {
         return -1;
     }
     next_symbol!("socket", unsafe extern "C" fn(c_int, c_int, c_int) -> c_int)(
@@ -40,14 +42,14 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if process_schedule::fails(Call::Accept) {
+    if process_schedule::inject_failure(Call::Accept) {
         return -1;
     }
-    let real = next_symbol!(
+    let next = next_symbol!(
         "accept4",
         unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int
     );
-    real(socket, address, length, flags)
+    next(socket, address, length, flags)
 }
 
 /// Replaces `connect(2)`.
@@ -60,7 +62,9 @@
     address: *const sockaddr,
     length: socklen_t,
 ) -> c_int {
-    if process_schedule::is_internet_socket(socket) && process_schedule::fails(Call::Connect) {
+    if process_schedule::is_internet_socket(socket)
+        && process_schedule::inject_failure(Call::Connect)
+    {
         return -1;
     }
     next_symbol!(
@@ -80,7 +84,7 @@
     length: usize,
     flags: c_int,
 ) -> ssize_t {
-    let Some(length) = process_schedule::transfer_length(Call::Receive, socket, length) else {
+    let Some(length) = process_schedule::max_transfer_length(Call::Receive, socket, length) else {
         return -1;
     };
     next_symbol!(
@@ -100,7 +104,7 @@
     length: usize,
     flags: c_int,
 ) -> ssize_t {
-    let Some(length) = process_schedule::transfer_length(Call::Send, socket, length) else {
+    let Some(length) = process_schedule::max_transfer_length(Call::Send, socket, length) else {
         return -1;
     };
     next_symbol!(
@@ -114,20 +118,20 @@
 /// # Safety
 /// The same conditions as for `writev(2)`.
 #[no_mangle]
-pub unsafe extern "C" fn writev(file: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    let real = next_symbol!(
+pub unsafe extern "C" fn writev(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
+    let next = next_symbol!(
         "writev",
         unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t
     );
     if count < 1 {
-        return real(file, parts, count);
+        return next(descriptor, buffers, count);
     }
-    let first = *parts;
-    match process_schedule::transfer_length(Call::Send, file, first.iov_len) {
+    let first = *buffers;
+    match process_schedule::max_transfer_length(Call::Send, descriptor, first.iov_len) {
         None => -1,
-        Some(length) if length == first.iov_len => real(file, parts, count),
-        Some(length) => real(
-            file,
+        Some(length) if length == first.iov_len => next(descriptor, buffers, count),
+        Some(length) => next(
+            descriptor,
             &iovec {
                 iov_base: first.iov_base,
                 iov_len: length,
@@ -143,19 +147,19 @@
 /// The same conditions as for `epoll_wait(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn epoll_wait(
-    queue: c_int,
+    epoll: c_int,
     events: *mut libc::epoll_event,
     max_events: c_int,
     timeout: c_int,
 ) -> c_int {
-    if process_schedule::fails(Call::Wait) {
+    if process_schedule::inject_failure(Call::Wait) {
         return -1;
     }
-    let real = next_symbol!(
+    let next = next_symbol!(
         "epoll_wait",
         unsafe extern "C" fn(c_int, *mut libc::epoll_event, c_int, c_int) -> c_int
     );
-    real(queue, events, max_events, timeout)
+    next(epoll, events, max_events, timeout)
 }
 
 /// Replaces `open64(2)`.
@@ -164,7 +168,7 @@
 /// The same conditions as for `open(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    if process_schedule::open_fails(CStr::from_ptr(path).to_bytes()) {
+    if process_schedule::inject_open_failure(CStr::from_ptr(path).to_bytes()) {
         return -1;
     }
     // The C library's function is variadic, and its callers pass `mode` as they would to this
@@ -180,11 +184,11 @@
 /// # Safety
 /// The same conditions as for `flock(2)`.
 #[no_mangle]
-pub unsafe extern "C" fn flock(file: c_int, operation: c_int) -> c_int {
-    if process_schedule::fails(Call::Lock) {
+pub unsafe extern "C" fn flock(descriptor: c_int, operation: c_int) -> c_int {
+    if process_schedule::inject_failure(Call::Lock) {
         return -1;
     }
-    next_symbol!("flock", unsafe extern "C" fn(c_int, c_int) -> c_int)(file, operation)
+    next_symbol!("flock", unsafe extern "C" fn(c_int, c_int) -> c_int)(descriptor, operation)
 }
 
 /// Replaces `clock_gettime(2)`.
@@ -193,11 +197,11 @@
 /// The same conditions as for `clock_gettime(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    let real = next_symbol!(
+    let next = next_symbol!(
         "clock_gettime",
         unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int
     );
-    let result = real(clock, time);
+    let result = next(clock, time);
     if result == 0 && clock == libc::CLOCK_REALTIME {
         let offset_ms = process_schedule::wall_clock_offset_ms();
         (*time).tv_sec += offset_ms.div_euclid(1_000);
--- a/faults/src/next_symbol.rs
+++ b/faults/src/next_symbol.rs
@@ -1,9 +1,9 @@
 //! Lookup of the C library's functions that this library replaces, so that it can call them.
 
 /// The next definition of the function `$name` in the dynamic loader's search order after this
-/// library. Each place of use looks it up once. `$kind` is the function's type.
+/// library. Each place of use looks it up once. `$signature` is the function's type.
 macro_rules! next_symbol {
-    ($name:literal, $kind:ty) => {{
+    ($name:literal, $signature:ty) => {{
         static ADDRESS: std::sync::atomic::AtomicPtr<libc::c_void> =
             std::sync::atomic::AtomicPtr::new(std::ptr::null_mut());
         let mut address = ADDRESS.load(std::sync::atomic::Ordering::Relaxed);
@@ -13,6 +13,6 @@
             ADDRESS.store(address, std::sync::atomic::Ordering::Relaxed);
         }
         // SAFETY: the C library defines a function of this name, and it has this type.
-        unsafe { std::mem::transmute::<*mut libc::c_void, $kind>(address) }
+        unsafe { std::mem::transmute::<*mut libc::c_void, $signature>(address) }
     }};
 }
--- a/faults/src/process_schedule.rs
+++ b/faults/src/process_schedule.rs
@@ -10,18 +10,18 @@
 /// Maximum number of bytes that a short read or write transfers.
 const MAX_SHORT_BYTES: usize = 512;
 
-struct ActiveSchedule {
+struct ProcessSchedule {
     schedule: Schedule,
     started_ms: u64,
 }
 
-static ACTIVE: OnceLock<ActiveSchedule> = OnceLock::new();
+static PROCESS_SCHEDULE: OnceLock<ProcessSchedule> = OnceLock::new();
 
 /// Makes the dynamic loader call [`read_schedule`] before `main`, so that the schedule also applies
 /// to the program's first calls.
 #[used]
 #[link_section = ".init_array"]
-static READ_SCHEDULE: extern "C" fn() = read_schedule;
+static INITIALIZER: extern "C" fn() = read_schedule;
 
 extern "C" fn read_schedule() {
     let schedule = match std::env::var(SCHEDULE_VARIABLE) {
@@ -31,12 +31,12 @@
         }),
         Err(_) => Schedule::default(),
     };
-    let active = ActiveSchedule {
+    let process_schedule = ProcessSchedule {
         schedule,
         started_ms: monotonic_ms(),
     };
-    // The loader calls this function once, so `ACTIVE` is not set yet.
-    let _ = ACTIVE.set(active);
+    // The loader calls this function once, so `PROCESS_SCHEDULE` is not set yet.
+    let _ = PROCESS_SCHEDULE.set(process_schedule);
 }
 
 fn monotonic_ms() -> u64 {
@@ -53,22 +53,22 @@
     time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000
 }
 
-fn failure(call: Call, path: &[u8]) -> Option<Failure> {
-    let active = ACTIVE.get()?;
-    let elapsed_ms = monotonic_ms().saturating_sub(active.started_ms);
-    active.schedule.failure(call, elapsed_ms, path)
+fn scheduled_failure(call: Call, path: &[u8]) -> Option<Failure> {
+    let process = PROCESS_SCHEDULE.get()?;
+    let elapsed_ms = monotonic_ms().saturating_sub(process.started_ms);
+    process.schedule.failure(call, elapsed_ms, path)
 }
 
 /// By how much the wall clock runs ahead, in milliseconds; negative if it runs behind.
 pub(crate) fn wall_clock_offset_ms() -> i64 {
-    ACTIVE
+    PROCESS_SCHEDULE
         .get()
-        .map_or(0, |active| active.schedule.wall_clock_offset_ms())
+        .map_or(0, |process| process.schedule.wall_clock_offset_ms())
 }
 
 /// Whether the schedule makes this call fail now; if so, `errno` is set.
-pub(crate) fn fails(call: Call) -> bool {
-    match failure(call, &[]) {
+pub(crate) fn inject_failure(call: Call) -> bool {
+    match scheduled_failure(call, &[]) {
         Some(failure) if failure != Failure::Short => {
             set_errno(failure);
             true
@@ -78,8 +78,8 @@
 }
 
 /// Whether the schedule makes opening this path fail now; if so, `errno` is set.
-pub(crate) fn open_fails(path: &[u8]) -> bool {
-    match failure(Call::Open, path) {
+pub(crate) fn inject_open_failure(path: &[u8]) -> bool {
+    match scheduled_failure(Call::Open, path) {
         Some(failure) => {
             set_errno(failure);
             true
@@ -113,11 +113,11 @@
 
 /// Maximum number of bytes that a read or write of `length` bytes may transfer. `None`: the call
 /// fails, and `errno` is set.
-pub(crate) fn transfer_length(call: Call, socket: c_int, length: usize) -> Option<usize> {
+pub(crate) fn max_transfer_length(call: Call, socket: c_int, length: usize) -> Option<usize> {
     if length == 0 || !is_internet_socket(socket) {
         return Some(length);
     }
-    match failure(call, &[]) {
+    match scheduled_failure(call, &[]) {
         None => Some(length),
         Some(Failure::Short) => Some(length.div_ceil(2).min(MAX_SHORT_BYTES)),
         Some(failure) => {
--- a/faults/src/schedule.rs
+++ b/faults/src/schedule.rs
@@ -84,7 +84,7 @@
 }
 
 /// The default of `share`: the rule makes all calls fail that it matches.
-fn all_calls() -> f64 {
+fn default_fraction() -> f64 {
     1.0
 }
 
@@ -95,7 +95,7 @@
     call: Call,
     failure: Failure,
     /// Fraction of the matching calls that fail, 0 to 1.
-    #[serde(rename = "share", default = "all_calls")]
+    #[serde(rename = "share", default = "default_fraction")]
     fraction: f64,
     /// When the rule begins to apply, in milliseconds since the process started.
     #[serde(default)]
@@ -183,10 +183,10 @@
         self.call == call
             && elapsed_ms >= self.from_ms
             && self.to_ms.is_none_or(|end| elapsed_ms < end)
-            && (self.path.is_empty() || contains(path, self.path.as_bytes()))
+            && (self.path.is_empty() || contains_bytes(path, self.path.as_bytes()))
     }
 }
 
-fn contains(path: &[u8], part: &[u8]) -> bool {
-    path.windows(part.len()).any(|window| window == part)
+fn contains_bytes(bytes: &[u8], part: &[u8]) -> bool {
+    bytes.windows(part.len()).any(|window| window == part)
 }
