--- a/deploy/sites/generate/src/error.rs
+++ b/deploy/sites/generate/src/error.rs
@@ -1,20 +1,35 @@
-//! Errors of drawing a deployment.
+//! Errors of generating a deployment.
 
 use thiserror::Error;
 
-/// Why no deployment could be drawn.
+/// Why no deployment could be generated. Messages number the base site files from 1, in the order
+/// in which they were given.
 #[derive(Debug, Error)]
 pub enum DrawError {
-    /// There is no file to draw from.
-    #[error("no site file to draw from")]
+    /// There is no base site file.
+    #[error("no base site file was given; at least one is required")]
     NoBase,
     /// A base is not TOML.
-    #[error("not a site file: {0}")]
-    Syntax(toml::de::Error),
+    #[error("base {} is not a site file: it is not valid TOML: {error}", base + 1)]
+    Syntax {
+        /// Index of the base, from 0.
+        base: usize,
+        /// Where the text is not TOML, and why.
+        error: toml::de::Error,
+    },
     /// A base lacks a table that every site file has.
-    #[error("not a site file: there is no table '{0}'")]
-    MissingTable(&'static str),
-    /// The drawn deployment cannot be written as TOML.
-    #[error("the drawn site cannot be written: {0}")]
+    #[error("base {} is not a site file: the table '{table}' is missing", base + 1)]
+    MissingTable {
+        /// Index of the base, from 0.
+        base: usize,
+        /// Path of the table.
+        table: &'static str,
+    },
+    /// The generated deployment cannot be written as TOML.
+    #[error("the generated site cannot be serialized as TOML: {0}")]
     Output(toml::ser::Error),
 }
+
+/// A table that every site file has is missing; the field is the table's path.
+#[derive(Debug)]
+pub(crate) struct MissingTable(pub(crate) &'static str);
--- a/deploy/sites/generate/src/generator.rs
+++ b/deploy/sites/generate/src/generator.rs
@@ -1,41 +1,42 @@
-//! The parts of a deployment, drawn one after the other. Keys are those of the site files.
+//! Random values for the parts of a deployment. Keys are those of the site files.
 
-use crate::error::DrawError;
+use crate::error::MissingTable;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use toml::{Table, Value};
 
-/// Number of classes.
+/// Range of the number of classes.
 const CLASSES: std::ops::RangeInclusive<usize> = 1..=6;
 /// Maximum number of tenants; some deployments have none.
 const MAX_TENANTS: usize = 14;
-/// Deadlines of classes.
+/// Bounds of a class's deadline.
 const DEADLINE_MS: (f64, f64) = (400.0, 12_000.0);
-/// Latency objective, as a fraction of the deadline.
+/// Bounds of a class's latency objective, as a fraction of its deadline.
 const OBJECTIVE_FRACTION: (f64, f64) = (0.3, 0.95);
-/// Mean work, as a fraction of the latency objective ...
+/// Bounds of a class's mean work per request, as a fraction of its latency objective.
 const WORK_FRACTION: (f64, f64) = (0.06, 0.35);
-/// ... within these bounds.
+/// Absolute bounds of a class's mean work per request; they take precedence over the fraction.
 const WORK_MS: (f64, f64) = (12.0, 250.0);
 
-fn table<'a>(site: &'a mut Table, name: &'static str) -> Result<&'a mut Table, DrawError> {
+fn table<'a>(site: &'a mut Table, name: &'static str) -> Result<&'a mut Table, MissingTable> {
     site.get_mut(name)
         .and_then(Value::as_table_mut)
-        .ok_or(DrawError::MissingTable(name))
+        .ok_or(MissingTable(name))
 }
 
-/// The tables of an array; `path` is its name for errors.
+/// The tables in the array `name` of `parent`. `path` is the array's path in the site file, for
+/// errors.
 fn tables<'a>(
     parent: &'a mut Table,
     name: &str,
     path: &'static str,
-) -> Result<impl Iterator<Item = &'a mut Table>, DrawError> {
+) -> Result<impl Iterator<Item = &'a mut Table>, MissingTable> {
     let array = parent.get_mut(name).and_then(Value::as_array_mut);
-    let array = array.ok_or(DrawError::MissingTable(path))?;
+    let array = array.ok_or(MissingTable(path))?;
     Ok(array.iter_mut().filter_map(Value::as_table_mut))
 }
 
-/// Rounds to so many decimals, because people read the files.
+/// Rounds to a number of decimal places, because people read the files.
 fn rounded(value: f64, decimals: i32) -> f64 {
     let scale = 10_f64.powi(decimals);
     (value * scale).round() / scale
@@ -45,19 +46,20 @@
     Value::Array(vec![low.into(), high.into()])
 }
 
-/// Draws the parts of a deployment, always in the same order.
+/// Generates the parts of a deployment. Their order is fixed, because the values that a seed gives
+/// depend on it.
 pub(crate) struct Generator {
     random: Pcg64Mcg,
 }
 
 impl Generator {
-    /// A generator with these random numbers.
+    /// Creates a generator that uses these random numbers.
     pub(crate) fn new(random: Pcg64Mcg) -> Generator {
         Generator { random }
     }
 
-    /// Replaces the parts of a site that are drawn.
-    pub(crate) fn redraw(&mut self, site: &mut Table) -> Result<(), DrawError> {
+    /// Replaces the randomized parts of a site by new values.
+    pub(crate) fn redraw(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         self.network(site)?;
         self.clients(site)?;
         self.discovery(site)?;
@@ -74,7 +76,8 @@
         self.random.gen_range(low..=high)
     }
 
-    /// Log-uniform: as likely in each octave.
+    /// A random number whose logarithm is uniformly distributed, so that each factor of 2 between
+    /// the bounds is equally likely.
     fn log_uniform(&mut self, (low, high): (f64, f64)) -> f64 {
         self.between((low.ln(), high.ln())).exp()
     }
@@ -83,7 +86,7 @@
         self.log_uniform(bounds).round() as i64
     }
 
-    fn network(&mut self, site: &mut Table) -> Result<(), DrawError> {
+    fn network(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         let zones = self.random.gen_range(1..=4);
         let names = (1..=zones)
             .map(|zone| Value::from(format!("zone-{zone}")))
@@ -92,7 +95,7 @@
         Ok(())
     }
 
-    fn clients(&mut self, site: &mut Table) -> Result<(), DrawError> {
+    fn clients(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         let max_impatient = rounded(self.between((0.0, 0.3)), 2);
         let min_timeout_fraction = rounded(self.between((0.3, 0.9)), 2);
         let retries = self.random.gen_range(0..=3);
@@ -119,7 +122,7 @@
         Ok(())
     }
 
-    fn discovery(&mut self, site: &mut Table) -> Result<(), DrawError> {
+    fn discovery(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         let mode = if self.random.gen_bool(0.7) {
             "push"
         } else {
@@ -129,7 +132,7 @@
         Ok(())
     }
 
-    fn limits(&mut self, site: &mut Table) -> Result<(), DrawError> {
+    fn limits(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         let attempts = self.random.gen_range(1..=4);
         let flags = ["cancel", "second_copies", "retry_after"]
             .map(|name| (name, self.random.gen::<bool>()));
@@ -139,7 +142,7 @@
         Ok(())
     }
 
-    fn rules(&mut self, site: &mut Table) -> Result<(), DrawError> {
+    fn rules(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         let drain_grace_ms = self.log_uniform_integer((200.0, 3_000.0));
         let overload_multiple = rounded(self.between((2.5, 4.0)), 1);
         let overload_ms = self.log_uniform_integer((1_000.0, 3_000.0));
@@ -150,9 +153,9 @@
         Ok(())
     }
 
-    fn endpoints(&mut self, site: &mut Table) -> Result<(), DrawError> {
+    fn endpoints(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         for tier in tables(site, "tier", "tier")? {
-            let connections = table(tier, "conn")?;
+            let connections = table(tier, "conn").map_err(|_| MissingTable("tier.conn"))?;
             let handshake_us = self.log_uniform_integer((1_000.0, 9_000.0)) as f64;
             connections.insert(
                 "handshake_us".into(),
@@ -174,7 +177,8 @@
         Ok(())
     }
 
-    /// A slow start that begins lower, and takes longer, than most.
+    /// Gives endpoints a slow start with a lower initial capacity and a longer duration than most
+    /// have.
     fn slow_start(&mut self, kind: &mut Table) {
         let initial_capacity = rounded(self.between((0.1, 0.2)), 2);
         let duration_s = rounded(self.between((12.0, 24.0)), 0);
@@ -245,7 +249,8 @@
         idempotency
     }
 
-    /// Quotas fall from the first tenant on and sum up to 1. `None`: the deployment has no tenants.
+    /// The tenants. Quotas decrease with the tenant's number and add up to 1, except for rounding.
+    /// `None`: the deployment has no tenants.
     fn tenants(&mut self) -> Option<Value> {
         let count = self.random.gen_range(0..=MAX_TENANTS);
         let sum: f64 = (1..=count).map(|rank| 1.0 / rank as f64).sum();
--- a/deploy/sites/generate/src/main.rs
+++ b/deploy/sites/generate/src/main.rs
@@ -1,5 +1,5 @@
-//! Writes a drawn deployment into a folder, with the files that its base's folder has beside the
-//! site file.
+//! Writes a generated deployment into a folder: the site file, and copies of the files that have to
+//! be in its folder, from the folder of the base site file.
 #![forbid(unsafe_code)]
 
 use anyhow::Context;
@@ -8,19 +8,19 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Files that a site file needs in its folder.
+/// Files that have to be in the same folder as a site file.
 const COMPANION_FILES: [&str; 3] = ["wire.json", "real.json", "unlock.txt"];
 
-/// Draws a deployment from site files.
+/// Generates a random deployment from existing site files.
 #[derive(Parser)]
 struct Arguments {
-    /// The same bases and seed give the same deployment.
+    /// Seed of the random numbers. The same base site files and seed give the same deployment.
     #[arg(long)]
     seed: u64,
-    /// Folder for site.toml and the files that it needs; created if absent.
+    /// Folder for the generated site.toml and the files beside it; created if absent.
     #[arg(long)]
     out: PathBuf,
-    /// Site files to draw from.
+    /// Base site files, one of which is chosen at random.
     #[arg(required = true)]
     bases: Vec<PathBuf>,
 }
@@ -36,25 +36,33 @@
 }
 
 fn run(arguments: &Arguments) -> anyhow::Result<()> {
-    let read =
-        |path: &PathBuf| fs::read_to_string(path).with_context(|| path.display().to_string());
+    let read = |path: &PathBuf| {
+        fs::read_to_string(path)
+            .with_context(|| format!("cannot read base site file {}", path.display()))
+    };
     let bases = arguments
         .bases
         .iter()
         .map(read)
         .collect::<Result<Vec<_>, _>>()?;
     let site = site_generator::draw(&bases, arguments.seed)?;
-    fs::create_dir_all(&arguments.out).with_context(|| arguments.out.display().to_string())?;
+    fs::create_dir_all(&arguments.out)
+        .with_context(|| format!("cannot create folder {}", arguments.out.display()))?;
     let path = arguments.out.join("site.toml");
-    fs::write(&path, site.text).with_context(|| path.display().to_string())?;
+    fs::write(&path, site.text).with_context(|| format!("cannot write {}", path.display()))?;
     let base_folder = arguments.bases[site.base]
         .parent()
         .unwrap_or(Path::new("."));
     for name in COMPANION_FILES {
         let from = base_folder.join(name);
         let to = arguments.out.join(name);
-        let bytes = fs::read(&from).with_context(|| from.display().to_string())?;
-        fs::write(&to, bytes).with_context(|| to.display().to_string())?;
+        let bytes = fs::read(&from).with_context(|| {
+            format!(
+                "cannot read {}, which belongs to the base site file",
+                from.display()
+            )
+        })?;
+        fs::write(&to, bytes).with_context(|| format!("cannot write {}", to.display()))?;
     }
     Ok(())
 }
--- a/deploy/sites/generate/tests/draw.rs
+++ b/deploy/sites/generate/tests/draw.rs
@@ -1,4 +1,4 @@
-//! Bounds of drawn deployments, and errors.
+//! Values of generated deployments, and the errors for bases that are not site files.
 
 use site_generator::draw;
 use toml::{Table, Value};
@@ -23,12 +23,12 @@
 #[test]
 fn a_seed_gives_the_same_deployment_and_another_seed_another() {
     assert_eq!(
-        draw(&bases(), 7).expect("drawn"),
-        draw(&bases(), 7).expect("drawn")
+        draw(&bases(), 7).expect("the bases are site files"),
+        draw(&bases(), 7).expect("the bases are site files")
     );
     assert_ne!(
-        draw(&bases(), 7).expect("drawn"),
-        draw(&bases(), 8).expect("drawn")
+        draw(&bases(), 7).expect("the bases are site files"),
+        draw(&bases(), 8).expect("the bases are site files")
     );
 }
 
@@ -36,14 +36,15 @@
 fn drawn_values_stay_within_their_bounds() {
     let mut effects = std::collections::BTreeSet::new();
     for seed in 0..200 {
-        let drawn = draw(&bases(), seed).expect("drawn");
+        let drawn = draw(&bases(), seed).expect("the bases are site files");
         let site: Table = drawn.text.parse().expect("a site file");
         let classes = site["class"].as_array().expect("classes");
         for class in classes.iter().filter_map(Value::as_table) {
             let (objective, deadline) = (number(class, "aim_ms"), number(class, "deadline_ms"));
             assert!(
                 (400.0..=12_000.0).contains(&deadline)
-                    && (0.29..0.96).contains(&(objective / deadline))
+                    && (0.29..0.96).contains(&(objective / deadline)),
+                "seed {seed}: objective {objective} ms, deadline {deadline} ms"
             );
             effects.insert(class["effect"].as_str().expect("an effect").to_owned());
         }
@@ -66,7 +67,7 @@
             .sum();
         assert!(
             quota_sum == 0.0 || (quota_sum - 1.0).abs() < 0.01,
-            "{quota_sum}"
+            "seed {seed}: the quotas add up to {quota_sum}"
         );
     }
     assert_eq!(
@@ -77,10 +78,18 @@
 
 #[test]
 fn errors_say_what_is_not_a_site_file() {
-    assert!(draw(&[], 1).is_err());
-    assert!(draw(&["[net".to_owned()], 1)
-        .is_err_and(|error| error.to_string().contains("not a site file")));
+    let message = |bases: &[String]| draw(bases, 1).expect_err("no site file").to_string();
+    assert_eq!(
+        message(&[]),
+        "no base site file was given; at least one is required"
+    );
+    let syntax = message(&["[net".to_owned()]);
     assert!(
-        draw(&["[net]".to_owned()], 1).is_err_and(|error| error.to_string().contains("'clients'"))
+        syntax.starts_with("base 1 is not a site file: it is not valid TOML: "),
+        "{syntax}"
+    );
+    assert_eq!(
+        message(&["[net]".to_owned()]),
+        "base 1 is not a site file: the table 'clients' is missing"
     );
 }
