--- a/deploy/sites/generate/src/error.rs
+++ b/deploy/sites/generate/src/error.rs
@@ -5,23 +5,23 @@
 /// Why no deployment could be generated. Messages number the base site files from 1, in the order
 /// in which they were given.
 #[derive(Debug, Error)]
-pub enum DrawError {
+pub enum GenerateError {
     /// There is no base site file.
     #[error("no base site file was given; at least one is required")]
     NoBase,
     /// A base is not TOML.
-    #[error("base {} is not a site file: it is not valid TOML: {error}", base + 1)]
+    #[error("base {} is not a site file: it is not valid TOML: {error}", base_index + 1)]
     Syntax {
         /// Index of the base, from 0.
-        base: usize,
+        base_index: usize,
         /// Where the text is not TOML, and why.
         error: toml::de::Error,
     },
     /// A base lacks a table that every site file has.
-    #[error("base {} is not a site file: the table '{table}' is missing", base + 1)]
+    #[error("base {} is not a site file: the table '{table}' is missing", base_index + 1)]
     MissingTable {
         /// Index of the base, from 0.
-        base: usize,
+        base_index: usize,
         /// Path of the table.
         table: &'static str,
     },
--- a/deploy/sites/generate/src/generator.rs
+++ b/deploy/sites/generate/src/generator.rs
@@ -6,19 +6,19 @@
 use toml::{Table, Value};
 
 /// Range of the number of classes.
-const CLASSES: std::ops::RangeInclusive<usize> = 1..=6;
+const CLASS_COUNT: std::ops::RangeInclusive<usize> = 1..=6;
 /// Maximum number of tenants; some deployments have none.
 const MAX_TENANTS: usize = 14;
 /// Bounds of a class's deadline.
-const DEADLINE_MS: (f64, f64) = (400.0, 12_000.0);
+const DEADLINE_BOUNDS_MS: (f64, f64) = (400.0, 12_000.0);
 /// Bounds of a class's latency objective, as a fraction of its deadline.
-const OBJECTIVE_FRACTION: (f64, f64) = (0.3, 0.95);
+const OBJECTIVE_FRACTION_BOUNDS: (f64, f64) = (0.3, 0.95);
 /// Bounds of a class's mean work per request, as a fraction of its latency objective.
-const WORK_FRACTION: (f64, f64) = (0.06, 0.35);
+const WORK_FRACTION_BOUNDS: (f64, f64) = (0.06, 0.35);
 /// Absolute bounds of a class's mean work per request; they take precedence over the fraction.
-const WORK_MS: (f64, f64) = (12.0, 250.0);
+const WORK_BOUNDS_MS: (f64, f64) = (12.0, 250.0);
 
-fn table<'a>(site: &'a mut Table, name: &'static str) -> Result<&'a mut Table, MissingTable> {
+fn table_in<'a>(site: &'a mut Table, name: &'static str) -> Result<&'a mut Table, MissingTable> {
     site.get_mut(name)
         .and_then(Value::as_table_mut)
         .ok_or(MissingTable(name))
@@ -26,7 +26,7 @@
 
 /// The tables in the array `name` of `parent`. `path` is the array's path in the site file, for
 /// errors.
-fn tables<'a>(
+fn tables_in<'a>(
     parent: &'a mut Table,
     name: &str,
     path: &'static str,
@@ -37,12 +37,12 @@
 }
 
 /// Rounds to a number of decimal places, because people read the files.
-fn rounded(value: f64, decimals: i32) -> f64 {
+fn round_to(value: f64, decimals: i32) -> f64 {
     let scale = 10_f64.powi(decimals);
     (value * scale).round() / scale
 }
 
-fn range(low: f64, high: f64) -> Value {
+fn range_value(low: f64, high: f64) -> Value {
     Value::Array(vec![low.into(), high.into()])
 }
 
@@ -59,7 +59,7 @@
     }
 
     /// Replaces the randomized parts of a site by new values.
-    pub(crate) fn redraw(&mut self, site: &mut Table) -> Result<(), MissingTable> {
+    pub(crate) fn randomize(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         self.network(site)?;
         self.clients(site)?;
         self.discovery(site)?;
@@ -72,14 +72,14 @@
         Ok(())
     }
 
-    fn between(&mut self, (low, high): (f64, f64)) -> f64 {
+    fn uniform(&mut self, (low, high): (f64, f64)) -> f64 {
         self.random.gen_range(low..=high)
     }
 
     /// A random number whose logarithm is uniformly distributed, so that each factor of 2 between
     /// the bounds is equally likely.
     fn log_uniform(&mut self, (low, high): (f64, f64)) -> f64 {
-        self.between((low.ln(), high.ln())).exp()
+        self.uniform((low.ln(), high.ln())).exp()
     }
 
     fn log_uniform_integer(&mut self, bounds: (f64, f64)) -> i64 {
@@ -91,13 +91,13 @@
         let names = (1..=zones)
             .map(|zone| Value::from(format!("zone-{zone}")))
             .collect();
-        table(site, "net")?.insert("zones".into(), Value::Array(names));
+        table_in(site, "net")?.insert("zones".into(), Value::Array(names));
         Ok(())
     }
 
     fn clients(&mut self, site: &mut Table) -> Result<(), MissingTable> {
-        let max_impatient = rounded(self.between((0.0, 0.3)), 2);
-        let min_timeout_fraction = rounded(self.between((0.3, 0.9)), 2);
+        let max_impatient = round_to(self.uniform((0.0, 0.3)), 2);
+        let min_timeout_fraction = round_to(self.uniform((0.3, 0.9)), 2);
         let retries = self.random.gen_range(0..=3);
         let backoffs = [
             &["none"][..],
@@ -107,12 +107,12 @@
         ];
         let backoff = backoffs[self.random.gen_range(0..backoffs.len())];
         let marks_retry = self.random.gen();
-        let clients = table(site, "clients")?;
-        clients.insert("impatient".into(), range(0.0, max_impatient));
-        clients.insert("try_share".into(), range(min_timeout_fraction, 1.0));
+        let clients = table_in(site, "clients")?;
+        clients.insert("impatient".into(), range_value(0.0, max_impatient));
+        clients.insert("try_share".into(), range_value(min_timeout_fraction, 1.0));
         clients.insert(
             "retries".into(),
-            range(retries.into(), f64::from(retries) + 0.99),
+            range_value(retries.into(), f64::from(retries) + 0.99),
         );
         clients.insert(
             "backoff".into(),
@@ -128,7 +128,7 @@
         } else {
             "ask"
         };
-        table(site, "discovery")?.insert("mode".into(), mode.into());
+        table_in(site, "discovery")?.insert("mode".into(), mode.into());
         Ok(())
     }
 
@@ -136,7 +136,7 @@
         let attempts = self.random.gen_range(1..=4);
         let flags = ["cancel", "second_copies", "retry_after"]
             .map(|name| (name, self.random.gen::<bool>()));
-        let limits = table(site, "allow")?;
+        let limits = table_in(site, "allow")?;
         limits.insert("max_attempts".into(), Value::Integer(attempts));
         limits.extend(flags.map(|(name, flag)| (name.to_owned(), Value::Boolean(flag))));
         Ok(())
@@ -144,9 +144,9 @@
 
     fn rules(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         let drain_grace_ms = self.log_uniform_integer((200.0, 3_000.0));
-        let overload_multiple = rounded(self.between((2.5, 4.0)), 1);
+        let overload_multiple = round_to(self.uniform((2.5, 4.0)), 1);
         let overload_ms = self.log_uniform_integer((1_000.0, 3_000.0));
-        let rules = table(site, "rules")?;
+        let rules = table_in(site, "rules")?;
         rules.insert("drain_grace_ms".into(), drain_grace_ms.into());
         rules.insert("fall_multiple".into(), overload_multiple.into());
         rules.insert("fall_ms".into(), overload_ms.into());
@@ -154,12 +154,12 @@
     }
 
     fn endpoints(&mut self, site: &mut Table) -> Result<(), MissingTable> {
-        for tier in tables(site, "tier", "tier")? {
-            let connections = table(tier, "conn").map_err(|_| MissingTable("tier.conn"))?;
+        for tier in tables_in(site, "tier", "tier")? {
+            let connections = table_in(tier, "conn").map_err(|_| MissingTable("tier.conn"))?;
             let handshake_us = self.log_uniform_integer((1_000.0, 9_000.0)) as f64;
             connections.insert(
                 "handshake_us".into(),
-                range(handshake_us, 1.6 * handshake_us),
+                range_value(handshake_us, 1.6 * handshake_us),
             );
             connections.insert(
                 "idle_s".into(),
@@ -167,10 +167,10 @@
             );
             let connect_timeout_ms = self.log_uniform_integer((100.0, 1_000.0));
             connections.insert("connect_timeout_ms".into(), connect_timeout_ms.into());
-            let lower_start = self.random.gen_bool(0.5);
-            for kind in tables(tier, "kind", "tier.kind")? {
-                if lower_start {
-                    self.slow_start(kind);
+            let long_slow_start = self.random.gen_bool(0.5);
+            for kind in tables_in(tier, "kind", "tier.kind")? {
+                if long_slow_start {
+                    self.set_long_slow_start(kind);
                 }
             }
         }
@@ -179,18 +179,18 @@
 
     /// Gives endpoints a slow start with a lower initial capacity and a longer duration than most
     /// have.
-    fn slow_start(&mut self, kind: &mut Table) {
-        let initial_capacity = rounded(self.between((0.1, 0.2)), 2);
-        let duration_s = rounded(self.between((12.0, 24.0)), 0);
+    fn set_long_slow_start(&mut self, kind: &mut Table) {
+        let initial_capacity = round_to(self.uniform((0.1, 0.2)), 2);
+        let duration_s = round_to(self.uniform((12.0, 24.0)), 0);
         kind.insert(
             "cold_from".into(),
-            range(initial_capacity, 2.0 * initial_capacity),
+            range_value(initial_capacity, 2.0 * initial_capacity),
         );
-        kind.insert("cold_s".into(), range(duration_s / 2.0, duration_s));
+        kind.insert("cold_s".into(), range_value(duration_s / 2.0, duration_s));
     }
 
     fn classes(&mut self) -> Value {
-        let count = self.random.gen_range(CLASSES);
+        let count = self.random.gen_range(CLASS_COUNT);
         Value::Array(
             (1..=count)
                 .map(|number| Value::Table(self.class(number)))
@@ -199,21 +199,22 @@
     }
 
     fn class(&mut self, number: usize) -> Table {
-        let deadline_ms = self.log_uniform(DEADLINE_MS);
-        let objective_ms = deadline_ms * self.between(OBJECTIVE_FRACTION);
-        let work_ms = (objective_ms * self.between(WORK_FRACTION)).clamp(WORK_MS.0, WORK_MS.1);
-        let share = rounded(self.log_uniform((0.08, 0.8)), 2);
+        let deadline_ms = self.log_uniform(DEADLINE_BOUNDS_MS);
+        let objective_ms = deadline_ms * self.uniform(OBJECTIVE_FRACTION_BOUNDS);
+        let work_ms = (objective_ms * self.uniform(WORK_FRACTION_BOUNDS))
+            .clamp(WORK_BOUNDS_MS.0, WORK_BOUNDS_MS.1);
+        let share = round_to(self.log_uniform((0.08, 0.8)), 2);
         let mut class = Table::new();
         let mut set = |name: &str, value: Value| class.insert(name.into(), value);
         set("name", format!("class-{number}").into());
-        set("share", range(share, rounded(1.3 * share, 2)));
+        set("share", range_value(share, round_to(1.3 * share, 2)));
         set(
             "work_ms",
-            range(rounded(0.8 * work_ms, 0), rounded(1.2 * work_ms, 0)),
+            range_value(round_to(0.8 * work_ms, 0), round_to(1.2 * work_ms, 0)),
         );
         set("dist", "lognormal".into());
-        set("cv", range(0.3, 0.7));
-        set("attempt_noise", range(0.1, 0.5));
+        set("cv", range_value(0.3, 0.7));
+        set("attempt_noise", range_value(0.1, 0.5));
         set("aim_ms", Value::Integer(objective_ms.round() as i64));
         set("deadline_ms", Value::Integer(deadline_ms.round() as i64));
         set("worth", Value::Integer(self.random.gen_range(1..=9)));
@@ -257,8 +258,8 @@
         let tenant = |rank: usize| {
             let mut tenant = Table::new();
             tenant.insert("name".into(), format!("tenant-{rank}").into());
-            tenant.insert("share".into(), rounded(1.0 / rank as f64 / sum, 4).into());
-            tenant.insert("usage".into(), range(0.5, 1.4));
+            tenant.insert("share".into(), round_to(1.0 / rank as f64 / sum, 4).into());
+            tenant.insert("usage".into(), range_value(0.5, 1.4));
             Value::Table(tenant)
         };
         (count > 0).then(|| Value::Array((1..=count).map(tenant).collect()))
--- a/deploy/sites/generate/src/lib.rs
+++ b/deploy/sites/generate/src/lib.rs
@@ -6,7 +6,7 @@
 mod error;
 mod generator;
 
-pub use error::DrawError;
+pub use error::GenerateError;
 
 use error::MissingTable;
 use generator::Generator;
@@ -17,9 +17,9 @@
 
 /// A generated deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DrawnSite {
+pub struct GeneratedSite {
     /// Index of the base site file from which the deployment was generated.
-    pub base: usize,
+    pub base_index: usize,
     /// Contents of the generated site file.
     pub text: String,
 }
@@ -29,17 +29,17 @@
 ///
 /// # Errors
 /// There is no base, or the chosen one is not a site file.
-pub fn draw(bases: &[String], seed: u64) -> Result<DrawnSite, DrawError> {
+pub fn generate(bases: &[String], seed: u64) -> Result<GeneratedSite, GenerateError> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let indices: Vec<usize> = (0..bases.len()).collect();
-    let base = *indices.choose(&mut random).ok_or(DrawError::NoBase)?;
-    let mut site: Table = bases[base]
+    let base_index = *indices.choose(&mut random).ok_or(GenerateError::NoBase)?;
+    let mut site: Table = bases[base_index]
         .parse()
-        .map_err(|error| DrawError::Syntax { base, error })?;
+        .map_err(|error| GenerateError::Syntax { base_index, error })?;
     site.insert("name".into(), format!("generated-{seed}").into());
     Generator::new(random)
-        .redraw(&mut site)
-        .map_err(|MissingTable(table)| DrawError::MissingTable { base, table })?;
-    let text = toml::to_string(&site).map_err(DrawError::Output)?;
-    Ok(DrawnSite { base, text })
+        .randomize(&mut site)
+        .map_err(|MissingTable(table)| GenerateError::MissingTable { base_index, table })?;
+    let text = toml::to_string(&site).map_err(GenerateError::Output)?;
+    Ok(GeneratedSite { base_index, text })
 }
--- a/deploy/sites/generate/src/main.rs
+++ b/deploy/sites/generate/src/main.rs
@@ -45,12 +45,12 @@
         .iter()
         .map(read)
         .collect::<Result<Vec<_>, _>>()?;
-    let site = site_generator::draw(&bases, arguments.seed)?;
+    let site = site_generator::generate(&bases, arguments.seed)?;
     fs::create_dir_all(&arguments.out)
         .with_context(|| format!("cannot create folder {}", arguments.out.display()))?;
     let path = arguments.out.join("site.toml");
     fs::write(&path, site.text).with_context(|| format!("cannot write {}", path.display()))?;
-    let base_folder = arguments.bases[site.base]
+    let base_folder = arguments.bases[site.base_index]
         .parent()
         .unwrap_or(Path::new("."));
     for name in COMPANION_FILES {
--- a/deploy/sites/generate/tests/generate.rs
+++ b/deploy/sites/generate/tests/generate.rs
@@ -1,15 +1,15 @@
 //! Values of generated deployments, and the errors for bases that are not site files.
 
-use site_generator::draw;
+use site_generator::generate;
 use toml::{Table, Value};
 
-const VARIANTS: [&str; 2] = [
+const BASES: [&str; 2] = [
     include_str!("../../harbour-permits/site.toml"),
     include_str!("../../lantern-bids/site.toml"),
 ];
 
 fn bases() -> Vec<String> {
-    VARIANTS.map(str::to_owned).to_vec()
+    BASES.map(str::to_owned).to_vec()
 }
 
 fn number(table: &Table, name: &str) -> f64 {
@@ -21,23 +21,23 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_deployment_and_another_seed_another() {
+fn the_same_seed_gives_the_same_deployment_and_another_seed_a_different_one() {
     assert_eq!(
-        draw(&bases(), 7).expect("the bases are site files"),
-        draw(&bases(), 7).expect("the bases are site files")
+        generate(&bases(), 7).expect("the bases are site files"),
+        generate(&bases(), 7).expect("the bases are site files")
     );
     assert_ne!(
-        draw(&bases(), 7).expect("the bases are site files"),
-        draw(&bases(), 8).expect("the bases are site files")
+        generate(&bases(), 7).expect("the bases are site files"),
+        generate(&bases(), 8).expect("the bases are site files")
     );
 }
 
 #[test]
-fn drawn_values_stay_within_their_bounds() {
-    let mut effects = std::collections::BTreeSet::new();
+fn generated_values_stay_within_their_bounds_and_all_kinds_of_idempotency_occur() {
+    let mut idempotency_kinds = std::collections::BTreeSet::new();
     for seed in 0..200 {
-        let drawn = draw(&bases(), seed).expect("the bases are site files");
-        let site: Table = drawn.text.parse().expect("a site file");
+        let generated = generate(&bases(), seed).expect("the bases are site files");
+        let site: Table = generated.text.parse().expect("a site file");
         let classes = site["class"].as_array().expect("classes");
         for class in classes.iter().filter_map(Value::as_table) {
             let (objective, deadline) = (number(class, "aim_ms"), number(class, "deadline_ms"));
@@ -46,7 +46,7 @@
                     && (0.29..0.96).contains(&(objective / deadline)),
                 "seed {seed}: objective {objective} ms, deadline {deadline} ms"
             );
-            effects.insert(class["effect"].as_str().expect("an effect").to_owned());
+            idempotency_kinds.insert(class["effect"].as_str().expect("an effect").to_owned());
         }
         assert!((1.0..=4.0).contains(&number(
             site["allow"].as_table().expect("allowances"),
@@ -71,14 +71,14 @@
         );
     }
     assert_eq!(
-        effects.into_iter().collect::<Vec<_>>(),
+        idempotency_kinds.into_iter().collect::<Vec<_>>(),
         ["keyed", "safe", "unsafe"]
     );
 }
 
 #[test]
-fn errors_say_what_is_not_a_site_file() {
-    let message = |bases: &[String]| draw(bases, 1).expect_err("no site file").to_string();
+fn errors_say_which_base_is_not_a_site_file_and_why() {
+    let message = |bases: &[String]| generate(bases, 1).expect_err("no site file").to_string();
     assert_eq!(
         message(&[]),
         "no base site file was given; at least one is required"
