--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -10,11 +10,11 @@
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// A key is missing, or its value has the wrong type.
-    #[error("{}{reason}", key_prefix(key))]
+    #[error("{}{reason}", path_prefix(path))]
     Malformed {
-        /// The key whose value has the wrong type. `None` if a key is missing: then the reason
-        /// names it.
-        key: Option<String>,
+        /// Path of the value with the wrong type, or of the object in which a key is missing. Empty
+        /// for the settings as a whole.
+        path: String,
         /// What was found and what was expected, or which key is missing.
         reason: serde_json::Error,
     },
@@ -33,9 +33,12 @@
     },
 }
 
-fn key_prefix(key: &Option<String>) -> String {
-    key.as_ref()
-        .map_or_else(String::new, |key| format!("{key}: "))
+fn path_prefix(path: &str) -> String {
+    if path.is_empty() {
+        String::new()
+    } else {
+        format!("{path}: ")
+    }
 }
 
 /// Values that a setting may have.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -3,6 +3,7 @@
 #![forbid(unsafe_code)]
 
 mod error;
+mod json_path;
 mod message;
 mod validation;
 mod zone;
--- a/settings/src/message.rs
+++ b/settings/src/message.rs
@@ -3,6 +3,7 @@
 //! absent optional keys get defaults.
 
 use crate::error::SettingsError;
+use crate::json_path::path_on_line;
 use crate::zone::zone;
 use balancer::{
     Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights,
@@ -161,7 +162,7 @@
     /// Reads the settings from JSON.
     pub(crate) fn read(message: &Value) -> Result<SettingsMessage, SettingsError> {
         SettingsMessage::deserialize(message).map_err(|reason| SettingsError::Malformed {
-            key: key_with_wrong_type(message),
+            path: path_of_malformed_value(message),
             reason,
         })
     }
@@ -213,12 +214,15 @@
     }
 }
 
-/// The key whose value has the wrong type. Serde's error contains a line number but no key, so the
-/// settings are printed with one key per line and parsed again to find the key on that line.
-fn key_with_wrong_type(message: &Value) -> Option<String> {
-    let text = serde_json::to_string_pretty(message).ok()?;
-    let error = serde_json::from_str::<SettingsMessage>(&text).err()?;
-    let line = text.lines().nth(error.line().checked_sub(1)?)?;
-    let (key, _) = line.trim().strip_prefix('"')?.split_once("\":")?;
-    Some(key.to_owned())
+/// Path of the value that has the wrong type or lacks a key. Serde's error contains a line number
+/// but no path, so the settings are printed with one key per line and parsed again to find the path
+/// on that line. Empty if that fails.
+fn path_of_malformed_value(message: &Value) -> String {
+    let Ok(text) = serde_json::to_string_pretty(message) else {
+        return String::new();
+    };
+    match serde_json::from_str::<SettingsMessage>(&text) {
+        Ok(_) => String::new(),
+        Err(error) => path_on_line(&text, error.line()),
+    }
 }
--- a/settings/tests/validation.rs
+++ b/settings/tests/validation.rs
@@ -81,13 +81,27 @@
     );
     let message = json!({"balancers": 2, "classes": [], "invariants": {"cold_from": 0.1}});
     let error = read(&message).expect_err("cold_us is missing");
-    assert_eq!(error.to_string(), "missing field `cold_us`");
+    assert_eq!(error.to_string(), "invariants: missing field `cold_us`");
+    let error = read(&json!({})).expect_err("all keys are missing");
+    assert_eq!(error.to_string(), "missing field `balancers`");
+    let class = json!({"name": "a", "objective_us": 1, "deadline_us": 2, "idempotency": "free"});
+    let mut message = json!({"aside": [[], {}, [7], "}", "a\": {"], "balancers": 2,
+        "classes": [class, class], "invariants": {"cold_from": 0.1, "cold_us": 1}});
+    message["classes"][1]["worth"] = json!({"odd": [1, 2]});
+    let error = read(&message).expect_err("worth is an object");
+    assert_eq!(
+        error.to_string(),
+        "classes[1].worth: invalid type: map, expected f64"
+    );
+    message["classes"][1] = json!({"name": "a", "objective_us": 1, "deadline_us": 2});
+    let error = read(&message).expect_err("idempotency is missing");
+    assert_eq!(error.to_string(), "classes[1]: missing field `idempotency`");
     let message =
         json!({"balancers": 2, "classes": [], "invariants": {"cold_from": "x", "cold_us": 1}});
     let error = read(&message).expect_err("cold_from is a string");
     assert_eq!(
         error.to_string(),
-        "cold_from: invalid type: string \"x\", expected f64"
+        "invariants.cold_from: invalid type: string \"x\", expected f64"
     );
     let message =
         json!({"balancers": -2, "classes": [], "invariants": {"cold_from": 0.1, "cold_us": 1}});
