--- a/proxy/tests/common/client.rs
+++ b/proxy/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! Clients of the proxy, and how they disconnect.
+//! Test clients of the proxy, and the ways in which they disconnect.
 
 use super::http::{ok_response, Message, MessageReader};
 use std::io::Write;
@@ -8,7 +8,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// A connection of a client, or any other whose messages a test reads and writes itself.
+/// A connection whose messages a test reads and writes itself: from a client to the proxy, or from
+/// the proxy to an endpoint.
 pub(crate) type Client = MessageReader<TcpStream>;
 
 impl Client {
@@ -16,17 +17,17 @@
         self.stream
             .write_all(text.as_bytes())
             .await
-            .expect("written");
+            .expect("write failed");
     }
 
     /// Sends a request and reads its response.
     pub(crate) async fn exchange(&mut self, text: &str) -> Message {
         self.send(text).await;
-        self.message().await.expect("a response")
+        self.message().await.expect("no response")
     }
 }
 
-/// Connects to an address as soon as somebody listens there.
+/// Connects to an address, and retries until something listens there.
 pub(crate) async fn connect_when_listening(address: SocketAddr) -> Client {
     loop {
         match TcpStream::connect(address).await {
@@ -36,16 +37,16 @@
     }
 }
 
-/// Connects to an address where somebody must listen.
+/// Connects to an address; panics if nothing listens there.
 pub(crate) async fn connect(address: SocketAddr) -> Client {
     MessageReader::new(
         TcpStream::connect(address)
             .await
-            .expect("the program accepts"),
+            .expect("cannot connect to the program"),
     )
 }
 
-/// How a client disconnects.
+/// How a client disconnects: by an orderly close or by a TCP reset.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Disconnect {
     Close,
@@ -59,25 +60,26 @@
         let socket = socket2::SockRef::from(&client.stream);
         socket
             .set_linger(Some(Duration::ZERO))
-            .expect("zero linger");
+            .expect("SO_LINGER not set");
     }
     drop(client);
 }
 
-/// Connects, writes and disconnects before the proxy gets a turn.
+/// Connects, writes and disconnects by blocking calls: the proxy, which runs on the same thread,
+/// does not run in between.
 pub(crate) fn send_and_disconnect(address: SocketAddr, text: &str, how: Disconnect) {
-    let mut stream = std::net::TcpStream::connect(address).expect("connected");
-    stream.write_all(text.as_bytes()).expect("written");
+    let mut stream = std::net::TcpStream::connect(address).expect("cannot connect to the proxy");
+    stream.write_all(text.as_bytes()).expect("write failed");
     if how == Disconnect::Reset {
         socket2::SockRef::from(&stream)
             .set_linger(Some(Duration::ZERO))
-            .expect("zero linger");
+            .expect("SO_LINGER not set");
     }
 }
 
-/// The next connection to a listener.
+/// Accepts the next connection to a listener.
 pub(crate) async fn accept(listener: &TcpListener) -> Client {
-    MessageReader::new(listener.accept().await.expect("the proxy connects").0)
+    MessageReader::new(listener.accept().await.expect("accept failed").0)
 }
 
 /// Writes a response with status 200 and this body.
@@ -85,21 +87,17 @@
     connection.send(&ok_response(body)).await;
 }
 
-/// Writes without waiting, so that the proxy, which runs on the same thread, gets no turn.
+/// Writes without yielding: the proxy, which runs on the same thread, does not run in between.
 pub(crate) fn write_now(connection: &Client, text: &str) {
     let written = connection
         .stream
         .try_write(text.as_bytes())
-        .expect("written");
+        .expect("write failed");
     assert_eq!(written, text.len());
 }
 
-/// Waits until something can be written, and writes in the same turn of the thread.
+/// Waits until the connection is writable, and then writes without yielding.
 pub(crate) async fn write_once_writable(connection: &Client, text: &str) {
-    connection
-        .stream
-        .writable()
-        .await
-        .expect("it can be written to");
+    connection.stream.writable().await.expect("not writable");
     write_now(connection, text);
 }
--- a/proxy/tests/common/connections.rs
+++ b/proxy/tests/common/connections.rs
@@ -1,16 +1,17 @@
-//! What the system reports about connections, in its table (`proc_net(5)`).
+//! The states of connections, from the kernel's table `/proc/net/tcp` (`proc_net(5)`).
 
 use std::net::SocketAddr;
 
-/// The states of a connection as the system numbers them.
+/// Codes of connection states in the table.
 const ESTABLISHED: &str = "01";
 const SYN_SENT: &str = "02";
 
 fn connection_table() -> String {
-    std::fs::read_to_string("/proc/net/tcp").expect("a table of connections")
+    std::fs::read_to_string("/proc/net/tcp").expect("cannot read /proc/net/tcp")
 }
 
-/// An address as it stands in the table.
+/// An address in the notation of the table: hexadecimal, with the bytes of the IPv4 address in
+/// reverse order. Empty for IPv6.
 fn table_address(address: SocketAddr) -> String {
     match address {
         SocketAddr::V4(v4) => format!(
@@ -22,7 +23,7 @@
     }
 }
 
-/// Whether there is a connection to this address in this state.
+/// Whether the table has a connection to this remote address in this state.
 fn is_in_state(to: SocketAddr, state: &str) -> bool {
     let SocketAddr::V4(_) = to else { return false };
     connection_table().contains(&format!("{} {state} ", table_address(to)))
@@ -33,12 +34,14 @@
     is_in_state(address, ESTABLISHED)
 }
 
-/// Whether a connection to this address is being opened, and nothing was received from there.
+/// Whether a connection to this address is being opened: its SYN has been sent and not
+/// acknowledged.
 pub(crate) fn is_connecting(address: SocketAddr) -> bool {
     is_in_state(address, SYN_SENT)
 }
 
-/// The connection from one address to another: its state, and how many of its bytes are unread.
+/// The state of the connection from one address to another, and how many received bytes are unread.
+/// `None` if the table has no such connection.
 pub(crate) fn connection_state(from: SocketAddr, to: SocketAddr) -> Option<(String, u64)> {
     let table = connection_table();
     let ends = format!("{} {}", table_address(from), table_address(to));
--- a/proxy/tests/common/discovery.rs
+++ b/proxy/tests/common/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery, and the endpoint lists that it sends.
+//! A test double for the discovery service, and the endpoint lists that it sends.
 
 use super::http::MessageReader;
 use serde_json::json;
@@ -12,27 +12,30 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// The head of a watch's response.
+/// Head of the response to a watch request; its chunked body carries the endpoint lists.
 pub(crate) const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Discovery: each watch request gets the next of its responses, and then what the test pushes.
+/// A discovery service that gives each watch request the next of its responses, and afterwards
+/// sends what the test pushes. When the responses are used up, a request gets `WATCH_HEAD`.
 #[derive(Clone)]
 pub(crate) struct TestDiscovery {
     pub(crate) address: SocketAddr,
-    /// The start lines of the requests.
+    /// Start lines of the watch requests that were received.
     pub(crate) watch_requests: Rc<RefCell<Vec<String>>>,
     watch: Rc<RefCell<Option<OwnedWriteHalf>>>,
 }
 
 impl TestDiscovery {
-    /// Discovery that has no updates.
+    /// Starts a discovery service that accepts watches and sends no updates.
     pub(crate) async fn without_updates() -> TestDiscovery {
         TestDiscovery::start([WATCH_HEAD.to_owned()]).await
     }
 
     pub(crate) async fn start(responses: impl IntoIterator<Item = String>) -> TestDiscovery {
         TestDiscovery::on_listener(
-            TcpListener::bind("127.0.0.1:0").await.expect("a port"),
+            TcpListener::bind("127.0.0.1:0")
+                .await
+                .expect("cannot bind a port"),
             responses,
         )
     }
@@ -41,7 +44,7 @@
         listener: TcpListener,
         responses: impl IntoIterator<Item = String>,
     ) -> TestDiscovery {
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("no local address");
         let discovery = TestDiscovery {
             address,
             watch_requests: Rc::default(),
@@ -59,7 +62,10 @@
                 let response = responses
                     .pop_front()
                     .unwrap_or_else(|| WATCH_HEAD.to_owned());
-                write.write_all(response.as_bytes()).await.expect("written");
+                write
+                    .write_all(response.as_bytes())
+                    .await
+                    .expect("write failed");
                 serving.watch_requests.borrow_mut().push(message.start_line);
                 *serving.watch.borrow_mut() = Some(write);
             }
@@ -67,37 +73,40 @@
         discovery
     }
 
-    /// Resets the last watch.
+    /// Resets the connection of the last watch.
     pub(crate) fn reset(&self) {
-        let watch = self.watch.borrow_mut().take().expect("a watch");
+        let watch = self.watch.borrow_mut().take().expect("no watch is open");
         socket2::SockRef::from(watch.as_ref())
             .set_linger(Some(Duration::ZERO))
-            .expect("zero linger");
+            .expect("SO_LINGER not set");
         drop(watch);
     }
 
-    /// Whether the other side has closed the last watch.
+    /// Whether the proxy has closed the connection of the last watch.
     pub(crate) fn is_disconnected(&self) -> bool {
         let watch = self.watch.borrow();
-        let stream: &TcpStream = watch.as_ref().expect("a watch").as_ref();
+        let stream: &TcpStream = watch.as_ref().expect("no watch is open").as_ref();
         stream.try_read(&mut [0]).is_ok_and(|count| count == 0)
     }
 
-    /// Writes to the last watch.
+    /// Sends text on the last watch.
     pub(crate) async fn push(&self, text: &str) {
-        let mut watch = self.watch.borrow_mut().take().expect("a watch");
-        watch.write_all(text.as_bytes()).await.expect("written");
+        let mut watch = self.watch.borrow_mut().take().expect("no watch is open");
+        watch
+            .write_all(text.as_bytes())
+            .await
+            .expect("write failed");
         *self.watch.borrow_mut() = Some(watch);
     }
 }
 
-/// An entry of the endpoint list.
+/// An entry of an endpoint list, with this name, address and health.
 pub(crate) fn entry(name: &str, address: SocketAddr, health: &str) -> serde_json::Value {
     json!({"host": name, "dial": address.to_string(), "site": "a", "class": "m2", "block": 3,
            "health": health, "share": 1.0, "born_ms": 0})
 }
 
-/// An endpoint list of this version.
+/// An endpoint list of this version as JSON, either full or with changes only.
 pub(crate) fn list(version: u64, is_full: bool, entries: &[serde_json::Value]) -> String {
     json!({"seq": version, "whole": is_full, "hosts": entries}).to_string()
 }
--- a/proxy/tests/common/endpoint.rs
+++ b/proxy/tests/common/endpoint.rs
@@ -1,5 +1,5 @@
-//! Endpoints: one that follows a script, one that a test plays itself, and one that accepts no
-//! connection.
+//! Test endpoints: one that follows a script, one whose connections the test serves itself, and one
+//! that accepts no connections.
 
 use super::http::{ok_response, Message, MessageReader, REJECTION};
 use super::is_connecting;
@@ -15,49 +15,51 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// What an endpoint does with a request that it has read completely.
+/// How an endpoint responds to a request that it has read completely.
 #[derive(Clone, Debug)]
 pub(crate) enum ScriptedResponse {
-    /// Writes this, and keeps the connection open.
+    /// Writes this and keeps the connection open.
     Write(String),
-    /// Writes this, and closes the connection.
+    /// Writes this and closes the connection.
     WriteAndClose(String),
-    /// Writes nothing until the other side closes the connection, or the test releases the request
-    /// or resets its connection.
+    /// Writes nothing until the proxy closes the connection, or the test releases the request or
+    /// resets the connection.
     Stall,
 }
 
-/// A response with status 200 and this body.
+/// A scripted response with status 200 and this body.
 pub(crate) fn ok(body: &str) -> ScriptedResponse {
     ScriptedResponse::Write(ok_response(body))
 }
 
-/// A response that proves that the request has not run.
+/// A scripted rejection, which proves that the request has not run.
 pub(crate) fn reject() -> ScriptedResponse {
     ScriptedResponse::Write(REJECTION.to_owned())
 }
 
-/// An endpoint that gives one scripted response after the other, and repeats the last.
+/// An endpoint that sends its scripted responses in order and repeats the last one.
 #[derive(Clone)]
 pub(crate) struct TestEndpoint {
     pub(crate) address: SocketAddr,
-    /// The requests that it has read completely.
+    /// Requests that were read completely.
     pub(crate) requests: Rc<RefCell<Vec<Message>>>,
-    /// Connections that it has accepted.
+    /// Number of connections that were accepted.
     pub(crate) opened_connections: Rc<Cell<usize>>,
-    /// Connections that are open now.
+    /// Number of connections that are open now.
     pub(crate) open_connections: Rc<Cell<usize>>,
     pub(crate) script: Rc<RefCell<VecDeque<ScriptedResponse>>>,
-    /// Notified, one stalled request gets a response.
+    /// When notified, one stalled request gets a response.
     pub(crate) release: Rc<Notify>,
-    /// Notified, the connections of all stalled requests are reset.
+    /// When notified, the connections of all stalled requests are reset.
     pub(crate) resets: Rc<Notify>,
 }
 
 impl TestEndpoint {
     pub(crate) async fn start(script: impl IntoIterator<Item = ScriptedResponse>) -> TestEndpoint {
         TestEndpoint::on_listener(
-            TcpListener::bind("127.0.0.1:0").await.expect("a port"),
+            TcpListener::bind("127.0.0.1:0")
+                .await
+                .expect("cannot bind a port"),
             script,
         )
     }
@@ -67,7 +69,7 @@
         script: impl IntoIterator<Item = ScriptedResponse>,
     ) -> TestEndpoint {
         let endpoint = TestEndpoint {
-            address: listener.local_addr().expect("an address"),
+            address: listener.local_addr().expect("no local address"),
             requests: Rc::default(),
             opened_connections: Rc::default(),
             open_connections: Rc::default(),
@@ -102,8 +104,7 @@
         while let Some(message) = reader.message().await {
             self.requests.borrow_mut().push(message);
             match self.next_response() {
-                // The other side may have closed the connection, if the response is of no use to
-                // it.
+                // The proxy may have closed the connection because it no longer needs the response.
                 ScriptedResponse::Write(text)
                     if write.write_all(text.as_bytes()).await.is_err() =>
                 {
@@ -111,18 +112,21 @@
                 }
                 ScriptedResponse::Write(_) => {}
                 ScriptedResponse::WriteAndClose(text) => {
-                    write.write_all(text.as_bytes()).await.expect("written");
+                    write
+                        .write_all(text.as_bytes())
+                        .await
+                        .expect("write failed");
                     return;
                 }
                 ScriptedResponse::Stall => tokio::select! {
                     _ = reader.read_more() => return,
                     () = self.resets.notified() => {
                         let stream: &TcpStream = write.as_ref();
-                        socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("zero linger");
+                        socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("SO_LINGER not set");
                         return;
                     }
                     () = self.release.notified() => {
-                        write.write_all(ok_response("released").as_bytes()).await.expect("written");
+                        write.write_all(ok_response("released").as_bytes()).await.expect("write failed");
                     }
                 },
             }
@@ -131,24 +135,24 @@
 
     fn next_response(&self) -> ScriptedResponse {
         let mut script = self.script.borrow_mut();
-        let response = script.front().cloned().expect("a scripted response");
+        let response = script.front().cloned().expect("the script is empty");
         if script.len() > 1 {
             script.pop_front();
         }
         response
     }
 
-    /// Resets the connections of its stalled requests, as when its process ends.
+    /// Resets the connections of all stalled requests, as happens when an endpoint's process ends.
     pub(crate) fn reset(&self) {
         self.resets.notify_waiters();
     }
 
-    /// How many requests it has read completely.
+    /// Number of requests that were read completely.
     pub(crate) fn request_count(&self) -> usize {
         self.requests.borrow().len()
     }
 
-    /// The bodies of the requests that it has read completely.
+    /// Bodies of the requests that were read completely.
     pub(crate) fn request_bodies(&self) -> Vec<Vec<u8>> {
         self.requests
             .borrow()
@@ -158,10 +162,12 @@
     }
 }
 
-/// An endpoint whose connections the test accepts and serves itself.
+/// An endpoint whose connections the test accepts from the returned listener and serves itself.
 pub(crate) async fn manual_endpoint() -> (TestEndpoint, TcpListener) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("cannot bind a port");
+    let address = listener.local_addr().expect("no local address");
     (
         TestEndpoint {
             address,
@@ -171,19 +177,20 @@
     )
 }
 
-/// An endpoint to which no connection opens, as its listener's backlog is full of the returned
-/// connections.
+/// An endpoint to which no connection opens: the returned connections fill the backlog of its
+/// listener.
 pub(crate) async fn endpoint_with_full_backlog() -> (TestEndpoint, Vec<TcpStream>, TcpListener) {
-    let socket = TcpSocket::new_v4().expect("a socket");
+    let socket = TcpSocket::new_v4().expect("cannot create a socket");
     socket
-        .bind("127.0.0.1:0".parse().expect("an address"))
-        .expect("a port");
-    let listener = socket.listen(0).expect("it listens");
-    let address = listener.local_addr().expect("an address");
+        .bind("127.0.0.1:0".parse().expect("invalid address"))
+        .expect("cannot bind a port");
+    let listener = socket.listen(0).expect("cannot listen");
+    let address = listener.local_addr().expect("no local address");
     let (mut backlog, wait) = (Vec::new(), Duration::from_millis(200));
     loop {
         let mut connect = pin!(TcpStream::connect(address));
-        // A busy machine takes its time also for connections that open.
+        // On a busy machine a connection that does open may take longer than this timeout too; only
+        // a connection in the state SYN_SENT shows that the backlog is full.
         let connected = loop {
             match timeout(wait, &mut connect).await {
                 Err(_) if is_connecting(address) => break None,
--- a/proxy/tests/common/http.rs
+++ b/proxy/tests/common/http.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 messages, read and written without a library.
+//! HTTP/1.1 messages, read and written without an HTTP library.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::io::AsyncReadExt;
 
-/// A message as it was received: its start line, its headers in lower case, its body.
+/// A received message; the names of its headers are in lower case.
 #[derive(Clone, Debug)]
 pub(crate) struct Message {
     pub(crate) start_line: String,
@@ -24,11 +24,11 @@
             .split(' ')
             .nth(1)
             .and_then(|code| code.parse().ok())
-            .expect("a status")
+            .expect("no status in the start line")
     }
 }
 
-/// Reads messages off a stream.
+/// Reads messages from a stream.
 pub(crate) struct MessageReader<R> {
     pub(crate) stream: R,
     buffer: Vec<u8>,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Reads more into the buffer; whether there was more.
+    /// Reads more bytes into the buffer. Returns `false` if the stream has ended or failed.
     pub(crate) async fn read_more(&mut self) -> bool {
         self.stream
             .read_buf(&mut self.buffer)
@@ -50,7 +50,8 @@
             .is_ok_and(|count| count > 0)
     }
 
-    /// The next message; `None` if the stream ends before it is complete.
+    /// Reads the next message, whose body is as long as its `Content-Length` says. `None` if the
+    /// stream ends before the message is complete.
     pub(crate) async fn message(&mut self) -> Option<Message> {
         let end = loop {
             match self.buffer.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -85,7 +86,8 @@
         Some(message)
     }
 
-    /// The next response, whose body may be chunked; `None` if it is not complete.
+    /// Reads the next response, whose body may also be chunked. `None` if the stream ends before
+    /// the response is complete.
     pub(crate) async fn response(&mut self) -> Option<Message> {
         let mut response = self.message().await?;
         if response.header("transfer-encoding") != Some("chunked") {
@@ -126,10 +128,11 @@
     }
 }
 
-/// A request for the proxy's health.
+/// A health check of the proxy.
 pub(crate) const HEALTH_REQUEST: &str = "GET /_health HTTP/1.1\r\n\r\n";
 
-/// A request of a class, with further header lines and a body. Each has an id of its own.
+/// A request of a class with a unique id, additional header lines and a body. The class `free` uses
+/// GET, all others POST; `keyed` gets a unique idempotency key unless the headers have one.
 pub(crate) fn request(class: &str, headers: &str, body: &str) -> String {
     static NEXT_ID: AtomicU64 = AtomicU64::new(0);
     let (id, length) = (NEXT_ID.fetch_add(1, Ordering::Relaxed), body.len());
@@ -159,11 +162,11 @@
     )
 }
 
-/// A response that proves that the request has not run.
+/// A rejection, which proves that the request has not run.
 pub(crate) const REJECTION: &str =
     "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// A chunk with this line.
+/// A chunk of a chunked body that contains this line.
 pub(crate) fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
--- a/proxy/tests/common/mod.rs
+++ b/proxy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Endpoints, discovery and clients on loopback sockets. All of a test runs on one thread; what it
-//! waits for are conditions, and `run_test` fails it when they are not met in time.
+//! Test doubles for endpoints, discovery and clients on loopback sockets. Each test runs on a
+//! single thread and waits for conditions; `run_test` fails a test that does not end in time.
 #![allow(dead_code, unused_imports)]
 
 mod client;
@@ -26,24 +26,25 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout};
 
-/// Far longer than any test takes.
+/// Limit for a whole test, far longer than any test takes.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs a test on a runtime of its own, within the test timeout.
+/// Runs a test on its own single-threaded runtime, and fails it after the test timeout.
 pub(crate) fn run_test<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("cannot build a runtime");
     let test = async {
         timeout(TEST_TIMEOUT, test)
             .await
-            .expect("the test ends in time")
+            .expect("the test timed out")
     };
     LocalSet::new().block_on(&runtime, test)
 }
 
-/// Waits until the condition is met; `what` names it if it never is.
+/// Waits until the condition is met. Panics with `what`, which describes the condition, if that
+/// takes longer than half of the test timeout.
 pub(crate) async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let met = async {
         while !condition() {
@@ -52,5 +53,5 @@
     };
     timeout(TEST_TIMEOUT / 2, met)
         .await
-        .unwrap_or_else(|_| panic!("never: {what}"));
+        .unwrap_or_else(|_| panic!("condition not met in time: {what}"));
 }
--- a/proxy/tests/common/paused_proxy.rs
+++ b/proxy/tests/common/paused_proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy in paused time, and how long it takes to apply a change of the endpoint list.
+//! A proxy that runs on a paused clock, and the time that it takes to apply a change of the
+//! endpoint list.
 
 use super::discovery::{entry, list, WATCH_HEAD};
 use super::endpoint::TestEndpoint;
@@ -15,15 +16,16 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// What the operators' times leave for the drain grace; the steps of the test's clock are in it.
+/// Time that applying a change may take beyond the time at which it counts as notified. It is a
+/// part of the drain grace, and includes the steps in which the test advances the clock.
 pub(crate) const MARGIN: Duration = Duration::from_millis(200);
 
-/// A watch whose first list says that this endpoint is draining.
+/// The response to a watch request, with a full list in which this endpoint is draining.
 pub(crate) fn notify_draining(endpoint: &TestEndpoint) -> WatchResponse {
     Respond(draining_list(endpoint))
 }
 
-/// The response to a watch, with a full list in which this endpoint is draining.
+/// The head of a watch response and a full list in which this endpoint is draining.
 pub(crate) fn draining_list(endpoint: &TestEndpoint) -> String {
     format!(
         "{WATCH_HEAD}{}",
@@ -35,8 +37,8 @@
     )
 }
 
-/// A proxy in paused time, with a connection to its one endpoint that is idle until the proxy is
-/// notified that the endpoint is draining.
+/// A proxy on a paused clock with a single endpoint. Its connection to the endpoint is idle until
+/// the proxy is notified that the endpoint is draining, and is then closed.
 pub(crate) struct PausedProxy {
     pub(crate) endpoint: TestEndpoint,
     pub(crate) address: SocketAddr,
@@ -45,7 +47,7 @@
 }
 
 impl PausedProxy {
-    /// Starts one with the seed 1.
+    /// Starts a proxy with seed 1.
     pub(crate) async fn start(
         mode: &str,
         balancer_count: u32,
@@ -55,7 +57,7 @@
         PausedProxy::with_seed(1, mode, balancer_count, discovery, endpoint).await
     }
 
-    /// Starts one, and sends a request so that its connection is idle after it.
+    /// Starts a proxy and sends one request, which leaves an idle connection to the endpoint.
     pub(crate) async fn with_seed(
         seed: u64,
         mode: &str,
@@ -69,9 +71,10 @@
             config["settings"]["balancers"] = balancer_count.into();
             config["settings"]["invariants"]["ask_every_us"] = 10_000_000.into();
         });
-        let read = Config::parse(&config).expect("a good configuration");
-        let clients = client_proxy::process_handoff::bind(read.listen).expect("bound");
-        let address = clients.local_addr().expect("an address");
+        let read = Config::parse(&config).expect("invalid configuration");
+        let clients =
+            client_proxy::process_handoff::bind(read.listen).expect("cannot bind the address");
+        let address = clients.local_addr().expect("no local address");
         let (reload, mut reloads) = mpsc::unbounded_channel();
         let listeners = client_proxy::Listeners {
             clients,
@@ -86,7 +89,11 @@
             std::future::pending(),
         ));
         settle().await;
-        let mut client = MessageReader::new(TcpStream::connect(address).await.expect("it listens"));
+        let mut client = MessageReader::new(
+            TcpStream::connect(address)
+                .await
+                .expect("cannot connect to the proxy"),
+        );
         assert_eq!(
             client.exchange(&request("free", "", "")).await.status(),
             200
@@ -95,7 +102,7 @@
             endpoint.open_connections.get() == 1
         })
         .await;
-        // Its client stays connected.
+        // The client stays connected until the test ends.
         spawn_local(async move {
             std::future::pending::<()>().await;
             drop(client)
@@ -108,28 +115,30 @@
         }
     }
 
-    /// Reloads the configuration with another discovery.
+    /// Reloads the configuration with the address of another discovery service.
     pub(crate) fn reload_with_discovery(&self, from: &ScriptedDiscovery, to: &ScriptedDiscovery) {
         let config = self
             .config
             .replace(&from.address.to_string(), &to.address.to_string());
         self.reload
-            .send(Config::parse(&config).expect("a good configuration"))
-            .expect("it runs");
+            .send(Config::parse(&config).expect("invalid configuration"))
+            .expect("the proxy has ended");
     }
 
-    /// Advances the clock until the proxy has closed its idle connection, and returns by how much.
+    /// Advances the clock until the proxy has closed its idle connection. Returns the time
+    /// advanced.
     pub(crate) async fn until_draining(&self, what: &str) -> Duration {
         advance_until(what, || self.endpoint.open_connections.get() == 0).await
     }
 }
 
-/// So many of the same response.
+/// The same response, this many times.
 pub(crate) fn repeated(failure: fn() -> WatchResponse, count: usize) -> Vec<WatchResponse> {
     std::iter::repeat_with(failure).take(count).collect()
 }
 
-/// The responses that requests for a watch may get before one succeeds, with discovery in reach.
+/// Responses that watch requests may get from a reachable discovery service before a request
+/// succeeds: one failure of each kind, or none.
 pub(crate) fn failure_sequences() -> Vec<Vec<WatchResponse>> {
     let one = [
         REJECTED,
--- a/proxy/tests/common/paused_time.rs
+++ b/proxy/tests/common/paused_time.rs
@@ -1,4 +1,4 @@
-//! Time that only the test advances.
+//! A paused clock that only the test advances.
 
 use std::future::Future;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 pub(crate) const MS: Duration = Duration::from_millis(1);
 const STEP: Duration = Duration::from_millis(10);
 
-/// Runs a test whose clock is paused but where the test advances it: a blocking task keeps the
-/// runtime from advancing it.
+/// Runs a test on a paused clock. The runtime advances a paused clock by itself when all tasks
+/// wait; a blocking task that runs until the end of the test prevents that.
 pub(crate) fn run_with_paused_time<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build();
-    let runtime = runtime.expect("a runtime");
+    let runtime = runtime.expect("cannot build a runtime");
     let (end, ended) = std::sync::mpsc::channel::<()>();
     let result = LocalSet::new().block_on(&runtime, async {
         spawn_blocking(move || ended.recv());
@@ -25,24 +25,27 @@
     result
 }
 
-/// Lets every task go on that can without time.
+/// Lets all tasks run that can proceed without the clock advancing.
 pub(crate) async fn settle() {
     for _ in 0..20 {
         yield_now().await;
     }
-    // Another thread may have to deliver what was written.
+    // Bytes written to a socket may have to be delivered by another thread.
     std::thread::sleep(Duration::from_micros(50));
     for _ in 0..20 {
         yield_now().await;
     }
 }
 
-/// Advances the clock until the condition is met, and returns by how much.
+/// Advances the clock until the condition is met. Returns the time advanced.
 pub(crate) async fn advance_until(what: &str, condition: impl Fn() -> bool) -> Duration {
     let start = Instant::now();
     settle().await;
     while !condition() {
-        assert!(start.elapsed() < Duration::from_secs(30), "never: {what}");
+        assert!(
+            start.elapsed() < Duration::from_secs(30),
+            "condition not met in time: {what}"
+        );
         advance(STEP).await;
         settle().await;
     }
@@ -53,7 +56,10 @@
 pub(crate) async fn wait_without_time(what: &str, condition: impl Fn() -> bool) {
     let begun = std::time::Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < Duration::from_secs(15), "never: {what}");
+        assert!(
+            begun.elapsed() < Duration::from_secs(15),
+            "condition not met in time: {what}"
+        );
         settle().await;
     }
 }
--- a/proxy/tests/common/proxy.rs
+++ b/proxy/tests/common/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy that runs inside the test, its configuration, and what its operators read.
+//! A proxy that runs inside the test process, its configuration, and its interface for operators.
 
 use super::client::{connect_when_listening, Client};
 use super::discovery::{entry, TestDiscovery};
@@ -11,7 +11,8 @@
 use tokio::sync::oneshot;
 use tokio::task::{spawn_local, yield_now, JoinHandle};
 
-/// A configuration that lists these endpoints; `change` edits it before it is parsed.
+/// A configuration whose endpoint list has these endpoints; `change` edits it before it is
+/// serialized.
 pub(crate) fn configuration(
     discovery: SocketAddr,
     endpoints: &[TestEndpoint],
@@ -41,13 +42,13 @@
     config.to_string()
 }
 
-/// Changes a configuration so that operators have an address.
+/// Adds an address for operators to a configuration.
 pub(crate) fn with_admin(config: &mut serde_json::Value) {
     config["admin"] = "127.0.0.1:0".into();
 }
 
 /// Changes a configuration so that two requests can be in flight, one of them as the trial that may
-/// raise the limit, and a third waits in the queue.
+/// raise the concurrency limit, and a third waits in the pending queue.
 pub(crate) fn limit_to_two_in_flight(config: &mut serde_json::Value) {
     config["settings"]["balancers"] = 7.into();
 }
@@ -56,7 +57,7 @@
 pub(crate) struct Proxy {
     pub(crate) address: SocketAddr,
     pub(crate) admin: Option<SocketAddr>,
-    /// Dropped, it orders the proxy to shut down.
+    /// Orders the proxy to shut down when it is dropped.
     pub(crate) stop: Option<oneshot::Sender<()>>,
     pub(crate) task: JoinHandle<Result<(), client_proxy::RunError>>,
 }
@@ -66,23 +67,24 @@
         Proxy::start_with(&TestDiscovery::without_updates().await, endpoints, |_| ()).await
     }
 
-    /// Starts one whose configuration is changed.
+    /// Starts a proxy; `change` edits its configuration.
     pub(crate) async fn start_with(
         discovery: &TestDiscovery,
         endpoints: &[TestEndpoint],
         change: impl FnOnce(&mut serde_json::Value),
     ) -> Proxy {
         let config = configuration(discovery.address, endpoints, change);
-        let config = Config::parse(&config).expect("a good configuration");
-        let listener = client_proxy::process_handoff::bind(config.listen).expect("bound");
-        let address = listener.local_addr().expect("an address");
+        let config = Config::parse(&config).expect("invalid configuration");
+        let listener =
+            client_proxy::process_handoff::bind(config.listen).expect("cannot bind the address");
+        let address = listener.local_addr().expect("no local address");
         let (stop, stopped) = oneshot::channel();
-        let operators = config
-            .admin
-            .map(|address| client_proxy::operators::listen(address).expect("it listens"));
+        let operators = config.admin.map(|address| {
+            client_proxy::operators::listen(address).expect("cannot listen for operators")
+        });
         let admin = operators
             .as_ref()
-            .map(|listener| listener.local_addr().expect("an address"));
+            .map(|listener| listener.local_addr().expect("no local address"));
         let listeners = client_proxy::Listeners {
             clients: listener,
             operators,
@@ -104,14 +106,14 @@
         }
     }
 
-    /// A client of it, once it listens: it does so only once it has an endpoint list, or has waited
-    /// for one.
+    /// Connects a client once the proxy listens, which it does as soon as it has an endpoint list,
+    /// or has waited for one.
     pub(crate) async fn client(&self) -> Client {
         connect_when_listening(self.address).await
     }
 }
 
-/// A proxy with an address for operators.
+/// Starts a proxy with an address for operators, and returns both.
 pub(crate) async fn start_with_admin(
     endpoints: &[TestEndpoint],
     change: impl FnOnce(&mut serde_json::Value),
@@ -125,11 +127,11 @@
         },
     )
     .await;
-    let admin = proxy.admin.expect("an address for operators");
+    let admin = proxy.admin.expect("no address for operators");
     (proxy, admin)
 }
 
-/// A proxy with an address for operators, which may not cancel attempts that have begun.
+/// Starts a proxy with an address for operators that may not cancel attempts that have begun.
 pub(crate) async fn start_without_cancellation(
     endpoints: &[TestEndpoint],
     change: impl FnOnce(&mut serde_json::Value),
@@ -141,35 +143,39 @@
     .await
 }
 
-/// The response to an operator's command, up to the end of its connection.
+/// Sends an operator's command, and returns the reply, which ends with the connection.
 pub(crate) async fn admin_command(admin: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(admin)
         .await
-        .expect("operators are admitted");
-    // Some tests send very many, and the system remembers connections that ended in order: its
-    // table would grow long.
-    stream.set_zero_linger().expect("zero linger");
-    stream.write_all(line.as_bytes()).await.expect("written");
+        .expect("cannot connect as an operator");
+    // Some tests send very many commands: after an orderly close each connection would stay in the
+    // kernel's table in the state TIME_WAIT and make the table long.
+    stream.set_zero_linger().expect("SO_LINGER not set");
+    stream
+        .write_all(line.as_bytes())
+        .await
+        .expect("write failed");
     let mut response = String::new();
     stream
         .read_to_string(&mut response)
         .await
-        .expect("a response");
+        .expect("no response");
     response
 }
 
-/// The metrics that operators read.
+/// Reads the metrics over the interface for operators.
 pub(crate) async fn metrics(admin: SocketAddr) -> serde_json::Value {
     let response = admin_command(admin, "counters\n").await;
     let json = response.strip_suffix("\nEOT\n");
-    serde_json::from_str(json.expect("the form of metrics")).expect("metrics")
+    serde_json::from_str(json.expect("the reply does not end with EOT"))
+        .expect("the metrics are not JSON")
 }
 
-/// Whether the process whose operators have this address reports that it takes clients.
+/// Whether the process with this address for operators reports that it accepts clients.
 pub(crate) async fn is_ready(admin: SocketAddr) -> bool {
     let mut response = String::new();
     if let Ok(mut stream) = TcpStream::connect(admin).await {
-        // The process may end meanwhile.
+        // The process may end in the meantime.
         let _ = stream.write_all(b"health\n").await;
         let _ = stream.read_to_string(&mut response).await;
     }
@@ -185,21 +191,21 @@
 
 /// Waits until the proxy has applied a list with this many endpoints.
 pub(crate) async fn wait_for_members(proxy: &Proxy, count: u64) {
-    let admin = proxy.admin.expect("an address for operators");
+    let admin = proxy.admin.expect("no address for operators");
     while metrics(admin).await["members"] != count {}
 }
 
-/// How many requests have ended, over all classes: completed, rejected, failed.
+/// Numbers of completed, rejected and failed requests over all classes.
 pub(crate) async fn request_ends(admin: SocketAddr) -> [u64; 3] {
     let metrics = metrics(admin).await;
     let classes = metrics["downstream_requests"]
         .as_object()
-        .expect("classes")
+        .expect("downstream_requests is not an object")
         .clone();
     ["completed", "rejected", "failed"].map(|end| {
         classes
             .values()
-            .map(|class| class[end].as_u64().expect("a number"))
+            .map(|class| class[end].as_u64().expect("not a number"))
             .sum()
     })
 }
--- a/proxy/tests/common/scripted_discovery.rs
+++ b/proxy/tests/common/scripted_discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery that follows a script, one watch request after the other.
+//! A discovery service that responds to watch requests by a script.
 
 use super::discovery::WATCH_HEAD;
 use super::http::MessageReader;
@@ -13,16 +13,16 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// What discovery does with one watch request.
+/// What the discovery service does with one watch request.
 #[derive(Clone, Debug)]
 pub(crate) enum WatchResponse {
     /// Writes this and keeps the connection open.
     Respond(String),
-    /// Writes it after this time.
+    /// Writes this after a delay and keeps the connection open.
     RespondAfter(Duration, String),
     /// Resets the connection.
     Reset,
-    /// Nobody listens for this time.
+    /// Nothing listens at its address for this time.
     Unreachable(Duration),
 }
 use WatchResponse::{Reset, Respond, RespondAfter, Unreachable};
@@ -36,12 +36,13 @@
 pub(crate) const PARTIAL_HEAD: fn() -> WatchResponse =
     || Respond("HTTP/1.1 200 OK\r\nTransfer-Enc".to_owned());
 
-/// Discovery that gives one response after the other, and then has no updates.
+/// A discovery service that gives its scripted responses in order, and then accepts watches without
+/// sending updates.
 #[derive(Clone)]
 pub(crate) struct ScriptedDiscovery {
     pub(crate) address: SocketAddr,
     pub(crate) request_count: Rc<Cell<usize>>,
-    /// When it last became reachable.
+    /// When its address last became reachable again.
     pub(crate) reachable_since: Rc<Cell<Option<Instant>>>,
     pub(crate) open_connections: Rc<RefCell<Vec<TcpStream>>>,
 }
@@ -50,10 +51,12 @@
     pub(crate) async fn start(
         script: impl IntoIterator<Item = WatchResponse>,
     ) -> ScriptedDiscovery {
-        // Reserved while nobody listens there.
+        // Keeps the port reserved while nothing listens on it.
         let port = reserve_port();
-        let address = port.local_addr().expect("an address");
-        let mut listener = TcpListener::bind(address).await.expect("it listens");
+        let address = port.local_addr().expect("no local address");
+        let mut listener = TcpListener::bind(address)
+            .await
+            .expect("cannot listen on the reserved port");
         let discovery = ScriptedDiscovery {
             address,
             request_count: Rc::default(),
@@ -68,12 +71,14 @@
                 if let Some(Unreachable(span)) = script.front() {
                     drop(listener);
                     sleep(*span).await;
-                    listener = TcpListener::bind(address).await.expect("the same port");
+                    listener = TcpListener::bind(address)
+                        .await
+                        .expect("cannot listen on the reserved port again");
                     serving.reachable_since.set(Some(Instant::now()));
                     script.pop_front();
                     continue;
                 }
-                let (mut stream, _) = listener.accept().await.expect("a connection");
+                let (mut stream, _) = listener.accept().await.expect("accept failed");
                 let mut reader = MessageReader::new(&mut stream);
                 if reader.message().await.is_none() {
                     continue;
@@ -90,24 +95,27 @@
     async fn respond(&self, mut stream: TcpStream, response: WatchResponse) {
         match response {
             Respond(text) => {
-                stream.write_all(text.as_bytes()).await.expect("written");
+                stream
+                    .write_all(text.as_bytes())
+                    .await
+                    .expect("write failed");
                 self.open_connections.borrow_mut().push(stream);
             }
             RespondAfter(delay, text) => {
                 let open_connections = self.open_connections.clone();
                 spawn_local(async move {
                     sleep(delay).await;
-                    // The request may have been abandoned.
+                    // The proxy may have abandoned the request.
                     let _ = stream.write_all(text.as_bytes()).await;
                     open_connections.borrow_mut().push(stream);
                 });
             }
             Reset => reset_connection(&stream),
-            Unreachable(_) => unreachable!("the listener waits before it accepts"),
+            Unreachable(_) => unreachable!("handled before a connection is accepted"),
         }
     }
 
-    /// Resets the open connections.
+    /// Resets all open connections.
     pub(crate) fn reset(&self) {
         for stream in self.open_connections.borrow_mut().drain(..) {
             reset_connection(&stream);
@@ -118,5 +126,5 @@
 fn reset_connection(stream: &TcpStream) {
     socket2::SockRef::from(stream)
         .set_linger(Some(Duration::ZERO))
-        .expect("zero linger");
+        .expect("SO_LINGER not set");
 }
