--- a/proxy/tests/bodies.rs
+++ b/proxy/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Request and response bodies of any length, in pieces.
+//! How request and response bodies of any length are forwarded.
 
 mod common;
 
@@ -25,10 +25,10 @@
     }
 
     async fn accept(&self) -> TcpStream {
-        self.listener.accept().await.expect("the proxy connects").0
+        self.listener.accept().await.expect("accept failed").0
     }
 
-    /// A connection of the proxy, and the head of the request that arrived on it.
+    /// Accepts a connection of the proxy, and reads the head of the request on it.
     async fn next_request(&self) -> (TcpStream, String) {
         let mut stream = self.accept().await;
         let head = read_until(&mut stream, "\r\n\r\n").await;
@@ -40,17 +40,17 @@
 async fn read_until(stream: &mut TcpStream, end: &str) -> String {
     let mut read = Vec::new();
     while !read.ends_with(end.as_bytes()) {
-        read.push(stream.read_u8().await.expect("more"));
+        read.push(stream.read_u8().await.expect("the stream ended early"));
     }
-    String::from_utf8(read).expect("text")
+    String::from_utf8(read).expect("not UTF-8")
 }
 
 fn upload(class: &str, length: usize) -> String {
     request(class, &format!("Content-Length: {length}\r\n"), "")
 }
 
-/// What has been read of a body is forwarded before the rest arrives, and its deadline counts from
-/// its last byte.
+/// The part of a request body that has arrived is forwarded before the rest arrives, and the
+/// request's deadline counts from the last byte of the body.
 #[test]
 fn a_large_body_is_forwarded_as_it_arrives() {
     run_test(async {
@@ -65,27 +65,27 @@
         endpoint
             .read_exact(&mut vec![0; LARGE / 2])
             .await
-            .expect("the first half");
-        // Longer than its client waits for the response.
+            .expect("cannot read the first half");
+        // Longer than the client's timeout.
         sleep(Duration::from_millis(500)).await;
         client.send(&"b".repeat(LARGE / 2)).await;
         let mut rest = vec![0; LARGE / 2];
         endpoint
             .read_exact(&mut rest)
             .await
-            .expect("the second half");
+            .expect("cannot read the second half");
         assert!(rest.iter().all(|&byte| byte == b'b'));
         let response = ok_response("got it");
         endpoint
             .write_all(response.as_bytes())
             .await
-            .expect("written");
-        assert_eq!(client.message().await.expect("a response").body, b"got it");
+            .expect("write failed");
+        assert_eq!(client.message().await.expect("no response").body, b"got it");
     });
 }
 
-/// A body whose length the head does not give is forwarded completely, small or large, and what
-/// stands behind it is the next request.
+/// A chunked request body is forwarded completely, whether small or large, and the bytes after it
+/// are read as the next request.
 #[test]
 fn chunked_bodies_are_forwarded_and_pipelined_requests_are_read() {
     run_test(async {
@@ -103,8 +103,8 @@
             ))
             .await;
         client.send(&request("unsafe", "", "behind")).await;
-        assert_eq!(client.message().await.expect("a response").body, b"small");
-        assert_eq!(client.message().await.expect("a response").body, b"next");
+        assert_eq!(client.message().await.expect("no response").body, b"small");
+        assert_eq!(client.message().await.expect("no response").body, b"next");
         let bodies: Vec<Vec<u8>> = endpoint
             .requests
             .borrow()
@@ -131,7 +131,7 @@
     });
 }
 
-/// A client that sends `Expect: 100-continue` gets a 100 response.
+/// A client that sends `Expect: 100-continue` gets a 100 response; the header is not forwarded.
 #[test]
 fn a_client_that_expects_100_continue_gets_it() {
     run_test(async {
@@ -149,18 +149,18 @@
             client
                 .message()
                 .await
-                .expect("an interim response")
+                .expect("no interim response")
                 .status(),
             100
         );
         client.send("body").await;
-        assert_eq!(client.message().await.expect("a response").body, b"served");
+        assert_eq!(client.message().await.expect("no response").body, b"served");
         assert_eq!(endpoint.requests.borrow()[0].header("expect"), None);
     });
 }
 
-/// A large body of which a part was consumed can't be sent again; its request never ran, and is
-/// rejected.
+/// A large body is streamed, so it can't be sent again once a part of it was sent. The request
+/// never ran, as it did not reach its endpoint completely, and is rejected.
 #[test]
 fn a_partly_sent_large_body_is_not_retried() {
     run_test(async {
@@ -173,16 +173,16 @@
         endpoint
             .read_exact(&mut vec![0; LARGE / 4])
             .await
-            .expect("a part");
+            .expect("cannot read a part of the body");
         drop(endpoint);
-        assert_eq!(client.message().await.expect("a response").status(), 503);
+        assert_eq!(client.message().await.expect("no response").status(), 503);
         let again = tokio::time::timeout(Duration::from_millis(100), manual.accept()).await;
-        assert!(again.is_err(), "nothing is retried");
+        assert!(again.is_err(), "the request must not be retried");
     });
 }
 
-/// The client's fault is not the endpoint's: the client gets the error, and the endpoint stays in
-/// service.
+/// A client that stalls within a large body gets an error, and its endpoint, which is not at fault,
+/// stays in service.
 #[test]
 fn a_large_body_that_stalls_ends_its_request() {
     run_test(async {
@@ -191,8 +191,8 @@
         let mut client = proxy.client().await;
         client.send(&upload("unsafe", LARGE)).await;
         client.send(&"a".repeat(1_000)).await;
-        assert_eq!(client.message().await.expect("a response").status(), 408);
-        wait_until("its connection is closed", || {
+        assert_eq!(client.message().await.expect("no response").status(), 408);
+        wait_until("the connection to the endpoint is closed", || {
             endpoint.open_connections.get() == 0
         })
         .await;
@@ -208,7 +208,7 @@
     });
 }
 
-/// An honest client's body takes as long as it takes.
+/// A body that arrives slowly, but above the minimum upload rate, is read completely.
 #[test]
 fn a_slow_body_is_waited_for() {
     run_test(async {
@@ -221,12 +221,12 @@
             sleep(Duration::from_millis(250)).await;
             client.send(&piece).await;
         }
-        assert_eq!(client.message().await.expect("a response").body, b"served");
+        assert_eq!(client.message().await.expect("no response").body, b"served");
     });
 }
 
-/// What has been received of a large response is forwarded before the rest arrives, however long
-/// that takes, and a request pipelined behind its own does not end it.
+/// The part of a large response that has arrived is forwarded before the rest arrives, however long
+/// that takes, and a request that is pipelined behind it does not abort it.
 #[test]
 fn a_large_response_is_forwarded_as_it_arrives() {
     run_test(async {
@@ -238,36 +238,39 @@
             .await;
         let (mut endpoint, _) = manual.next_request().await;
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n");
-        endpoint.write_all(head.as_bytes()).await.expect("written");
+        endpoint
+            .write_all(head.as_bytes())
+            .await
+            .expect("write failed");
         endpoint
             .write_all(&vec![b'a'; LARGE / 2])
             .await
-            .expect("written");
+            .expect("write failed");
         read_until(&mut client.stream, "\r\n\r\n").await;
         client
             .stream
             .read_exact(&mut vec![0; LARGE / 2])
             .await
-            .expect("the first half");
+            .expect("cannot read the first half");
         client.send("GET /_health HTTP/1.1\r\n").await;
-        // Longer than a request may take to arrive, and than its client waits for the response.
+        // Longer than a request may take to arrive, and longer than the client's timeout.
         sleep(Duration::from_millis(3_200)).await;
         endpoint
             .write_all(&vec![b'b'; LARGE / 2])
             .await
-            .expect("written");
+            .expect("write failed");
         client
             .stream
             .read_exact(&mut vec![0; LARGE / 2])
             .await
-            .expect("the second half");
+            .expect("cannot read the second half");
         client.send("\r\n").await;
-        assert_eq!(client.message().await.expect("a response").status(), 200);
+        assert_eq!(client.message().await.expect("no response").status(), 200);
     });
 }
 
-/// A response that breaks off after its first byte was forwarded must not look complete, and no
-/// other takes its place.
+/// A response that is truncated after its first bytes were forwarded must not look complete to the
+/// client, and no other response may be sent in its place.
 #[test]
 fn a_large_response_that_breaks_off_is_seen_as_broken() {
     let (length, chunked) = (
@@ -285,12 +288,12 @@
             endpoint
                 .write_all(format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n{piece}").as_bytes())
                 .await
-                .expect("written");
+                .expect("write failed");
             let head = read_until(&mut client.stream, "\r\n\r\n").await;
             assert!(head.starts_with("HTTP/1.1 200"), "{head}");
             drop(endpoint);
             let mut rest = Vec::new();
-            // A reset is seen as well as an early end.
+            // The client may see a reset instead of an early end.
             let _ = client.stream.read_to_end(&mut rest).await;
             assert!(
                 rest.len() < LARGE && !rest.ends_with(b"0\r\n\r\n"),
@@ -301,8 +304,8 @@
     }
 }
 
-/// A large response is read no faster from the endpoint than its client takes it, so that little
-/// of it is buffered.
+/// The proxy reads a large response from the endpoint no faster than the client reads it from the
+/// proxy, so that the proxy buffers only a small part of it.
 #[test]
 fn a_large_response_is_read_only_as_fast_as_its_client_takes_it() {
     run_test(async {
@@ -315,7 +318,7 @@
         endpoint
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await
-            .expect("written");
+            .expect("write failed");
         let written = std::rc::Rc::new(std::cell::Cell::new(0));
         let count = written.clone();
         let writing = spawn_local(async move {
@@ -332,15 +335,15 @@
         }
         assert!(
             written.get() < ENDLESS_BYTES / 2,
-            "{} bytes left the endpoint and were not read",
+            "the endpoint could send {} bytes that the client did not read",
             written.get()
         );
         writing.abort();
     });
 }
 
-/// A large body whose request is queued is not read on. Its client may have written all of it long
-/// ago, and waits from then on: the proxy advertises no more than what remains of that time.
+/// The rest of a large body is not read while its request is queued. Its client may have sent all
+/// of it long before: the proxy advertises no more than what remains of the client's timeout.
 #[test]
 fn a_large_body_that_was_queued_advertises_the_remaining_time() {
     run_test(async {
@@ -354,7 +357,7 @@
             .await;
         let sent_at = Instant::now();
         sleep(Duration::from_millis(400)).await;
-        assert_eq!(endpoint.request_count(), 0, "it is queued");
+        assert_eq!(endpoint.request_count(), 0, "the request must be queued");
         let ready = list(43, false, &[entry("s-0", endpoint.address, "Ready")]);
         discovery.push(&chunk(&ready)).await;
         wait_until("the endpoint has the request", || {
@@ -365,16 +368,16 @@
         let advertised = endpoint.requests.borrow()[0]
             .header("x-budget-ms")
             .and_then(|ms| ms.parse().ok());
-        let advertised = Duration::from_millis(advertised.expect("a time"));
+        let advertised = Duration::from_millis(advertised.expect("no valid X-Budget-Ms"));
         assert!(
             advertised <= left + Duration::from_millis(150),
-            "{advertised:?} of {left:?}"
+            "advertised {advertised:?}, but only {left:?} remain"
         );
-        assert_eq!(client.message().await.expect("a response").status(), 200);
+        assert_eq!(client.message().await.expect("no response").status(), 200);
     });
 }
 
-/// A client that has sent most of a body and stalls is owed its error within 3 s, however much it
+/// A client that stalls after sending most of a body must get its error within 3 s, however much it
 /// has sent.
 #[test]
 fn a_client_that_stalls_in_a_body_gets_its_error_in_time() {
@@ -385,7 +388,7 @@
         let mut client = proxy.client().await;
         let text = request("unsafe", "", &"b".repeat(60_000));
         client.send(&text[..text.len() - 100]).await;
-        let response = client.message().await.expect("a response");
+        let response = client.message().await.expect("no response");
         assert_eq!(response.status(), 408);
         assert!(
             started.elapsed() < Duration::from_secs(3),
--- a/proxy/tests/client_connections.rs
+++ b/proxy/tests/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients that are silent, slow, idle or too many.
+//! Client connections that are silent, slow, idle or too many.
 
 mod common;
 
@@ -6,8 +6,8 @@
 use std::slice::from_ref;
 use tokio::io::AsyncWriteExt;
 
-/// A client that sends nothing, too little or too slowly occupies a connection: it is closed
-/// within the 3 s that it is owed.
+/// A client that sends nothing, only a part of a request, or a request too slowly must not occupy a
+/// connection: the proxy closes it, at the latest after 3 s.
 #[test]
 fn silent_and_slow_clients_are_disconnected() {
     run_test(async {
@@ -21,7 +21,8 @@
         );
         partial_head.send(&head[..30]).await;
         partial_body.send(&head[..head.len() - 2]).await;
-        // A client that sends its second request a byte at a time: no byte may restart its time.
+        // This client sends its second request one byte at a time; a byte must not restart the
+        // timeout.
         let mut slow = proxy.client().await;
         assert_eq!(
             slow.exchange(&request("unsafe", "", "")).await.status(),
@@ -51,8 +52,9 @@
     });
 }
 
-/// Clients that send one request and keep their connections open must not use up the limit: while
-/// many are open, a connection is closed with the response to its first request.
+/// Clients that send one request and keep their connections open must not use up the socket limit:
+/// while many connections are open, the proxy closes a connection with the response to its first
+/// request.
 #[test]
 fn idle_connections_are_closed_while_many_are_open() {
     run_test(async {
@@ -67,7 +69,8 @@
         .await;
         let mut clients = Vec::new();
         let mut closed = 0;
-        // A sixth of 64 descriptors may stay open.
+        // Idle connections are closed early while clients use more than a sixth of the 64
+        // descriptors.
         for _ in 0..15 {
             let mut client = proxy.client().await;
             let response = client.exchange(&request("free", "", "")).await;
@@ -75,27 +78,31 @@
             closed += usize::from(response.header("connection") == Some("close"));
             clients.push(client);
         }
-        assert!((1..=6).contains(&closed), "{closed}");
+        assert!(
+            (1..=6).contains(&closed),
+            "{closed} connections were closed"
+        );
         let is_closed = |client: &Client| {
             client
                 .stream
                 .try_read(&mut [0])
                 .is_ok_and(|count| count == 0)
         };
-        wait_until("they are closed", || {
-            clients.iter().filter(|client| is_closed(client)).count() == closed
-        })
+        wait_until(
+            "the connections whose response had `Connection: close` are closed",
+            || clients.iter().filter(|client| is_closed(client)).count() == closed,
+        )
         .await;
         assert_eq!(
             clients[0].exchange(&request("free", "", "")).await.status(),
             200,
-            "the others stay open"
+            "the other connections must stay open"
         );
     });
 }
 
-/// At the limit connections without a request are evicted first, and one that has just had a
-/// response stays open.
+/// At the socket limit, connections without a request are evicted first, and a connection that has
+/// just got a response stays open.
 #[test]
 fn clients_that_send_requests_keep_their_connections() {
     run_test(async {
@@ -124,8 +131,8 @@
     });
 }
 
-/// Clients that connect and send nothing must not block others, nor cost more descriptors than
-/// there are.
+/// Clients that connect and send nothing must neither block other clients nor use more descriptors
+/// than the socket limit allows.
 #[test]
 fn silent_connections_do_not_block_others() {
     run_test(async {
--- a/proxy/tests/client_disconnect.rs
+++ b/proxy/tests/client_disconnect.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect while their request waits, by a close or a reset: nothing more of it is
-//! sent, and what it reserved is released.
+//! Clients that disconnect, by a close or a reset, while their request waits: no more of the
+//! request is sent, and everything that it has reserved is released.
 
 mod common;
 
@@ -12,18 +12,24 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 
-/// Two requests in flight at an endpoint that responds when the test releases them.
+/// Sends two requests that are in flight until the test releases them at the endpoint.
 async fn two_in_flight(proxy: &Proxy, endpoint: &TestEndpoint) -> (Client, Client) {
     let (mut first, mut second) = (proxy.client().await, proxy.client().await);
     first.send(&request("free", "", "")).await;
-    wait_until("the first is in flight", || endpoint.request_count() == 1).await;
+    wait_until("the first request is in flight", || {
+        endpoint.request_count() == 1
+    })
+    .await;
     second.send(&request("free", "", "")).await;
-    wait_until("the second is in flight", || endpoint.request_count() == 2).await;
+    wait_until("the second request is in flight", || {
+        endpoint.request_count() == 2
+    })
+    .await;
     (first, second)
 }
 
-/// The request is queued as all endpoints are at their limit, with and without pipelined bytes
-/// behind it.
+/// The request is queued because the only endpoint is at its concurrency limit; bytes of another
+/// request may be pipelined behind it.
 #[test]
 fn a_queued_request_is_not_sent_after_its_client_disconnects() {
     for how in DISCONNECTS {
@@ -40,13 +46,13 @@
                 wait_for_pending(admin, 2).await;
                 endpoint.release.notify_one();
                 endpoint.release.notify_one();
-                assert_eq!(first.message().await.expect("a response").status(), 200);
-                assert_eq!(second.message().await.expect("a response").status(), 200);
+                assert_eq!(first.message().await.expect("no response").status(), 200);
+                assert_eq!(second.message().await.expect("no response").status(), 200);
                 endpoint.script.borrow_mut().push_front(ok("later"));
                 assert_eq!(
                     proxy.client().await.exchange(&text).await.body,
                     b"later",
-                    "its id is free again"
+                    "the id of the abandoned request must be free again"
                 );
                 assert_eq!(endpoint.request_count(), 3, "{how:?}, {pipelined}");
                 assert_eq!(request_ends(admin).await.iter().sum::<u64>(), 4);
@@ -55,7 +61,8 @@
     }
 }
 
-/// The request waits for a connection, which opens once the client has disconnected.
+/// The request waits for a connection to its endpoint, which opens after the client has
+/// disconnected.
 #[test]
 fn a_request_is_not_sent_on_a_connection_that_opens_after_its_client_disconnects() {
     run_test(async {
@@ -68,7 +75,7 @@
             })
             .collect();
         for case in cases {
-            case.await.expect("it is not sent");
+            case.await.expect("the case failed");
         }
     });
 }
@@ -89,7 +96,7 @@
     wait_for_pending(admin, 1).await;
     let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
     drop(full);
-    assert_eq!(client.message().await.expect("a response").status(), 200);
+    assert_eq!(client.message().await.expect("no response").status(), 200);
     let bodies: Vec<_> = endpoint
         .requests
         .borrow()
@@ -100,7 +107,7 @@
     assert_eq!(request_ends(admin).await.iter().sum::<u64>(), 2);
 }
 
-/// The client disconnects between two attempts: the first was rejected, and its endpoint is in its
+/// The client disconnects between two attempts: the first was rejected, and the endpoint is in its
 /// cool-down.
 #[test]
 fn a_request_is_not_retried_after_its_client_disconnects() {
@@ -114,7 +121,7 @@
             })
             .collect();
         for case in cases {
-            case.await.expect("it is not sent");
+            case.await.expect("the case failed");
         }
     });
 }
@@ -124,7 +131,10 @@
     let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |_| ()).await;
     let (mut client, text) = (proxy.client().await, request("unsafe", "", "the body"));
     client.send(&format!("{text}{pipelined}")).await;
-    wait_until("it is rejected", || endpoint.request_count() == 1).await;
+    wait_until("the first attempt is rejected", || {
+        endpoint.request_count() == 1
+    })
+    .await;
     wait_for_pending(admin, 1).await;
     disconnect(client, how);
     wait_for_pending(admin, 0).await;
@@ -135,12 +145,14 @@
 }
 
 fn unread_bytes(at: SocketAddr, from: SocketAddr) -> u64 {
-    connection_state(at, from).expect("the connection").1
+    connection_state(at, from)
+        .expect("the connection is not in the table")
+        .1
 }
 
-/// Sends pieces of a body until nobody reads them any more.
+/// Sends pieces of a body until the proxy stops reading them: a piece stays unread for 30 ms.
 async fn send_until_unread(client: &mut Client, proxy: SocketAddr) {
-    let from = client.stream.local_addr().expect("an address");
+    let from = client.stream.local_addr().expect("no local address");
     loop {
         client.send(&"x".repeat(32 << 10)).await;
         let mut polls = 0..30;
@@ -153,8 +165,8 @@
     }
 }
 
-/// Its body arrives, but its endpoint reads no more of it: the client's end stands behind bytes
-/// that nobody reads.
+/// The endpoint has stopped reading a request body, so the proxy reads no more of it either, and
+/// the client's disconnect arrives behind bytes that stay unread.
 #[test]
 fn no_more_of_a_body_is_sent_after_its_client_disconnects() {
     for how in DISCONNECTS {
@@ -165,13 +177,13 @@
             client
                 .send(&request("unsafe", "Content-Length: 30000000\r\n", ""))
                 .await;
-            let stream = listener.accept().await.expect("the proxy connects").0;
-            let proxy_end = stream.peer_addr().expect("the proxy's end");
+            let stream = listener.accept().await.expect("accept failed").0;
+            let proxy_end = stream.peer_addr().expect("no peer address");
             send_until_unread(&mut client, proxy.address).await;
             assert!(is_established(proxy_end, endpoint.address));
             let disconnected = Instant::now();
             disconnect(client, how);
-            wait_until("its attempt has ended", || {
+            wait_until("the connection to the endpoint is closed", || {
                 !is_established(proxy_end, endpoint.address)
             })
             .await;
@@ -179,7 +191,7 @@
                 disconnected.elapsed() < Duration::from_millis(300),
                 "{how:?}"
             );
-            // It did not arrive completely, so it is not counted.
+            // The request did not arrive completely, so it is not counted.
             assert_eq!(
                 (
                     metrics(admin).await["pending"].clone(),
@@ -201,7 +213,7 @@
     }
 }
 
-/// The request arrives completely, together with its client's end.
+/// The request arrives completely, together with its client's disconnect.
 #[test]
 fn a_request_that_arrives_with_its_clients_end_is_not_sent() {
     for how in DISCONNECTS {
@@ -217,7 +229,8 @@
                 send_and_disconnect(proxy.address, &format!("{text}{pipelined}"), how);
                 assert_eq!(proxy.client().await.exchange(&text).await.status(), 200);
                 assert_eq!(endpoint.request_count(), 1, "{how:?}, {pipelined}");
-                // Its end may be read before the request is admitted; then it is not counted.
+                // If the proxy reads the disconnect before it admits the request, the request is
+                // not counted.
                 let [completed, rejected, failed] = request_ends(admin).await;
                 assert!(
                     (completed, failed) == (1, 0) && rejected <= 1,
@@ -229,8 +242,8 @@
     }
 }
 
-/// The request has not been read, as its connection waits to be accepted while all connections are
-/// in use.
+/// The request has not been read: its connection waits to be accepted, because as many client
+/// connections as the proxy may have are in use.
 #[test]
 fn a_request_is_not_sent_if_its_client_disconnected_before_it_was_accepted() {
     for how in DISCONNECTS {
@@ -245,7 +258,7 @@
                 config["limits"]["sockets"] = sockets.into()
             });
             let max_clients = Config::parse(&text)
-                .expect("a configuration")
+                .expect("invalid configuration")
                 .max_client_connections();
             let mut clients = Vec::new();
             for number in 1..=max_clients {
@@ -257,7 +270,7 @@
             send_and_disconnect(proxy.address, &request("unsafe", "", "the body"), how);
             let last = TcpStream::connect(proxy.address)
                 .await
-                .expect("it waits too");
+                .expect("cannot connect to the proxy");
             let mut last = Client::new(last);
             last.send(&request("unsafe", "", "new body")).await;
             clients.clear();
@@ -271,7 +284,7 @@
                 endpoint.release.notify_one();
                 yield_now().await;
             }
-            assert_eq!(last.message().await.expect("a response").status(), 200);
+            assert_eq!(last.message().await.expect("no response").status(), 200);
             let seen = endpoint.requests.borrow();
             let bodies: Vec<_> = seen
                 .iter()
@@ -283,8 +296,8 @@
     }
 }
 
-/// A client that only ends its sending counts as disconnected: nobody can tell it from one that
-/// closed. Its request is not sent, and its connection is closed.
+/// A client that shuts down only its sending side counts as disconnected, because the proxy can't
+/// distinguish that from a close. Its request is not sent, and its connection is closed.
 #[test]
 fn a_client_that_half_closes_counts_as_disconnected() {
     run_test(async {
@@ -297,10 +310,10 @@
         wait_for_pending(admin, 3).await;
         socket2::SockRef::from(&client.stream)
             .shutdown(std::net::Shutdown::Write)
-            .expect("half closed");
+            .expect("cannot shut down the sending side");
         assert!(
             client.message().await.is_none(),
-            "closed without a response"
+            "the connection must be closed without a response"
         );
         wait_for_pending(admin, 2).await;
         assert_eq!(endpoint.request_count(), 2);
--- a/proxy/tests/client_disconnect_under_load.rs
+++ b/proxy/tests/client_disconnect_under_load.rs
@@ -1,6 +1,5 @@
-//! Clients that disconnect while the proxy has much else to do: what would begin an attempt
-//! arrives in the same turn of its one thread as the client's end, so that nothing has checked for
-//! that end in between.
+//! Clients that disconnect while the proxy is busy: what would start an attempt and the disconnect
+//! arrive in the same turn of the proxy's thread, so nothing checks for the disconnect in between.
 
 mod common;
 
@@ -11,21 +10,21 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
-/// Connections that are open beside the one under test.
+/// Number of clients that are connected besides the one under test.
 const CROWD_SIZE: usize = 500;
 
-/// Sets the limit on sockets so high that no connection of the crowd is evicted.
+/// Sets the limit on sockets so high that no background client is evicted.
 fn allow_many_sockets(config: &mut Value) {
     config["limits"]["sockets"] = 4_096.into();
 }
 
-/// Many clients, each of which has had one response. They end by resets, as the system remembers
-/// other ends for long.
+/// Connects the background clients, each of which gets one response. They disconnect by resets: an
+/// orderly close would leave connections in TIME_WAIT in the kernel's table.
 async fn connect_crowd(proxy: &Proxy) -> Vec<Client> {
     let mut clients = Vec::new();
     for _ in 0..CROWD_SIZE {
         let client = proxy.client().await;
-        client.stream.set_zero_linger().expect("zero linger");
+        client.stream.set_zero_linger().expect("SO_LINGER not set");
         clients.push(client);
     }
     for client in &mut clients {
@@ -34,7 +33,7 @@
     clients
 }
 
-/// The crowd where the proxy is to be busy, and otherwise no client.
+/// Connects the background clients if the proxy is to be busy, and none otherwise.
 async fn connect_crowd_if(busy: bool, proxy: &Proxy) -> Vec<Client> {
     if busy {
         connect_crowd(proxy).await
@@ -43,47 +42,47 @@
     }
 }
 
-/// Every client sends a request at once.
+/// Sends a health check from every background client without yielding.
 fn request_health_on_all(crowd: &[Client]) {
     for client in crowd {
         write_now(client, HEALTH_REQUEST);
     }
 }
 
-/// Disconnects, and keeps the thread until the system has delivered that to the proxy's end.
+/// Disconnects, and blocks the thread until the kernel has delivered that to the proxy's end.
 fn disconnect_unnoticed(client: Client, how: Disconnect, proxy: &Proxy) {
-    let from = client.stream.local_addr().expect("an address");
+    let from = client.stream.local_addr().expect("no local address");
     disconnect(client, how);
     while is_established(proxy.address, from) {}
 }
 
 const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// The next connection to an endpoint, and the body of the request that arrived on it.
+/// Accepts the next connection to an endpoint, and reads the body of the request on it.
 async fn accept_request(listener: &TcpListener) -> (Client, Vec<u8>) {
-    let mut connection = Client::new(listener.accept().await.expect("the proxy connects").0);
-    let body = connection.message().await.expect("a request").body;
+    let mut connection = Client::new(listener.accept().await.expect("accept failed").0);
+    let body = connection.message().await.expect("no request").body;
     (connection, body)
 }
 
-/// The body of the next request that reaches an endpoint, on its open connection or on a new one
-/// to either.
+/// The body of the next request that reaches an endpoint, on this open connection or on a new one
+/// to either listener.
 async fn next_body(connection: &mut Client, listeners: [&TcpListener; 2]) -> Vec<u8> {
     tokio::select! {
-        message = connection.message() => message.expect("a request").body,
+        message = connection.message() => message.expect("no request").body,
         (_, body) = accept_request(listeners[0]) => body,
         (_, body) = accept_request(listeners[1]) => body,
     }
 }
 
-/// Attempts that were fully written.
+/// Number of attempts that were written completely.
 async fn upstream_requests(admin: SocketAddr) -> u64 {
     metrics(admin).await["upstream_requests"]
         .as_u64()
-        .expect("a number")
+        .expect("not a number")
 }
 
-/// What stands behind a request on its connection: nothing, a part of a next one, or all of it.
+/// The bytes that are pipelined behind a request: none, a part of the next request, or all of it.
 fn pipelined_bytes() -> [String; 3] {
     [
         "".to_owned(),
@@ -92,13 +91,14 @@
     ]
 }
 
-/// The headers of a request with a large body, and the part of that body that is sent.
+/// The headers of a request with a large body, and the part of the body that is sent.
 fn large_body(sent: usize) -> (String, String) {
     let head = format!("Content-Length: {}\r\n", 30 << 20);
     (head, "x".repeat(sent))
 }
 
-/// Two requests are in flight, a third with these headers is queued, with these bytes behind it.
+/// Two requests are in flight, and a third with these headers is queued, with these bytes behind
+/// it. Asserts that the third is not sent when its client disconnects as the other two end.
 async fn assert_queued_request_is_not_sent(
     head: &str,
     pipelined: &str,
@@ -121,7 +121,7 @@
     let mut client = proxy.client().await;
     client.send(&request("unsafe", head, "")).await;
     client.send(pipelined).await;
-    // It is queued: with its body unread it does not count as pending.
+    // Waits until it is queued; with its body unread it does not count as pending.
     if head.is_empty() {
         wait_for_pending(admin, 3).await;
     } else {
@@ -133,20 +133,20 @@
         write_now(connection, OK_RESPONSE);
     }
     disconnect_unnoticed(client, how, &proxy);
-    assert_eq!(first.message().await.expect("a response").status(), 200);
-    assert_eq!(second.message().await.expect("a response").status(), 200);
+    assert_eq!(first.message().await.expect("no response").status(), 200);
+    assert_eq!(second.message().await.expect("no response").status(), 200);
     first.send(&request("unsafe", "", "the next")).await;
     let next = tokio::select! {
         next = next_body(&mut connection, [&listener, &listener]) => next,
-        message = other.message() => message.expect("a request").body,
+        message = other.message() => message.expect("no request").body,
     };
     let shown = &pipelined[..pipelined.len().min(20)];
     assert_eq!(next, b"the next", "{how:?}, {head}{shown}");
     assert_eq!(upstream_requests(admin).await, 3);
 }
 
-/// The request is queued, also with a large body of which most is unread, while its client
-/// disconnects and capacity becomes free, both in one turn of a proxy that has much else to do.
+/// The client of a queued request disconnects and capacity becomes free in the same turn of a proxy
+/// that is busy or idle. The request may have a large body of which most is unread.
 #[test]
 fn a_queued_request_is_not_sent_when_its_client_disconnects_as_capacity_becomes_free() {
     let bodies = pipelined_bytes().map(|pipelined| (String::new(), pipelined));
@@ -162,8 +162,8 @@
     }
 }
 
-/// One endpoint rejects the request, with another one free: the client disconnects in the same
-/// turn.
+/// One endpoint rejects the request while another one is free, and the client disconnects in the
+/// same turn, before or after the rejection.
 #[test]
 fn a_request_is_not_retried_when_its_client_disconnects_as_it_is_rejected() {
     for pipelined in pipelined_bytes() {
@@ -210,8 +210,8 @@
     }
 }
 
-/// The connection opens after the client has disconnected, and the proxy learns of both in one
-/// turn.
+/// The connection to the endpoint opens after the client has disconnected, and the proxy learns of
+/// both in the same turn.
 #[test]
 fn a_request_is_not_written_when_its_client_disconnects_before_its_connection_opens() {
     for (how, pipelined) in DISCONNECTS
@@ -229,17 +229,17 @@
             let client = proxy.client().await;
             write_now(&client, &(request("unsafe", "", "the body") + pipelined));
             wait_for_pending(admin, 1).await;
-            let listener = listener.into_std().expect("a listener");
+            let listener = listener.into_std().expect("cannot convert the listener");
             let waiting = full.len();
             drop(full);
             for _ in 0..waiting {
-                drop(listener.accept().expect("accepted"));
+                drop(listener.accept().expect("accept failed"));
             }
             request_health_on_all(&crowd);
             disconnect_unnoticed(client, how, &proxy);
             while !has_established_connection(stuck.address) {}
             let endpoint = TestEndpoint::on_listener(
-                TcpListener::from_std(listener).expect("a listener"),
+                TcpListener::from_std(listener).expect("cannot convert the listener"),
                 [ok("served")],
             );
             wait_for_pending(admin, 0).await;
@@ -257,7 +257,7 @@
     }
 }
 
-/// The request is pipelined behind another, whose response arrives as the client disconnects.
+/// The request is pipelined behind another one, whose response arrives as the client disconnects.
 #[test]
 fn a_pipelined_request_is_not_sent_when_its_client_disconnects_as_the_one_before_ends() {
     for pipelined in pipelined_bytes() {
@@ -290,7 +290,7 @@
     }
 }
 
-/// Many connections at once that nobody has accepted yet, each with its client's end.
+/// Many connections wait to be accepted, each with a complete request and its client's disconnect.
 #[test]
 fn requests_are_not_sent_if_their_clients_disconnected_before_they_were_accepted() {
     for pipelined in pipelined_bytes() {
@@ -313,7 +313,7 @@
                 let (connection, body) = accept_request(&listener).await;
                 assert_eq!(body, b"the next", "{how:?}, {pipelined}");
                 write_now(&connection, OK_RESPONSE);
-                assert_eq!(next.message().await.expect("a response").status(), 200);
+                assert_eq!(next.message().await.expect("no response").status(), 200);
                 assert_eq!(
                     (request_ends(admin).await[0], upstream_requests(admin).await),
                     (1, 1)
@@ -323,7 +323,7 @@
     }
 }
 
-/// Responds to every request, and accepts a new connection for each.
+/// Responds to every request, each of which arrives on a new connection.
 async fn respond_to_all(listener: &TcpListener) {
     let mut open = Vec::new();
     loop {
@@ -336,7 +336,7 @@
     }
 }
 
-/// Sends this many requests, one after the other, which are all served.
+/// Sends this many requests one after the other, all of which must be served.
 async fn exchange_requests(client: &mut Client, count: usize) {
     for _ in 0..count {
         let response = client.exchange(&request("free", "", "")).await;
@@ -344,8 +344,7 @@
     }
 }
 
-/// The request is late, and a hedged request is due: the client disconnects before that, in the
-/// same turn.
+/// A hedged request becomes due in the turn in which the proxy learns of its client's disconnect.
 #[test]
 fn no_hedged_request_is_sent_after_its_client_disconnects() {
     const OBJECTIVE: Duration = Duration::from_secs(1);
@@ -365,8 +364,7 @@
                 .await;
                 let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
                 let crowd = connect_crowd(&proxy).await;
-                // Responses give the typical latency, and the credit that a hedged request is
-                // paid from.
+                // The responses set the typical latency and earn the credit for a hedged request.
                 let mut before = proxy.client().await;
                 tokio::select! {
                     () = respond_to_all(one) => {}
--- a/proxy/tests/common/paused_proxy.rs
+++ b/proxy/tests/common/paused_proxy.rs
@@ -16,8 +16,8 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Time that applying a change may take beyond the time at which it counts as notified. It is a
-/// part of the drain grace, and includes the steps in which the test advances the clock.
+/// Time that applying a change may take after it counts as notified. It is a part of the drain
+/// grace, and includes the steps in which the test advances the clock.
 pub(crate) const MARGIN: Duration = Duration::from_millis(200);
 
 /// The response to a watch request, with a full list in which this endpoint is draining.
--- a/proxy/tests/discovery.rs
+++ b/proxy/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as a watch delivers it.
+//! How the proxy opens watches of the endpoint list, and replaces those that fail.
 
 mod common;
 
@@ -22,7 +22,7 @@
             discovery.watch_requests.borrow().len() == 1
         })
         .await;
-        // In two pieces and with an empty line before it, as a watch may deliver it.
+        // A watch may deliver a list in several chunks, with empty lines before it.
         let line = list(42, true, &[entry("s-9", endpoint.address, "Ready")]);
         let (first, second) = line.split_at(20);
         discovery.push(&chunk("")).await;
@@ -38,8 +38,8 @@
     });
 }
 
-/// A watch that ends, is rejected, or delivers what can't be parsed has failed; the next one
-/// begins at the version of the current list.
+/// A watch that ends, is rejected or delivers a list that can't be parsed has failed. The next one
+/// asks for changes since the version of the current list.
 #[test]
 fn a_watch_that_fails_is_reopened_from_the_current_version() {
     run_test(async {
@@ -68,7 +68,7 @@
         ])
         .await;
         let proxy = Proxy::start_with(&discovery, &[], WITHOUT_ENDPOINTS).await;
-        wait_until("six watches", || {
+        wait_until("six watches were requested", || {
             discovery.watch_requests.borrow().len() == 6
         })
         .await;
@@ -95,9 +95,9 @@
     });
 }
 
-/// A watch whose machine has vanished stays silent: without heartbeats it has failed. A change
-/// that it misses counts as notified 6 s after it fell silent, and the next watch has to deliver
-/// it by then, also where two requests for it fail.
+/// A watch whose server has vanished stays silent, and has failed when heartbeats are missing. A
+/// change that it misses counts as notified 6 s after it fell silent. The next watch must deliver
+/// the change by then, even if two requests for a watch fail before.
 #[test]
 fn a_silent_watch_is_replaced_in_time() {
     run_test(async {
@@ -114,7 +114,7 @@
             .map(|(mode, begun)| spawn_local(silent_watch_is_replaced(mode, begun)))
             .collect();
         for case in cases {
-            case.await.expect("replaced in time");
+            case.await.expect("the case failed");
         }
     });
 }
@@ -133,12 +133,12 @@
         config["settings"]["discovery"] = mode.into();
     })
     .await;
-    wait_until("the first watch", || {
+    wait_until("the first watch is requested", || {
         discovery.watch_requests.borrow().len() == 1
     })
     .await;
     let silent = Instant::now();
-    wait_until("the fourth watch", || {
+    wait_until("the fourth watch is requested", || {
         discovery.watch_requests.borrow().len() == 4
     })
     .await;
@@ -148,7 +148,7 @@
     );
 }
 
-/// A proxy of a pushed list with a drain grace of 2 s and one endpoint.
+/// Starts a proxy in push mode with a drain grace of 2 s and one endpoint.
 async fn start_with_pushed_list(discovery: &TestDiscovery, endpoint: &TestEndpoint) -> Proxy {
     Proxy::start_with(discovery, from_ref(endpoint), |config| {
         config["settings"]["discovery"] = "push".into();
@@ -157,9 +157,9 @@
     .await
 }
 
-/// What the agent has counts as notified whether or not a watch is open: one that was reset is
-/// reopened at once, and retried while the agent is unreachable, each time in less than the drain
-/// grace.
+/// In push mode a change counts as notified when the agent has it, whether or not a watch is open.
+/// A watch that was reset is reopened at once, and retried while the agent is unreachable, each
+/// time in less than the drain grace.
 #[test]
 fn a_watch_of_a_pushed_list_is_reopened_within_the_drain_grace() {
     run_test(async {
@@ -182,11 +182,15 @@
         );
         let reset = Instant::now();
         discovery.reset();
-        wait_until("its idle connection is closed", || {
-            endpoint.open_connections.get() == 0
-        })
+        wait_until(
+            "the idle connection to the draining endpoint is closed",
+            || endpoint.open_connections.get() == 0,
+        )
         .await;
-        assert!(reset.elapsed() < Duration::from_millis(500), "at once");
+        assert!(
+            reset.elapsed() < Duration::from_millis(500),
+            "the watch must be reopened at once"
+        );
 
         let draining = list(42, true, &[entry("s-0", endpoint.address, "Terminating")]);
         let responses = [
@@ -199,21 +203,21 @@
         let _proxy = start_with_pushed_list(&discovery, &endpoint).await;
         let mut last = Instant::now();
         for number in 1..=4 {
-            wait_until("one more request", || {
+            wait_until("the next watch is requested", || {
                 discovery.watch_requests.borrow().len() == number
             })
             .await;
             assert!(
                 last.elapsed() < Duration::from_millis(1_200),
-                "request {number}"
+                "request {number} for a watch came too late"
             );
             last = Instant::now();
         }
     });
 }
 
-/// A watch that ends as soon as it is open, or delivers what is no list, is not reopened without a
-/// delay (0.1 s here).
+/// A watch that ends as soon as it is open, or delivers something other than a list, is reopened
+/// only after a delay (0.1 s here).
 #[test]
 fn a_watch_that_ends_at_once_is_reopened_with_a_delay() {
     run_test(async {
@@ -225,7 +229,7 @@
             let endpoint = TestEndpoint::start([ok("served")]).await;
             let start = Instant::now();
             let _proxy = start_with_pushed_list(&discovery, &endpoint).await;
-            wait_until("five requests", || {
+            wait_until("five watches were requested", || {
                 discovery.watch_requests.borrow().len() >= 5
             })
             .await;
@@ -234,7 +238,7 @@
     });
 }
 
-/// Where lists are pushed the balancer never polls: the proxy watches its agent all the same.
+/// In push mode the balancer never polls; the proxy must still watch its agent.
 #[test]
 fn a_pushed_list_is_watched_too() {
     run_test(async {
--- a/proxy/tests/endpoint_connections.rs
+++ b/proxy/tests/endpoint_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: reused, closed, withdrawn.
+//! How connections to endpoints are opened, reused and closed.
 
 mod common;
 
@@ -6,8 +6,9 @@
 use std::slice::from_ref;
 use std::time::{Duration, Instant};
 
-/// A connection costs an endpoint many times a request's overhead. It must be idle again before
-/// the outcome is reported: else the request that the outcome admits opens another.
+/// Opening a connection costs an endpoint many times the overhead of a request. A connection must
+/// be idle again before the outcome of its request is reported: otherwise the request that this
+/// outcome admits opens another one.
 #[test]
 fn sequential_requests_share_one_connection() {
     run_test(async {
@@ -21,8 +22,8 @@
     });
 }
 
-/// That the endpoint has closed an idle connection is no failure of the next request: nothing is
-/// written on it.
+/// An endpoint that has closed an idle connection must not make the next request fail: nothing is
+/// written on that connection.
 #[test]
 fn a_connection_closed_by_its_endpoint_is_not_reused() {
     run_test(async {
@@ -46,7 +47,7 @@
 }
 
 /// An endpoint may close an idle connection just as a request is written to it. An idempotent
-/// request is retried at once, at the same endpoint, which is not at fault.
+/// request is then retried at once at the same endpoint, which is not at fault.
 #[test]
 fn a_reused_connection_that_breaks_does_not_eject_its_endpoint() {
     run_test(async {
@@ -73,8 +74,8 @@
     });
 }
 
-/// More bytes than belong to a response make its connection useless; a later request must not get
-/// them.
+/// A connection on which more bytes arrive than belong to the response can't be reused: a later
+/// request must not get these bytes.
 #[test]
 fn bytes_behind_a_response_are_discarded() {
     run_test(async {
@@ -98,8 +99,8 @@
     });
 }
 
-/// A second response may arrive some milliseconds behind the first: until then the connection
-/// carries no other request, which would get it.
+/// An endpoint may send a second response some milliseconds after the first one. The connection is
+/// not reused before that, as the next request would get the second response.
 #[test]
 fn a_connection_settles_before_its_next_request() {
     run_test(async {
@@ -107,18 +108,17 @@
         let proxy = Proxy::start(from_ref(&endpoint)).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
-        let mut connection =
-            MessageReader::new(listener.accept().await.expect("the proxy connects").0);
-        connection.message().await.expect("a request");
+        let mut connection = MessageReader::new(listener.accept().await.expect("accept failed").0);
+        connection.message().await.expect("no request");
         let first = ok_response("first");
         let responded = Instant::now();
         connection.send(&first).await;
-        assert_eq!(client.message().await.expect("a response").body, b"first");
+        assert_eq!(client.message().await.expect("no response").body, b"first");
         client.send(&request("unsafe", "", "")).await;
         connection
             .message()
             .await
-            .expect("the next request on the same connection");
+            .expect("no second request on the same connection");
         assert!(responded.elapsed() >= Duration::from_millis(10));
     });
 }
@@ -144,8 +144,8 @@
     });
 }
 
-/// Idle connections are closed before the endpoint closes them: a request that crosses the
-/// endpoint's close is lost.
+/// The proxy closes an idle connection before its endpoint does: a request that is written while
+/// the endpoint closes the connection is lost.
 #[test]
 fn an_idle_connection_is_closed_before_its_endpoint_closes_it() {
     run_test(async {
@@ -167,12 +167,15 @@
                 .status(),
             200
         );
-        wait_until("it is closed", || endpoint.open_connections.get() == 0).await;
+        wait_until("the idle connection is closed", || {
+            endpoint.open_connections.get() == 0
+        })
+        .await;
     });
 }
 
-/// Nor is one reused that is past its idle timeout and not yet closed: a periodic check would
-/// leave a gap.
+/// A connection past its idle timeout is not reused even if it is still open: closing expired
+/// connections by a periodic check alone would leave a gap.
 #[test]
 fn a_connection_past_its_idle_timeout_is_not_reused() {
     run_test(async {
@@ -196,8 +199,8 @@
     });
 }
 
-/// A connection that does not open in time proves that the request never ran: it may go to another
-/// endpoint.
+/// A connection that does not open in time proves that the request never ran, so even a
+/// non-idempotent request may go to another endpoint.
 #[test]
 fn the_time_to_open_a_connection_is_bounded() {
     run_test(async {
@@ -222,8 +225,8 @@
     });
 }
 
-/// The limit on sockets applies to endpoints too: a request beyond it ends, and no descriptor is
-/// opened for it.
+/// The limit on sockets applies to connections to endpoints too: a request at the limit is still
+/// answered, and no descriptor beyond the limit is opened for it.
 #[test]
 fn connections_to_endpoints_stay_under_the_limit() {
     run_test(async {
@@ -251,7 +254,7 @@
                 .sum();
             assert!(
                 open <= 13,
-                "{open}: 12, and one whose close has not arrived"
+                "{open} connections are open; at most 12 may be, and one whose close has not arrived"
             );
         }
     });
--- a/proxy/tests/endpoint_ids.rs
+++ b/proxy/tests/endpoint_ids.rs
@@ -1,4 +1,4 @@
-//! Ids of endpoints: the ring that all proxies share is in their order.
+//! Endpoint ids, by which the ring that all proxies share is ordered.
 
 use balancer::EndpointId;
 use client_proxy::control::endpoint_ids::EndpointIds;
@@ -21,12 +21,12 @@
     assert_eq!(forward, backward);
     assert!(
         forward.windows(2).all(|pair| pair[0].0 != pair[1].0),
-        "ids are unique"
+        "ids must be unique"
     );
 }
 
-/// Endpoints that join together are warming up together: side by side on the ring, the requests
-/// meant for them would all go to the few endpoints behind them.
+/// Endpoints that join together are in slow start together. If they were neighbours on the ring,
+/// the requests meant for them would all go to the few endpoints that follow them.
 #[test]
 fn endpoints_that_join_together_are_spread_over_the_ring() {
     let has_joined = |number: u32| number >= 100;
@@ -34,10 +34,13 @@
     ring.sort();
     let is_new: Vec<bool> = ring
         .iter()
-        .map(|(_, name)| has_joined(name[2..].parse().expect("a number")))
+        .map(|(_, name)| has_joined(name[2..].parse().expect("not a number")))
         .collect();
     let longest = is_new.chunk_by(|a, b| a == b).map(<[bool]>::len).max();
-    assert!(longest < Some(16), "{longest:?} of 100");
+    assert!(
+        longest < Some(16),
+        "{longest:?} endpoints in a row are all new or all old"
+    );
 }
 
 #[test]
--- a/proxy/tests/endpoint_list_propagation.rs
+++ b/proxy/tests/endpoint_list_propagation.rs
@@ -1,6 +1,6 @@
-//! A change of the endpoint list counts as notified 6 s after discovery had it and could be
-//! reached, and where lists are pushed as soon as the agent has it.
-//! Here every wait on the way is added up, in time that only the test advances.
+//! How long a change of the endpoint list takes to be applied, with every wait on the way added up,
+//! on a clock that only the test advances. A change counts as notified 6 s after discovery had it
+//! and was reachable, and in push mode as soon as the agent on the same machine has it.
 
 mod common;
 
@@ -13,7 +13,8 @@
 use tokio::net::TcpStream;
 use tokio::time::advance;
 
-/// The watch is silent from the beginning, or is reset soon or later.
+/// The watch is silent from the beginning, or is reset after a short or a longer time; requests for
+/// the next one may fail first.
 #[test]
 fn a_change_that_a_lost_polled_watch_missed_is_applied_in_time() {
     let ends = [None, Some(500 * MS), Some(1_500 * MS)];
@@ -31,21 +32,23 @@
                     .chain([notify_draining(&endpoint)]);
                 let discovery = ScriptedDiscovery::start(script).await;
                 let proxy = PausedProxy::start("ask", balancer_count, &discovery, endpoint).await;
-                wait_without_time("the watch", || discovery.request_count.get() == 1).await;
+                wait_without_time("the watch is open", || discovery.request_count.get() == 1).await;
                 if let Some(after) = reset {
                     advance(after).await;
                     settle().await;
                     discovery.reset();
                 }
-                let elapsed = proxy.until_draining("the drain").await;
+                let elapsed = proxy
+                    .until_draining("the proxy applies the draining state")
+                    .await;
                 assert!(elapsed <= 6_000 * MS + MARGIN, "{elapsed:?}: {name}");
             });
         }
     }
 }
 
-/// Discovery was unreachable for so long that all backoffs have grown: the time counts from its
-/// return, or from the beginning of a request that is abandoned.
+/// Discovery is unreachable or sends no responses for so long that all backoffs have grown. The
+/// time counts from its return, or from the start of the last request that gets no response.
 #[test]
 fn a_change_is_applied_in_time_once_a_polled_discovery_is_reachable_again() {
     for balancer_count in [5, 300] {
@@ -60,8 +63,13 @@
                 ])
                 .await;
                 let proxy = PausedProxy::start("ask", balancer_count, &discovery, endpoint).await;
-                proxy.until_draining("the drain").await;
-                let reachable_since = discovery.reachable_since.get().expect("it was unreachable");
+                proxy
+                    .until_draining("the proxy applies the draining state")
+                    .await;
+                let reachable_since = discovery
+                    .reachable_since
+                    .get()
+                    .expect("discovery was never unreachable");
                 let elapsed = reachable_since.elapsed();
                 assert!(
                     elapsed <= 6_000 * MS + MARGIN,
@@ -78,11 +86,14 @@
                     .chain([notify_draining(&endpoint)]);
                 let discovery = ScriptedDiscovery::start(script).await;
                 let proxy = PausedProxy::start("ask", balancer_count, &discovery, endpoint).await;
-                advance_until("the last request without a response", || {
-                    discovery.request_count.get() > silent
-                })
+                advance_until(
+                    "discovery has the last request that gets no response",
+                    || discovery.request_count.get() > silent,
+                )
                 .await;
-                let elapsed = proxy.until_draining("the drain").await;
+                let elapsed = proxy
+                    .until_draining("the proxy applies the draining state")
+                    .await;
                 assert!(
                     elapsed <= 6_000 * MS + MARGIN,
                     "{elapsed:?} after {silent} requests without a response, {balancer_count} balancers"
@@ -92,11 +103,12 @@
     }
 }
 
-/// Until when a change that the agent has is applied: the drain grace of 0.4 s and its slack of
+/// Time limit for applying a change that the agent has: the drain grace of 0.4 s and its slack of
 /// 50 ms.
 const DRAIN_GRACE: Duration = Duration::from_millis(450);
 
-/// The pushed watch is reset, and requests for the next one fail in this way before one succeeds.
+/// In push mode the watch is reset, and requests for the next one fail in this way before one
+/// succeeds.
 async fn assert_applied_within_the_grace(path: Vec<WatchResponse>) {
     let name = format!("{path:?}");
     let endpoint = TestEndpoint::start([ok("served")]).await;
@@ -110,15 +122,18 @@
         .chain([notify_draining(&endpoint)]);
     let discovery = ScriptedDiscovery::start(script).await;
     let proxy = PausedProxy::start("push", 5, &discovery, endpoint).await;
-    wait_without_time("the watch", || discovery.request_count.get() == 1).await;
+    wait_without_time("the watch is open", || discovery.request_count.get() == 1).await;
     advance(Duration::from_secs(1)).await;
     settle().await;
     discovery.reset();
-    advance_until("the last that fails", || {
-        is_unreachable || discovery.request_count.get() > count
-    })
+    advance_until(
+        "discovery has the last request that fails, or was unreachable",
+        || is_unreachable || discovery.request_count.get() > count,
+    )
     .await;
-    let elapsed = proxy.until_draining("the drain").await;
+    let elapsed = proxy
+        .until_draining("the proxy applies the draining state")
+        .await;
     let elapsed = discovery
         .reachable_since
         .get()
@@ -126,8 +141,8 @@
     assert!(elapsed <= DRAIN_GRACE, "{elapsed:?}: {name}");
 }
 
-/// The pushed watch is silent from the beginning, and requests for the next one fail in this way
-/// before one succeeds.
+/// In push mode the watch is silent from the beginning, and requests for the next one fail in this
+/// way before one succeeds.
 async fn assert_applied_after_a_silent_watch(path: Vec<WatchResponse>) {
     let name = format!("{path:?}");
     let endpoint = TestEndpoint::start([ok("served")]).await;
@@ -137,15 +152,17 @@
         .chain([notify_draining(&endpoint)]);
     let discovery = ScriptedDiscovery::start(script).await;
     let proxy = PausedProxy::start("push", 5, &discovery, endpoint).await;
-    let elapsed = proxy.until_draining("the drain").await;
+    let elapsed = proxy
+        .until_draining("the proxy applies the draining state")
+        .await;
     assert!(
         elapsed <= 6_000 * MS + MARGIN,
-        "silent for {elapsed:?}: {name}"
+        "applied {elapsed:?} after the watch fell silent: {name}"
     );
 }
 
-/// Whatever happened to the request before, what the agent has counts as notified at once: the
-/// bound is the drain grace and its slack.
+/// Whatever happened to earlier requests, a change counts as notified as soon as the agent has it:
+/// it is applied within the drain grace and its slack.
 #[test]
 fn a_change_that_the_agent_has_is_applied_within_the_drain_grace() {
     let fails = [
@@ -164,9 +181,9 @@
     }
 }
 
-/// A new process serves by the list in its configuration, which may be old, while its agent sends
-/// nothing, accepts no connections or rejects requests. What the agent has when it responds counts
-/// as notified at once.
+/// A new process uses the list in its configuration, which may be outdated, while its agent sends
+/// nothing, accepts no connections or rejects requests. The list that the agent has when it
+/// responds counts as notified at once.
 #[test]
 fn a_new_process_serves_by_its_configured_list_until_its_agent_responds() {
     let absent = [
@@ -184,27 +201,34 @@
             let old = TestEndpoint::start([ok("old")]).await;
             let new = TestEndpoint::start([ok("new")]).await;
             let count = path.len();
-            // It omits the old endpoint: that is removed, though it still responds.
+            // The full list omits the old endpoint, which is thereby removed although it still
+            // responds.
             let full = list(42, true, &[entry("s-1", new.address, "Ready")]);
             let script = path
                 .into_iter()
                 .chain([Respond(format!("{WATCH_HEAD}{}", chunk(&full)))]);
             let discovery = ScriptedDiscovery::start(script).await;
-            // The start sends a request by the configured list.
+            // `start` sends one request, which goes to the endpoint in the configured list.
             let proxy = PausedProxy::start("push", 5, &discovery, old.clone()).await;
-            advance_until("the last that fails", || {
-                is_unreachable || discovery.request_count.get() >= count
-            })
+            advance_until(
+                "discovery has the last request that fails, or was unreachable",
+                || is_unreachable || discovery.request_count.get() >= count,
+            )
             .await;
             assert_eq!(old.request_count(), 1, "{name}");
-            let elapsed = proxy.until_draining("the removed endpoint").await;
+            let elapsed = proxy
+                .until_draining("the proxy applies the removal of the endpoint")
+                .await;
             let elapsed = discovery
                 .reachable_since
                 .get()
                 .map_or(elapsed, |reachable_since| reachable_since.elapsed());
             assert!(elapsed <= DRAIN_GRACE, "{elapsed:?}: {name}");
-            let mut client =
-                MessageReader::new(TcpStream::connect(proxy.address).await.expect("it listens"));
+            let mut client = MessageReader::new(
+                TcpStream::connect(proxy.address)
+                    .await
+                    .expect("cannot connect to the proxy"),
+            );
             assert_eq!(
                 client.exchange(&request("unsafe", "", "")).await.body,
                 b"new",
@@ -213,7 +237,7 @@
             assert_eq!(
                 (old.request_count(), old.opened_connections.get()),
                 (1, 1),
-                "the old endpoint gets nothing more: {name}"
+                "the old endpoint must get no more requests: {name}"
             );
         });
     }
--- a/proxy/tests/endpoint_list_updates.rs
+++ b/proxy/tests/endpoint_list_updates.rs
@@ -1,4 +1,4 @@
-//! What a new endpoint list changes.
+//! How the proxy applies a new endpoint list.
 
 mod common;
 
@@ -8,14 +8,14 @@
 const WITHOUT_ENDPOINTS: fn(&mut serde_json::Value) =
     |config| config["known"]["hosts"] = serde_json::json!([]);
 
-/// Lists may be indented, over several lines.
+/// The JSON of a list may be indented and span several lines.
 #[test]
 fn an_indented_list_is_parsed() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let flat = list(42, true, &[entry("s-9", endpoint.address, "Ready")]);
-        let value: serde_json::Value = serde_json::from_str(&flat).expect("an object");
-        let indented = serde_json::to_string_pretty(&value).expect("text");
+        let value: serde_json::Value = serde_json::from_str(&flat).expect("the list is not JSON");
+        let indented = serde_json::to_string_pretty(&value).expect("cannot serialize the list");
         let discovery = TestDiscovery::without_updates().await;
         let proxy = Proxy::start_with(&discovery, &[], WITHOUT_ENDPOINTS).await;
         wait_until("the watch is open", || {
@@ -33,8 +33,8 @@
     });
 }
 
-/// A removed endpoint gets nothing more, and idle connections to it are closed; an endpoint at its
-/// address under another name is another endpoint.
+/// A removed endpoint gets no more requests, and idle connections to it are closed. An endpoint at
+/// the same address under another name is another endpoint.
 #[test]
 fn a_removed_endpoint_gets_no_requests() {
     run_test(async {
@@ -54,7 +54,7 @@
             entry("s-1", new.address, "Ready"),
         ];
         discovery.push(&chunk(&list(42, false, &endpoints))).await;
-        wait_until("its idle connection is closed", || {
+        wait_until("the idle connection to the endpoint is closed", || {
             old.open_connections.get() == 0
         })
         .await;
@@ -71,7 +71,7 @@
                 &[entry("s-2", old.address, "Ready")],
             )))
             .await;
-        wait_until("a full list replaces the one before", || {
+        wait_until("the full list has replaced the previous one", || {
             new.open_connections.get() == 0
         })
         .await;
@@ -82,8 +82,8 @@
     });
 }
 
-/// A draining endpoint that becomes ready again gets requests again, also where one list has both
-/// of its states.
+/// A draining endpoint that becomes ready again gets requests again. If one list has both states of
+/// an endpoint, the last one applies.
 #[test]
 fn an_endpoint_that_is_ready_again_gets_requests_again() {
     run_test(async {
@@ -101,7 +101,7 @@
                 .map(|state| entry("s-0", endpoint.address, state))
                 .collect()
         };
-        let drained = "its idle connection is closed";
+        let drained = "the idle connection to the endpoint is closed";
         assert_eq!(
             client.exchange(&request("unsafe", "", "")).await.status(),
             200
@@ -139,7 +139,8 @@
     });
 }
 
-/// Lists of proxies and endpoints are as long as the fleet is large.
+/// The lists of proxies and endpoints are as long as the fleet is large, and must not be limited to
+/// fewer than 2,000 entries.
 #[test]
 fn two_thousand_proxies_and_endpoints_are_no_limit() {
     run_test(async {
@@ -170,7 +171,7 @@
                 200
             );
         }
-        // All but the last are removed at once.
+        // The list removes all endpoints but the last at once.
         let removed: Vec<_> = (0..1_999)
             .map(|number| entry(&format!("s-{number}"), endpoint.address, "Gone"))
             .collect();
--- a/proxy/tests/invalid_requests.rs
+++ b/proxy/tests/invalid_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that are invalid: how they are rejected.
+//! How invalid requests are rejected.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use std::slice::from_ref;
 use tokio::io::AsyncWriteExt;
 
-/// A request, and the status of the response to it.
+/// A request, and the expected status of the response to it.
 type Rejection = (String, u16);
 
 /// Requests with an invalid id, class or deadline.
@@ -14,7 +14,7 @@
     let id = good
         .split("\r\n")
         .find(|line| line.starts_with("X-Call-Id"))
-        .expect("an id");
+        .expect("no X-Call-Id header");
     vec![
         (good.replace("X-Call-Id", "X-Other"), 400),
         (good.replace(id, "X-Call-Id: "), 400),
@@ -46,8 +46,8 @@
     ]
 }
 
-/// Requests with an invalid framing. Whatever it says, the second request must not be read, nor
-/// forwarded in the first's body.
+/// Requests with invalid framing. Whatever their headers say, the second request must neither be
+/// read nor be forwarded in the body of the first.
 fn requests_with_invalid_framing(post: &str) -> Vec<Rejection> {
     let smuggled = format!("0\r\n\r\n{}", request("unsafe", "", ""));
     let chunked = "Transfer-Encoding: chunked\r\n";
@@ -81,14 +81,14 @@
     ]
 }
 
-/// The request is rejected with this status, and its connection is closed.
+/// Asserts that the request is rejected with this status and its connection is closed.
 async fn assert_rejected(proxy: &Proxy, text: String, status: u16) {
     let mut client = proxy.client().await;
     let text = text + &request("unsafe", "", "");
-    // The proxy reads the rest only for a while: the end of a large request may find the
-    // connection closed.
+    // The proxy discards the rest of a rejected request only for a limited time, so the connection
+    // may be closed before the end of a large request is written.
     let _ = client.stream.write_all(text.as_bytes()).await;
-    let response = client.message().await.expect("a response");
+    let response = client.message().await.expect("no response");
     assert_eq!(
         response.status(),
         status,
@@ -101,7 +101,10 @@
         "{}",
         &text[..text.len().min(300)]
     );
-    assert!(client.message().await.is_none(), "what follows is not read");
+    assert!(
+        client.message().await.is_none(),
+        "the request that follows must not be read"
+    );
 }
 
 /// An invalid request must end at once and reach neither the balancer nor an endpoint.
--- a/proxy/tests/races.rs
+++ b/proxy/tests/races.rs
@@ -1,4 +1,5 @@
-//! Events on both sides at once: each order is forced by endpoints that the test plays.
+//! Events that happen at once on the client's and on the endpoint's side. The test acts as the
+//! endpoint and thereby forces the order of the events.
 
 mod common;
 
@@ -20,15 +21,16 @@
     });
 }
 
-/// How requests ended, over all classes: completed, rejected, failed. None is pending.
+/// Numbers of completed, rejected and failed requests over all classes. Asserts that none is
+/// pending.
 async fn ends_of_all_requests(proxy: &Proxy) -> [u64; 3] {
-    let admin = proxy.admin.expect("an address for operators");
+    let admin = proxy.admin.expect("no address for operators");
     assert_eq!(metrics(admin).await["pending"], 0);
     request_ends(admin).await
 }
 
-/// A proxy, a client whose request is in flight, and the listener and the connection of the
-/// endpoint that has it.
+/// Starts a proxy and a client whose request is in flight. Returns them with the listener of the
+/// endpoint and its connection on which the request was read.
 async fn request_in_flight(text: &str) -> (Proxy, Client, TcpListener, Client) {
     let (endpoint, listener) = manual_endpoint().await;
     let proxy = Proxy::start_with(
@@ -40,33 +42,29 @@
     let mut client = proxy.client().await;
     client.send(text).await;
     let mut endpoint = accept(&listener).await;
-    endpoint.message().await.expect("a request");
+    endpoint.message().await.expect("no request");
     (proxy, client, listener, endpoint)
 }
 
-/// The response and its deadline are there before the proxy checks for either: the response is
-/// forwarded or completely dropped. Its client gets one final response, one that does not make a
-/// non-idempotent request look as if it had not run, and the next request on the same connection
-/// gets its own.
+/// The response has arrived and its deadline has passed before the proxy checks for either. The
+/// response must be forwarded or dropped completely: the client gets one final response, which must
+/// not make a non-idempotent request look as if it had not run, and the next request on the same
+/// connection gets its own response.
 #[test]
 fn a_response_in_the_instant_of_its_deadline_is_forwarded_or_dropped() {
     for (class, abandoned) in [("unsafe", 502), ("keyed", 502), ("free", 503)] {
         run_test(async {
             let text = request(class, "", "").replace("8000", "500");
             let (proxy, mut client, listener, endpoint) = request_in_flight(&text).await;
-            endpoint
-                .stream
-                .writable()
-                .await
-                .expect("it can be written to");
-            // Not a wait: this keeps the proxy, on the same thread, from its turn until both are
-            // there.
+            endpoint.stream.writable().await.expect("not writable");
+            // Blocks the thread, so that the proxy, which runs on the same thread, does not run
+            // until the deadline has passed and the response is written.
             std::thread::sleep(Duration::from_millis(510));
             let late = ok_response("late");
             write_once_writable(&endpoint, &late).await;
             keep_responding(endpoint);
             let others = TestEndpoint::on_listener(listener, [ok("next")]);
-            let response = client.message().await.expect("a response");
+            let response = client.message().await.expect("no response");
             let is_forwarded = response.status() == 200 && response.body == b"late";
             assert!(
                 is_forwarded || response.status() == abandoned,
@@ -83,17 +81,17 @@
                 2,
                 "{class}"
             );
-            let metrics = metrics(proxy.admin.expect("an address for operators")).await;
+            let metrics = metrics(proxy.admin.expect("no address for operators")).await;
             assert_eq!(
                 metrics["upstream_requests"], 2,
-                "{class}: nothing is retried"
+                "{class}: the request must not be retried"
             );
         });
     }
 }
 
-/// The response arrives as its client disconnects: the request ends once, nothing is retried, its
-/// id is free again, and no other request gets what remains of the response.
+/// The response arrives as its client disconnects. The request ends once and is not retried, its id
+/// is free again, and no other request gets the remaining bytes of the response.
 #[test]
 fn a_response_that_crosses_its_clients_disconnect_is_discarded() {
     for class in ["free", "keyed", "unsafe"] {
@@ -105,7 +103,7 @@
             drop(client);
             keep_responding(endpoint);
             let others = TestEndpoint::on_listener(listener, [ok("next")]);
-            // Until the proxy has seen the disconnect, the id is in use.
+            // The id is in use until the proxy has noticed the disconnect.
             let mut client = proxy.client().await;
             let response = loop {
                 match client.exchange(&text).await {
@@ -124,8 +122,9 @@
     }
 }
 
-/// A connection may open late, after most of its client's time: the request is sent then, once,
-/// and advertises what remains of that time when it is written, not when its endpoint was chosen.
+/// A connection may open late, after most of the client's timeout. The request is sent only then,
+/// once, and advertises the time that remains when it is written, not when its endpoint was
+/// selected.
 #[test]
 fn a_request_on_a_late_connection_advertises_the_remaining_time() {
     run_test(async {
@@ -145,7 +144,8 @@
             proxy.client().await.exchange(HEALTH_REQUEST).await.status(),
             200
         );
-        // From here on connections open: this one when the system retries it, a second later.
+        // From now on connections open; this one opens when the kernel sends its SYN again, a
+        // second later.
         let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
         drop(full);
         wait_until("the endpoint has the request", || {
@@ -154,22 +154,22 @@
         .await;
         assert!(
             sent_at.elapsed() > Duration::from_millis(600),
-            "it opened late"
+            "the connection must open late"
         );
-        assert_eq!(client.message().await.expect("a response").body, b"served");
+        assert_eq!(client.message().await.expect("no response").body, b"served");
         let advertised = endpoint.requests.borrow()[0]
             .header("x-budget-ms")
-            .map(|left| left.parse::<u64>().expect("a number"));
+            .map(|left| left.parse::<u64>().expect("not a number"));
         assert!(
             advertised.is_some_and(|left| left < 7_500),
-            "{advertised:?} of 8000"
+            "advertised {advertised:?} ms of a timeout of 8000 ms"
         );
         assert_eq!(endpoint.request_count(), 1);
     });
 }
 
-/// The system must not delay small writes: at a close they would be lost with what the other side
-/// has not read.
+/// Nagle's algorithm must be off: writes that it delays would be lost if the connection is closed
+/// while the peer has bytes unread.
 #[test]
 fn every_connection_sends_small_writes_at_once() {
     run_test(async {
@@ -177,17 +177,18 @@
             request_in_flight(&request("unsafe", "", "")).await;
         for far in [&client, &endpoint] {
             let (near, far) = (
-                far.stream.peer_addr().expect("an end"),
-                far.stream.local_addr().expect("an end"),
+                far.stream.peer_addr().expect("no address"),
+                far.stream.local_addr().expect("no address"),
             );
             assert_eq!(without_delay(near, far), Some(true), "{near} to {far}");
         }
     });
 }
 
-/// Whether this process's connection between these addresses sends without Nagle's delay.
+/// Whether `TCP_NODELAY` is set on this process's connection between these addresses. `None` if
+/// there is no such connection.
 fn without_delay(near: SocketAddr, far: SocketAddr) -> Option<bool> {
-    let open = std::fs::read_dir("/proc/self/fd").expect("a list of descriptors");
+    let open = std::fs::read_dir("/proc/self/fd").expect("cannot list the descriptors");
     let open = open.filter_map(|entry| entry.ok()?.file_name().to_str()?.parse().ok());
     let ends = |socket: &SockRef<'_>| {
         let is = |end: std::io::Result<SockAddr>, address| {
@@ -196,10 +197,10 @@
         is(socket.local_addr(), near) && is(socket.peer_addr(), far)
     };
     open.into_iter().find_map(|number| {
-        // SAFETY: only its addresses and options are read; a descriptor that was closed meanwhile
-        // yields an error.
+        // SAFETY: the descriptor is borrowed only to read the socket's addresses and options; if it
+        // was closed in the meantime, reading them returns an error.
         let descriptor = unsafe { BorrowedFd::borrow_raw(number) };
         let socket = SockRef::from(&descriptor);
-        ends(&socket).then(|| socket.tcp_nodelay().expect("an option"))
+        ends(&socket).then(|| socket.tcp_nodelay().expect("cannot read TCP_NODELAY"))
     })
 }
--- a/proxy/tests/requests.rs
+++ b/proxy/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What the application gets: requests that are served, rejected or failed.
+//! How requests end for clients: served, rejected or failed.
 
 mod common;
 
@@ -43,12 +43,12 @@
         let budget: u64 = seen
             .header("x-budget-ms")
             .and_then(|v| v.parse().ok())
-            .expect("a budget");
+            .expect("no valid X-Budget-Ms");
         assert!(budget > 0 && budget < 8_000, "{budget}");
     });
 }
 
-/// Endpoints take two requests with one id for one: the second is rejected while the first is
+/// Endpoints treat two requests with the same id as one: the second is rejected while the first is
 /// open.
 #[test]
 fn a_request_with_the_id_of_an_open_request_is_rejected() {
@@ -64,13 +64,16 @@
         .await;
         assert_eq!(proxy.client().await.exchange(&text).await.status(), 409);
         endpoint.release.notify_one();
-        assert_eq!(first.message().await.expect("a response").body, b"released");
+        assert_eq!(
+            first.message().await.expect("no response").body,
+            b"released"
+        );
         assert_eq!(first.exchange(&text).await.body, b"again");
         assert_eq!(endpoint.request_count(), 2);
     });
 }
 
-/// Responses that fail, or end early.
+/// Responses that report an error, are truncated or are not HTTP.
 fn failed_responses() -> Vec<ScriptedResponse> {
     let error = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
     let not_rejected = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
@@ -85,7 +88,8 @@
     ]
 }
 
-/// Responses that may be complete or not, or are none.
+/// Responses that can't be proven complete, exceed a limit or have a status that the proxy does not
+/// forward.
 fn ambiguous_responses() -> Vec<ScriptedResponse> {
     vec![
         ScriptedResponse::WriteAndClose(
@@ -122,7 +126,8 @@
     ]
 }
 
-/// Both endpoints respond in this way: one of them gets the request, once, and it fails.
+/// Asserts that a non-idempotent request is sent to one of two endpoints, once, and fails if both
+/// respond in this way.
 async fn assert_fails_after_one_attempt(scripted: ScriptedResponse) {
     let endpoints = [
         TestEndpoint::start([scripted.clone()]).await,
@@ -170,21 +175,21 @@
         }
         assert!(
             endpoints[0].request_count() > 0,
-            "choices are random, but never all the same"
+            "random selection must have chosen the rejecting endpoint at least once"
         );
     });
 }
 
-/// A request that is abandoned is rejected at once, with a Retry-After header.
+/// A request that can't be sent to any endpoint is rejected at once, with a Retry-After header.
 #[test]
 fn a_rejection_is_sent_at_once_with_retry_after() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("")]).await;
         let closed = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
-            .expect("a port");
+            .expect("cannot bind a port");
         let unreachable = TestEndpoint {
-            address: closed.local_addr().expect("an address"),
+            address: closed.local_addr().expect("no local address"),
             ..endpoint
         };
         drop(closed);
@@ -198,7 +203,7 @@
         assert_eq!(response.status(), 503);
         assert!(
             started.elapsed().as_millis() < 7_000,
-            "not queued until its deadline"
+            "the request must not be queued until its deadline"
         );
         let retry_after = response
             .header("retry-after")
@@ -210,7 +215,7 @@
     });
 }
 
-/// A client that disconnects must not leave its attempt behind.
+/// A client that disconnects must not leave its attempt running.
 #[test]
 fn a_client_that_disconnects_ends_its_attempt() {
     run_test(async {
@@ -219,7 +224,7 @@
             &TestDiscovery::without_updates().await,
             from_ref(&endpoint),
             |config| {
-                // Otherwise the attempt would time out while the test waits.
+                // Without this the attempt would time out while the test waits.
                 config["settings"]["classes"][2]["objective_us"] = 60_000_000.into();
                 config["settings"]["classes"][2]["deadline_us"] = 60_000_000.into();
             },
@@ -241,7 +246,7 @@
     });
 }
 
-/// A timeout closes the attempt's connection and fails the request within the client's time.
+/// A timeout closes the attempt's connection and fails the request within the client's timeout.
 #[test]
 fn an_attempt_without_a_response_times_out_within_the_clients_time() {
     run_test(async {
@@ -250,7 +255,10 @@
         let started = std::time::Instant::now();
         let text = request("unsafe", "", "").replace("8000", "300");
         assert_eq!(proxy.client().await.exchange(&text).await.status(), 502);
-        assert!(started.elapsed().as_millis() >= 200, "not before its time");
+        assert!(
+            started.elapsed().as_millis() >= 200,
+            "the request must not fail before its timeout"
+        );
         wait_until("the attempt's connection closes", || {
             endpoint.open_connections.get() == 0
         })
@@ -258,8 +266,8 @@
     });
 }
 
-/// What is reserved for the way back to the client must leave a request with a short deadline
-/// nearly all of its time.
+/// The time reserved for returning the response to the client must leave a request with a short
+/// deadline nearly all of its time.
 #[test]
 fn a_request_with_a_short_deadline_gets_nearly_all_of_its_time() {
     run_test(async {
@@ -282,9 +290,9 @@
     });
 }
 
-/// An endpoint goes on with a request, whatever the proxy does: to abandon an attempt at its
-/// latency objective would waste work that no budget counts any more, and a client that retries
-/// would double it.
+/// An endpoint continues to execute a request even if the proxy abandons the attempt. Abandoning it
+/// at its latency objective would waste work that no budget counts any more, and a client that
+/// retries would double that work.
 #[test]
 fn a_response_after_the_latency_objective_is_forwarded_while_its_client_waits() {
     run_test(async {
@@ -307,9 +315,9 @@
             tokio::time::timeout(std::time::Duration::from_millis(200), client.message()).await;
         assert!(
             early.is_err(),
-            "{early:?} before the endpoint has responded"
+            "got {early:?} before the endpoint responded"
         );
         endpoint.release.notify_one();
-        assert_eq!(client.message().await.expect("a response").status(), 200);
+        assert_eq!(client.message().await.expect("no response").status(), 200);
     });
 }
--- a/proxy/tests/response_integrity.rs
+++ b/proxy/tests/response_integrity.rs
@@ -1,4 +1,4 @@
-//! Responses that never end, are truncated, or end only with their connection.
+//! Responses that never end, are truncated, or end with their connection.
 
 mod common;
 
@@ -9,9 +9,9 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// A response without a length may arrive in small pieces that never end, and its client may wait
-/// for it for ever. It is ended, and is seen as broken; one that is slow, and takes longer in all
-/// than an endpoint may be silent, is not.
+/// A response without a length may arrive in small pieces that never end, and its client would wait
+/// for ever. The proxy aborts it, and its client sees that it is truncated. A slow response is not
+/// aborted, even if it takes longer in total than an endpoint may be silent.
 #[test]
 fn an_endless_response_in_small_pieces_is_ended() {
     run_test(async {
@@ -25,26 +25,27 @@
     });
 }
 
-/// A proxy, a client that has sent a non-idempotent request, and the connection of its endpoint,
-/// which has read it.
+/// Starts a proxy and a client with a non-idempotent request. Returns them with the connection on
+/// which the endpoint has read the request.
 async fn non_idempotent_request_in_flight() -> (Proxy, Client, Client) {
     let (endpoint, listener) = manual_endpoint().await;
     let proxy = Proxy::start(from_ref(&endpoint)).await;
     let mut client = proxy.client().await;
     client.send(&request("unsafe", "", "")).await;
     let mut endpoint = accept(&listener).await;
-    endpoint.message().await.expect("a request");
+    endpoint.message().await.expect("no request");
     (proxy, client, endpoint)
 }
 
-/// What a client gets of a response that arrives in 120 pieces of this size, ten a second.
+/// What a client receives of a response that its endpoint sends in 120 chunks of this size, ten per
+/// second.
 async fn stream_in_pieces(size: usize) -> String {
     let (_proxy, mut client, mut endpoint) = non_idempotent_request_in_flight().await;
     let writing = async {
         endpoint.send(WATCH_HEAD).await;
         let piece = format!("{size:x}\r\n{}\r\n", "x".repeat(size));
         for _ in 0..120 {
-            // The other side may have stopped reading.
+            // The proxy may have stopped reading.
             if endpoint.stream.write_all(piece.as_bytes()).await.is_err() {
                 return;
             }
@@ -59,11 +60,11 @@
         {}
     };
     tokio::join!(writing, reading);
-    String::from_utf8(read).expect("text")
+    String::from_utf8(read).expect("not UTF-8")
 }
 
-/// Truncated responses: the head, a part of the body, and whether the connection is reset or
-/// closed.
+/// Truncated responses: the framing headers, the part of the body that is sent, and whether the
+/// connection is then reset or closed.
 const TRUNCATED_RESPONSES: [(&str, &str, bool); 7] = [
     ("Content-Length: 10\r\n", "half", false),
     ("Content-Length: 10\r\n", "half", true),
@@ -74,16 +75,18 @@
     ("", "half", true),
 ];
 
-/// A truncated response is none, whatever of it has arrived and however it breaks off: one without
-/// a length has no end but that of its connection, and a reset is no end. Nothing of it is
-/// forwarded; its request is retried if its class allows.
+/// A truncated response counts as none, whatever part of it has arrived and however it was cut off.
+/// A response without a length ends with its connection, but only with a close, not with a reset.
+/// Nothing of a truncated response is forwarded; its request is retried if its class allows that.
 #[test]
 fn a_truncated_response_is_not_forwarded() {
     for (framing, part, is_reset) in TRUNCATED_RESPONSES {
         for (class, status) in [("free", 200), ("keyed", 200), ("unsafe", 502)] {
             run_test(async {
-                let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-                let address = listener.local_addr().expect("an address");
+                let listener = TcpListener::bind("127.0.0.1:0")
+                    .await
+                    .expect("cannot bind a port");
+                let address = listener.local_addr().expect("no local address");
                 let (cut, good) = (
                     TestEndpoint {
                         address,
@@ -100,7 +103,7 @@
                 let mut client = proxy.client().await;
                 client.send(&request(class, "", "")).await;
                 let mut endpoint = accept(&listener).await;
-                endpoint.message().await.expect("a request");
+                endpoint.message().await.expect("no request");
                 let endpoints = [
                     entry("s-0", address, "Terminating"),
                     entry("s-1", good.address, "Ready"),
@@ -116,7 +119,7 @@
                     true => disconnect(endpoint, Disconnect::Reset),
                     false => drop(endpoint),
                 }
-                let response = client.message().await.expect("a response");
+                let response = client.message().await.expect("no response");
                 let case = format!("{framing:?}, {part:?}, {is_reset}, {class}");
                 assert_eq!(response.status(), status, "{case}");
                 assert!(
@@ -129,9 +132,9 @@
     }
 }
 
-/// A response without a length ends with its connection. A complete one is forwarded as it is,
-/// whether the class may be retried or not; the table of truncated responses has those that are
-/// reset.
+/// A response without a length is complete when its connection is closed. It is forwarded
+/// unchanged, whether or not its class may be retried. Responses cut off by a reset are in
+/// `TRUNCATED_RESPONSES`.
 #[test]
 fn a_complete_response_without_a_length_is_forwarded() {
     for (class, size) in [
@@ -150,7 +153,7 @@
             let proxy = Proxy::start(from_ref(&endpoint)).await;
             let mut client = proxy.client().await;
             client.send(&request(class, "", "")).await;
-            let response = client.response().await.expect("a complete response");
+            let response = client.response().await.expect("no complete response");
             assert_eq!(
                 (response.status(), response.body.len()),
                 (200, size),
@@ -162,8 +165,8 @@
     }
 }
 
-/// The beginning of a large response is forwarded. If it is then reset, it has no end for its
-/// client either.
+/// The beginning of a large response is forwarded before its connection is reset: the response to
+/// the client must not look complete either.
 #[test]
 fn a_large_response_without_a_length_that_is_reset_is_seen_as_broken() {
     run_test(async {
@@ -172,8 +175,15 @@
             .send(&format!("HTTP/1.1 200 OK\r\n\r\n{}", "b".repeat(100_000)))
             .await;
         let mut begun = [0; 1];
-        client.stream.peek(&mut begun).await.expect("its beginning");
+        client
+            .stream
+            .peek(&mut begun)
+            .await
+            .expect("cannot read the first byte");
         disconnect(endpoint, Disconnect::Reset);
-        assert!(client.response().await.is_none(), "it has no end");
+        assert!(
+            client.response().await.is_none(),
+            "the truncated response must not look complete"
+        );
     });
 }
