--- a/proxy/tests/bodies.rs
+++ b/proxy/tests/bodies.rs
@@ -10,7 +10,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-const LARGE: usize = 1 << 20;
+const LARGE_BYTES: usize = 1 << 20;
 
 /// An endpoint whose connections the test reads and writes itself.
 struct ManualEndpoint {
@@ -58,18 +58,18 @@
         let proxy = Proxy::start(from_ref(&manual.endpoint)).await;
         let mut client = proxy.client().await;
         client
-            .send(&upload("unsafe", LARGE).replace("8000", "300"))
+            .send(&upload("unsafe", LARGE_BYTES).replace("8000", "300"))
             .await;
-        client.send(&"a".repeat(LARGE / 2)).await;
+        client.send(&"a".repeat(LARGE_BYTES / 2)).await;
         let (mut endpoint, _) = manual.next_request().await;
         endpoint
-            .read_exact(&mut vec![0; LARGE / 2])
+            .read_exact(&mut vec![0; LARGE_BYTES / 2])
             .await
             .expect("cannot read the first half");
         // Longer than the client's timeout.
         sleep(Duration::from_millis(500)).await;
-        client.send(&"b".repeat(LARGE / 2)).await;
-        let mut rest = vec![0; LARGE / 2];
+        client.send(&"b".repeat(LARGE_BYTES / 2)).await;
+        let mut rest = vec![0; LARGE_BYTES / 2];
         endpoint
             .read_exact(&mut rest)
             .await
@@ -167,11 +167,11 @@
         let manual = ManualEndpoint::start().await;
         let proxy = Proxy::start(from_ref(&manual.endpoint)).await;
         let mut client = proxy.client().await;
-        client.send(&upload("unsafe", LARGE)).await;
-        client.send(&"a".repeat(LARGE / 2)).await;
+        client.send(&upload("unsafe", LARGE_BYTES)).await;
+        client.send(&"a".repeat(LARGE_BYTES / 2)).await;
         let mut endpoint = manual.accept().await;
         endpoint
-            .read_exact(&mut vec![0; LARGE / 4])
+            .read_exact(&mut vec![0; LARGE_BYTES / 4])
             .await
             .expect("cannot read a part of the body");
         drop(endpoint);
@@ -189,7 +189,7 @@
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
         let mut client = proxy.client().await;
-        client.send(&upload("unsafe", LARGE)).await;
+        client.send(&upload("unsafe", LARGE_BYTES)).await;
         client.send(&"a".repeat(1_000)).await;
         assert_eq!(client.message().await.expect("no response").status(), 408);
         wait_until("the connection to the endpoint is closed", || {
@@ -237,31 +237,31 @@
             .send(&request("unsafe", "", "").replace("8000", "1000"))
             .await;
         let (mut endpoint, _) = manual.next_request().await;
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n");
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE_BYTES}\r\n\r\n");
         endpoint
             .write_all(head.as_bytes())
             .await
             .expect("write failed");
         endpoint
-            .write_all(&vec![b'a'; LARGE / 2])
+            .write_all(&vec![b'a'; LARGE_BYTES / 2])
             .await
             .expect("write failed");
         read_until(&mut client.stream, "\r\n\r\n").await;
         client
             .stream
-            .read_exact(&mut vec![0; LARGE / 2])
+            .read_exact(&mut vec![0; LARGE_BYTES / 2])
             .await
             .expect("cannot read the first half");
         client.send("GET /_health HTTP/1.1\r\n").await;
         // Longer than a request may take to arrive, and longer than the client's timeout.
         sleep(Duration::from_millis(3_200)).await;
         endpoint
-            .write_all(&vec![b'b'; LARGE / 2])
+            .write_all(&vec![b'b'; LARGE_BYTES / 2])
             .await
             .expect("write failed");
         client
             .stream
-            .read_exact(&mut vec![0; LARGE / 2])
+            .read_exact(&mut vec![0; LARGE_BYTES / 2])
             .await
             .expect("cannot read the second half");
         client.send("\r\n").await;
@@ -274,7 +274,7 @@
 #[test]
 fn a_large_response_that_breaks_off_is_seen_as_broken() {
     let (length, chunked) = (
-        format!("Content-Length: {LARGE}"),
+        format!("Content-Length: {LARGE_BYTES}"),
         "Transfer-Encoding: chunked".to_owned(),
     );
     for framing in [length, chunked] {
@@ -296,7 +296,7 @@
             // The client may see a reset instead of an early end.
             let _ = client.stream.read_to_end(&mut rest).await;
             assert!(
-                rest.len() < LARGE && !rest.ends_with(b"0\r\n\r\n"),
+                rest.len() < LARGE_BYTES && !rest.ends_with(b"0\r\n\r\n"),
                 "{framing}: {}",
                 rest.len()
             );
@@ -328,9 +328,9 @@
                 count.set(count.get() + piece.len());
             }
         });
-        let mut before = usize::MAX;
-        while before != written.get() {
-            before = written.get();
+        let mut previous = usize::MAX;
+        while previous != written.get() {
+            previous = written.get();
             sleep(Duration::from_millis(200)).await;
         }
         assert!(
--- a/proxy/tests/client_disconnect.rs
+++ b/proxy/tests/client_disconnect.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 
 /// Sends two requests that are in flight until the test releases them at the endpoint.
-async fn two_in_flight(proxy: &Proxy, endpoint: &TestEndpoint) -> (Client, Client) {
+async fn start_two_requests(proxy: &Proxy, endpoint: &TestEndpoint) -> (Client, Client) {
     let (mut first, mut second) = (proxy.client().await, proxy.client().await);
     first.send(&request("free", "", "")).await;
     wait_until("the first request is in flight", || {
@@ -32,17 +32,17 @@
 /// request may be pipelined behind it.
 #[test]
 fn a_queued_request_is_not_sent_after_its_client_disconnects() {
-    for how in DISCONNECTS {
+    for kind in DISCONNECT_KINDS {
         for pipelined in ["", "GET /api HT", &request("free", "", "")] {
             run_test(async {
                 let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
                 let (proxy, admin) =
                     start_without_cancellation(from_ref(&endpoint), limit_to_two_in_flight).await;
-                let (mut first, mut second) = two_in_flight(&proxy, &endpoint).await;
+                let (mut first, mut second) = start_two_requests(&proxy, &endpoint).await;
                 let (mut client, text) = (proxy.client().await, request("keyed", "", "queued"));
                 client.send(&format!("{text}{pipelined}")).await;
                 wait_for_pending(admin, 3).await;
-                disconnect(client, how);
+                disconnect(client, kind);
                 wait_for_pending(admin, 2).await;
                 endpoint.release.notify_one();
                 endpoint.release.notify_one();
@@ -54,8 +54,8 @@
                     b"later",
                     "the id of the abandoned request must be free again"
                 );
-                assert_eq!(endpoint.request_count(), 3, "{how:?}, {pipelined}");
-                assert_eq!(request_ends(admin).await.iter().sum::<u64>(), 4);
+                assert_eq!(endpoint.request_count(), 3, "{kind:?}, {pipelined}");
+                assert_eq!(ended_requests(admin).await.iter().sum::<u64>(), 4);
             });
         }
     }
@@ -66,12 +66,12 @@
 #[test]
 fn a_request_is_not_sent_on_a_connection_that_opens_after_its_client_disconnects() {
     run_test(async {
-        let cases = DISCONNECTS
+        let cases = DISCONNECT_KINDS
             .into_iter()
-            .flat_map(|how| ["", "GET /api HT"].map(|pipelined| (how, pipelined)));
+            .flat_map(|kind| ["", "GET /api HT"].map(|pipelined| (kind, pipelined)));
         let cases: Vec<_> = cases
-            .map(|(how, pipelined)| {
-                spawn_local(client_disconnects_before_connection_opens(how, pipelined))
+            .map(|(kind, pipelined)| {
+                spawn_local(client_disconnects_before_connection_opens(kind, pipelined))
             })
             .collect();
         for case in cases {
@@ -80,31 +80,31 @@
     });
 }
 
-async fn client_disconnects_before_connection_opens(how: Disconnect, pipelined: &str) {
-    let (stuck, full, listener) = endpoint_with_full_backlog().await;
-    let (proxy, admin) = start_without_cancellation(from_ref(&stuck), |config| {
+async fn client_disconnects_before_connection_opens(kind: Disconnect, pipelined: &str) {
+    let (blocked, backlog, listener) = endpoint_with_full_backlog().await;
+    let (proxy, admin) = start_without_cancellation(from_ref(&blocked), |config| {
         config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
     })
     .await;
     let (mut client, text) = (proxy.client().await, request("unsafe", "", "the body"));
     client.send(&format!("{text}{pipelined}")).await;
     wait_for_pending(admin, 1).await;
-    disconnect(client, how);
+    disconnect(client, kind);
     wait_for_pending(admin, 0).await;
     let mut client = proxy.client().await;
     client.send(&text.replace("the body", "new body")).await;
     wait_for_pending(admin, 1).await;
     let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
-    drop(full);
+    drop(backlog);
     assert_eq!(client.message().await.expect("no response").status(), 200);
     let bodies: Vec<_> = endpoint
         .requests
         .borrow()
         .iter()
-        .map(|seen| seen.body.clone())
+        .map(|received| received.body.clone())
         .collect();
-    assert_eq!(bodies, [b"new body"], "{how:?}, {pipelined}");
-    assert_eq!(request_ends(admin).await.iter().sum::<u64>(), 2);
+    assert_eq!(bodies, [b"new body"], "{kind:?}, {pipelined}");
+    assert_eq!(ended_requests(admin).await.iter().sum::<u64>(), 2);
 }
 
 /// The client disconnects between two attempts: the first was rejected, and the endpoint is in its
@@ -112,12 +112,12 @@
 #[test]
 fn a_request_is_not_retried_after_its_client_disconnects() {
     run_test(async {
-        let cases = DISCONNECTS
+        let cases = DISCONNECT_KINDS
             .into_iter()
-            .flat_map(|how| ["", "GET /api HT"].map(|pipelined| (how, pipelined)));
+            .flat_map(|kind| ["", "GET /api HT"].map(|pipelined| (kind, pipelined)));
         let cases: Vec<_> = cases
-            .map(|(how, pipelined)| {
-                spawn_local(client_disconnects_between_attempts(how, pipelined))
+            .map(|(kind, pipelined)| {
+                spawn_local(client_disconnects_between_attempts(kind, pipelined))
             })
             .collect();
         for case in cases {
@@ -126,7 +126,7 @@
     });
 }
 
-async fn client_disconnects_between_attempts(how: Disconnect, pipelined: &str) {
+async fn client_disconnects_between_attempts(kind: Disconnect, pipelined: &str) {
     let endpoint = TestEndpoint::start([reject(), ok("served")]).await;
     let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |_| ()).await;
     let (mut client, text) = (proxy.client().await, request("unsafe", "", "the body"));
@@ -136,11 +136,11 @@
     })
     .await;
     wait_for_pending(admin, 1).await;
-    disconnect(client, how);
+    disconnect(client, kind);
     wait_for_pending(admin, 0).await;
     let text = text.replace("the body", "new body");
     assert_eq!(proxy.client().await.exchange(&text).await.status(), 200);
-    assert_eq!(endpoint.request_count(), 2, "{how:?}, {pipelined}");
+    assert_eq!(endpoint.request_count(), 2, "{kind:?}, {pipelined}");
     assert_eq!(endpoint.requests.borrow()[1].body, b"new body");
 }
 
@@ -169,7 +169,7 @@
 /// the client's disconnect arrives behind bytes that stay unread.
 #[test]
 fn no_more_of_a_body_is_sent_after_its_client_disconnects() {
-    for how in DISCONNECTS {
+    for kind in DISCONNECT_KINDS {
         run_test(async {
             let (endpoint, listener) = manual_endpoint().await;
             let (proxy, admin) = start_without_cancellation(from_ref(&endpoint), |_| ()).await;
@@ -182,20 +182,20 @@
             send_until_unread(&mut client, proxy.address).await;
             assert!(is_established(proxy_end, endpoint.address));
             let disconnected = Instant::now();
-            disconnect(client, how);
+            disconnect(client, kind);
             wait_until("the connection to the endpoint is closed", || {
                 !is_established(proxy_end, endpoint.address)
             })
             .await;
             assert!(
                 disconnected.elapsed() < Duration::from_millis(300),
-                "{how:?}"
+                "{kind:?}"
             );
             // The request did not arrive completely, so it is not counted.
             assert_eq!(
                 (
                     metrics(admin).await["pending"].clone(),
-                    request_ends(admin).await
+                    ended_requests(admin).await
                 ),
                 (0.into(), [0; 3])
             );
@@ -216,7 +216,7 @@
 /// The request arrives completely, together with its client's disconnect.
 #[test]
 fn a_request_that_arrives_with_its_clients_end_is_not_sent() {
-    for how in DISCONNECTS {
+    for kind in DISCONNECT_KINDS {
         for pipelined in ["", "GET /api HT"] {
             run_test(async {
                 let endpoint = TestEndpoint::start([ok("served")]).await;
@@ -226,15 +226,15 @@
                     200
                 );
                 let text = request("unsafe", "", "");
-                send_and_disconnect(proxy.address, &format!("{text}{pipelined}"), how);
+                send_and_disconnect(proxy.address, &format!("{text}{pipelined}"), kind);
                 assert_eq!(proxy.client().await.exchange(&text).await.status(), 200);
-                assert_eq!(endpoint.request_count(), 1, "{how:?}, {pipelined}");
+                assert_eq!(endpoint.request_count(), 1, "{kind:?}, {pipelined}");
                 // If the proxy reads the disconnect before it admits the request, the request is
                 // not counted.
-                let [completed, rejected, failed] = request_ends(admin).await;
+                let [completed, rejected, failed] = ended_requests(admin).await;
                 assert!(
                     (completed, failed) == (1, 0) && rejected <= 1,
-                    "{how:?}, {pipelined}"
+                    "{kind:?}, {pipelined}"
                 );
                 assert_eq!(metrics(admin).await["pending"], 0);
             });
@@ -246,7 +246,7 @@
 /// connections as the proxy may have are in use.
 #[test]
 fn a_request_is_not_sent_if_its_client_disconnected_before_it_was_accepted() {
-    for how in DISCONNECTS {
+    for kind in DISCONNECT_KINDS {
         run_test(async {
             let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
             let sockets = 70;
@@ -267,7 +267,7 @@
                 wait_for_pending(admin, number as u64).await;
                 clients.push(client);
             }
-            send_and_disconnect(proxy.address, &request("unsafe", "", "the body"), how);
+            send_and_disconnect(proxy.address, &request("unsafe", "", "the body"), kind);
             let last = TcpStream::connect(proxy.address)
                 .await
                 .expect("cannot connect to the proxy");
@@ -279,19 +279,19 @@
                 .requests
                 .borrow()
                 .iter()
-                .all(|seen| seen.body.is_empty())
+                .all(|received| received.body.is_empty())
             {
                 endpoint.release.notify_one();
                 yield_now().await;
             }
             assert_eq!(last.message().await.expect("no response").status(), 200);
-            let seen = endpoint.requests.borrow();
-            let bodies: Vec<_> = seen
+            let received = endpoint.requests.borrow();
+            let bodies: Vec<_> = received
                 .iter()
-                .filter(|seen| !seen.body.is_empty())
+                .filter(|received| !received.body.is_empty())
                 .map(|s| s.body.clone())
                 .collect();
-            assert_eq!(bodies, [b"new body"], "{how:?}");
+            assert_eq!(bodies, [b"new body"], "{kind:?}");
         });
     }
 }
@@ -304,7 +304,7 @@
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
         let (proxy, admin) =
             start_without_cancellation(from_ref(&endpoint), limit_to_two_in_flight).await;
-        let _in_flight = two_in_flight(&proxy, &endpoint).await;
+        let _in_flight = start_two_requests(&proxy, &endpoint).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
         wait_for_pending(admin, 3).await;
--- a/proxy/tests/client_disconnect_under_load.rs
+++ b/proxy/tests/client_disconnect_under_load.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 
 /// Number of clients that are connected besides the one under test.
-const CROWD_SIZE: usize = 500;
+const BACKGROUND_CLIENTS: usize = 500;
 
 /// Sets the limit on sockets so high that no background client is evicted.
 fn allow_many_sockets(config: &mut Value) {
@@ -20,9 +20,9 @@
 
 /// Connects the background clients, each of which gets one response. They disconnect by resets: an
 /// orderly close would leave connections in TIME_WAIT in the kernel's table.
-async fn connect_crowd(proxy: &Proxy) -> Vec<Client> {
+async fn connect_background_clients(proxy: &Proxy) -> Vec<Client> {
     let mut clients = Vec::new();
-    for _ in 0..CROWD_SIZE {
+    for _ in 0..BACKGROUND_CLIENTS {
         let client = proxy.client().await;
         client.stream.set_zero_linger().expect("SO_LINGER not set");
         clients.push(client);
@@ -34,25 +34,25 @@
 }
 
 /// Connects the background clients if the proxy is to be busy, and none otherwise.
-async fn connect_crowd_if(busy: bool, proxy: &Proxy) -> Vec<Client> {
+async fn connect_background_clients_if(busy: bool, proxy: &Proxy) -> Vec<Client> {
     if busy {
-        connect_crowd(proxy).await
+        connect_background_clients(proxy).await
     } else {
         Vec::new()
     }
 }
 
 /// Sends a health check from every background client without yielding.
-fn request_health_on_all(crowd: &[Client]) {
-    for client in crowd {
+fn request_health_on_all(background: &[Client]) {
+    for client in background {
         write_now(client, HEALTH_REQUEST);
     }
 }
 
 /// Disconnects, and blocks the thread until the kernel has delivered that to the proxy's end.
-fn disconnect_unnoticed(client: Client, how: Disconnect, proxy: &Proxy) {
+fn disconnect_and_await_delivery(client: Client, kind: Disconnect, proxy: &Proxy) {
     let from = client.stream.local_addr().expect("no local address");
-    disconnect(client, how);
+    disconnect(client, kind);
     while is_established(proxy.address, from) {}
 }
 
@@ -67,7 +67,7 @@
 
 /// The body of the next request that reaches an endpoint, on this open connection or on a new one
 /// to either listener.
-async fn next_body(connection: &mut Client, listeners: [&TcpListener; 2]) -> Vec<u8> {
+async fn next_request_body(connection: &mut Client, listeners: [&TcpListener; 2]) -> Vec<u8> {
     tokio::select! {
         message = connection.message() => message.expect("no request").body,
         (_, body) = accept_request(listeners[0]) => body,
@@ -102,7 +102,7 @@
 async fn assert_queued_request_is_not_sent(
     head: &str,
     pipelined: &str,
-    how: Disconnect,
+    kind: Disconnect,
     busy: bool,
 ) {
     let (endpoint, listener) = manual_endpoint().await;
@@ -111,7 +111,7 @@
         allow_many_sockets(config);
     })
     .await;
-    let crowd = connect_crowd_if(busy, &proxy).await;
+    let background = connect_background_clients_if(busy, &proxy).await;
     let mut first = proxy.client().await;
     let mut second = proxy.client().await;
     write_now(&first, &request("free", "", ""));
@@ -128,20 +128,20 @@
         let health = proxy.client().await.exchange(HEALTH_REQUEST).await;
         assert_eq!(health.status(), 200);
     }
-    request_health_on_all(&crowd);
+    request_health_on_all(&background);
     for connection in [&connection, &other] {
         write_now(connection, OK_RESPONSE);
     }
-    disconnect_unnoticed(client, how, &proxy);
+    disconnect_and_await_delivery(client, kind, &proxy);
     assert_eq!(first.message().await.expect("no response").status(), 200);
     assert_eq!(second.message().await.expect("no response").status(), 200);
     first.send(&request("unsafe", "", "the next")).await;
     let next = tokio::select! {
-        next = next_body(&mut connection, [&listener, &listener]) => next,
+        next = next_request_body(&mut connection, [&listener, &listener]) => next,
         message = other.message() => message.expect("no request").body,
     };
     let shown = &pipelined[..pipelined.len().min(20)];
-    assert_eq!(next, b"the next", "{how:?}, {head}{shown}");
+    assert_eq!(next, b"the next", "{kind:?}, {head}{shown}");
     assert_eq!(upstream_requests(admin).await, 3);
 }
 
@@ -152,10 +152,10 @@
     let bodies = pipelined_bytes().map(|pipelined| (String::new(), pipelined));
     let large_bodies = [large_body(0), large_body(100 << 10)];
     for (head, pipelined) in bodies.into_iter().chain(large_bodies) {
-        for how in DISCONNECTS {
+        for kind in DISCONNECT_KINDS {
             for busy in [true, false] {
                 run_test(assert_queued_request_is_not_sent(
-                    &head, &pipelined, how, busy,
+                    &head, &pipelined, kind, busy,
                 ));
             }
         }
@@ -167,9 +167,9 @@
 #[test]
 fn a_request_is_not_retried_when_its_client_disconnects_as_it_is_rejected() {
     for pipelined in pipelined_bytes() {
-        for (how, first) in DISCONNECTS
+        for (kind, disconnects_first) in DISCONNECT_KINDS
             .into_iter()
-            .flat_map(|how| [(how, true), (how, false)])
+            .flat_map(|kind| [(kind, true), (kind, false)])
         {
             for busy in [true, false] {
                 run_test(async {
@@ -180,28 +180,28 @@
                     )
                     .await;
                     let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
-                    let crowd = connect_crowd_if(busy, &proxy).await;
+                    let background = connect_background_clients_if(busy, &proxy).await;
                     let client = proxy.client().await;
                     write_now(&client, &(request("unsafe", "", "the body") + &pipelined));
                     let (mut connection, _) = tokio::select! {
-                        taken = accept_request(one) => taken,
-                        taken = accept_request(other) => taken,
+                        accepted = accept_request(one) => accepted,
+                        accepted = accept_request(other) => accepted,
                     };
-                    request_health_on_all(&crowd);
-                    if first {
-                        disconnect_unnoticed(client, how, &proxy);
+                    request_health_on_all(&background);
+                    if disconnects_first {
+                        disconnect_and_await_delivery(client, kind, &proxy);
                         write_now(&connection, REJECTION);
                     } else {
                         write_now(&connection, REJECTION);
-                        disconnect_unnoticed(client, how, &proxy);
+                        disconnect_and_await_delivery(client, kind, &proxy);
                     }
                     wait_for_pending(admin, 0).await;
                     let mut next = proxy.client().await;
                     next.send(&request("unsafe", "", "the next")).await;
                     assert_eq!(
-                        next_body(&mut connection, [one, other]).await,
+                        next_request_body(&mut connection, [one, other]).await,
                         b"the next",
-                        "{how:?}, {pipelined}"
+                        "{kind:?}, {pipelined}"
                     );
                     assert_eq!(upstream_requests(admin).await, 2);
                 });
@@ -214,30 +214,30 @@
 /// both in the same turn.
 #[test]
 fn a_request_is_not_written_when_its_client_disconnects_before_its_connection_opens() {
-    for (how, pipelined) in DISCONNECTS
+    for (kind, pipelined) in DISCONNECT_KINDS
         .into_iter()
-        .flat_map(|how| ["", "GET /api HT"].map(|pipelined| (how, pipelined)))
+        .flat_map(|kind| ["", "GET /api HT"].map(|pipelined| (kind, pipelined)))
     {
         run_test(async {
-            let (stuck, full, listener) = endpoint_with_full_backlog().await;
-            let (proxy, admin) = start_without_cancellation(from_ref(&stuck), |config| {
+            let (blocked, backlog, listener) = endpoint_with_full_backlog().await;
+            let (proxy, admin) = start_without_cancellation(from_ref(&blocked), |config| {
                 config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
                 allow_many_sockets(config);
             })
             .await;
-            let crowd = connect_crowd(&proxy).await;
+            let background = connect_background_clients(&proxy).await;
             let client = proxy.client().await;
             write_now(&client, &(request("unsafe", "", "the body") + pipelined));
             wait_for_pending(admin, 1).await;
             let listener = listener.into_std().expect("cannot convert the listener");
-            let waiting = full.len();
-            drop(full);
+            let waiting = backlog.len();
+            drop(backlog);
             for _ in 0..waiting {
                 drop(listener.accept().expect("accept failed"));
             }
-            request_health_on_all(&crowd);
-            disconnect_unnoticed(client, how, &proxy);
-            while !has_established_connection(stuck.address) {}
+            request_health_on_all(&background);
+            disconnect_and_await_delivery(client, kind, &proxy);
+            while !has_established_connection(blocked.address) {}
             let endpoint = TestEndpoint::on_listener(
                 TcpListener::from_std(listener).expect("cannot convert the listener"),
                 [ok("served")],
@@ -250,9 +250,9 @@
                 .requests
                 .borrow()
                 .iter()
-                .map(|seen| seen.body.clone())
+                .map(|received| received.body.clone())
                 .collect();
-            assert_eq!(bodies, [b"the next"], "{how:?}, {pipelined}");
+            assert_eq!(bodies, [b"the next"], "{kind:?}, {pipelined}");
         });
     }
 }
@@ -261,29 +261,29 @@
 #[test]
 fn a_pipelined_request_is_not_sent_when_its_client_disconnects_as_the_one_before_ends() {
     for pipelined in pipelined_bytes() {
-        for (how, busy) in DISCONNECTS
+        for (kind, busy) in DISCONNECT_KINDS
             .into_iter()
-            .flat_map(|how| [(how, true), (how, false)])
+            .flat_map(|kind| [(kind, true), (kind, false)])
         {
             run_test(async {
                 let (endpoint, listener) = manual_endpoint().await;
                 let (proxy, admin) =
                     start_without_cancellation(from_ref(&endpoint), allow_many_sockets).await;
-                let crowd = connect_crowd_if(busy, &proxy).await;
+                let background = connect_background_clients_if(busy, &proxy).await;
                 let client = proxy.client().await;
                 write_now(
                     &client,
                     &(request("free", "", "") + &request("unsafe", "", "the body") + &pipelined),
                 );
                 let (mut connection, _) = accept_request(&listener).await;
-                request_health_on_all(&crowd);
+                request_health_on_all(&background);
                 write_now(&connection, OK_RESPONSE);
-                disconnect_unnoticed(client, how, &proxy);
+                disconnect_and_await_delivery(client, kind, &proxy);
                 wait_for_pending(admin, 0).await;
                 let mut next = proxy.client().await;
                 next.send(&request("unsafe", "", "the next")).await;
-                let next = next_body(&mut connection, [&listener, &listener]).await;
-                assert_eq!(next, b"the next", "{how:?}, {pipelined}");
+                let next = next_request_body(&mut connection, [&listener, &listener]).await;
+                assert_eq!(next, b"the next", "{kind:?}, {pipelined}");
                 assert_eq!(upstream_requests(admin).await, 2);
             });
         }
@@ -294,28 +294,31 @@
 #[test]
 fn requests_are_not_sent_if_their_clients_disconnected_before_they_were_accepted() {
     for pipelined in pipelined_bytes() {
-        for how in DISCONNECTS {
+        for kind in DISCONNECT_KINDS {
             run_test(async {
                 let (endpoint, listener) = manual_endpoint().await;
                 let (proxy, admin) =
                     start_without_cancellation(from_ref(&endpoint), allow_many_sockets).await;
-                let crowd = connect_crowd(&proxy).await;
-                request_health_on_all(&crowd);
-                for _ in 0..CROWD_SIZE / 5 {
+                let background = connect_background_clients(&proxy).await;
+                request_health_on_all(&background);
+                for _ in 0..BACKGROUND_CLIENTS / 5 {
                     send_and_disconnect(
                         proxy.address,
                         &(request("unsafe", "", "the body") + &pipelined),
-                        how,
+                        kind,
                     );
                 }
                 let mut next = proxy.client().await;
                 next.send(&request("unsafe", "", "the next")).await;
                 let (connection, body) = accept_request(&listener).await;
-                assert_eq!(body, b"the next", "{how:?}, {pipelined}");
+                assert_eq!(body, b"the next", "{kind:?}, {pipelined}");
                 write_now(&connection, OK_RESPONSE);
                 assert_eq!(next.message().await.expect("no response").status(), 200);
                 assert_eq!(
-                    (request_ends(admin).await[0], upstream_requests(admin).await),
+                    (
+                        ended_requests(admin).await[0],
+                        upstream_requests(admin).await
+                    ),
                     (1, 1)
                 );
             });
@@ -349,7 +352,7 @@
 fn no_hedged_request_is_sent_after_its_client_disconnects() {
     const OBJECTIVE: Duration = Duration::from_secs(1);
     for pipelined in pipelined_bytes() {
-        for how in DISCONNECTS {
+        for kind in DISCONNECT_KINDS {
             run_test(async {
                 let endpoints = [manual_endpoint().await, manual_endpoint().await];
                 let (proxy, admin) = start_without_cancellation(
@@ -363,31 +366,31 @@
                 )
                 .await;
                 let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
-                let crowd = connect_crowd(&proxy).await;
+                let background = connect_background_clients(&proxy).await;
                 // The responses set the typical latency and earn the credit for a hedged request.
-                let mut before = proxy.client().await;
+                let mut earlier = proxy.client().await;
                 tokio::select! {
                     () = respond_to_all(one) => {}
                     () = respond_to_all(other) => {}
-                    () = exchange_requests(&mut before, 60) => {}
+                    () = exchange_requests(&mut earlier, 60) => {}
                 }
                 let sent_before = upstream_requests(admin).await;
                 let client = proxy.client().await;
                 write_now(&client, &(request("free", "", "") + &pipelined));
                 let (mut connection, _) = tokio::select! {
-                    taken = accept_request(one) => taken,
-                    taken = accept_request(other) => taken,
+                    accepted = accept_request(one) => accepted,
+                    accepted = accept_request(other) => accepted,
                 };
-                request_health_on_all(&crowd);
-                disconnect_unnoticed(client, how, &proxy);
+                request_health_on_all(&background);
+                disconnect_and_await_delivery(client, kind, &proxy);
                 let disconnected = Instant::now();
                 while disconnected.elapsed() < OBJECTIVE {}
                 wait_for_pending(admin, 0).await;
-                before.send(&request("unsafe", "", "the next")).await;
+                earlier.send(&request("unsafe", "", "the next")).await;
                 assert_eq!(
-                    next_body(&mut connection, [one, other]).await,
+                    next_request_body(&mut connection, [one, other]).await,
                     b"the next",
-                    "{how:?}, {pipelined}"
+                    "{kind:?}, {pipelined}"
                 );
                 assert_eq!(upstream_requests(admin).await, sent_before + 2);
             });
--- a/proxy/tests/common/client.rs
+++ b/proxy/tests/common/client.rs
@@ -53,10 +53,10 @@
     Reset,
 }
 
-pub(crate) const DISCONNECTS: [Disconnect; 2] = [Disconnect::Close, Disconnect::Reset];
+pub(crate) const DISCONNECT_KINDS: [Disconnect; 2] = [Disconnect::Close, Disconnect::Reset];
 
-pub(crate) fn disconnect(client: Client, how: Disconnect) {
-    if how == Disconnect::Reset {
+pub(crate) fn disconnect(client: Client, kind: Disconnect) {
+    if kind == Disconnect::Reset {
         let socket = socket2::SockRef::from(&client.stream);
         socket
             .set_linger(Some(Duration::ZERO))
@@ -67,10 +67,10 @@
 
 /// Connects, writes and disconnects by blocking calls: the proxy, which runs on the same thread,
 /// does not run in between.
-pub(crate) fn send_and_disconnect(address: SocketAddr, text: &str, how: Disconnect) {
+pub(crate) fn send_and_disconnect(address: SocketAddr, text: &str, kind: Disconnect) {
     let mut stream = std::net::TcpStream::connect(address).expect("cannot connect to the proxy");
     stream.write_all(text.as_bytes()).expect("write failed");
-    if how == Disconnect::Reset {
+    if kind == Disconnect::Reset {
         socket2::SockRef::from(&stream)
             .set_linger(Some(Duration::ZERO))
             .expect("SO_LINGER not set");
--- a/proxy/tests/common/http.rs
+++ b/proxy/tests/common/http.rs
@@ -94,9 +94,9 @@
             return Some(response);
         }
         loop {
-            let size = self.line().await?;
+            let size = self.read_line().await?;
             let size = usize::from_str_radix(&size, 16).ok()?;
-            let (chunk, end) = (self.exactly(size).await?, self.exactly(2).await?);
+            let (chunk, end) = (self.read_exactly(size).await?, self.read_exactly(2).await?);
             assert_eq!(end, b"\r\n");
             if size == 0 {
                 return Some(response);
@@ -105,7 +105,7 @@
         }
     }
 
-    async fn line(&mut self) -> Option<String> {
+    async fn read_line(&mut self) -> Option<String> {
         loop {
             if let Some(end) = self.buffer.windows(2).position(|w| w == b"\r\n") {
                 let line = String::from_utf8_lossy(&self.buffer[..end]).into_owned();
@@ -118,7 +118,7 @@
         }
     }
 
-    async fn exactly(&mut self, count: usize) -> Option<Vec<u8>> {
+    async fn read_exactly(&mut self, count: usize) -> Option<Vec<u8>> {
         while self.buffer.len() < count {
             if !self.read_more().await {
                 return None;
--- a/proxy/tests/common/paused_proxy.rs
+++ b/proxy/tests/common/paused_proxy.rs
@@ -71,9 +71,9 @@
             config["settings"]["balancers"] = balancer_count.into();
             config["settings"]["invariants"]["ask_every_us"] = 10_000_000.into();
         });
-        let read = Config::parse(&config).expect("invalid configuration");
+        let parsed = Config::parse(&config).expect("invalid configuration");
         let clients =
-            client_proxy::process_handoff::bind(read.listen).expect("cannot bind the address");
+            client_proxy::process_handoff::bind(parsed.listen).expect("cannot bind the address");
         let address = clients.local_addr().expect("no local address");
         let (reload, mut reloads) = mpsc::unbounded_channel();
         let listeners = client_proxy::Listeners {
@@ -82,7 +82,7 @@
         };
         let next = async move || reloads.recv().await.map(Ok);
         spawn_local(client_proxy::run(
-            read,
+            parsed,
             listeners,
             None,
             next,
@@ -133,14 +133,14 @@
 }
 
 /// The same response, this many times.
-pub(crate) fn repeated(failure: fn() -> WatchResponse, count: usize) -> Vec<WatchResponse> {
-    std::iter::repeat_with(failure).take(count).collect()
+pub(crate) fn repeat_response(response: fn() -> WatchResponse, count: usize) -> Vec<WatchResponse> {
+    std::iter::repeat_with(response).take(count).collect()
 }
 
 /// Responses that watch requests may get from a reachable discovery service before a request
 /// succeeds: one failure of each kind, or none.
 pub(crate) fn failure_sequences() -> Vec<Vec<WatchResponse>> {
-    let one = [
+    let failure_kinds = [
         REJECTED,
         LATE_REJECTED,
         NO_RESPONSE,
@@ -148,7 +148,10 @@
         NO_UPDATES,
         || Reset,
     ];
-    let mut paths: Vec<_> = one.into_iter().map(|failure| vec![failure()]).collect();
-    paths.push(Vec::new());
-    paths
+    let mut sequences: Vec<_> = failure_kinds
+        .into_iter()
+        .map(|failure| vec![failure()])
+        .collect();
+    sequences.push(Vec::new());
+    sequences
 }
--- a/proxy/tests/common/proxy.rs
+++ b/proxy/tests/common/proxy.rs
@@ -22,9 +22,9 @@
     let entries: Vec<_> = entries
         .map(|(n, endpoint)| entry(&format!("s-{n}"), endpoint.address, "Ready"))
         .collect();
-    let class = |name: &str, kind: &str| {
+    let class = |name: &str, idempotency: &str| {
         json!({"name": name, "objective_us": 5_000_000, "deadline_us": 9_000_000, "worth": 1.0,
-               "idempotency": kind, "dedup_scope": "cell", "repeat_window_us": 9_000_000})
+               "idempotency": idempotency, "dedup_scope": "cell", "repeat_window_us": 9_000_000})
     };
     let mut config = json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
@@ -196,16 +196,16 @@
 }
 
 /// Numbers of completed, rejected and failed requests over all classes.
-pub(crate) async fn request_ends(admin: SocketAddr) -> [u64; 3] {
+pub(crate) async fn ended_requests(admin: SocketAddr) -> [u64; 3] {
     let metrics = metrics(admin).await;
     let classes = metrics["downstream_requests"]
         .as_object()
         .expect("downstream_requests is not an object")
         .clone();
-    ["completed", "rejected", "failed"].map(|end| {
+    ["completed", "rejected", "failed"].map(|outcome| {
         classes
             .values()
-            .map(|class| class[end].as_u64().expect("not a number"))
+            .map(|class| class[outcome].as_u64().expect("not a number"))
             .sum()
     })
 }
--- a/proxy/tests/discovery.rs
+++ b/proxy/tests/discovery.rs
@@ -109,9 +109,9 @@
         ];
         let cases = ["ask", "push"]
             .into_iter()
-            .flat_map(|mode| beginnings.map(|begun| (mode, begun.to_owned())));
+            .flat_map(|mode| beginnings.map(|beginning| (mode, beginning.to_owned())));
         let cases: Vec<_> = cases
-            .map(|(mode, begun)| spawn_local(silent_watch_is_replaced(mode, begun)))
+            .map(|(mode, beginning)| spawn_local(silent_watch_is_replaced(mode, beginning)))
             .collect();
         for case in cases {
             case.await.expect("the case failed");
@@ -119,10 +119,10 @@
     });
 }
 
-async fn silent_watch_is_replaced(mode: &str, begun: String) {
+async fn silent_watch_is_replaced(mode: &str, beginning: String) {
     let rejection = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_owned();
     let responses = [
-        begun.clone(),
+        beginning.clone(),
         rejection.clone(),
         rejection,
         WATCH_HEAD.to_owned(),
@@ -137,19 +137,19 @@
         discovery.watch_requests.borrow().len() == 1
     })
     .await;
-    let silent = Instant::now();
+    let silent_since = Instant::now();
     wait_until("the fourth watch is requested", || {
         discovery.watch_requests.borrow().len() == 4
     })
     .await;
     assert!(
-        silent.elapsed() < Duration::from_millis(4_500),
-        "{mode}, {begun:?}"
+        silent_since.elapsed() < Duration::from_millis(4_500),
+        "{mode}, {beginning:?}"
     );
 }
 
 /// Starts a proxy in push mode with a drain grace of 2 s and one endpoint.
-async fn start_with_pushed_list(discovery: &TestDiscovery, endpoint: &TestEndpoint) -> Proxy {
+async fn start_in_push_mode(discovery: &TestDiscovery, endpoint: &TestEndpoint) -> Proxy {
     Proxy::start_with(discovery, from_ref(endpoint), |config| {
         config["settings"]["discovery"] = "push".into();
         config["settings"]["invariants"]["drain_grace_us"] = 2_000_000.into();
@@ -172,15 +172,15 @@
                 &[entry("s-0", endpoint.address, "Terminating")]
             ))
         );
-        let silence = String::new();
+        let no_response = String::new();
         let discovery = TestDiscovery::start([WATCH_HEAD.to_owned(), draining]).await;
-        let proxy = start_with_pushed_list(&discovery, &endpoint).await;
+        let proxy = start_in_push_mode(&discovery, &endpoint).await;
         let mut client = proxy.client().await;
         assert_eq!(
             client.exchange(&request("free", "", "")).await.status(),
             200
         );
-        let reset = Instant::now();
+        let reset_at = Instant::now();
         discovery.reset();
         wait_until(
             "the idle connection to the draining endpoint is closed",
@@ -188,30 +188,30 @@
         )
         .await;
         assert!(
-            reset.elapsed() < Duration::from_millis(500),
+            reset_at.elapsed() < Duration::from_millis(500),
             "the watch must be reopened at once"
         );
 
         let draining = list(42, true, &[entry("s-0", endpoint.address, "Terminating")]);
         let responses = [
-            silence.clone(),
-            silence.clone(),
-            silence,
+            no_response.clone(),
+            no_response.clone(),
+            no_response,
             format!("{WATCH_HEAD}{}", chunk(&draining)),
         ];
         let discovery = TestDiscovery::start(responses).await;
-        let _proxy = start_with_pushed_list(&discovery, &endpoint).await;
-        let mut last = Instant::now();
+        let _proxy = start_in_push_mode(&discovery, &endpoint).await;
+        let mut last_request_at = Instant::now();
         for number in 1..=4 {
             wait_until("the next watch is requested", || {
                 discovery.watch_requests.borrow().len() == number
             })
             .await;
             assert!(
-                last.elapsed() < Duration::from_millis(1_200),
+                last_request_at.elapsed() < Duration::from_millis(1_200),
                 "request {number} for a watch came too late"
             );
-            last = Instant::now();
+            last_request_at = Instant::now();
         }
     });
 }
@@ -228,7 +228,7 @@
             let discovery = TestDiscovery::start(vec![response; 20]).await;
             let endpoint = TestEndpoint::start([ok("served")]).await;
             let start = Instant::now();
-            let _proxy = start_with_pushed_list(&discovery, &endpoint).await;
+            let _proxy = start_in_push_mode(&discovery, &endpoint).await;
             wait_until("five watches were requested", || {
                 discovery.watch_requests.borrow().len() >= 5
             })
--- a/proxy/tests/endpoint_connections.rs
+++ b/proxy/tests/endpoint_connections.rs
@@ -27,9 +27,9 @@
 #[test]
 fn a_connection_closed_by_its_endpoint_is_not_reused() {
     run_test(async {
-        let last = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+        let response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
         let endpoint =
-            TestEndpoint::start([ScriptedResponse::WriteAndClose(last.to_owned())]).await;
+            TestEndpoint::start([ScriptedResponse::WriteAndClose(response.to_owned())]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
         let mut client = proxy.client().await;
         for count in 1..=5 {
@@ -79,9 +79,12 @@
 #[test]
 fn bytes_behind_a_response_are_discarded() {
     run_test(async {
-        let double = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirstHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
-        let endpoint =
-            TestEndpoint::start([ScriptedResponse::Write(double.to_owned()), ok("right")]).await;
+        let two_responses = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirstHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
+        let endpoint = TestEndpoint::start([
+            ScriptedResponse::Write(two_responses.to_owned()),
+            ok("right"),
+        ])
+        .await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
         let mut client = proxy.client().await;
         assert_eq!(
@@ -127,11 +130,13 @@
 #[test]
 fn informational_responses_are_skipped() {
     run_test(async {
-        let early = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
+        let informational =
+            "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
         let final_response = ok_response("served");
-        let endpoint =
-            TestEndpoint::start([ScriptedResponse::Write(format!("{early}{final_response}"))])
-                .await;
+        let endpoint = TestEndpoint::start([ScriptedResponse::Write(format!(
+            "{informational}{final_response}"
+        ))])
+        .await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
         let mut client = proxy.client().await;
         for _ in 0..3 {
@@ -204,11 +209,11 @@
 #[test]
 fn the_time_to_open_a_connection_is_bounded() {
     run_test(async {
-        let (stuck, _full, _listener) = endpoint_with_full_backlog().await;
+        let (blocked, _backlog, _listener) = endpoint_with_full_backlog().await;
         let other = TestEndpoint::start([ok("served")]).await;
         let proxy = Proxy::start_with(
             &TestDiscovery::without_updates().await,
-            &[stuck, other.clone()],
+            &[blocked, other.clone()],
             |config| {
                 config["settings"]["limits"]["connect_timeout_us"] = 50_000.into();
             },
--- a/proxy/tests/endpoint_list_propagation.rs
+++ b/proxy/tests/endpoint_list_propagation.rs
@@ -17,18 +17,18 @@
 /// the next one may fail first.
 #[test]
 fn a_change_that_a_lost_polled_watch_missed_is_applied_in_time() {
-    let ends = [None, Some(500 * MS), Some(1_500 * MS)];
+    let reset_times = [None, Some(500 * MS), Some(1_500 * MS)];
     for (balancer_count, reset) in [5, 300]
         .into_iter()
-        .flat_map(|count| ends.map(|reset| (count, reset)))
+        .flat_map(|count| reset_times.map(|reset| (count, reset)))
     {
-        for path in failure_sequences() {
-            let name = format!("{balancer_count} balancers, reset after {reset:?}, {path:?}");
+        for failures in failure_sequences() {
+            let case = format!("{balancer_count} balancers, reset after {reset:?}, {failures:?}");
             run_with_paused_time(async {
                 let endpoint = TestEndpoint::start([ok("served")]).await;
                 let script = [NO_UPDATES()]
                     .into_iter()
-                    .chain(path)
+                    .chain(failures)
                     .chain([notify_draining(&endpoint)]);
                 let discovery = ScriptedDiscovery::start(script).await;
                 let proxy = PausedProxy::start("ask", balancer_count, &discovery, endpoint).await;
@@ -41,7 +41,7 @@
                 let elapsed = proxy
                     .until_draining("the proxy applies the draining state")
                     .await;
-                assert!(elapsed <= 6_000 * MS + MARGIN, "{elapsed:?}: {name}");
+                assert!(elapsed <= 6_000 * MS + MARGIN, "{elapsed:?}: {case}");
             });
         }
     }
@@ -77,18 +77,18 @@
                 );
             });
         }
-        for silent in 1..=6 {
+        for unanswered in 1..=6 {
             run_with_paused_time(async {
                 let endpoint = TestEndpoint::start([ok("served")]).await;
                 let script = [NO_UPDATES()]
                     .into_iter()
-                    .chain(repeated(NO_RESPONSE, silent))
+                    .chain(repeat_response(NO_RESPONSE, unanswered))
                     .chain([notify_draining(&endpoint)]);
                 let discovery = ScriptedDiscovery::start(script).await;
                 let proxy = PausedProxy::start("ask", balancer_count, &discovery, endpoint).await;
                 advance_until(
                     "discovery has the last request that gets no response",
-                    || discovery.request_count.get() > silent,
+                    || discovery.request_count.get() > unanswered,
                 )
                 .await;
                 let elapsed = proxy
@@ -96,7 +96,7 @@
                     .await;
                 assert!(
                     elapsed <= 6_000 * MS + MARGIN,
-                    "{elapsed:?} after {silent} requests without a response, {balancer_count} balancers"
+                    "{elapsed:?} after {unanswered} requests without a response, {balancer_count} balancers"
                 );
             });
         }
@@ -109,16 +109,16 @@
 
 /// In push mode the watch is reset, and requests for the next one fail in this way before one
 /// succeeds.
-async fn assert_applied_within_the_grace(path: Vec<WatchResponse>) {
-    let name = format!("{path:?}");
+async fn assert_applied_within_drain_grace(failures: Vec<WatchResponse>) {
+    let case = format!("{failures:?}");
     let endpoint = TestEndpoint::start([ok("served")]).await;
-    let count = path.len();
-    let is_unreachable = path
+    let count = failures.len();
+    let is_unreachable = failures
         .iter()
         .any(|response| matches!(response, Unreachable(_)));
     let script = [NO_UPDATES()]
         .into_iter()
-        .chain(path)
+        .chain(failures)
         .chain([notify_draining(&endpoint)]);
     let discovery = ScriptedDiscovery::start(script).await;
     let proxy = PausedProxy::start("push", 5, &discovery, endpoint).await;
@@ -138,17 +138,17 @@
         .reachable_since
         .get()
         .map_or(elapsed, |reachable_since| reachable_since.elapsed());
-    assert!(elapsed <= DRAIN_GRACE, "{elapsed:?}: {name}");
+    assert!(elapsed <= DRAIN_GRACE, "{elapsed:?}: {case}");
 }
 
 /// In push mode the watch is silent from the beginning, and requests for the next one fail in this
 /// way before one succeeds.
-async fn assert_applied_after_a_silent_watch(path: Vec<WatchResponse>) {
-    let name = format!("{path:?}");
+async fn assert_applied_after_a_silent_watch(failures: Vec<WatchResponse>) {
+    let case = format!("{failures:?}");
     let endpoint = TestEndpoint::start([ok("served")]).await;
     let script = [NO_UPDATES()]
         .into_iter()
-        .chain(path)
+        .chain(failures)
         .chain([notify_draining(&endpoint)]);
     let discovery = ScriptedDiscovery::start(script).await;
     let proxy = PausedProxy::start("push", 5, &discovery, endpoint).await;
@@ -157,7 +157,7 @@
         .await;
     assert!(
         elapsed <= 6_000 * MS + MARGIN,
-        "applied {elapsed:?} after the watch fell silent: {name}"
+        "applied {elapsed:?} after the watch fell silent: {case}"
     );
 }
 
@@ -165,19 +165,23 @@
 /// it is applied within the drain grace and its slack.
 #[test]
 fn a_change_that_the_agent_has_is_applied_within_the_drain_grace() {
-    let fails = [
+    let failure_kinds = [
         REJECTED,
         NO_RESPONSE,
         PARTIAL_HEAD,
         || Reset,
         || Unreachable(Duration::from_secs(8)),
     ];
-    let once = fails.into_iter().map(|failure| vec![failure()]);
-    for path in once.chain([Vec::new(), repeated(NO_RESPONSE, 9), repeated(REJECTED, 9)]) {
-        run_with_paused_time(assert_applied_within_the_grace(path));
+    let single_failures = failure_kinds.into_iter().map(|failure| vec![failure()]);
+    for failures in single_failures.chain([
+        Vec::new(),
+        repeat_response(NO_RESPONSE, 9),
+        repeat_response(REJECTED, 9),
+    ]) {
+        run_with_paused_time(assert_applied_within_drain_grace(failures));
     }
-    for path in failure_sequences() {
-        run_with_paused_time(assert_applied_after_a_silent_watch(path));
+    for failures in failure_sequences() {
+        run_with_paused_time(assert_applied_after_a_silent_watch(failures));
     }
 }
 
@@ -186,25 +190,25 @@
 /// responds counts as notified at once.
 #[test]
 fn a_new_process_serves_by_its_configured_list_until_its_agent_responds() {
-    let absent = [
+    let failure_kinds = [
         NO_RESPONSE,
         PARTIAL_HEAD,
         REJECTED,
         || Reset,
         || Unreachable(Duration::from_secs(5)),
     ];
-    for failure in absent {
+    for failure in failure_kinds {
         let is_unreachable = matches!(failure(), Unreachable(_));
-        let path = repeated(failure, if is_unreachable { 1 } else { 30 });
-        let name = format!("{:?}", path[0]);
+        let failures = repeat_response(failure, if is_unreachable { 1 } else { 30 });
+        let case = format!("{:?}", failures[0]);
         run_with_paused_time(async {
             let old = TestEndpoint::start([ok("old")]).await;
             let new = TestEndpoint::start([ok("new")]).await;
-            let count = path.len();
+            let count = failures.len();
             // The full list omits the old endpoint, which is thereby removed although it still
             // responds.
             let full = list(42, true, &[entry("s-1", new.address, "Ready")]);
-            let script = path
+            let script = failures
                 .into_iter()
                 .chain([Respond(format!("{WATCH_HEAD}{}", chunk(&full)))]);
             let discovery = ScriptedDiscovery::start(script).await;
@@ -215,7 +219,7 @@
                 || is_unreachable || discovery.request_count.get() >= count,
             )
             .await;
-            assert_eq!(old.request_count(), 1, "{name}");
+            assert_eq!(old.request_count(), 1, "{case}");
             let elapsed = proxy
                 .until_draining("the proxy applies the removal of the endpoint")
                 .await;
@@ -223,7 +227,7 @@
                 .reachable_since
                 .get()
                 .map_or(elapsed, |reachable_since| reachable_since.elapsed());
-            assert!(elapsed <= DRAIN_GRACE, "{elapsed:?}: {name}");
+            assert!(elapsed <= DRAIN_GRACE, "{elapsed:?}: {case}");
             let mut client = MessageReader::new(
                 TcpStream::connect(proxy.address)
                     .await
@@ -232,12 +236,12 @@
             assert_eq!(
                 client.exchange(&request("unsafe", "", "")).await.body,
                 b"new",
-                "{name}"
+                "{case}"
             );
             assert_eq!(
                 (old.request_count(), old.opened_connections.get()),
                 (1, 1),
-                "the old endpoint must get no more requests: {name}"
+                "the old endpoint must get no more requests: {case}"
             );
         });
     }
--- a/proxy/tests/invalid_requests.rs
+++ b/proxy/tests/invalid_requests.rs
@@ -7,36 +7,36 @@
 use tokio::io::AsyncWriteExt;
 
 /// A request, and the expected status of the response to it.
-type Rejection = (String, u16);
+type InvalidRequest = (String, u16);
 
 /// Requests with an invalid id, class or deadline.
-fn requests_with_invalid_headers(good: &str) -> Vec<Rejection> {
-    let id = good
+fn requests_with_invalid_headers(valid_get: &str) -> Vec<InvalidRequest> {
+    let id = valid_get
         .split("\r\n")
         .find(|line| line.starts_with("X-Call-Id"))
         .expect("no X-Call-Id header");
     vec![
-        (good.replace("X-Call-Id", "X-Other"), 400),
-        (good.replace(id, "X-Call-Id: "), 400),
+        (valid_get.replace("X-Call-Id", "X-Other"), 400),
+        (valid_get.replace(id, "X-Call-Id: "), 400),
         (request("free", "X-Call-Id: twice\r\n", ""), 400),
         (request("unheard-of", "", ""), 400),
-        (good.replace("8000", "soon"), 400),
-        (good.replace("8000", "0"), 400),
-        (good.replace("8000", "-5"), 400),
-        (good.replace("8000", "+5"), 400),
-        (good.replace("8000", "99999999999999999999"), 400),
-        (good.replace("X-Budget-Ms", "X-Other"), 400),
+        (valid_get.replace("8000", "soon"), 400),
+        (valid_get.replace("8000", "0"), 400),
+        (valid_get.replace("8000", "-5"), 400),
+        (valid_get.replace("8000", "+5"), 400),
+        (valid_get.replace("8000", "99999999999999999999"), 400),
+        (valid_get.replace("X-Budget-Ms", "X-Other"), 400),
     ]
 }
 
 /// Requests whose method, idempotency key or body does not fit their class.
-fn requests_that_contradict_their_class(good: &str, post: &str) -> Vec<Rejection> {
+fn requests_that_contradict_their_class(valid_get: &str, valid_post: &str) -> Vec<InvalidRequest> {
     let keyed = request("keyed", "", "body");
     vec![
-        (good.replace("GET", "POST"), 400),
+        (valid_get.replace("GET", "POST"), 400),
         (request("free", "Idempotency-Key: k\r\n", ""), 400),
         (request("free", "", "body"), 400),
-        (post.replace("POST", "PUT"), 400),
+        (valid_post.replace("POST", "PUT"), 400),
         (request("unsafe", "Idempotency-Key: k\r\n", ""), 400),
         (keyed.replace("Idempotency-Key", "X-Other"), 400),
         (
@@ -48,15 +48,18 @@
 
 /// Requests with invalid framing. Whatever their headers say, the second request must neither be
 /// read nor be forwarded in the body of the first.
-fn requests_with_invalid_framing(post: &str) -> Vec<Rejection> {
+fn requests_with_invalid_framing(valid_post: &str) -> Vec<InvalidRequest> {
     let smuggled = format!("0\r\n\r\n{}", request("unsafe", "", ""));
     let chunked = "Transfer-Encoding: chunked\r\n";
     let length = format!("Content-Length: {}\r\n", smuggled.len());
     let framed = |framing: &str| request("unsafe", framing, "") + &smuggled;
     vec![
-        (post.replace("Content-Length: 4", "Content-Length: -4"), 400),
         (
-            post.replace(
+            valid_post.replace("Content-Length: 4", "Content-Length: -4"),
+            400,
+        ),
+        (
+            valid_post.replace(
                 "Content-Length: 4",
                 "Content-Length: 4\r\nContent-Length: 5",
             ),
@@ -70,11 +73,11 @@
 }
 
 /// Requests that are invalid in other ways.
-fn other_invalid_requests(good: &str, post: &str) -> Vec<Rejection> {
+fn other_invalid_requests(valid_get: &str, valid_post: &str) -> Vec<InvalidRequest> {
     vec![
-        (good.replace("/api", "/other"), 404),
+        (valid_get.replace("/api", "/other"), 404),
         (
-            post.replace("Content-Length: 4", "Content-Length: 99999999999"),
+            valid_post.replace("Content-Length: 4", "Content-Length: 99999999999"),
             413,
         ),
         ("no http\r\n\r\n".to_owned(), 400),
@@ -113,18 +116,21 @@
     run_test(async {
         let endpoint = TestEndpoint::start([ok("")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
-        let good = request("free", "", "");
-        let post = request("unsafe", "", "body");
+        let valid_get = request("free", "", "");
+        let valid_post = request("unsafe", "", "body");
         let cases = [
-            requests_with_invalid_headers(&good),
-            requests_that_contradict_their_class(&good, &post),
-            requests_with_invalid_framing(&post),
-            other_invalid_requests(&good, &post),
+            requests_with_invalid_headers(&valid_get),
+            requests_that_contradict_their_class(&valid_get, &valid_post),
+            requests_with_invalid_framing(&valid_post),
+            other_invalid_requests(&valid_get, &valid_post),
         ];
         for (text, status) in cases.concat() {
             assert_rejected(&proxy, text, status).await;
         }
         assert_eq!(endpoint.request_count(), 0);
-        assert_eq!(proxy.client().await.exchange(&good).await.status(), 200);
+        assert_eq!(
+            proxy.client().await.exchange(&valid_get).await.status(),
+            200
+        );
     });
 }
--- a/proxy/tests/races.rs
+++ b/proxy/tests/races.rs
@@ -23,15 +23,15 @@
 
 /// Numbers of completed, rejected and failed requests over all classes. Asserts that none is
 /// pending.
-async fn ends_of_all_requests(proxy: &Proxy) -> [u64; 3] {
+async fn ended_requests_with_none_pending(proxy: &Proxy) -> [u64; 3] {
     let admin = proxy.admin.expect("no address for operators");
     assert_eq!(metrics(admin).await["pending"], 0);
-    request_ends(admin).await
+    ended_requests(admin).await
 }
 
 /// Starts a proxy and a client whose request is in flight. Returns them with the listener of the
 /// endpoint and its connection on which the request was read.
-async fn request_in_flight(text: &str) -> (Proxy, Client, TcpListener, Client) {
+async fn start_request_in_flight(text: &str) -> (Proxy, Client, TcpListener, Client) {
     let (endpoint, listener) = manual_endpoint().await;
     let proxy = Proxy::start_with(
         &TestDiscovery::without_updates().await,
@@ -52,10 +52,10 @@
 /// connection gets its own response.
 #[test]
 fn a_response_in_the_instant_of_its_deadline_is_forwarded_or_dropped() {
-    for (class, abandoned) in [("unsafe", 502), ("keyed", 502), ("free", 503)] {
+    for (class, status_if_dropped) in [("unsafe", 502), ("keyed", 502), ("free", 503)] {
         run_test(async {
             let text = request(class, "", "").replace("8000", "500");
-            let (proxy, mut client, listener, endpoint) = request_in_flight(&text).await;
+            let (proxy, mut client, listener, endpoint) = start_request_in_flight(&text).await;
             endpoint.stream.writable().await.expect("not writable");
             // Blocks the thread, so that the proxy, which runs on the same thread, does not run
             // until the deadline has passed and the response is written.
@@ -67,7 +67,7 @@
             let response = client.message().await.expect("no response");
             let is_forwarded = response.status() == 200 && response.body == b"late";
             assert!(
-                is_forwarded || response.status() == abandoned,
+                is_forwarded || response.status() == status_if_dropped,
                 "{class}: {response:?}"
             );
             assert_eq!(
@@ -77,7 +77,10 @@
             );
             assert!(others.request_count() <= 1, "{class}");
             assert_eq!(
-                ends_of_all_requests(&proxy).await.iter().sum::<u64>(),
+                ended_requests_with_none_pending(&proxy)
+                    .await
+                    .iter()
+                    .sum::<u64>(),
                 2,
                 "{class}"
             );
@@ -97,7 +100,7 @@
     for class in ["free", "keyed", "unsafe"] {
         run_test(async {
             let text = request(class, "", "");
-            let (proxy, client, listener, endpoint) = request_in_flight(&text).await;
+            let (proxy, client, listener, endpoint) = start_request_in_flight(&text).await;
             let late = ok_response("late");
             write_once_writable(&endpoint, &late).await;
             drop(client);
@@ -114,7 +117,10 @@
             assert_eq!(response.body, b"next", "{class}");
             assert!(others.request_count() <= 1);
             assert_eq!(
-                ends_of_all_requests(&proxy).await.iter().sum::<u64>(),
+                ended_requests_with_none_pending(&proxy)
+                    .await
+                    .iter()
+                    .sum::<u64>(),
                 2,
                 "{class}"
             );
@@ -128,10 +134,10 @@
 #[test]
 fn a_request_on_a_late_connection_advertises_the_remaining_time() {
     run_test(async {
-        let (stuck, full, listener) = endpoint_with_full_backlog().await;
+        let (blocked, backlog, listener) = endpoint_with_full_backlog().await;
         let proxy = Proxy::start_with(
             &TestDiscovery::without_updates().await,
-            from_ref(&stuck),
+            from_ref(&blocked),
             |config| {
                 config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
             },
@@ -147,7 +153,7 @@
         // From now on connections open; this one opens when the kernel sends its SYN again, a
         // second later.
         let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
-        drop(full);
+        drop(backlog);
         wait_until("the endpoint has the request", || {
             endpoint.request_count() > 0
         })
@@ -174,33 +180,37 @@
 fn every_connection_sends_small_writes_at_once() {
     run_test(async {
         let (_proxy, client, _listener, endpoint) =
-            request_in_flight(&request("unsafe", "", "")).await;
-        for far in [&client, &endpoint] {
-            let (near, far) = (
-                far.stream.peer_addr().expect("no address"),
-                far.stream.local_addr().expect("no address"),
+            start_request_in_flight(&request("unsafe", "", "")).await;
+        for connection in [&client, &endpoint] {
+            let (proxy_end, test_end) = (
+                connection.stream.peer_addr().expect("no address"),
+                connection.stream.local_addr().expect("no address"),
+            );
+            assert_eq!(
+                is_nodelay_set(proxy_end, test_end),
+                Some(true),
+                "{proxy_end} to {test_end}"
             );
-            assert_eq!(without_delay(near, far), Some(true), "{near} to {far}");
         }
     });
 }
 
 /// Whether `TCP_NODELAY` is set on this process's connection between these addresses. `None` if
 /// there is no such connection.
-fn without_delay(near: SocketAddr, far: SocketAddr) -> Option<bool> {
+fn is_nodelay_set(local: SocketAddr, peer: SocketAddr) -> Option<bool> {
     let open = std::fs::read_dir("/proc/self/fd").expect("cannot list the descriptors");
     let open = open.filter_map(|entry| entry.ok()?.file_name().to_str()?.parse().ok());
-    let ends = |socket: &SockRef<'_>| {
+    let connects = |socket: &SockRef<'_>| {
         let is = |end: std::io::Result<SockAddr>, address| {
             end.is_ok_and(|end| end.as_socket() == Some(address))
         };
-        is(socket.local_addr(), near) && is(socket.peer_addr(), far)
+        is(socket.local_addr(), local) && is(socket.peer_addr(), peer)
     };
     open.into_iter().find_map(|number| {
         // SAFETY: the descriptor is borrowed only to read the socket's addresses and options; if it
         // was closed in the meantime, reading them returns an error.
         let descriptor = unsafe { BorrowedFd::borrow_raw(number) };
         let socket = SockRef::from(&descriptor);
-        ends(&socket).then(|| socket.tcp_nodelay().expect("cannot read TCP_NODELAY"))
+        connects(&socket).then(|| socket.tcp_nodelay().expect("cannot read TCP_NODELAY"))
     })
 }
--- a/proxy/tests/requests.rs
+++ b/proxy/tests/requests.rs
@@ -42,7 +42,7 @@
         );
         let budget: u64 = seen
             .header("x-budget-ms")
-            .and_then(|v| v.parse().ok())
+            .and_then(|value| value.parse().ok())
             .expect("no valid X-Budget-Ms");
         assert!(budget > 0 && budget < 8_000, "{budget}");
     });
@@ -90,7 +90,7 @@
 
 /// Responses that can't be proven complete, exceed a limit or have a status that the proxy does not
 /// forward.
-fn ambiguous_responses() -> Vec<ScriptedResponse> {
+fn unforwardable_responses() -> Vec<ScriptedResponse> {
     vec![
         ScriptedResponse::WriteAndClose(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nwhole?".to_owned(),
@@ -151,7 +151,7 @@
 /// not run.
 #[test]
 fn a_non_idempotent_request_that_may_have_run_fails() {
-    for scripted in [failed_responses(), ambiguous_responses()].concat() {
+    for scripted in [failed_responses(), unforwardable_responses()].concat() {
         run_test(assert_fails_after_one_attempt(scripted));
     }
 }
@@ -207,7 +207,7 @@
         );
         let retry_after = response
             .header("retry-after")
-            .and_then(|v| v.parse::<f64>().ok());
+            .and_then(|value| value.parse::<f64>().ok());
         assert!(
             retry_after.is_some_and(|seconds| seconds > 0.0 && seconds <= 0.75),
             "{response:?}"
--- a/proxy/tests/response_integrity.rs
+++ b/proxy/tests/response_integrity.rs
@@ -27,7 +27,7 @@
 
 /// Starts a proxy and a client with a non-idempotent request. Returns them with the connection on
 /// which the endpoint has read the request.
-async fn non_idempotent_request_in_flight() -> (Proxy, Client, Client) {
+async fn start_non_idempotent_request() -> (Proxy, Client, Client) {
     let (endpoint, listener) = manual_endpoint().await;
     let proxy = Proxy::start(from_ref(&endpoint)).await;
     let mut client = proxy.client().await;
@@ -40,7 +40,7 @@
 /// What a client receives of a response that its endpoint sends in 120 chunks of this size, ten per
 /// second.
 async fn stream_in_pieces(size: usize) -> String {
-    let (_proxy, mut client, mut endpoint) = non_idempotent_request_in_flight().await;
+    let (_proxy, mut client, mut endpoint) = start_non_idempotent_request().await;
     let writing = async {
         endpoint.send(WATCH_HEAD).await;
         let piece = format!("{size:x}\r\n{}\r\n", "x".repeat(size));
@@ -87,7 +87,7 @@
                     .await
                     .expect("cannot bind a port");
                 let address = listener.local_addr().expect("no local address");
-                let (cut, good) = (
+                let (truncating, good) = (
                     TestEndpoint {
                         address,
                         ..TestEndpoint::start([ScriptedResponse::Stall]).await
@@ -95,7 +95,7 @@
                     TestEndpoint::start([ok("good")]).await,
                 );
                 let discovery = TestDiscovery::without_updates().await;
-                let proxy = Proxy::start_with(&discovery, from_ref(&cut), with_admin).await;
+                let proxy = Proxy::start_with(&discovery, from_ref(&truncating), with_admin).await;
                 wait_until("the watch is open", || {
                     discovery.watch_requests.borrow().len() == 1
                 })
@@ -170,14 +170,14 @@
 #[test]
 fn a_large_response_without_a_length_that_is_reset_is_seen_as_broken() {
     run_test(async {
-        let (_proxy, mut client, mut endpoint) = non_idempotent_request_in_flight().await;
+        let (_proxy, mut client, mut endpoint) = start_non_idempotent_request().await;
         endpoint
             .send(&format!("HTTP/1.1 200 OK\r\n\r\n{}", "b".repeat(100_000)))
             .await;
-        let mut begun = [0; 1];
+        let mut first_byte = [0; 1];
         client
             .stream
-            .peek(&mut begun)
+            .peek(&mut first_byte)
             .await
             .expect("cannot read the first byte");
         disconnect(endpoint, Disconnect::Reset);
