--- a/proxy/tests/bodies.rs
+++ b/proxy/tests/bodies.rs
@@ -52,7 +52,7 @@
 /// The part of a request body that has arrived is forwarded before the rest arrives, and the
 /// request's deadline counts from the last byte of the body.
 #[test]
-fn a_large_body_is_forwarded_as_it_arrives() {
+fn a_large_body_is_forwarded_as_it_arrives_and_its_deadline_counts_from_its_last_byte() {
     run_test(async {
         let manual = ManualEndpoint::start().await;
         let proxy = Proxy::start(from_ref(&manual.endpoint)).await;
@@ -133,7 +133,7 @@
 
 /// A client that sends `Expect: 100-continue` gets a 100 response; the header is not forwarded.
 #[test]
-fn a_client_that_expects_100_continue_gets_it() {
+fn a_client_that_expects_100_continue_gets_a_100_response() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
@@ -162,7 +162,7 @@
 /// A large body is streamed, so it can't be sent again once a part of it was sent. The request
 /// never ran, as it did not reach its endpoint completely, and is rejected.
 #[test]
-fn a_partly_sent_large_body_is_not_retried() {
+fn a_request_whose_large_body_was_partly_sent_is_rejected_and_not_retried() {
     run_test(async {
         let manual = ManualEndpoint::start().await;
         let proxy = Proxy::start(from_ref(&manual.endpoint)).await;
@@ -184,7 +184,7 @@
 /// A client that stalls within a large body gets an error, and its endpoint, which is not at fault,
 /// stays in service.
 #[test]
-fn a_large_body_that_stalls_ends_its_request() {
+fn a_client_that_stalls_in_a_large_body_gets_a_408_and_the_endpoint_stays_in_service() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
@@ -210,7 +210,7 @@
 
 /// A body that arrives slowly, but above the minimum upload rate, is read completely.
 #[test]
-fn a_slow_body_is_waited_for() {
+fn a_slow_body_above_the_minimum_upload_rate_is_read_completely() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
@@ -272,7 +272,7 @@
 /// A response that is truncated after its first bytes were forwarded must not look complete to the
 /// client, and no other response may be sent in its place.
 #[test]
-fn a_large_response_that_breaks_off_is_seen_as_broken() {
+fn a_truncated_large_response_does_not_look_complete() {
     let (length, chunked) = (
         format!("Content-Length: {LARGE_BYTES}"),
         "Transfer-Encoding: chunked".to_owned(),
@@ -307,7 +307,7 @@
 /// The proxy reads a large response from the endpoint no faster than the client reads it from the
 /// proxy, so that the proxy buffers only a small part of it.
 #[test]
-fn a_large_response_is_read_only_as_fast_as_its_client_takes_it() {
+fn a_large_response_is_read_from_its_endpoint_only_as_fast_as_its_client_reads_it() {
     run_test(async {
         const ENDLESS_BYTES: usize = 64 << 20;
         let manual = ManualEndpoint::start().await;
@@ -345,7 +345,7 @@
 /// The rest of a large body is not read while its request is queued. Its client may have sent all
 /// of it long before: the proxy advertises no more than what remains of the client's timeout.
 #[test]
-fn a_large_body_that_was_queued_advertises_the_remaining_time() {
+fn a_queued_request_with_a_large_body_advertises_the_remaining_time() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let draining = list(42, true, &[entry("s-0", endpoint.address, "Terminating")]);
@@ -380,7 +380,7 @@
 /// A client that stalls after sending most of a body must get its error within 3 s, however much it
 /// has sent.
 #[test]
-fn a_client_that_stalls_in_a_body_gets_its_error_in_time() {
+fn a_client_that_stalls_near_the_end_of_a_body_gets_a_408_within_3_s() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
--- a/proxy/tests/client_connections.rs
+++ b/proxy/tests/client_connections.rs
@@ -104,7 +104,7 @@
 /// At the socket limit, connections without a request are evicted first, and a connection that has
 /// just got a response stays open.
 #[test]
-fn clients_that_send_requests_keep_their_connections() {
+fn a_client_that_sends_requests_is_not_evicted_at_the_socket_limit() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let proxy = Proxy::start_with(
@@ -134,7 +134,7 @@
 /// Clients that connect and send nothing must neither block other clients nor use more descriptors
 /// than the socket limit allows.
 #[test]
-fn silent_connections_do_not_block_others() {
+fn silent_connections_do_not_block_other_clients() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let proxy = Proxy::start_with(
--- a/proxy/tests/client_disconnect.rs
+++ b/proxy/tests/client_disconnect.rs
@@ -168,7 +168,7 @@
 /// The endpoint has stopped reading a request body, so the proxy reads no more of it either, and
 /// the client's disconnect arrives behind bytes that stay unread.
 #[test]
-fn no_more_of_a_body_is_sent_after_its_client_disconnects() {
+fn a_stalled_upload_is_aborted_when_its_client_disconnects() {
     for kind in DISCONNECT_KINDS {
         run_test(async {
             let (endpoint, listener) = manual_endpoint().await;
@@ -215,7 +215,7 @@
 
 /// The request arrives completely, together with its client's disconnect.
 #[test]
-fn a_request_that_arrives_with_its_clients_end_is_not_sent() {
+fn a_request_that_arrives_together_with_its_clients_disconnect_is_not_sent() {
     for kind in DISCONNECT_KINDS {
         for pipelined in ["", "GET /api HT"] {
             run_test(async {
--- a/proxy/tests/discovery.rs
+++ b/proxy/tests/discovery.rs
@@ -99,7 +99,7 @@
 /// change that it misses counts as notified 6 s after it fell silent. The next watch must deliver
 /// the change by then, even if two requests for a watch fail before.
 #[test]
-fn a_silent_watch_is_replaced_in_time() {
+fn a_silent_watch_is_replaced_before_a_missed_change_counts_as_notified() {
     run_test(async {
         let beginnings = [
             "",
@@ -161,7 +161,7 @@
 /// A watch that was reset is reopened at once, and retried while the agent is unreachable, each
 /// time in less than the drain grace.
 #[test]
-fn a_watch_of_a_pushed_list_is_reopened_within_the_drain_grace() {
+fn a_lost_watch_in_push_mode_is_reopened_within_the_drain_grace() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let draining = format!(
@@ -219,7 +219,7 @@
 /// A watch that ends as soon as it is open, or delivers something other than a list, is reopened
 /// only after a delay (0.1 s here).
 #[test]
-fn a_watch_that_ends_at_once_is_reopened_with_a_delay() {
+fn a_watch_that_ends_or_fails_at_once_is_reopened_only_after_a_delay() {
     run_test(async {
         for response in [
             format!("{WATCH_HEAD}0\r\n\r\n"),
@@ -240,7 +240,7 @@
 
 /// In push mode the balancer never polls; the proxy must still watch its agent.
 #[test]
-fn a_pushed_list_is_watched_too() {
+fn a_watch_is_opened_in_push_mode_too() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let list = list(42, true, &[entry("s-9", endpoint.address, "Ready")]);
--- a/proxy/tests/endpoint_connections.rs
+++ b/proxy/tests/endpoint_connections.rs
@@ -77,7 +77,7 @@
 /// A connection on which more bytes arrive than belong to the response can't be reused: a later
 /// request must not get these bytes.
 #[test]
-fn bytes_behind_a_response_are_discarded() {
+fn extra_bytes_after_a_response_are_not_taken_for_the_next_response() {
     run_test(async {
         let two_responses = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirstHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
         let endpoint = TestEndpoint::start([
@@ -105,7 +105,7 @@
 /// An endpoint may send a second response some milliseconds after the first one. The connection is
 /// not reused before that, as the next request would get the second response.
 #[test]
-fn a_connection_settles_before_its_next_request() {
+fn a_connection_is_not_reused_immediately_after_a_response() {
     run_test(async {
         let (endpoint, listener) = manual_endpoint().await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
@@ -207,7 +207,7 @@
 /// A connection that does not open in time proves that the request never ran, so even a
 /// non-idempotent request may go to another endpoint.
 #[test]
-fn the_time_to_open_a_connection_is_bounded() {
+fn a_request_goes_to_another_endpoint_when_a_connection_does_not_open_in_time() {
     run_test(async {
         let (blocked, _backlog, _listener) = endpoint_with_full_backlog().await;
         let other = TestEndpoint::start([ok("served")]).await;
@@ -233,7 +233,7 @@
 /// The limit on sockets applies to connections to endpoints too: a request at the limit is still
 /// answered, and no descriptor beyond the limit is opened for it.
 #[test]
-fn connections_to_endpoints_stay_under_the_limit() {
+fn connections_to_endpoints_stay_under_the_socket_limit() {
     run_test(async {
         let mut endpoints = Vec::new();
         for _ in 0..24 {
--- a/proxy/tests/endpoint_ids.rs
+++ b/proxy/tests/endpoint_ids.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_name_is_new_once_and_again_after_it_was_removed() {
+fn a_name_is_reported_as_new_once_and_again_after_its_removal() {
     let (mut ids, mut new_names) = (EndpointIds::default(), 0);
     let first = ids.get("a", |_| new_names += 1);
     assert_eq!(ids.get("a", |_| new_names += 1), first);
--- a/proxy/tests/endpoint_list_propagation.rs
+++ b/proxy/tests/endpoint_list_propagation.rs
@@ -16,7 +16,7 @@
 /// The watch is silent from the beginning, or is reset after a short or a longer time; requests for
 /// the next one may fail first.
 #[test]
-fn a_change_that_a_lost_polled_watch_missed_is_applied_in_time() {
+fn a_change_missed_by_a_lost_polled_watch_is_applied_within_6_s() {
     let reset_times = [None, Some(500 * MS), Some(1_500 * MS)];
     for (balancer_count, reset) in [5, 300]
         .into_iter()
@@ -50,7 +50,7 @@
 /// Discovery is unreachable or sends no responses for so long that all backoffs have grown. The
 /// time counts from its return, or from the start of the last request that gets no response.
 #[test]
-fn a_change_is_applied_in_time_once_a_polled_discovery_is_reachable_again() {
+fn a_change_is_applied_within_6_s_once_a_polled_discovery_is_reachable_again() {
     for balancer_count in [5, 300] {
         for seconds in [1, 4, 8, 13, 20] {
             run_with_paused_time(async {
@@ -189,7 +189,7 @@
 /// nothing, accepts no connections or rejects requests. The list that the agent has when it
 /// responds counts as notified at once.
 #[test]
-fn a_new_process_serves_by_its_configured_list_until_its_agent_responds() {
+fn a_new_process_uses_its_configured_list_until_its_agent_responds() {
     let failure_kinds = [
         NO_RESPONSE,
         PARTIAL_HEAD,
--- a/proxy/tests/endpoint_list_updates.rs
+++ b/proxy/tests/endpoint_list_updates.rs
@@ -142,7 +142,7 @@
 /// The lists of proxies and endpoints are as long as the fleet is large, and must not be limited to
 /// fewer than 2,000 entries.
 #[test]
-fn two_thousand_proxies_and_endpoints_are_no_limit() {
+fn two_thousand_proxies_and_endpoints_are_supported() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let discovery = TestDiscovery::without_updates().await;
--- a/proxy/tests/invalid_requests.rs
+++ b/proxy/tests/invalid_requests.rs
@@ -112,7 +112,7 @@
 
 /// An invalid request must end at once and reach neither the balancer nor an endpoint.
 #[test]
-fn invalid_requests_are_rejected_at_once() {
+fn invalid_requests_are_rejected_without_reaching_an_endpoint() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
--- a/proxy/tests/races.rs
+++ b/proxy/tests/races.rs
@@ -51,7 +51,7 @@
 /// not make a non-idempotent request look as if it had not run, and the next request on the same
 /// connection gets its own response.
 #[test]
-fn a_response_in_the_instant_of_its_deadline_is_forwarded_or_dropped() {
+fn a_response_that_arrives_at_its_deadline_is_forwarded_or_dropped_completely() {
     for (class, status_if_dropped) in [("unsafe", 502), ("keyed", 502), ("free", 503)] {
         run_test(async {
             let text = request(class, "", "").replace("8000", "500");
@@ -96,7 +96,7 @@
 /// The response arrives as its client disconnects. The request ends once and is not retried, its id
 /// is free again, and no other request gets the remaining bytes of the response.
 #[test]
-fn a_response_that_crosses_its_clients_disconnect_is_discarded() {
+fn a_response_that_arrives_as_its_client_disconnects_is_discarded() {
     for class in ["free", "keyed", "unsafe"] {
         run_test(async {
             let text = request(class, "", "");
@@ -132,7 +132,7 @@
 /// once, and advertises the time that remains when it is written, not when its endpoint was
 /// selected.
 #[test]
-fn a_request_on_a_late_connection_advertises_the_remaining_time() {
+fn a_request_whose_connection_opens_late_advertises_the_remaining_time() {
     run_test(async {
         let (blocked, backlog, listener) = endpoint_with_full_backlog().await;
         let proxy = Proxy::start_with(
@@ -177,7 +177,7 @@
 /// Nagle's algorithm must be off: writes that it delays would be lost if the connection is closed
 /// while the peer has bytes unread.
 #[test]
-fn every_connection_sends_small_writes_at_once() {
+fn every_connection_disables_nagles_algorithm() {
     run_test(async {
         let (_proxy, client, _listener, endpoint) =
             start_request_in_flight(&request("unsafe", "", "")).await;
--- a/proxy/tests/requests.rs
+++ b/proxy/tests/requests.rs
@@ -150,7 +150,7 @@
 /// A non-idempotent request that may have run must neither be retried nor be rejected as if it had
 /// not run.
 #[test]
-fn a_non_idempotent_request_that_may_have_run_fails() {
+fn a_non_idempotent_request_that_may_have_run_fails_without_a_retry() {
     for scripted in [failed_responses(), unforwardable_responses()].concat() {
         run_test(assert_fails_after_one_attempt(scripted));
     }
@@ -182,7 +182,7 @@
 
 /// A request that can't be sent to any endpoint is rejected at once, with a Retry-After header.
 #[test]
-fn a_rejection_is_sent_at_once_with_retry_after() {
+fn a_request_that_reaches_no_endpoint_is_rejected_at_once_with_retry_after() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("")]).await;
         let closed = tokio::net::TcpListener::bind("127.0.0.1:0")
@@ -217,7 +217,7 @@
 
 /// A client that disconnects must not leave its attempt running.
 #[test]
-fn a_client_that_disconnects_ends_its_attempt() {
+fn an_attempt_ends_when_its_client_disconnects() {
     run_test(async {
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
         let proxy = Proxy::start_with(
--- a/proxy/tests/response_integrity.rs
+++ b/proxy/tests/response_integrity.rs
@@ -13,7 +13,7 @@
 /// for ever. The proxy aborts it, and its client sees that it is truncated. A slow response is not
 /// aborted, even if it takes longer in total than an endpoint may be silent.
 #[test]
-fn an_endless_response_in_small_pieces_is_ended() {
+fn an_endless_response_in_small_pieces_is_aborted_and_a_slow_one_is_not() {
     run_test(async {
         let (endless, slow) = tokio::join!(stream_in_pieces(1), stream_in_pieces(400));
         assert!(
@@ -168,7 +168,7 @@
 /// The beginning of a large response is forwarded before its connection is reset: the response to
 /// the client must not look complete either.
 #[test]
-fn a_large_response_without_a_length_that_is_reset_is_seen_as_broken() {
+fn a_large_response_without_a_length_that_is_reset_does_not_look_complete() {
     run_test(async {
         let (_proxy, mut client, mut endpoint) = start_non_idempotent_request().await;
         endpoint
