--- a/proxy/tests/client_disconnect_under_load.rs
+++ b/proxy/tests/client_disconnect_under_load.rs
@@ -1,6 +1,5 @@
-//! Clients that disconnect while the proxy has much else to do: what would begin an attempt
-//! arrives in the same turn of its one thread as the client's end, so that nothing has checked for
-//! that end in between.
+//! Clients that disconnect while the proxy is busy: what would start an attempt and the disconnect
+//! arrive in the same turn of the proxy's thread, so nothing checks for the disconnect in between.
 
 mod common;
 
@@ -11,21 +10,21 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
-/// Connections that are open beside the one under test.
-const CROWD_SIZE: usize = 500;
+/// Number of clients that are connected besides the one under test.
+const BACKGROUND_CLIENTS: usize = 500;
 
-/// Sets the limit on sockets so high that no connection of the crowd is evicted.
+/// Sets the limit on sockets so high that no background client is evicted.
 fn allow_many_sockets(config: &mut Value) {
     config["limits"]["sockets"] = 4_096.into();
 }
 
-/// Many clients, each of which has had one response. They end by resets, as the system remembers
-/// other ends for long.
-async fn connect_crowd(proxy: &Proxy) -> Vec<Client> {
+/// Connects the background clients, each of which gets one response. They disconnect by resets: an
+/// orderly close would leave connections in TIME_WAIT in the kernel's table.
+async fn connect_background_clients(proxy: &Proxy) -> Vec<Client> {
     let mut clients = Vec::new();
-    for _ in 0..CROWD_SIZE {
+    for _ in 0..BACKGROUND_CLIENTS {
         let client = proxy.client().await;
-        client.stream.set_zero_linger().expect("zero linger");
+        client.stream.set_zero_linger().expect("SO_LINGER not set");
         clients.push(client);
     }
     for client in &mut clients {
@@ -34,56 +33,56 @@
     clients
 }
 
-/// The crowd where the proxy is to be busy, and otherwise no client.
-async fn connect_crowd_if(busy: bool, proxy: &Proxy) -> Vec<Client> {
+/// Connects the background clients if the proxy is to be busy, and none otherwise.
+async fn connect_background_clients_if(busy: bool, proxy: &Proxy) -> Vec<Client> {
     if busy {
-        connect_crowd(proxy).await
+        connect_background_clients(proxy).await
     } else {
         Vec::new()
     }
 }
 
-/// Every client sends a request at once.
-fn request_health_on_all(crowd: &[Client]) {
-    for client in crowd {
+/// Sends a health check from every background client without yielding.
+fn request_health_on_all(background: &[Client]) {
+    for client in background {
         write_now(client, HEALTH_REQUEST);
     }
 }
 
-/// Disconnects, and keeps the thread until the system has delivered that to the proxy's end.
-fn disconnect_unnoticed(client: Client, how: Disconnect, proxy: &Proxy) {
-    let from = client.stream.local_addr().expect("an address");
-    disconnect(client, how);
+/// Disconnects, and blocks the thread until the kernel has delivered that to the proxy's end.
+fn disconnect_and_await_delivery(client: Client, kind: Disconnect, proxy: &Proxy) {
+    let from = client.stream.local_addr().expect("no local address");
+    disconnect(client, kind);
     while is_established(proxy.address, from) {}
 }
 
 const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// The next connection to an endpoint, and the body of the request that arrived on it.
+/// Accepts the next connection to an endpoint, and reads the body of the request on it.
 async fn accept_request(listener: &TcpListener) -> (Client, Vec<u8>) {
-    let mut connection = Client::new(listener.accept().await.expect("the proxy connects").0);
-    let body = connection.message().await.expect("a request").body;
+    let mut connection = Client::new(listener.accept().await.expect("accept failed").0);
+    let body = connection.message().await.expect("no request").body;
     (connection, body)
 }
 
-/// The body of the next request that reaches an endpoint, on its open connection or on a new one
-/// to either.
-async fn next_body(connection: &mut Client, listeners: [&TcpListener; 2]) -> Vec<u8> {
+/// The body of the next request that reaches an endpoint, on this open connection or on a new one
+/// to either listener.
+async fn next_request_body(connection: &mut Client, listeners: [&TcpListener; 2]) -> Vec<u8> {
     tokio::select! {
-        message = connection.message() => message.expect("a request").body,
+        message = connection.message() => message.expect("no request").body,
         (_, body) = accept_request(listeners[0]) => body,
         (_, body) = accept_request(listeners[1]) => body,
     }
 }
 
-/// Attempts that were fully written.
+/// Number of attempts that were written completely.
 async fn upstream_requests(admin: SocketAddr) -> u64 {
     metrics(admin).await["upstream_requests"]
         .as_u64()
-        .expect("a number")
+        .expect("not a number")
 }
 
-/// What stands behind a request on its connection: nothing, a part of a next one, or all of it.
+/// The bytes that are pipelined behind a request: none, a part of the next request, or all of it.
 fn pipelined_bytes() -> [String; 3] {
     [
         "".to_owned(),
@@ -92,17 +91,18 @@
     ]
 }
 
-/// The headers of a request with a large body, and the part of that body that is sent.
+/// The headers of a request with a large body, and the part of the body that is sent.
 fn large_body(sent: usize) -> (String, String) {
     let head = format!("Content-Length: {}\r\n", 30 << 20);
     (head, "x".repeat(sent))
 }
 
-/// Two requests are in flight, a third with these headers is queued, with these bytes behind it.
+/// Two requests are in flight, and a third with these headers is queued, with these bytes behind
+/// it. Asserts that the third is not sent when its client disconnects as the other two end.
 async fn assert_queued_request_is_not_sent(
     head: &str,
     pipelined: &str,
-    how: Disconnect,
+    kind: Disconnect,
     busy: bool,
 ) {
     let (endpoint, listener) = manual_endpoint().await;
@@ -111,7 +111,7 @@
         allow_many_sockets(config);
     })
     .await;
-    let crowd = connect_crowd_if(busy, &proxy).await;
+    let background = connect_background_clients_if(busy, &proxy).await;
     let mut first = proxy.client().await;
     let mut second = proxy.client().await;
     write_now(&first, &request("free", "", ""));
@@ -121,55 +121,55 @@
     let mut client = proxy.client().await;
     client.send(&request("unsafe", head, "")).await;
     client.send(pipelined).await;
-    // It is queued: with its body unread it does not count as pending.
+    // Waits until it is queued; with its body unread it does not count as pending.
     if head.is_empty() {
         wait_for_pending(admin, 3).await;
     } else {
         let health = proxy.client().await.exchange(HEALTH_REQUEST).await;
         assert_eq!(health.status(), 200);
     }
-    request_health_on_all(&crowd);
+    request_health_on_all(&background);
     for connection in [&connection, &other] {
         write_now(connection, OK_RESPONSE);
     }
-    disconnect_unnoticed(client, how, &proxy);
-    assert_eq!(first.message().await.expect("a response").status(), 200);
-    assert_eq!(second.message().await.expect("a response").status(), 200);
+    disconnect_and_await_delivery(client, kind, &proxy);
+    assert_eq!(first.message().await.expect("no response").status(), 200);
+    assert_eq!(second.message().await.expect("no response").status(), 200);
     first.send(&request("unsafe", "", "the next")).await;
     let next = tokio::select! {
-        next = next_body(&mut connection, [&listener, &listener]) => next,
-        message = other.message() => message.expect("a request").body,
+        next = next_request_body(&mut connection, [&listener, &listener]) => next,
+        message = other.message() => message.expect("no request").body,
     };
     let shown = &pipelined[..pipelined.len().min(20)];
-    assert_eq!(next, b"the next", "{how:?}, {head}{shown}");
+    assert_eq!(next, b"the next", "{kind:?}, {head}{shown}");
     assert_eq!(upstream_requests(admin).await, 3);
 }
 
-/// The request is queued, also with a large body of which most is unread, while its client
-/// disconnects and capacity becomes free, both in one turn of a proxy that has much else to do.
+/// The client of a queued request disconnects and capacity becomes free in the same turn of a proxy
+/// that is busy or idle. The request may have a large body of which most is unread.
 #[test]
 fn a_queued_request_is_not_sent_when_its_client_disconnects_as_capacity_becomes_free() {
     let bodies = pipelined_bytes().map(|pipelined| (String::new(), pipelined));
     let large_bodies = [large_body(0), large_body(100 << 10)];
     for (head, pipelined) in bodies.into_iter().chain(large_bodies) {
-        for how in DISCONNECTS {
+        for kind in DISCONNECT_KINDS {
             for busy in [true, false] {
                 run_test(assert_queued_request_is_not_sent(
-                    &head, &pipelined, how, busy,
+                    &head, &pipelined, kind, busy,
                 ));
             }
         }
     }
 }
 
-/// One endpoint rejects the request, with another one free: the client disconnects in the same
-/// turn.
+/// One endpoint rejects the request while another one is free, and the client disconnects in the
+/// same turn, before or after the rejection.
 #[test]
 fn a_request_is_not_retried_when_its_client_disconnects_as_it_is_rejected() {
     for pipelined in pipelined_bytes() {
-        for (how, first) in DISCONNECTS
+        for (kind, disconnects_first) in DISCONNECT_KINDS
             .into_iter()
-            .flat_map(|how| [(how, true), (how, false)])
+            .flat_map(|kind| [(kind, true), (kind, false)])
         {
             for busy in [true, false] {
                 run_test(async {
@@ -180,28 +180,28 @@
                     )
                     .await;
                     let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
-                    let crowd = connect_crowd_if(busy, &proxy).await;
+                    let background = connect_background_clients_if(busy, &proxy).await;
                     let client = proxy.client().await;
                     write_now(&client, &(request("unsafe", "", "the body") + &pipelined));
                     let (mut connection, _) = tokio::select! {
-                        taken = accept_request(one) => taken,
-                        taken = accept_request(other) => taken,
+                        accepted = accept_request(one) => accepted,
+                        accepted = accept_request(other) => accepted,
                     };
-                    request_health_on_all(&crowd);
-                    if first {
-                        disconnect_unnoticed(client, how, &proxy);
+                    request_health_on_all(&background);
+                    if disconnects_first {
+                        disconnect_and_await_delivery(client, kind, &proxy);
                         write_now(&connection, REJECTION);
                     } else {
                         write_now(&connection, REJECTION);
-                        disconnect_unnoticed(client, how, &proxy);
+                        disconnect_and_await_delivery(client, kind, &proxy);
                     }
                     wait_for_pending(admin, 0).await;
                     let mut next = proxy.client().await;
                     next.send(&request("unsafe", "", "the next")).await;
                     assert_eq!(
-                        next_body(&mut connection, [one, other]).await,
+                        next_request_body(&mut connection, [one, other]).await,
                         b"the next",
-                        "{how:?}, {pipelined}"
+                        "{kind:?}, {pipelined}"
                     );
                     assert_eq!(upstream_requests(admin).await, 2);
                 });
@@ -210,36 +210,36 @@
     }
 }
 
-/// The connection opens after the client has disconnected, and the proxy learns of both in one
-/// turn.
+/// The connection to the endpoint opens after the client has disconnected, and the proxy learns of
+/// both in the same turn.
 #[test]
 fn a_request_is_not_written_when_its_client_disconnects_before_its_connection_opens() {
-    for (how, pipelined) in DISCONNECTS
+    for (kind, pipelined) in DISCONNECT_KINDS
         .into_iter()
-        .flat_map(|how| ["", "GET /api HT"].map(|pipelined| (how, pipelined)))
+        .flat_map(|kind| ["", "GET /api HT"].map(|pipelined| (kind, pipelined)))
     {
         run_test(async {
-            let (stuck, full, listener) = endpoint_with_full_backlog().await;
-            let (proxy, admin) = start_without_cancellation(from_ref(&stuck), |config| {
+            let (blocked, backlog, listener) = endpoint_with_full_backlog().await;
+            let (proxy, admin) = start_without_cancellation(from_ref(&blocked), |config| {
                 config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
                 allow_many_sockets(config);
             })
             .await;
-            let crowd = connect_crowd(&proxy).await;
+            let background = connect_background_clients(&proxy).await;
             let client = proxy.client().await;
             write_now(&client, &(request("unsafe", "", "the body") + pipelined));
             wait_for_pending(admin, 1).await;
-            let listener = listener.into_std().expect("a listener");
-            let waiting = full.len();
-            drop(full);
+            let listener = listener.into_std().expect("cannot convert the listener");
+            let waiting = backlog.len();
+            drop(backlog);
             for _ in 0..waiting {
-                drop(listener.accept().expect("accepted"));
+                drop(listener.accept().expect("accept failed"));
             }
-            request_health_on_all(&crowd);
-            disconnect_unnoticed(client, how, &proxy);
-            while !has_established_connection(stuck.address) {}
+            request_health_on_all(&background);
+            disconnect_and_await_delivery(client, kind, &proxy);
+            while !has_established_connection(blocked.address) {}
             let endpoint = TestEndpoint::on_listener(
-                TcpListener::from_std(listener).expect("a listener"),
+                TcpListener::from_std(listener).expect("cannot convert the listener"),
                 [ok("served")],
             );
             wait_for_pending(admin, 0).await;
@@ -250,72 +250,75 @@
                 .requests
                 .borrow()
                 .iter()
-                .map(|seen| seen.body.clone())
+                .map(|received| received.body.clone())
                 .collect();
-            assert_eq!(bodies, [b"the next"], "{how:?}, {pipelined}");
+            assert_eq!(bodies, [b"the next"], "{kind:?}, {pipelined}");
         });
     }
 }
 
-/// The request is pipelined behind another, whose response arrives as the client disconnects.
+/// The request is pipelined behind another one, whose response arrives as the client disconnects.
 #[test]
 fn a_pipelined_request_is_not_sent_when_its_client_disconnects_as_the_one_before_ends() {
     for pipelined in pipelined_bytes() {
-        for (how, busy) in DISCONNECTS
+        for (kind, busy) in DISCONNECT_KINDS
             .into_iter()
-            .flat_map(|how| [(how, true), (how, false)])
+            .flat_map(|kind| [(kind, true), (kind, false)])
         {
             run_test(async {
                 let (endpoint, listener) = manual_endpoint().await;
                 let (proxy, admin) =
                     start_without_cancellation(from_ref(&endpoint), allow_many_sockets).await;
-                let crowd = connect_crowd_if(busy, &proxy).await;
+                let background = connect_background_clients_if(busy, &proxy).await;
                 let client = proxy.client().await;
                 write_now(
                     &client,
                     &(request("free", "", "") + &request("unsafe", "", "the body") + &pipelined),
                 );
                 let (mut connection, _) = accept_request(&listener).await;
-                request_health_on_all(&crowd);
+                request_health_on_all(&background);
                 write_now(&connection, OK_RESPONSE);
-                disconnect_unnoticed(client, how, &proxy);
+                disconnect_and_await_delivery(client, kind, &proxy);
                 wait_for_pending(admin, 0).await;
                 let mut next = proxy.client().await;
                 next.send(&request("unsafe", "", "the next")).await;
-                let next = next_body(&mut connection, [&listener, &listener]).await;
-                assert_eq!(next, b"the next", "{how:?}, {pipelined}");
+                let next = next_request_body(&mut connection, [&listener, &listener]).await;
+                assert_eq!(next, b"the next", "{kind:?}, {pipelined}");
                 assert_eq!(upstream_requests(admin).await, 2);
             });
         }
     }
 }
 
-/// Many connections at once that nobody has accepted yet, each with its client's end.
+/// Many connections wait to be accepted, each with a complete request and its client's disconnect.
 #[test]
 fn requests_are_not_sent_if_their_clients_disconnected_before_they_were_accepted() {
     for pipelined in pipelined_bytes() {
-        for how in DISCONNECTS {
+        for kind in DISCONNECT_KINDS {
             run_test(async {
                 let (endpoint, listener) = manual_endpoint().await;
                 let (proxy, admin) =
                     start_without_cancellation(from_ref(&endpoint), allow_many_sockets).await;
-                let crowd = connect_crowd(&proxy).await;
-                request_health_on_all(&crowd);
-                for _ in 0..CROWD_SIZE / 5 {
+                let background = connect_background_clients(&proxy).await;
+                request_health_on_all(&background);
+                for _ in 0..BACKGROUND_CLIENTS / 5 {
                     send_and_disconnect(
                         proxy.address,
                         &(request("unsafe", "", "the body") + &pipelined),
-                        how,
+                        kind,
                     );
                 }
                 let mut next = proxy.client().await;
                 next.send(&request("unsafe", "", "the next")).await;
                 let (connection, body) = accept_request(&listener).await;
-                assert_eq!(body, b"the next", "{how:?}, {pipelined}");
+                assert_eq!(body, b"the next", "{kind:?}, {pipelined}");
                 write_now(&connection, OK_RESPONSE);
-                assert_eq!(next.message().await.expect("a response").status(), 200);
+                assert_eq!(next.message().await.expect("no response").status(), 200);
                 assert_eq!(
-                    (request_ends(admin).await[0], upstream_requests(admin).await),
+                    (
+                        ended_requests(admin).await[0],
+                        upstream_requests(admin).await
+                    ),
                     (1, 1)
                 );
             });
@@ -323,7 +326,7 @@
     }
 }
 
-/// Responds to every request, and accepts a new connection for each.
+/// Responds to every request, each of which arrives on a new connection.
 async fn respond_to_all(listener: &TcpListener) {
     let mut open = Vec::new();
     loop {
@@ -336,7 +339,7 @@
     }
 }
 
-/// Sends this many requests, one after the other, which are all served.
+/// Sends this many requests one after the other, all of which must be served.
 async fn exchange_requests(client: &mut Client, count: usize) {
     for _ in 0..count {
         let response = client.exchange(&request("free", "", "")).await;
@@ -344,13 +347,12 @@
     }
 }
 
-/// The request is late, and a hedged request is due: the client disconnects before that, in the
-/// same turn.
+/// A hedged request becomes due in the turn in which the proxy learns of its client's disconnect.
 #[test]
 fn no_hedged_request_is_sent_after_its_client_disconnects() {
     const OBJECTIVE: Duration = Duration::from_secs(1);
     for pipelined in pipelined_bytes() {
-        for how in DISCONNECTS {
+        for kind in DISCONNECT_KINDS {
             run_test(async {
                 let endpoints = [manual_endpoint().await, manual_endpoint().await];
                 let (proxy, admin) = start_without_cancellation(
@@ -364,32 +366,31 @@
                 )
                 .await;
                 let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
-                let crowd = connect_crowd(&proxy).await;
-                // Responses give the typical latency, and the credit that a hedged request is
-                // paid from.
-                let mut before = proxy.client().await;
+                let background = connect_background_clients(&proxy).await;
+                // The responses set the typical latency and earn the credit for a hedged request.
+                let mut earlier = proxy.client().await;
                 tokio::select! {
                     () = respond_to_all(one) => {}
                     () = respond_to_all(other) => {}
-                    () = exchange_requests(&mut before, 60) => {}
+                    () = exchange_requests(&mut earlier, 60) => {}
                 }
                 let sent_before = upstream_requests(admin).await;
                 let client = proxy.client().await;
                 write_now(&client, &(request("free", "", "") + &pipelined));
                 let (mut connection, _) = tokio::select! {
-                    taken = accept_request(one) => taken,
-                    taken = accept_request(other) => taken,
+                    accepted = accept_request(one) => accepted,
+                    accepted = accept_request(other) => accepted,
                 };
-                request_health_on_all(&crowd);
-                disconnect_unnoticed(client, how, &proxy);
+                request_health_on_all(&background);
+                disconnect_and_await_delivery(client, kind, &proxy);
                 let disconnected = Instant::now();
                 while disconnected.elapsed() < OBJECTIVE {}
                 wait_for_pending(admin, 0).await;
-                before.send(&request("unsafe", "", "the next")).await;
+                earlier.send(&request("unsafe", "", "the next")).await;
                 assert_eq!(
-                    next_body(&mut connection, [one, other]).await,
+                    next_request_body(&mut connection, [one, other]).await,
                     b"the next",
-                    "{how:?}, {pipelined}"
+                    "{kind:?}, {pipelined}"
                 );
                 assert_eq!(upstream_requests(admin).await, sent_before + 2);
             });
--- a/proxy/tests/discovery.rs
+++ b/proxy/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as a watch delivers it.
+//! How the proxy opens watches of the endpoint list, and replaces those that fail.
 
 mod common;
 
@@ -22,7 +22,7 @@
             discovery.watch_requests.borrow().len() == 1
         })
         .await;
-        // In two pieces and with an empty line before it, as a watch may deliver it.
+        // A watch may deliver a list in several chunks, with empty lines before it.
         let line = list(42, true, &[entry("s-9", endpoint.address, "Ready")]);
         let (first, second) = line.split_at(20);
         discovery.push(&chunk("")).await;
@@ -38,8 +38,8 @@
     });
 }
 
-/// A watch that ends, is rejected, or delivers what can't be parsed has failed; the next one
-/// begins at the version of the current list.
+/// A watch that ends, is rejected or delivers a list that can't be parsed has failed. The next one
+/// asks for changes since the version of the current list.
 #[test]
 fn a_watch_that_fails_is_reopened_from_the_current_version() {
     run_test(async {
@@ -68,7 +68,7 @@
         ])
         .await;
         let proxy = Proxy::start_with(&discovery, &[], WITHOUT_ENDPOINTS).await;
-        wait_until("six watches", || {
+        wait_until("six watches were requested", || {
             discovery.watch_requests.borrow().len() == 6
         })
         .await;
@@ -95,11 +95,11 @@
     });
 }
 
-/// A watch whose machine has vanished stays silent: without heartbeats it has failed. A change
-/// that it misses counts as notified 6 s after it fell silent, and the next watch has to deliver
-/// it by then, also where two requests for it fail.
+/// A watch whose server has vanished stays silent, and has failed when heartbeats are missing. A
+/// change that it misses counts as notified 6 s after it fell silent. The next watch must deliver
+/// the change by then, even if two requests for a watch fail before.
 #[test]
-fn a_silent_watch_is_replaced_in_time() {
+fn a_silent_watch_is_replaced_before_a_missed_change_counts_as_notified() {
     run_test(async {
         let beginnings = [
             "",
@@ -109,20 +109,20 @@
         ];
         let cases = ["ask", "push"]
             .into_iter()
-            .flat_map(|mode| beginnings.map(|begun| (mode, begun.to_owned())));
+            .flat_map(|mode| beginnings.map(|beginning| (mode, beginning.to_owned())));
         let cases: Vec<_> = cases
-            .map(|(mode, begun)| spawn_local(silent_watch_is_replaced(mode, begun)))
+            .map(|(mode, beginning)| spawn_local(silent_watch_is_replaced(mode, beginning)))
             .collect();
         for case in cases {
-            case.await.expect("replaced in time");
+            case.await.expect("the case failed");
         }
     });
 }
 
-async fn silent_watch_is_replaced(mode: &str, begun: String) {
+async fn silent_watch_is_replaced(mode: &str, beginning: String) {
     let rejection = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_owned();
     let responses = [
-        begun.clone(),
+        beginning.clone(),
         rejection.clone(),
         rejection,
         WATCH_HEAD.to_owned(),
@@ -133,23 +133,23 @@
         config["settings"]["discovery"] = mode.into();
     })
     .await;
-    wait_until("the first watch", || {
+    wait_until("the first watch is requested", || {
         discovery.watch_requests.borrow().len() == 1
     })
     .await;
-    let silent = Instant::now();
-    wait_until("the fourth watch", || {
+    let silent_since = Instant::now();
+    wait_until("the fourth watch is requested", || {
         discovery.watch_requests.borrow().len() == 4
     })
     .await;
     assert!(
-        silent.elapsed() < Duration::from_millis(4_500),
-        "{mode}, {begun:?}"
+        silent_since.elapsed() < Duration::from_millis(4_500),
+        "{mode}, {beginning:?}"
     );
 }
 
-/// A proxy of a pushed list with a drain grace of 2 s and one endpoint.
-async fn start_with_pushed_list(discovery: &TestDiscovery, endpoint: &TestEndpoint) -> Proxy {
+/// Starts a proxy in push mode with a drain grace of 2 s and one endpoint.
+async fn start_in_push_mode(discovery: &TestDiscovery, endpoint: &TestEndpoint) -> Proxy {
     Proxy::start_with(discovery, from_ref(endpoint), |config| {
         config["settings"]["discovery"] = "push".into();
         config["settings"]["invariants"]["drain_grace_us"] = 2_000_000.into();
@@ -157,11 +157,11 @@
     .await
 }
 
-/// What the agent has counts as notified whether or not a watch is open: one that was reset is
-/// reopened at once, and retried while the agent is unreachable, each time in less than the drain
-/// grace.
+/// In push mode a change counts as notified when the agent has it, whether or not a watch is open.
+/// A watch that was reset is reopened at once, and retried while the agent is unreachable, each
+/// time in less than the drain grace.
 #[test]
-fn a_watch_of_a_pushed_list_is_reopened_within_the_drain_grace() {
+fn a_lost_watch_in_push_mode_is_reopened_within_the_drain_grace() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let draining = format!(
@@ -172,50 +172,54 @@
                 &[entry("s-0", endpoint.address, "Terminating")]
             ))
         );
-        let silence = String::new();
+        let no_response = String::new();
         let discovery = TestDiscovery::start([WATCH_HEAD.to_owned(), draining]).await;
-        let proxy = start_with_pushed_list(&discovery, &endpoint).await;
+        let proxy = start_in_push_mode(&discovery, &endpoint).await;
         let mut client = proxy.client().await;
         assert_eq!(
             client.exchange(&request("free", "", "")).await.status(),
             200
         );
-        let reset = Instant::now();
+        let reset_at = Instant::now();
         discovery.reset();
-        wait_until("its idle connection is closed", || {
-            endpoint.open_connections.get() == 0
-        })
+        wait_until(
+            "the idle connection to the draining endpoint is closed",
+            || endpoint.open_connections.get() == 0,
+        )
         .await;
-        assert!(reset.elapsed() < Duration::from_millis(500), "at once");
+        assert!(
+            reset_at.elapsed() < Duration::from_millis(500),
+            "the watch must be reopened at once"
+        );
 
         let draining = list(42, true, &[entry("s-0", endpoint.address, "Terminating")]);
         let responses = [
-            silence.clone(),
-            silence.clone(),
-            silence,
+            no_response.clone(),
+            no_response.clone(),
+            no_response,
             format!("{WATCH_HEAD}{}", chunk(&draining)),
         ];
         let discovery = TestDiscovery::start(responses).await;
-        let _proxy = start_with_pushed_list(&discovery, &endpoint).await;
-        let mut last = Instant::now();
+        let _proxy = start_in_push_mode(&discovery, &endpoint).await;
+        let mut last_request_at = Instant::now();
         for number in 1..=4 {
-            wait_until("one more request", || {
+            wait_until("the next watch is requested", || {
                 discovery.watch_requests.borrow().len() == number
             })
             .await;
             assert!(
-                last.elapsed() < Duration::from_millis(1_200),
-                "request {number}"
+                last_request_at.elapsed() < Duration::from_millis(1_200),
+                "request {number} for a watch came too late"
             );
-            last = Instant::now();
+            last_request_at = Instant::now();
         }
     });
 }
 
-/// A watch that ends as soon as it is open, or delivers what is no list, is not reopened without a
-/// delay (0.1 s here).
+/// A watch that ends as soon as it is open, or delivers something other than a list, is reopened
+/// only after a delay (0.1 s here).
 #[test]
-fn a_watch_that_ends_at_once_is_reopened_with_a_delay() {
+fn a_watch_that_ends_or_fails_at_once_is_reopened_only_after_a_delay() {
     run_test(async {
         for response in [
             format!("{WATCH_HEAD}0\r\n\r\n"),
@@ -224,8 +228,8 @@
             let discovery = TestDiscovery::start(vec![response; 20]).await;
             let endpoint = TestEndpoint::start([ok("served")]).await;
             let start = Instant::now();
-            let _proxy = start_with_pushed_list(&discovery, &endpoint).await;
-            wait_until("five requests", || {
+            let _proxy = start_in_push_mode(&discovery, &endpoint).await;
+            wait_until("five watches were requested", || {
                 discovery.watch_requests.borrow().len() >= 5
             })
             .await;
@@ -234,9 +238,9 @@
     });
 }
 
-/// Where lists are pushed the balancer never polls: the proxy watches its agent all the same.
+/// In push mode the balancer never polls; the proxy must still watch its agent.
 #[test]
-fn a_pushed_list_is_watched_too() {
+fn a_watch_is_opened_in_push_mode_too() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let list = list(42, true, &[entry("s-9", endpoint.address, "Ready")]);
