--- a/proxy/tests/graceful_shutdown.rs
+++ b/proxy/tests/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown. A process that is started meanwhile has all sockets open for a moment, so no
-//! test here starts one.
+//! Graceful shutdown. No test here starts a process: between fork and exec it would hold copies of
+//! all of this process's sockets, so closing one here would not close its connection.
 
 mod common;
 
@@ -15,8 +15,8 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
-/// A shutdown must respond to every accepted request, accept new connections for as long as they
-/// arrive, and close the rest.
+/// A shutdown must respond to every accepted request, accept connections that arrive shortly after
+/// it has begun, and close connections that have no request.
 #[test]
 fn a_shutdown_responds_to_every_accepted_request() {
     run_test(async {
@@ -46,19 +46,22 @@
         assert_eq!(busy.message().await.expect("a response").status(), 502);
         (&mut proxy.task)
             .await
-            .expect("it ends without a panic")
-            .expect("it listened");
-        assert!(idle.message().await.is_none(), "closed between requests");
+            .expect("the proxy task ends without a panic")
+            .expect("the proxy listens for clients");
+        assert!(
+            idle.message().await.is_none(),
+            "the idle connection is closed"
+        );
         assert!(
             TcpStream::connect(proxy.address).await.is_err(),
-            "it no longer listens"
+            "the proxy no longer listens"
         );
     });
 }
 
-/// A large response goes on for as long as it takes: ending before it would truncate it. A request
-/// that arrives completely only long after the order is rejected, as the process may be killed
-/// during a large response to it.
+/// A shutdown must not truncate a large response, however long it takes. A request whose last byte
+/// arrives 0.6 s or more after the shutdown has begun must be rejected: its own response may be
+/// large, and the process may be killed during it.
 #[test]
 fn a_shutdown_waits_for_a_large_response_and_rejects_late_requests() {
     run_test(async {
@@ -84,7 +87,7 @@
             .stream
             .readable()
             .await
-            .expect("the response has begun");
+            .expect("the response begins to arrive");
         drop(proxy.stop.take());
         sleep(Duration::from_millis(900)).await;
         late.send("y").await;
@@ -93,7 +96,7 @@
             (response.status(), response.header("retry-after").is_some()),
             (503, true)
         );
-        // Longer than any response that is not large may take.
+        // Longer than the shutdown waits for responses that have not begun.
         sleep(Duration::from_secs(3)).await;
         stream
             .write_all(&[b'b'; HALF_BYTES])
@@ -106,13 +109,14 @@
         );
         (&mut proxy.task)
             .await
-            .expect("it ends without a panic")
-            .expect("it listened");
+            .expect("the proxy task ends without a panic")
+            .expect("the proxy listens for clients");
     });
 }
 
-/// A queued request waits for as long as its client does, but not for longer than the process has:
-/// the longest deadline, or 3 s where that is longer, and 0.6 s of the 0.7 s before it is killed.
+/// A queued request waits until its own deadline, but must be rejected before the process is
+/// killed. The kill follows 0.7 s after the longest deadline of a class, which counts as 3 s at
+/// most; the shutdown ends 0.6 s after that deadline.
 #[test]
 fn a_shutdown_ends_queued_requests() {
     run_test(async {
@@ -128,7 +132,7 @@
         queued
             .send(&request("unsafe", "", "").replace("8000", "20000"))
             .await;
-        // Sent later and served: the proxy has read the request before.
+        // A health request sent later has a response, so the proxy has read the first request.
         while proxy.client().await.exchange(HEALTH_REQUEST).await.status() != 200 {}
         let stopped_at = Instant::now();
         drop(proxy.stop.take());
@@ -141,13 +145,13 @@
         assert_eq!(endpoint.request_count(), 0);
         (&mut proxy.task)
             .await
-            .expect("it ends without a panic")
-            .expect("it listened");
+            .expect("the proxy task ends without a panic")
+            .expect("the proxy listens for clients");
     });
 }
 
-/// A connection that waits to be accepted, as all are in use, counts as accepted all the same: the
-/// listener is not closed under it, which would reset it.
+/// A connection that waits in the listener's backlog, because the limit on client connections is
+/// reached, must get a response too: closing the listener before it is accepted would reset it.
 #[test]
 fn a_shutdown_responds_on_connections_that_wait_to_be_accepted() {
     run_test(async {
@@ -161,7 +165,7 @@
         let admin = proxy.admin.expect("an address for operators");
         let text = configuration(discovery.address, &[], few);
         let max_clients = client_proxy::config::Config::parse(&text)
-            .expect("good")
+            .expect("a valid configuration")
             .max_client_connections();
         let mut clients = Vec::new();
         for number in 1..=max_clients {
@@ -175,13 +179,13 @@
         assert_eq!(waiting.message().await.expect("a response").status(), 503);
         (&mut proxy.task)
             .await
-            .expect("it ends without a panic")
-            .expect("it listened");
+            .expect("the proxy task ends without a panic")
+            .expect("the proxy listens for clients");
     });
 }
 
-/// Unread bytes must not make a close reset the connection: the response before may still be on
-/// its way.
+/// Closing a connection that has unread bytes resets it by default, and a reset may discard the
+/// response that was sent before. The proxy must close such connections without a reset.
 #[test]
 fn closing_a_connection_does_not_reset_it() {
     run_test(async {
@@ -206,26 +210,37 @@
             ));
         }
         for client in &clients {
-            client.stream.readable().await.expect("it has a response");
+            client.stream.readable().await.expect("a response arrives");
         }
         drop(proxy.stop.take());
         (&mut proxy.task)
             .await
-            .expect("it ends without a panic")
-            .expect("it listened");
+            .expect("the proxy task ends without a panic")
+            .expect("the proxy listens for clients");
         for client in &mut clients {
             assert!(
-                client.stream.take_error().expect("a state").is_none(),
-                "it is reset"
+                client
+                    .stream
+                    .take_error()
+                    .expect("the socket reports its error")
+                    .is_none(),
+                "the connection is not reset"
             );
             assert_eq!(client.message().await.expect("a response").status(), 400);
-            assert_eq!(client.stream.read(&mut [0]).await.expect("an end"), 0);
+            assert_eq!(
+                client
+                    .stream
+                    .read(&mut [0])
+                    .await
+                    .expect("the connection ends in order"),
+                0
+            );
         }
     });
 }
 
-/// A process that waits for its first list has accepted nothing: it ends at once, also beside
-/// another that serves.
+/// A process that waits for its first endpoint list has accepted no connection, so a shutdown must
+/// end it at once, whether it is alone or another process serves.
 #[test]
 fn a_shutdown_before_the_first_endpoint_list_ends_the_process() {
     run_test(async {
@@ -244,7 +259,7 @@
             let discovery = TestDiscovery::without_updates().await;
             let config = configuration(discovery.address, &[], |_| ());
             let config =
-                client_proxy::config::Config::parse(&config).expect("a good configuration");
+                client_proxy::config::Config::parse(&config).expect("a valid configuration");
             let clients = client_proxy::process_handoff::bind(config.listen).expect("bound");
             let listeners = client_proxy::Listeners {
                 clients,
@@ -256,16 +271,18 @@
             };
             let run = client_proxy::run(config, listeners, Some(folder), async || None, stopped);
             let task = spawn_local(run);
-            wait_until("it watches the list", || {
+            wait_until("the proxy has requested the endpoint list", || {
                 !discovery.watch_requests.borrow().is_empty()
             })
             .await;
             let stopped_at = Instant::now();
             drop(stop);
-            task.await.expect("no panic").expect("no error");
+            task.await
+                .expect("the proxy task ends without a panic")
+                .expect("the proxy ends without an error");
             assert!(
                 stopped_at.elapsed() < Duration::from_secs(1),
-                "beside another: {beside}"
+                "another process serves: {beside}"
             );
             drop(other);
         }
@@ -274,9 +291,9 @@
 
 type ResponseStatuses = Rc<RefCell<HashMap<String, u16>>>;
 
-/// A client that goes on sending until its connection ends, and records the status of each response
-/// by its request's id. It sends the next request as soon as the last has its response, or without
-/// waiting for it.
+/// Spawns a client that sends requests until its connection ends, and records the status of each
+/// response by the request's id. With `waits` it sends each request once the one before has its
+/// response, otherwise without waiting.
 fn spawn_client(client: Client, waits: bool, responded: ResponseStatuses) -> JoinHandle<()> {
     let (read, mut write) = client.stream.into_split();
     let go = Rc::new(Notify::new());
@@ -288,7 +305,7 @@
             let text = request("unsafe", "", "");
             let mut lines = text.split("\r\n");
             let id = lines.find_map(|line| line.strip_prefix("X-Call-Id: "));
-            let id = id.expect("an id").to_owned();
+            let id = id.expect("a request id").to_owned();
             sending.borrow_mut().push_back(id);
             if write.write_all(text.as_bytes()).await.is_err() {
                 return;
@@ -310,10 +327,10 @@
     })
 }
 
-/// Clients go on sending on every connection: the next request as soon as the last has its
-/// response, or one after the other without waiting, so that no connection is ever idle. Every
-/// request that the endpoint has gets a response other than a rejection; a request without a
-/// response was not forwarded; and the process ends all the same.
+/// Clients keep sending on every connection, half of them without waiting for responses, so no
+/// connection is ever idle. A shutdown must complete nevertheless. Every request that reached the
+/// endpoint must get a response that is not a rejection; only a request that was not forwarded may
+/// have none.
 #[test]
 fn a_shutdown_ends_while_clients_go_on_sending() {
     run_test(async {
@@ -329,17 +346,17 @@
         drop(proxy.stop.take());
         (&mut proxy.task)
             .await
-            .expect("it ends without a panic")
-            .expect("it listened");
+            .expect("the proxy task ends without a panic")
+            .expect("the proxy listens for clients");
         for client in clients {
-            client.await.expect("no panic");
+            client.await.expect("the client task ends without a panic");
         }
         for seen in endpoint.requests.borrow().iter() {
             let status = responded
                 .borrow()
-                .get(seen.header("x-call-id").expect("an id"))
+                .get(seen.header("x-call-id").expect("a request id"))
                 .copied();
-            // On a very busy machine a response may not arrive before the end.
+            // On a busy machine the endpoint's response may arrive too late, which is a 502.
             assert!(
                 [Some(200), Some(502)].contains(&status),
                 "{status:?}: {seen:?}"
--- a/proxy/tests/process_handoff.rs
+++ b/proxy/tests/process_handoff.rs
@@ -1,5 +1,5 @@
-//! A new process beside the old one: it takes over the address, and what remains when one of them
-//! dies.
+//! The handoff from an old process to a new one at the same address, also when the new one dies
+//! during it.
 
 mod common;
 
@@ -14,13 +14,14 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::sleep;
 
-/// What processes need that start one after the other at the same address.
+/// The configuration, endpoint, discovery and folder shared by processes that listen at the same
+/// address.
 struct HandoffSite {
     endpoint: TestEndpoint,
     config: String,
     folder: PathBuf,
     address: SocketAddr,
-    /// Reserved for as long as the test runs.
+    /// Keeps the port of `address` reserved for as long as the test runs.
     _port: TcpSocket,
     _discovery: TestDiscovery,
 }
@@ -44,17 +45,17 @@
         }
     }
 
-    /// A process that is ready, and its address for operators.
+    /// Starts a process and waits until it is ready. Returns it and its address for operators.
     async fn start(&self) -> (RunningProgram, SocketAddr) {
         let admin = reserve_port();
         let at = admin.local_addr().expect("an address");
         let name = self.folder.join("config.json");
-        let mut command = program_command(&self.config, name.to_str().expect("text")).0;
+        let mut command = program_command(&self.config, name.to_str().expect("UTF-8")).0;
         command
             .env("TMPDIR", &self.folder)
             .env("ROUTER_ADMIN", at.to_string())
             .stderr(Stdio::null());
-        let process = RunningProgram(command.spawn().expect("it starts"));
+        let process = RunningProgram(command.spawn().expect("the program starts"));
         while !is_ready(at).await {}
         (process, at)
     }
@@ -63,16 +64,20 @@
         Ok(MessageReader::new(TcpStream::connect(self.address).await?))
     }
 
-    /// Whether a new connection is served, and stays open.
+    /// Whether a request on a new connection is served and the connection is kept open, which a
+    /// process that shuts down would not do.
     async fn is_served(&self) -> bool {
-        let mut client = self.client().await.expect("the program accepts");
+        let mut client = self
+            .client()
+            .await
+            .expect("the program accepts connections");
         let response = client.exchange(&request("unsafe", "", "")).await;
         response.status() == 200 && response.header("connection").is_none()
     }
 }
 
-/// A new process is ready and dies before the old one is ordered to shut down: the old one gets
-/// all clients again, and the next new one takes over from it.
+/// A new process dies after it has become ready and before the old one begins its shutdown: the old
+/// one must get all new connections again, and the next new process must be able to take over.
 #[test]
 fn a_new_process_that_dies_leaves_its_clients_to_the_old_one() {
     run_test(async {
@@ -95,9 +100,9 @@
     });
 }
 
-/// The new process dies once the old one has been ordered to shut down: the old one accepts
-/// clients for as long as it listens, responds to what it has accepted, and leaves all others to
-/// the next.
+/// The new process dies after the old one has begun its shutdown. Until the old one closes its
+/// listener it must serve the connections that it accepts; later ones are refused until the next
+/// process listens.
 #[test]
 fn a_new_process_that_dies_during_a_shutdown_loses_no_request() {
     run_test(async {
@@ -108,7 +113,10 @@
         .await;
         let (mut old, old_admin) = site.start().await;
         assert!(site.is_served().await);
-        let mut busy = site.client().await.expect("the program accepts");
+        let mut busy = site
+            .client()
+            .await
+            .expect("the program accepts connections");
         busy.send(&request("unsafe", "", "")).await;
         wait_until("the endpoint has the request", || {
             site.endpoint.request_count() == 2
@@ -119,7 +127,7 @@
         while is_ready(old_admin).await {}
         new.kill();
         for _ in 0..16 {
-            // A connection that nobody accepts is refused.
+            // Refused: the old process has closed its listener.
             let Ok(mut client) = site.client().await else {
                 break;
             };
@@ -127,12 +135,15 @@
             assert_eq!(
                 (response.status(), response.header("connection")),
                 (200, Some("close")),
-                "the old process responds"
+                "the old process serves the connection and closes it"
             );
         }
         let (_next, _) = site.start().await;
         for _ in 0..16 {
-            assert!(site.is_served().await, "the next process responds");
+            assert!(
+                site.is_served().await,
+                "the next process serves new connections"
+            );
         }
         site.endpoint.release.notify_one();
         assert_eq!(busy.message().await.expect("a response").body, b"released");
@@ -141,19 +152,19 @@
     });
 }
 
-/// Without a file to lock it serves all the same, and logs that.
+/// A process that cannot create its lock file must serve nevertheless, and log the error once.
 #[test]
 fn a_process_that_cannot_announce_itself_serves() {
     run_test(async {
         let mut site = HandoffSite::new("unshown", [ok("served")]).await;
         let config = site.folder.join("config.json");
         site.folder = site.folder.join("missing");
-        let mut command = program_command(&site.config, config.to_str().expect("text")).0;
+        let mut command = program_command(&site.config, config.to_str().expect("UTF-8")).0;
         let mut process = RunningProgram(
             command
                 .env("TMPDIR", &site.folder)
                 .spawn()
-                .expect("it starts"),
+                .expect("the program starts"),
         );
         let mut client = loop {
             match site.client().await {
@@ -174,17 +185,16 @@
             .take()
             .expect("piped")
             .read_to_string(&mut log)
-            .expect("text");
+            .expect("UTF-8");
         assert_eq!(
-            log.matches(site.folder.to_str().expect("text")).count(),
+            log.matches(site.folder.to_str().expect("UTF-8")).count(),
             1,
             "{log}"
         );
     });
 }
 
-/// The response to an operator's question whether a process is ready, or nothing while nobody
-/// listens there.
+/// The response to an operator's health command; empty if no process listens at the address.
 async fn health_response(admin: SocketAddr) -> String {
     let mut response = String::new();
     if let Ok(mut stream) = TcpStream::connect(admin).await {
@@ -197,7 +207,8 @@
     response
 }
 
-/// A client whose request the endpoint has, as its second, and does not respond to.
+/// A client whose request the endpoint has received but not responded to. It must be the second
+/// request that the endpoint receives.
 async fn client_with_stalled_request(site: &HandoffSite) -> Client {
     let mut client = connect(site.address).await;
     client.send(&request("unsafe", "", "")).await;
@@ -208,7 +219,7 @@
     client
 }
 
-/// Requests on new connections get responses from a process that doesn't shut down.
+/// Asserts that requests on new connections are served by a process that is not shutting down.
 async fn assert_new_connections_are_served(address: SocketAddr) {
     for _ in 0..16 {
         let mut next = connect(address).await;
@@ -216,13 +227,13 @@
         assert_eq!(
             (response.status(), response.header("connection")),
             (200, None),
-            "the new process responds"
+            "the new process serves the connection and keeps it open"
         );
     }
 }
 
-/// The new process takes over the address; the old one responds to what arrives on its
-/// connections, and ends.
+/// Once the old process shuts down, new connections must reach the new process. The old one must
+/// respond to the requests on its own connections, close them, and end.
 #[test]
 fn a_new_process_takes_over_from_the_old_one() {
     run_test(async {
@@ -243,19 +254,25 @@
             .success());
         while health_response(old_admin).await == "SUCCESS yes\n" {}
         assert_new_connections_are_served(site.address).await;
-        assert!(client.message().await.is_none(), "closed between requests");
+        assert!(
+            client.message().await.is_none(),
+            "the idle connection is closed"
+        );
         site.endpoint.release.notify_one();
         let last = busy.message().await.expect("a response");
         assert_eq!(
             (last.status(), last.header("connection")),
             (200, Some("close")),
-            "the old process responds"
+            "the old process responds and closes the connection"
         );
         assert!(old.ends().await);
         assert_eq!(health_response(new_admin).await, "SUCCESS yes\n");
         assert!(
-            new.0.try_wait().expect("it can be waited for").is_none(),
-            "it still runs"
+            new.0
+                .try_wait()
+                .expect("the process can be waited for")
+                .is_none(),
+            "the new process still runs"
         );
     });
 }
--- a/proxy/tests/process_presence.rs
+++ b/proxy/tests/process_presence.rs
@@ -1,4 +1,5 @@
-//! How a process announces itself to others by its lock file, and finds out whether it is alone.
+//! How a process announces itself to other processes by locking a file, and learns whether another
+//! one shares the limits.
 
 mod common;
 
@@ -14,7 +15,8 @@
 
 const LOCK_FILE_NAME: &str = "nettleworks.lock";
 
-/// The presence of a process, and what it is notified of others: whether the limits are shared.
+/// The announced presence of a process, and the notifications that it has received: true when it
+/// begins to share the limits with another process, false when it no longer does.
 struct Presence {
     task: JoinHandle<()>,
     notifications: Rc<RefCell<Vec<bool>>>,
@@ -37,21 +39,22 @@
         self.notifications.borrow().clone()
     }
 
-    /// As when the process ends, however it does.
+    /// Closes the lock file, as the system does when the process ends.
     async fn end(self) {
         self.task.abort();
         let _ = self.task.await;
     }
 }
 
-/// Of two processes that start at once one is alone, and the other is notified that it is not,
-/// until the first has ended.
+/// Of two processes that start at the same time, the one that locks the file must get no
+/// notification; the other must be notified that it shares the limits, and again when the first
+/// one has ended.
 #[test]
 fn of_two_processes_that_start_at_once_one_is_notified_of_the_other() {
     run_test(async {
         let folder = empty_folder("at-once");
         let processes = [Presence::announce(&folder), Presence::announce(&folder)];
-        wait_until("one is notified", || {
+        wait_until("one process is notified that the limits are shared", || {
             processes
                 .iter()
                 .any(|process| !process.notifications().is_empty())
@@ -68,33 +71,43 @@
             (vec![], vec![true])
         );
         alone.end().await;
-        wait_until("the other is notified of the end", || {
-            other.notifications() == [true, false]
-        })
+        wait_until(
+            "the other process is notified that the first has ended",
+            || other.notifications() == [true, false],
+        )
         .await;
     });
 }
 
-/// A lock file that was deleted is of no use to the next process that starts: it is created again.
+/// A process that starts cannot find a lock file that was deleted, so it must be created again, and
+/// be locked by one process only.
 #[test]
 fn a_deleted_lock_file_is_created_again() {
     run_test(async {
         let folder = empty_folder("deleted");
         let old = Presence::announce(&folder);
-        wait_until("there is a file", || folder.join(LOCK_FILE_NAME).exists()).await;
-        let waiting = Presence::announce(&folder);
-        wait_until("the second is notified", || {
-            waiting.notifications() == [true]
+        wait_until("the lock file exists", || {
+            folder.join(LOCK_FILE_NAME).exists()
         })
         .await;
+        let waiting = Presence::announce(&folder);
+        wait_until(
+            "the second process is notified that the limits are shared",
+            || waiting.notifications() == [true],
+        )
+        .await;
         fs::remove_file(folder.join(LOCK_FILE_NAME)).expect("removed");
-        wait_until("there is a file again", || {
+        wait_until("the lock file exists again", || {
             folder.join(LOCK_FILE_NAME).exists()
         })
         .await;
         let third = Presence::announce(&folder);
-        wait_until("the third is notified", || third.notifications() == [true]).await;
-        // Longer than the interval at which they try again.
+        wait_until(
+            "the third process is notified that the limits are shared",
+            || third.notifications() == [true],
+        )
+        .await;
+        // Longer than the interval at which processes try to lock the file again.
         sleep(Duration::from_millis(300)).await;
         assert_eq!(
             (
@@ -106,40 +119,48 @@
         );
         old.end().await;
         let ended = |process: &Presence| process.notifications() == [true, false];
-        wait_until("one of them is notified of the end", || {
-            ended(&waiting) || ended(&third)
-        })
+        wait_until(
+            "a waiting process is notified that the limits are no longer shared",
+            || ended(&waiting) || ended(&third),
+        )
         .await;
         assert!(
             !(ended(&waiting) && ended(&third)),
-            "only one of them has locked it now"
+            "only one of the waiting processes locks the file"
         );
     });
 }
 
-/// Two files, each locked by one process: the process whose file others do not find yields.
+/// After the lock file has been replaced, each of two processes has locked a file of its own. The
+/// process whose file is no longer at the path must wait for the other one.
 #[test]
 fn a_replaced_lock_file_is_abandoned() {
     run_test(async {
         let folder = empty_folder("replaced");
         let old = Presence::announce(&folder);
-        wait_until("there is a file", || folder.join(LOCK_FILE_NAME).exists()).await;
+        wait_until("the lock file exists", || {
+            folder.join(LOCK_FILE_NAME).exists()
+        })
+        .await;
         let new = File::create(folder.join("new")).expect("a file");
         new.try_lock().expect("locked");
         fs::rename(folder.join("new"), folder.join(LOCK_FILE_NAME)).expect("replaced");
-        wait_until("it is notified of the other", || {
-            old.notifications() == [true]
-        })
+        wait_until(
+            "the old process is notified that the limits are shared",
+            || old.notifications() == [true],
+        )
         .await;
         drop(new);
-        wait_until("it is notified of the end", || {
-            old.notifications() == [true, false]
-        })
+        wait_until(
+            "the old process is notified that the limits are no longer shared",
+            || old.notifications() == [true, false],
+        )
         .await;
     });
 }
 
-/// Where no file can be locked that is reported once, and no process is waited for.
+/// If no file can be locked in the folder, the error must be returned at once, without a
+/// notification.
 #[test]
 fn a_folder_that_cannot_be_used_is_an_error() {
     run_test(async {
--- a/proxy/tests/readiness.rs
+++ b/proxy/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! When a process that starts begins to take clients.
+//! How long a process takes after its start until it accepts connections and is healthy.
 
 mod common;
 
@@ -17,8 +17,8 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Polls the health at an address until it is good, and records when somebody first listened there
-/// and when it was good.
+/// Polls the health at an address until its status is 200, and records how long after the start a
+/// process first listened there and how long after it the status was 200.
 async fn record_readiness(
     address: SocketAddr,
     started: Instant,
@@ -41,8 +41,8 @@
     }
 }
 
-/// After how long a process listens and is ready; another process has the lock file in its folder
-/// locked, or none does.
+/// How long after its start a process listens, and how long after it the process is ready. With
+/// `has_other_process` the lock file in its folder is locked, as by another process.
 async fn time_to_readiness(
     mode: &str,
     balancer_count: u32,
@@ -70,7 +70,7 @@
     if has_other_process {
         other.try_lock().expect("no other process serves");
     }
-    let read = Config::parse(&config).expect("a good configuration");
+    let read = Config::parse(&config).expect("a valid configuration");
     let clients = client_proxy::process_handoff::bind(read.listen).expect("bound");
     let address = clients.local_addr().expect("an address");
     let listeners = client_proxy::Listeners {
@@ -86,11 +86,12 @@
         std::future::pending(),
     ));
     spawn_local(record_readiness(address, started, at.clone()));
-    advance_until("ready", || at.get()[1].is_some()).await;
-    at.get().map(|time| time.expect("seen"))
+    advance_until("the process is ready", || at.get()[1].is_some()).await;
+    at.get().map(|time| time.expect("a time was recorded"))
 }
 
-/// Nine in ten restarted processes are to be ready within 10 s, within 6 s on short days.
+/// Nine in ten restarted processes must be ready within 10 s, and within 6 s on short days. The
+/// limits here are below that: 9 s if another process serves, 5.5 s if the process is alone.
 #[test]
 fn a_process_is_ready_in_time_whatever_discovery_does() {
     let discoveries: [fn() -> Vec<WatchResponse>; 5] = [
@@ -122,8 +123,8 @@
                     (false, false) => 5_500 * MS,
                 };
                 assert!(ready <= max_ready, "{name}");
-                // Without a list clients are left to the other process as long as possible; a
-                // process that is alone rejects them early.
+                // Without a list, a process leaves clients to another one for as long as possible;
+                // a process that is alone listens after 2 s and rejects their requests.
                 let waits = !has_list && number != 0;
                 assert!(
                     !(waits && has_other_process) || listens > 7_000 * MS,
--- a/proxy/tests/reload_propagation.rs
+++ b/proxy/tests/reload_propagation.rs
@@ -1,5 +1,5 @@
-//! After a reload, the list of a new discovery counts as notified 4 s after the signal. Every wait
-//! on the way is added up, in time that only the test advances.
+//! After a reload, the proxy must apply the list of the new discovery within 4 s of the signal, as
+//! it counts as notified from then on. The tests measure that in time that only they advance.
 
 mod common;
 
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use tokio::time::advance;
 
-/// What the watch is at when a new configuration arrives.
+/// What the watch is doing when a new configuration arrives.
 #[derive(Clone, Copy, Debug)]
 enum WatchPhase {
     /// It is open.
     Open,
-    /// It is being opened, and the old discovery has not responded.
+    /// It is requested, and the old discovery has not responded.
     Opening,
-    /// It waits for its backoff.
+    /// It has failed, and is in backoff before the next request.
     Backoff,
 }
 
-/// The time counts from the reload, whatever the watch was at, and the old discovery sends nothing
-/// more.
+/// The time counts from the reload, whatever the watch was doing, and whatever failures come before
+/// the new discovery's first list. The old discovery sends nothing more.
 #[test]
 fn a_change_that_a_new_discovery_has_is_applied_in_time() {
     let modes = [
@@ -60,15 +60,18 @@
                 advance(50 * MS).await;
                 settle().await;
                 proxy.reload_with_discovery(&old, &new);
-                let elapsed = proxy.until_draining("the drain").await;
+                let elapsed = proxy
+                    .until_draining("the connection to the draining endpoint is closed")
+                    .await;
                 assert!(elapsed <= 4_000 * MS + MARGIN, "{elapsed:?}: {name}");
             });
         }
     }
 }
 
-/// A request that waits for its turn at the new discovery is not replaced by one that was planned
-/// before, and what the old one sends after the reload is ignored.
+/// A new discovery may take 2 s to respond. The watch request that waits for it must not be
+/// replaced by one that was scheduled before the reload, and a list that the old discovery sends
+/// after the reload must be ignored.
 #[test]
 fn a_request_that_queues_at_a_new_discovery_is_not_abandoned() {
     for balancer_count in [5, 300] {
@@ -93,10 +96,12 @@
                 advance(50 * MS).await;
                 settle().await;
                 proxy.reload_with_discovery(&old, &new);
-                let elapsed = proxy.until_draining("the drain").await;
+                let elapsed = proxy
+                    .until_draining("the connection to the draining endpoint is closed")
+                    .await;
                 assert!(
                     elapsed >= Duration::from_secs(2),
-                    "{elapsed:?}: the old discovery was not ignored, {at:?}"
+                    "{balancer_count} balancers, {at:?}: the old discovery was not ignored, {elapsed:?}"
                 );
                 assert_eq!(
                     new.request_count.get(),
@@ -108,7 +113,8 @@
     }
 }
 
-/// The same where lists are pushed: an agent that responds only after the reload is ignored.
+/// Where lists are pushed, a list that the old discovery sends only after the reload must be
+/// ignored.
 #[test]
 fn a_late_response_of_the_old_agent_is_ignored_after_a_reload() {
     for delay in [60 * MS, 100 * MS, 110 * MS] {
@@ -137,12 +143,12 @@
             assert_eq!(
                 proxy.endpoint.open_connections.get(),
                 1,
-                "applied after {delay:?}"
+                "the old discovery's list, sent after {delay:?}, is ignored"
             );
             assert_eq!(
                 (old.request_count.get(), new.request_count.get()),
                 (1, 1),
-                "neither gets another request"
+                "neither discovery gets another request"
             );
         });
     }
--- a/proxy/tests/shared_address.rs
+++ b/proxy/tests/shared_address.rs
@@ -1,4 +1,5 @@
-//! Listeners that share the clients' address, within one process.
+//! Listeners that share the clients' address, and processes that share its lock file; here all of
+//! them run in the test's process.
 
 mod common;
 
@@ -8,36 +9,38 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// A proxy that was killed leaves connections at its address; the next one must start there at
-/// once.
+/// A killed proxy leaves connections at its address that the system has not yet removed. The next
+/// proxy must be able to bind the address at once.
 #[test]
 fn the_address_can_be_bound_again_at_once() {
     run_test(async {
-        // An address that no other test uses: its port is nobody's meanwhile.
+        // No other test uses this address, so none can take its port between the two listeners.
         let bind = |address| client_proxy::process_handoff::bind(address).expect("bound");
         let first = bind("127.0.0.2:0".parse().expect("an address"))
             .listen(8)
-            .expect("it listens");
+            .expect("listening");
         let address = first.local_addr().expect("an address");
         let client = TcpStream::connect(address).await.expect("connected");
         drop(first.accept().await.expect("accepted"));
         drop(first);
-        bind(address).listen(8).expect("it listens again");
+        bind(address).listen(8).expect("listening again");
         drop(client);
     });
 }
 
-/// Once steered, connections reach the newer listener alone; when that has ended, the older one
-/// again.
+/// Once connections are steered, only the newer of two listeners must get them; when it has been
+/// closed, the older one must get them again.
 #[test]
 fn connections_are_steered_to_the_newer_listener() {
     run_test(async {
         let bind = |address| client_proxy::process_handoff::bind(address).expect("bound");
         let old = bind("127.0.0.3:0".parse().expect("an address"))
             .listen(64)
-            .expect("it listens");
+            .expect("listening");
         let address = old.local_addr().expect("an address");
-        let new = bind(address).listen(64).expect("it listens too");
+        let new = bind(address)
+            .listen(64)
+            .expect("listening beside the first");
         client_proxy::process_handoff::steer_to_newer_process(&old).expect("steered");
         for _ in 0..32 {
             let _client = TcpStream::connect(address).await.expect("connected");
@@ -49,7 +52,8 @@
     });
 }
 
-/// A process without a list leaves clients to the other process, for as long as that is there.
+/// A process without an endpoint list must not listen while another process runs, so that the other
+/// one gets the clients; it must listen once the other has ended.
 #[test]
 fn a_process_without_a_list_does_not_listen_beside_another() {
     run_test(async {
@@ -59,7 +63,7 @@
             .await
             .expect("announced");
         let config = configuration(TestDiscovery::without_updates().await.address, &[], |_| ());
-        let config = client_proxy::config::Config::parse(&config).expect("a good configuration");
+        let config = client_proxy::config::Config::parse(&config).expect("a valid configuration");
         let clients = client_proxy::process_handoff::bind(config.listen).expect("bound");
         let address = clients.local_addr().expect("an address");
         let listeners = client_proxy::Listeners {
@@ -87,14 +91,15 @@
     });
 }
 
-/// Of two processes one has the limits to itself when the other ends.
+/// A process that starts first must get no notification. A second one must be notified that it
+/// shares the limits, and again when the first has ended.
 #[test]
 fn a_process_is_notified_whether_it_is_alone() {
     run_test(async {
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("presence");
         std::fs::create_dir_all(&folder).expect("a folder");
         use client_proxy::process_handoff::announce_presence;
-        let first = announce_presence(&folder, |_| panic!("it is alone"))
+        let first = announce_presence(&folder, |_| panic!("the first process has no other"))
             .await
             .expect("announced");
         let notifications = std::cell::RefCell::new(Vec::new());
--- a/proxy/tests/shutdown_during_retry.rs
+++ b/proxy/tests/shutdown_during_retry.rs
@@ -1,5 +1,6 @@
-//! Graceful shutdown while the connection of a retry is being opened. A process that is started
-//! meanwhile has all sockets open for a moment, so no test here starts one.
+//! Graceful shutdown while the connection of a retry is being opened. No test here starts a
+//! process: between fork and exec it would hold copies of all of this process's sockets, so closing
+//! one here would not close its connection.
 
 mod common;
 
@@ -8,14 +9,14 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A request whose first attempt was rejected, and the connection of whose second one does not
+/// A request whose first attempt was rejected, and whose second attempt waits for its connection to
 /// open.
 struct OpeningRetry {
     proxy: Proxy,
     client: Client,
-    /// The first attempt's.
+    /// The endpoint's side of the first attempt's connection.
     connection: Client,
-    /// Where the second attempt goes: its listener, and what fills its backlog.
+    /// The listener of the second attempt's endpoint, and the connections that fill its backlog.
     listener: TcpListener,
     full: Vec<TcpStream>,
     discovery: TestDiscovery,
@@ -95,19 +96,21 @@
             assert_eq!((response.status(), has_retry_after), (503, true));
         }
     }
-    // 3 s for requests, 0.6 s on top, and 0.1 s of margin before it is killed.
+    // The shutdown waits 3.6 s for replies; the process is killed 0.1 s later.
     assert!(stopped_at.elapsed() < Duration::from_millis(3_700));
-    let ended = (&mut proxy.task).await.expect("it ends without a panic");
-    ended.expect("it listened");
+    let ended = (&mut proxy.task)
+        .await
+        .expect("the proxy task ends without a panic");
+    ended.expect("the proxy listens for clients");
     assert!(
         connection.stream.try_read(&mut [0]).is_err(),
-        "the first endpoint gets nothing more"
+        "the first endpoint gets no further request"
     );
 }
 
-/// The connection of a second attempt is being opened when the order to shut down arrives. If it
-/// opens in time, it is used; if not, the request is rejected before the process is killed, as it
-/// has not run. Either way the process ends.
+/// A shutdown begins while the connection of a second attempt is being opened. If it opens in time,
+/// the attempt must be written; if not, the request must be rejected before the process is killed,
+/// as it has not run. The process must end in both cases.
 #[test]
 fn a_shutdown_waits_a_bounded_time_for_the_connection_of_a_retry() {
     for opens_in_time in [true, false] {
