--- a/proxy/tests/external_names.rs
+++ b/proxy/tests/external_names.rs
@@ -1,6 +1,7 @@
-//! Names that others know the program by: keys of its configuration and of the endpoint list,
-//! headers, paths, operators' commands, the lock file that a process of another version reads.
-//! They belong to the operators and never change.
+//! Names that operators and other programs depend on, and that must not change: the keys of the
+//! configuration and of the endpoint list, headers and paths. Operators' commands are checked in
+//! `operators.rs`, and the name of the lock file, which processes of other versions read, in
+//! `process_presence.rs`.
 
 mod common;
 
@@ -27,7 +28,7 @@
             "invariants": {"cold_from": 0.5, "cold_us": 1, "drain_grace_us": 9_000},
         },
     });
-    let config = Config::parse(&config.to_string()).expect("a good configuration");
+    let config = Config::parse(&config.to_string()).expect("a valid configuration");
     assert_eq!(config.listen.port(), 1);
     assert_eq!(config.discovery.port(), 2);
     assert_eq!(config.admin.expect("an address").port(), 3);
@@ -64,7 +65,8 @@
     assert_eq!(endpoint.state, ListedState::Draining);
 }
 
-/// What an endpoint gets, what a client gets, and the request for a watch of the list.
+/// The start lines and headers that an endpoint and a client get, the path of the health check, and
+/// the watch request for the endpoint list.
 #[test]
 fn messages_on_the_sockets_keep_their_names() {
     run_test(async {
@@ -90,7 +92,7 @@
         ] {
             assert!(seen.header(name).is_some(), "{name}");
         }
-        wait_until("the list is watched", || {
+        wait_until("the proxy has requested the endpoint list", || {
             !discovery.watch_requests.borrow().is_empty()
         })
         .await;
@@ -103,10 +105,10 @@
     });
 }
 
-/// README runs the program with this file.
+/// `README.md` shows how to run the program with this file.
 #[test]
 fn the_example_configuration_is_valid() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/example.json");
-    let config = Config::load(&path).expect("a good configuration");
+    let config = Config::load(&path).expect("a valid configuration");
     assert_eq!(config.classes, ["read", "write"]);
 }
--- a/proxy/tests/operators.rs
+++ b/proxy/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators get at their address.
+//! Operators' commands and their responses: health and metrics.
 
 mod common;
 
@@ -44,8 +44,8 @@
     });
 }
 
-/// Requests count by class and end, attempts once they are fully written, and open requests are
-/// pending.
+/// Requests are counted by class and result, attempts when they have been written completely, and
+/// requests without a reply as pending.
 #[test]
 fn metrics_count_requests_by_class_and_end() {
     run_test(async {
@@ -83,8 +83,8 @@
     });
 }
 
-/// An endpoint that the balancer has ejected counts as unavailable, and so does one that the list
-/// says is draining.
+/// Endpoints that the balancer has ejected count as unavailable, and so do those that are draining
+/// according to the endpoint list.
 #[test]
 fn metrics_count_ejected_and_draining_endpoints_as_unavailable() {
     run_test(async {
@@ -113,7 +113,8 @@
     });
 }
 
-/// Operators that send nothing, or half a line, do not block others.
+/// Connections with an incomplete command, more of them than may be open at once, must not block
+/// operators that connect later.
 #[test]
 fn silent_operator_connections_do_not_block_others() {
     run_test(async {
@@ -121,9 +122,7 @@
         let (_proxy, admin) = start_with_admin(from_ref(&endpoint), |_| ()).await;
         let mut silent = Vec::new();
         for _ in 0..100 {
-            let mut stream = TcpStream::connect(admin)
-                .await
-                .expect("operators are admitted");
+            let mut stream = TcpStream::connect(admin).await.expect("connected");
             stream.write_all(b"heal").await.expect("written");
             silent.push(stream);
             assert!(admin_command(admin, "counters\n")
--- a/proxy/tests/process_replacement.rs
+++ b/proxy/tests/process_replacement.rs
@@ -1,5 +1,5 @@
-//! Endpoints that drain or whose process is replaced while requests are on their way to them: each
-//! order of events is forced by endpoints that the test plays.
+//! Endpoints that begin to drain, or whose process is replaced by a new one, while attempts are in
+//! flight to them. The tests play the endpoints, and so determine the order of events.
 
 mod common;
 
@@ -9,9 +9,9 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::timeout;
 
-/// The endpoints of a keyed class deduplicate retries within its window alone: a retry that is
-/// chosen in time and whose connection opens only after that must not be written, and its client
-/// gets an error at the end of the window.
+/// Endpoints deduplicate the retries of a keyed class only within its retry window. A retry that is
+/// chosen within the window but whose connection opens after it must not be written, and its client
+/// must get an error at the end of the window.
 #[test]
 fn a_retry_whose_connection_opens_after_its_retry_window_is_not_written() {
     run_test(async {
@@ -43,7 +43,7 @@
             200
         );
         first.reset();
-        // Well past the window, and long before the connection attempt is abandoned.
+        // The retry window is 0.5 s, the connect timeout 20 s.
         let early = timeout(Duration::from_secs(2), client.message()).await;
         let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
         drop(full);
@@ -70,21 +70,23 @@
     });
 }
 
-/// A listener whose connections take little of what is sent to them until somebody reads.
+/// A listener whose connections have a small receive buffer, so that a large request can be written
+/// only partly until it is read.
 fn listen_with_small_buffer() -> TcpListener {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(1_024).expect("a small buffer");
-    // Otherwise one segment would be larger than all of a body.
+    // With the default segment size on loopback, a single segment could carry the whole body.
     nix::sys::socket::setsockopt(&socket, nix::sys::socket::sockopt::TcpMaxSeg, &536)
         .expect("small segments");
     socket
         .bind("127.0.0.1:0".parse().expect("an address"))
         .expect("a port");
-    socket.listen(16).expect("it listens")
+    socket.listen(16).expect("listening")
 }
 
-/// A draining endpoint gets nothing new. A request that it had partly received on a connection
-/// that then breaks is written from its beginning, so it goes to another endpoint.
+/// An endpoint begins to drain while a request to it is partly written, and the connection breaks.
+/// The request must be written again from its beginning, so it must go to another endpoint: a
+/// draining endpoint must not get new requests.
 #[test]
 fn a_partly_written_request_is_not_restarted_at_a_draining_endpoint() {
     run_test(async {
@@ -111,7 +113,7 @@
             .stream
             .readable()
             .await
-            .expect("it has begun to arrive");
+            .expect("the request begins to arrive");
         let endpoints = [
             entry("s-0", leaving.address, "Terminating"),
             entry("s-1", other.address, "Ready"),
@@ -122,21 +124,23 @@
         let responded = async { client.message().await.expect("a response").body };
         tokio::select! {
             body = responded => assert_eq!(body, b"other"),
-            mut again = accept(&listener) => panic!("it is restarted: {:?}", again.message().await.map(|m| m.start_line)),
+            mut again = accept(&listener) => panic!("the request is sent to the draining endpoint again: {:?}", again.message().await.map(|m| m.start_line)),
         }
         assert_eq!(other.request_count(), 1);
     });
 }
 
-/// The entry of an endpoint whose process is a new one, but old enough to have warmed up.
+/// The list entry of an endpoint whose process has been replaced by a new one, which started long
+/// enough ago that its slow start is over.
 fn restarted_entry(name: &str, endpoint: &TestEndpoint) -> serde_json::Value {
     let mut entry = entry(name, endpoint.address, "Ready");
     entry["born_ms"] = 1.into();
     entry
 }
 
-/// An attempt was meant for the process that was there: one that has started since is warming up,
-/// and all attempts that still wait for connections would reach it at once.
+/// An attempt that waits for its connection must be withdrawn when a new process replaces the
+/// endpoint's: all waiting attempts would otherwise reach the new process at once, during its slow
+/// start.
 #[test]
 fn an_unwritten_attempt_is_not_written_to_a_later_process() {
     for moved in [false, true] {
@@ -154,7 +158,7 @@
             .await;
             let mut client = proxy.client().await;
             client.send(&request("unsafe", "", "")).await;
-            // Sent later and served: the proxy has read the request before.
+            // A health request sent later has a response, so the proxy has read the first request.
             assert_eq!(
                 proxy.client().await.exchange(HEALTH_REQUEST).await.status(),
                 200
@@ -170,14 +174,15 @@
             assert_eq!(
                 client.message().await.expect("a response").body,
                 b"other",
-                "{moved}"
+                "the endpoint has a new address: {moved}"
             );
             assert_eq!(other.request_count(), 1);
         });
     }
 }
 
-/// A response of the process before: whatever its connection leads to by now is not reused.
+/// A connection that was opened to the earlier process of an endpoint must not be reused after its
+/// response, as it does not lead to the process that the list now describes.
 #[test]
 fn a_connection_to_an_earlier_process_is_not_reused() {
     run_test(async {
@@ -209,14 +214,15 @@
     });
 }
 
-/// What the first attempt's process did is not known once it is gone: the new one gets the request
-/// again only if its class allows, with its key, whether the list or the reset arrives first.
+/// Whether a process has run a request is not known once that process is gone. The new process of
+/// the endpoint must get the request again only if its class allows that, with the same id and
+/// idempotency key, whether the endpoint list or the connection's reset arrives first.
 #[test]
 fn a_retry_goes_to_the_new_process_of_its_endpoint_only_if_its_class_allows() {
     for list_first in [false, true] {
         for (class, status, sent) in [("free", 200, 2), ("keyed", 200, 2), ("unsafe", 502, 1)] {
             run_test(async {
-                // An endpoint that has just responded is not ejected for one reset.
+                // After a successful response a single reset does not eject the endpoint.
                 let endpoint =
                     TestEndpoint::start([ok("before"), ScriptedResponse::Stall, ok("again")]).await;
                 let discovery = TestDiscovery::without_updates().await;
@@ -241,7 +247,7 @@
                     wait_for_members(&proxy, 2).await;
                 }
                 endpoint.reset();
-                wait_until("its connection is closed", || {
+                wait_until("the endpoint's first connection is closed", || {
                     endpoint.open_connections.get() == 0 || endpoint.opened_connections.get() == 2
                 })
                 .await;
@@ -249,9 +255,13 @@
                     discovery.push(&list).await;
                 }
                 let response = client.message().await.expect("a response");
-                assert_eq!(response.status(), status, "{class}, {list_first}");
+                assert_eq!(
+                    response.status(),
+                    status,
+                    "{class}, list first: {list_first}"
+                );
                 let seen = endpoint.requests.borrow()[1..].to_vec();
-                assert_eq!(seen.len(), sent, "{class}, {list_first}");
+                assert_eq!(seen.len(), sent, "{class}, list first: {list_first}");
                 for name in ["x-call-id", "idempotency-key"] {
                     assert!(seen
                         .iter()
@@ -262,8 +272,8 @@
     }
 }
 
-/// What arrives first where the end of a response and the list that says that its endpoint is
-/// draining arrive together.
+/// The order in which the proxy gets the last byte of a response and the list in which its endpoint
+/// is draining.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum FirstSeen {
     Response,
@@ -271,8 +281,8 @@
     Neither,
 }
 
-/// Sends an endpoint's last byte and the update that it drains, in this order. Returns the client's
-/// response if it had to be read in between.
+/// Sends the last byte of an endpoint's response and the update in which it is draining, in this
+/// order. Returns the client's response if it had to be read in between.
 async fn send_last_byte_and_update(
     first: FirstSeen,
     endpoint: &Client,
@@ -296,7 +306,7 @@
         }
         FirstSeen::Neither => {
             let writable = endpoint.stream.writable().await;
-            writable.expect("it can be written to");
+            writable.expect("the connection is writable");
             discovery.push(update).await;
             write_once_writable(endpoint, "x").await;
             None
@@ -304,7 +314,8 @@
     }
 }
 
-/// The endpoint of a request begins to drain as the last byte of its response arrives.
+/// Lets an endpoint begin to drain as the last byte of its response arrives, and asserts that its
+/// connection is closed and the next request goes to another endpoint.
 async fn drain_at_the_end_of_a_response(large: bool, first: FirstSeen) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let other = TestEndpoint::start([ok("other")]).await;
@@ -323,7 +334,7 @@
     client.send(&request("unsafe", "", "")).await;
     let mut endpoint = accept(&listener).await;
     endpoint.message().await.expect("a request");
-    // All but the last byte; a large response is forwarded before its end.
+    // All but the last byte. The proxy forwards a large response before it is complete.
     let size = if large { 100_000 } else { 10 };
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n");
     endpoint.send(&head).await;
@@ -334,7 +345,11 @@
     ];
     let update = chunk(&list(42, false, &endpoints));
     if large {
-        client.stream.readable().await.expect("it is passed on");
+        client
+            .stream
+            .readable()
+            .await
+            .expect("the response begins to arrive");
     }
     let early =
         send_last_byte_and_update(first, &endpoint, &discovery, &update, &proxy, &mut client).await;
@@ -343,18 +358,23 @@
         None => client.message().await,
     };
     let response = response.expect("a response");
-    assert_eq!(response.body.len(), size, "{large}, {first:?}");
+    assert_eq!(
+        response.body.len(),
+        size,
+        "large: {large}, first: {first:?}"
+    );
     assert!(
         endpoint.message().await.is_none(),
-        "{large}, {first:?}: closed, and nothing more arrived"
+        "large: {large}, first: {first:?}: the connection is closed without another request"
     );
     wait_for_members(&proxy, 2).await;
     let next = client.exchange(&request("unsafe", "", "")).await;
     assert_eq!(next.body, b"other");
 }
 
-/// A draining endpoint gets nothing new, also on a connection whose response ends at that moment,
-/// small or large: it is closed whichever of the two the proxy sees first.
+/// The response on a connection ends at the moment at which its endpoint begins to drain. The
+/// connection must not be reused for a new request: it must be closed whichever of the two the
+/// proxy sees first, for a small and for a large response.
 #[test]
 fn a_connection_that_becomes_idle_as_its_endpoint_begins_to_drain_is_closed() {
     for large in [false, true] {
--- a/proxy/tests/program.rs
+++ b/proxy/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as a process: its start, its signals, its log.
+//! The program as a process of its own: startup, signals, descriptor limit and log.
 
 mod common;
 
@@ -23,7 +23,7 @@
     })
 }
 
-/// Waits until discovery has its first watch request; `what` names that if it never has.
+/// Waits until discovery has its first watch request; `what` describes that in a failure's message.
 async fn wait_for_watch(what: &str, discovery: &TestDiscovery) {
     wait_until(what, || discovery.watch_requests.borrow().len() == 1).await;
 }
@@ -39,20 +39,21 @@
         let mut child = program_command(&config, "good.json")
             .0
             .spawn()
-            .expect("it starts");
+            .expect("the program starts");
         let mut client = connect_when_listening(address).await;
         assert_eq!(
             client.exchange(&request("unsafe", "", "")).await.body,
             b"served"
         );
-        // Its time is longer than a shutdown may take: it gets its response early.
+        // Its deadline is later than the end of the shutdown, so its reply is sent before the
+        // deadline.
         let mut stuck = connect(address).await;
         stuck.send(&request("unsafe", "", "")).await;
         wait_until("the endpoint has the request", || {
             endpoint.request_count() == 2
         })
         .await;
-        // A second order, and a reload beside it, change nothing.
+        // The signals after the first must not affect the shutdown.
         for order in ["-TERM", "-HUP", "-TERM"] {
             let sent = Command::new("kill")
                 .args([order, &child.id().to_string()])
@@ -60,7 +61,7 @@
             assert!(sent.expect("kill runs").success());
         }
         let code = loop {
-            match child.try_wait().expect("it can be waited for") {
+            match child.try_wait().expect("the process can be waited for") {
                 Some(status) => break status.code(),
                 None => sleep(Duration::from_millis(5)).await,
             }
@@ -73,13 +74,16 @@
             .take()
             .expect("piped")
             .read_to_string(&mut log)
-            .expect("text");
+            .expect("UTF-8");
         assert!(!log.contains("panicked"), "{log}");
-        assert!(client.message().await.is_none(), "closed between requests");
+        assert!(
+            client.message().await.is_none(),
+            "the idle connection is closed"
+        );
     });
 }
 
-/// Orders a process to read its configuration again.
+/// Sends a process SIGHUP, on which it reloads its configuration.
 fn send_hangup(process: &Child) {
     let sent = Command::new("kill")
         .args(["-HUP", &process.id().to_string()])
@@ -87,14 +91,15 @@
     assert!(sent.expect("kill runs").success());
 }
 
-/// Reads a log up to the first line that contains this text.
+/// Reads a log up to and including the first line that contains this text.
 fn read_until_line(log: &mut impl Iterator<Item = std::io::Result<String>>, text: &str) {
-    while !log.next().expect("a line").expect("text").contains(text) {}
+    while !log.next().expect("a line").expect("UTF-8").contains(text) {}
 }
 
-/// SIGHUP must not end the program. It reads its file again and goes on with the endpoints that it
-/// has; it watches the new discovery at once, from the current version, and what the old one still
-/// sends is ignored.
+/// SIGHUP must reload the configuration without ending the program. An invalid configuration must
+/// be logged and ignored. After a valid one with another discovery, the program must keep its
+/// endpoints, watch the new discovery at once, from the current version, and close the old watch,
+/// so that later lists of the old discovery are ignored.
 #[test]
 fn a_reload_moves_the_watch_and_keeps_the_endpoints() {
     run_test(async {
@@ -106,7 +111,7 @@
         let address = port.local_addr().expect("an address");
         let config = configuration_at(address, &old, &endpoint);
         let (mut command, path) = program_command(&config, "reload.json");
-        let mut child = command.spawn().expect("it starts");
+        let mut child = command.spawn().expect("the program starts");
         wait_for_watch("the old watch is open", &old).await;
         let mut client = connect(address).await;
         assert_eq!(
@@ -115,8 +120,7 @@
         );
         std::fs::write(&path, "{ broken").expect("written");
         send_hangup(&child);
-        // The log is in order: the line about the broken file stands before that about the good
-        // one.
+        // The broken file is replaced only after the log reports it, so it has been read.
         let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
         read_until_line(&mut log, "configuration kept");
         std::fs::write(&path, configuration_at(address, &new, &endpoint)).expect("written");
@@ -134,8 +138,8 @@
         let update = list(42, true, &[entry("s-9", other.address, "Ready")]);
         new.push(&chunk(&update)).await;
         while client.exchange(&request("unsafe", "", "")).await.body != b"second" {}
-        child.kill().expect("it still runs");
-        child.wait().expect("it can be waited for");
+        child.kill().expect("the program still runs");
+        child.wait().expect("the process can be waited for");
     });
 }
 
@@ -176,7 +180,7 @@
         let output = program_command(config, &format!("broken-{number}.json"))
             .0
             .output()
-            .expect("it runs");
+            .expect("the program runs");
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{config}");
         assert_eq!(text.lines().count(), 1, "{text}");
@@ -187,18 +191,18 @@
     }
 }
 
-/// The descriptor limit of the program in the test of its reserves.
+/// The descriptor limit of the program in the test of reserved descriptors.
 const MAX_DESCRIPTORS: usize = 256;
 
-/// Open descriptors of a process.
+/// The number of open descriptors of a process.
 fn open_descriptors(process: u32) -> usize {
     std::fs::read_dir(format!("/proc/{process}/fd"))
-        .expect("it runs")
+        .expect("the process runs")
         .count()
 }
 
-/// Starts the program with this configuration under the descriptor limit; its log is in the
-/// returned file.
+/// Starts the program with this configuration under the descriptor limit. Returns the path of its
+/// log too.
 fn start_with_descriptor_limit(config: &str, name: &str) -> (RunningProgram, PathBuf) {
     let path = program_command(config, &format!("{name}.json")).1;
     let log = path.with_extension("log");
@@ -210,10 +214,13 @@
     command
         .stdout(Stdio::null())
         .stderr(std::fs::File::create(&log).expect("a log"));
-    (RunningProgram(command.spawn().expect("it starts")), log)
+    (
+        RunningProgram(command.spawn().expect("the program starts")),
+        log,
+    )
 }
 
-/// This many clients, each with a request in flight.
+/// Connects this many clients and sends a request on each.
 async fn clients_with_requests(address: SocketAddr, count: usize) -> Vec<Client> {
     let mut clients = Vec::new();
     for _ in 0..count {
@@ -234,10 +241,11 @@
     list(42, true, &entries)
 }
 
-/// Clients that send nothing, requests that stall, and silent operators use up all connections
-/// that each may have while discovery is down. The process may not have one descriptor more than
-/// its limit. When discovery returns the watch is opened, its list is applied, operators get
-/// responses, and requests find connections on both sides.
+/// While discovery is down, clients that send nothing, stalled requests and operators that send
+/// nothing use up all the connections that each of them may have. The system's limit on descriptors
+/// is the configured one, so the program fails if it needs one more. When discovery returns, the
+/// program must open the watch, apply its list, respond to operators, and accept and open
+/// connections for requests.
 #[test]
 fn descriptors_are_reserved_for_the_watch_endpoints_and_operators() {
     for mode in ["ask", "push"] {
@@ -245,7 +253,7 @@
     }
 }
 
-/// Endpoints that don't respond until they are released.
+/// Starts this many endpoints, which don't respond until they are released.
 async fn stalling_endpoints(count: usize) -> Vec<TestEndpoint> {
     let mut endpoints = Vec::new();
     for _ in 0..count {
@@ -254,7 +262,7 @@
     endpoints
 }
 
-/// This many clients that send nothing.
+/// Connects this many clients, which send nothing.
 async fn connect_silent_clients(address: SocketAddr, count: usize) -> Vec<Client> {
     let mut clients = Vec::new();
     for _ in 0..count {
@@ -263,22 +271,18 @@
     clients
 }
 
-/// As many operators that send nothing as are admitted.
+/// Connects as many operators as may be connected at once; they send nothing.
 async fn connect_silent_operators(address: SocketAddr) -> Vec<TcpStream> {
     let mut operators = Vec::new();
     for _ in 0..client_proxy::config::MAX_OPERATOR_CONNECTIONS {
-        operators.push(
-            TcpStream::connect(address)
-                .await
-                .expect("operators are admitted"),
-        );
+        operators.push(TcpStream::connect(address).await.expect("connected"));
     }
     operators
 }
 
-/// Waits until the endpoints have this many requests.
+/// Waits until the endpoints have received this many requests in total.
 async fn wait_for_requests(endpoints: &[TestEndpoint], count: usize) {
-    wait_until("all are in flight", || {
+    wait_until("the endpoints have all requests", || {
         endpoints
             .iter()
             .map(TestEndpoint::request_count)
@@ -288,17 +292,19 @@
     .await;
 }
 
-/// Discovery returns, with this list for the watch that is opened.
+/// Starts discovery at this port, which responds to the watch with this list, and waits for the
+/// watch.
 async fn start_discovery(port: TcpSocket, endpoint_list: &str) -> TestDiscovery {
     let discovery = TestDiscovery::on_listener(
-        port.listen(8).expect("it listens"),
+        port.listen(8).expect("listening"),
         [format!("{WATCH_HEAD}{}", chunk(endpoint_list))],
     );
     wait_for_watch("the watch is open", &discovery).await;
     discovery
 }
 
-/// The endpoints respond: the requests that stalled are served, and so are those of new clients.
+/// Lets the endpoints respond, and asserts that the stalled requests are served, and so are those
+/// of new clients.
 async fn assert_requests_are_served(
     endpoints: &[TestEndpoint],
     stalled: &mut [Client],
@@ -312,13 +318,13 @@
         assert_eq!(
             client.message().await.expect("a response").status(),
             200,
-            "it is served"
+            "a stalled request is served"
         );
     }
     for _ in 0..3 * endpoints.len() {
         let mut client = connect_when_listening(address).await;
         let response = client.exchange(&request("unsafe", "", "")).await;
-        assert_eq!(response.status(), 200, "it finds a connection");
+        assert_eq!(response.status(), 200, "a new client's request is served");
     }
 }
 
@@ -333,19 +339,20 @@
         config["limits"]["sockets"] = MAX_DESCRIPTORS.into();
         config["settings"]["discovery"] = mode.into();
     });
-    let parsed = client_proxy::config::Config::parse(&config).expect("a good configuration");
+    let parsed = client_proxy::config::Config::parse(&config).expect("a valid configuration");
     let max_clients = parsed.max_client_connections();
     let max_upstream = parsed.max_endpoint_connections();
     let (process, log) = start_with_descriptor_limit(&config, &format!("full-{mode}"));
-    // As many requests as there may be connections to endpoints, and then clients that send
+    // One request for each connection to endpoints that may be open, then clients that send
     // nothing.
     let mut stalled = clients_with_requests(address, max_upstream).await;
     wait_for_requests(&endpoints, max_upstream).await;
     let silent = connect_silent_clients(address, 2 * max_clients).await;
     let silent_operators = connect_silent_operators(operators).await;
-    wait_until("it has all connections that it may have", || {
-        open_descriptors(process.0.id()) >= max_upstream + max_clients + silent_operators.len()
-    })
+    wait_until(
+        "the program has all connections to clients, endpoints and operators that it may have",
+        || open_descriptors(process.0.id()) >= max_upstream + max_clients + silent_operators.len(),
+    )
     .await;
     let _discovery = start_discovery(discovery, &list_with_first_draining(&endpoints)).await;
     while metrics(operators).await["members_unavailable"] == 0 {}
@@ -354,14 +361,15 @@
     assert_eq!(
         endpoints[0].request_count(),
         drained,
-        "it gets nothing more"
+        "a draining endpoint gets no new request"
     );
     let log = std::fs::read_to_string(&log).expect("a log");
+    // EMFILE.
     assert!(!log.contains("os error 24"), "{log}");
     drop((silent, silent_operators, listen, admin));
 }
 
-/// Nobody reads the log, and its pipe is full: requests are served all the same.
+/// If nobody reads the log and its pipe is full, requests must still be served.
 #[test]
 fn a_log_that_nobody_reads_does_not_block_requests() {
     run_test(async {
@@ -371,8 +379,13 @@
         let address = port.local_addr().expect("an address");
         let config = configuration_at(address, &discovery, &endpoint);
         let mut command = program_command(&config, "unread-log.json").0;
-        // Some hundred bytes a request, of the 64 KiB that a pipe holds.
-        let _program = RunningProgram(command.env("ROUTER_TRACE", "1").spawn().expect("it starts"));
+        // The trace logs some hundred bytes for each request, and a pipe holds 64 KiB.
+        let _program = RunningProgram(
+            command
+                .env("ROUTER_TRACE", "1")
+                .spawn()
+                .expect("the program starts"),
+        );
         let mut client = connect_when_listening(address).await;
         for _ in 0..500 {
             assert_eq!(
--- a/proxy/tests/system_call_faults.rs
+++ b/proxy/tests/system_call_faults.rs
@@ -1,4 +1,5 @@
-//! The program while system calls fail: a preloaded library lets them fail by a schedule.
+//! The program while system calls fail. A preloaded library makes them fail according to a fault
+//! schedule.
 
 mod common;
 
@@ -10,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// A configuration for these endpoints with this address for clients.
+/// The configuration of a program that listens at this address.
 fn configuration_at(
     address: SocketAddr,
     discovery: &TestDiscovery,
@@ -21,7 +22,7 @@
     })
 }
 
-/// The program's first client, once it listens; `None` if it ends instead.
+/// Connects the program's first client once it listens; `None` if the program ends before.
 async fn first_client(program: &mut RunningProgram, address: SocketAddr) -> Option<Client> {
     loop {
         if let Ok(stream) = TcpStream::connect(address).await {
@@ -30,7 +31,7 @@
         if program
             .0
             .try_wait()
-            .expect("it can be waited for")
+            .expect("the process can be waited for")
             .is_some()
         {
             return None;
@@ -39,7 +40,8 @@
     }
 }
 
-/// The system may be out of buffers or descriptors temporarily as the program starts: it retries.
+/// The system may be out of buffers, memory or descriptors for a moment while the program starts.
+/// It must retry instead of ending.
 #[test]
 fn a_socket_call_that_fails_temporarily_does_not_end_the_start() {
     run_test(async {
@@ -57,7 +59,7 @@
             let mut program = start_with_faults(&mut command, &failures);
             let mut client = first_client(&mut program, address)
                 .await
-                .expect("it starts");
+                .expect("the program listens");
             assert_eq!(
                 client.exchange(&request("unsafe", "", "")).await.body,
                 b"served",
@@ -67,8 +69,8 @@
     });
 }
 
-/// A read may return less than there is, and the event queue reports bytes only once: the rest is
-/// read all the same, of requests, responses and the list.
+/// A read may return fewer bytes than are available, and epoll in edge-triggered mode does not
+/// report the rest again. The proxy must nevertheless read all of a request, a response and a list.
 #[test]
 fn a_short_read_leaves_nothing_unread() {
     run_test(async {
@@ -90,7 +92,7 @@
         let mut program = start_with_faults(&mut command, &failures);
         let mut client = first_client(&mut program, address)
             .await
-            .expect("it starts");
+            .expect("the program listens");
         for _ in 0..3 {
             let response = client
                 .exchange(&request("keyed", "", &"c".repeat(3_000)))
@@ -105,8 +107,9 @@
     });
 }
 
-/// A connection that ended before it was accepted, or a system short of buffers, does not mean
-/// that nobody waits: clients that had connected by the order to shut down get responses.
+/// An accept fails if the connection has ended in the backlog, or if the system is short of
+/// buffers. During a shutdown the proxy must not take that for an empty backlog: every client that
+/// connected before the shutdown must get a response.
 #[test]
 fn a_failure_to_accept_during_a_shutdown_rejects_nobody() {
     const WAITING: usize = 8;
@@ -123,7 +126,7 @@
             };
             let text = configuration(discovery.address, from_ref(&endpoint), few);
             let max_clients = client_proxy::config::Config::parse(&text)
-                .expect("good")
+                .expect("a valid configuration")
                 .max_client_connections();
             let mut command = program_command(&text, &format!("accept-{failure}.json")).0;
             command.env("ROUTER_ADMIN", admin.to_string());
@@ -131,7 +134,7 @@
             let mut program = start_with_faults(&mut command, &failures);
             let mut clients = vec![first_client(&mut program, address)
                 .await
-                .expect("it starts")];
+                .expect("the program listens")];
             while clients.len() < max_clients + WAITING {
                 clients.push(MessageReader::new(
                     TcpStream::connect(address).await.expect("connected"),
@@ -145,7 +148,7 @@
             for client in &mut clients {
                 assert!(
                     client.message().await.is_some(),
-                    "{failure}: it gets its response"
+                    "{failure}: every client gets a response"
                 );
             }
             assert!(program.ends().await);
@@ -153,7 +156,8 @@
     }
 }
 
-/// The configuration's file may be unreadable just as the signal arrives, which is not sent again.
+/// The configuration file may be unreadable for a moment when the signal arrives. The signal is not
+/// sent again, so the proxy must retry the reload.
 #[test]
 fn a_reload_that_cannot_read_its_file_is_retried() {
     for failure in ["ENFILE", "EIO", "ENOENT"] {
@@ -172,7 +176,7 @@
             let mut program = start_with_faults(&mut command, &failures);
             first_client(&mut program, address)
                 .await
-                .expect("it starts");
+                .expect("the program listens");
             std::fs::write(path, configuration_at(address, &new, from_ref(&endpoint)))
                 .expect("written");
             program.signal("HUP");
@@ -184,8 +188,8 @@
     }
 }
 
-/// That there is no local port or no route temporarily is not the endpoint's fault: the connection
-/// is retried, and the endpoint is not ejected.
+/// A temporary lack of local ports, routes or buffers is not the endpoint's fault: the connection
+/// must be retried, and the endpoint must not be ejected.
 #[test]
 fn a_connection_that_fails_temporarily_is_retried() {
     run_test(async {
@@ -200,12 +204,12 @@
                 &name,
             )
             .0;
-            // The first connection is the watch's.
+            // The first connection, to discovery, succeeds.
             let rule = json!({"call": "connect", "failure": failure, "after": 1, "most": 2});
             let mut program = start_with_faults(&mut command, &json!({"rules": [rule]}));
             let mut client = first_client(&mut program, address)
                 .await
-                .expect("it starts");
+                .expect("the program listens");
             wait_until("the watch is open", || {
                 discovery.watch_requests.borrow().len() == 1
             })
@@ -219,8 +223,8 @@
     });
 }
 
-/// The folder in which processes of the program announce themselves may fail for a while: they
-/// find each other as soon as it works.
+/// The folder with the lock file may fail for a while. The program must create and lock the file
+/// once the folder works again, so that processes find each other.
 #[test]
 fn a_folder_that_fails_temporarily_is_used_later() {
     run_test(async {
@@ -247,9 +251,9 @@
             let mut program = start_with_faults(&mut command, &json!({"rules": [rule]}));
             first_client(&mut program, address)
                 .await
-                .expect("it starts");
+                .expect("the program listens");
             let file = std::fs::File::create(folder.join("nettleworks.lock")).expect("a file");
-            wait_until("it has locked the file", || {
+            wait_until("the program has locked the file", || {
                 let is_locked = file.try_lock().is_err();
                 file.unlock().expect("unlocked");
                 is_locked
--- a/proxy/tests/withdrawn_attempts.rs
+++ b/proxy/tests/withdrawn_attempts.rs
@@ -1,13 +1,14 @@
-//! Attempts that are withdrawn before they are written, and retries of those that may have run.
+//! Attempts that are withdrawn before they are written, and retries of requests that may have run.
 
 mod common;
 
 use common::*;
 use std::slice::from_ref;
 
-/// An attempt counts when it is written. One that still waits for its connection when the proxy is
-/// notified that its endpoint is draining must not be written there later; it goes to another
-/// endpoint at once.
+/// A draining endpoint must not get new requests; what counts is when an attempt is written, not
+/// when its endpoint was chosen. An attempt that still waits for its connection when the proxy is
+/// notified of the drain must not be written there later; the request must go to another endpoint
+/// at once.
 #[test]
 fn an_unwritten_attempt_is_withdrawn_when_its_endpoint_drains() {
     run_test(async {
@@ -24,7 +25,7 @@
             discovery.watch_requests.borrow().len() == 1
         })
         .await;
-        // Sent later and served: the proxy has read the request before.
+        // A health request sent later has a response, so the proxy has read the first request.
         assert_eq!(
             proxy.client().await.exchange(HEALTH_REQUEST).await.status(),
             200
@@ -40,8 +41,8 @@
     });
 }
 
-/// A withdrawn attempt is reported as never run: it must not be written by a task that already has
-/// it.
+/// A withdrawn attempt is reported as never run, so the connection's task must not write it, even
+/// if the attempt was handed to the task before.
 #[test]
 fn an_attempt_withdrawn_before_its_task_runs_is_not_written() {
     run_test(async {
@@ -65,8 +66,8 @@
             entry("s-1", other.address, "Ready"),
         ];
         let list = chunk(&list(42, false, &endpoints));
-        // Both arrive in one turn of the proxy's loop, the request first: it is given to its
-        // connection's task, which runs only after the list.
+        // Both arrive before the proxy runs again, the request first. Its attempt is handed to the
+        // connection's task, which runs only after the list has been applied.
         client.send(&request("unsafe", "", "")).await;
         discovery.push(&list).await;
         assert_eq!(client.message().await.expect("a response").body, b"other");
@@ -74,8 +75,9 @@
     });
 }
 
-/// A connection breaks once the request is fully written: it may have run. A request whose class
-/// forbids it is not retried, and its client is not advised to retry; others are retried at once.
+/// A request may have run if its connection breaks after it was completely written. If its class
+/// forbids retries, it must not be retried and its client must get a 502, which does not advise a
+/// retry; otherwise it must be retried at once.
 #[test]
 fn a_request_that_may_have_run_is_retried_only_if_its_class_allows() {
     run_test(async {
@@ -98,18 +100,26 @@
                         let retries = endpoints[0].request_count() - reused - 1
                             + endpoints[1].request_count()
                             - served_before;
-                        assert_eq!(retries, usize::from(status == 200), "{class}, {reused}");
+                        assert_eq!(
+                            retries,
+                            usize::from(status == 200),
+                            "{class}, requests before: {reused}"
+                        );
                         break response;
                     }
                 };
-                assert_eq!(response.status(), status, "{class}, {reused}");
+                assert_eq!(
+                    response.status(),
+                    status,
+                    "{class}, requests before: {reused}"
+                );
             }
         }
     });
 }
 
-/// Nothing is sent for a request that has ended, also where the settings do not allow cancelling
-/// attempts: one that still waits for its connection must not be written once that opens.
+/// An attempt that still waits for its connection when its client disconnects must not be written
+/// once the connection opens, even if the settings do not allow attempts to be cancelled.
 #[test]
 fn an_unwritten_attempt_is_withdrawn_when_its_request_ends() {
     run_test(async {
@@ -136,7 +146,7 @@
             proxy.client().await.exchange(HEALTH_REQUEST).await.status(),
             200
         );
-        // From here on connections open, the first one's before the second's.
+        // Both connections open now, that of the first request before that of the second.
         let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
         drop(full);
         assert_eq!(client.message().await.expect("a response").status(), 200);
@@ -150,7 +160,8 @@
     });
 }
 
-/// An endpoint that has moved gets nothing at its old address, where another may listen by now.
+/// An endpoint whose address has changed must get no new requests at the old one, where another
+/// endpoint may listen now. Requests in flight there complete.
 #[test]
 fn an_endpoint_that_moved_gets_requests_at_its_new_address() {
     run_test(async {
@@ -174,7 +185,7 @@
                 &[entry("s-0", new.address, "Ready")],
             )))
             .await;
-        wait_until("its idle connection closes", || {
+        wait_until("the idle connection to the old address is closed", || {
             old.open_connections.get() == 1
         })
         .await;
@@ -184,7 +195,7 @@
         );
         old.release.notify_one();
         assert_eq!(busy.message().await.expect("a response").body, b"released");
-        wait_until("its last connection closes", || {
+        wait_until("the last connection to the old address is closed", || {
             old.open_connections.get() == 0
         })
         .await;
