--- a/proxy/tests/graceful_shutdown.rs
+++ b/proxy/tests/graceful_shutdown.rs
@@ -25,14 +25,14 @@
         let mut proxy = Proxy::start(from_ref(&endpoint)).await;
         let mut idle = proxy.client().await;
         let mut busy = proxy.client().await;
-        let mut half = proxy.client().await;
+        let mut partial = proxy.client().await;
         assert_eq!(
             idle.exchange(&request("unsafe", "", "")).await.body,
             b"before"
         );
         busy.send(&request("unsafe", "", "").replace("8000", "1500"))
             .await;
-        half.send("POST /api HTTP/1.1\r\nX-Call").await;
+        partial.send("POST /api HTTP/1.1\r\nX-Call").await;
         wait_until("the endpoint has the request", || {
             endpoint.request_count() == 2
         })
@@ -118,7 +118,7 @@
 /// killed. The kill follows 0.7 s after the longest deadline of a class, which counts as 3 s at
 /// most; the shutdown ends 0.6 s after that deadline.
 #[test]
-fn a_shutdown_ends_queued_requests() {
+fn a_shutdown_rejects_queued_requests_before_the_process_is_killed() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let draining = list(42, true, &[entry("s-0", endpoint.address, "Terminating")]);
@@ -156,14 +156,14 @@
 fn a_shutdown_responds_on_connections_that_wait_to_be_accepted() {
     run_test(async {
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
-        let few = |config: &mut serde_json::Value| {
+        let limit_descriptors = |config: &mut serde_json::Value| {
             config["limits"]["sockets"] = 70.into();
             config["admin"] = "127.0.0.1:0".into();
         };
         let discovery = TestDiscovery::without_updates().await;
-        let mut proxy = Proxy::start_with(&discovery, from_ref(&endpoint), few).await;
+        let mut proxy = Proxy::start_with(&discovery, from_ref(&endpoint), limit_descriptors).await;
         let admin = proxy.admin.expect("an address for operators");
-        let text = configuration(discovery.address, &[], few);
+        let text = configuration(discovery.address, &[], limit_descriptors);
         let max_clients = client_proxy::config::Config::parse(&text)
             .expect("a valid configuration")
             .max_client_connections();
@@ -187,7 +187,7 @@
 /// Closing a connection that has unread bytes resets it by default, and a reset may discard the
 /// response that was sent before. The proxy must close such connections without a reset.
 #[test]
-fn closing_a_connection_does_not_reset_it() {
+fn closing_a_connection_with_unread_bytes_does_not_reset_it() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let mut proxy = Proxy::start(from_ref(&endpoint)).await;
@@ -242,13 +242,13 @@
 /// A process that waits for its first endpoint list has accepted no connection, so a shutdown must
 /// end it at once, whether it is alone or another process serves.
 #[test]
-fn a_shutdown_before_the_first_endpoint_list_ends_the_process() {
+fn a_shutdown_before_the_first_endpoint_list_ends_the_process_at_once() {
     run_test(async {
-        for beside in [false, true] {
+        for has_other_process in [false, true] {
             let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
-                .join(format!("unlisted-{beside}"));
+                .join(format!("shutdown-without-list-{has_other_process}"));
             std::fs::create_dir_all(&folder).expect("a folder");
-            let other = match beside {
+            let other = match has_other_process {
                 true => Some(
                     client_proxy::process_handoff::announce_presence(&folder, |_| ())
                         .await
@@ -282,7 +282,7 @@
                 .expect("the proxy ends without an error");
             assert!(
                 stopped_at.elapsed() < Duration::from_secs(1),
-                "another process serves: {beside}"
+                "another process serves: {has_other_process}"
             );
             drop(other);
         }
@@ -292,36 +292,40 @@
 type ResponseStatuses = Rc<RefCell<HashMap<String, u16>>>;
 
 /// Spawns a client that sends requests until its connection ends, and records the status of each
-/// response by the request's id. With `waits` it sends each request once the one before has its
-/// response, otherwise without waiting.
-fn spawn_client(client: Client, waits: bool, responded: ResponseStatuses) -> JoinHandle<()> {
+/// response by the request's id. With `waits_for_response` it sends each request once the one
+/// before has its response, otherwise without waiting.
+fn spawn_client(
+    client: Client,
+    waits_for_response: bool,
+    statuses: ResponseStatuses,
+) -> JoinHandle<()> {
     let (read, mut write) = client.stream.into_split();
-    let go = Rc::new(Notify::new());
-    let sent = Rc::new(RefCell::new(VecDeque::new()));
-    let next = go.clone();
-    let sending = sent.clone();
+    let response_received = Rc::new(Notify::new());
+    let sent_ids = Rc::new(RefCell::new(VecDeque::new()));
+    let received = response_received.clone();
+    let ids = sent_ids.clone();
     let writer = spawn_local(async move {
         loop {
             let text = request("unsafe", "", "");
             let mut lines = text.split("\r\n");
             let id = lines.find_map(|line| line.strip_prefix("X-Call-Id: "));
             let id = id.expect("a request id").to_owned();
-            sending.borrow_mut().push_back(id);
+            ids.borrow_mut().push_back(id);
             if write.write_all(text.as_bytes()).await.is_err() {
                 return;
             }
-            if waits {
-                next.notified().await;
+            if waits_for_response {
+                received.notified().await;
             }
         }
     });
     spawn_local(async move {
         let mut reader = MessageReader::new(read);
         while let Some(response) = reader.message().await {
-            let id: Option<String> = sent.borrow_mut().pop_front();
+            let id: Option<String> = sent_ids.borrow_mut().pop_front();
             let id = id.expect("a request for the response");
-            responded.borrow_mut().insert(id, response.status());
-            go.notify_one();
+            statuses.borrow_mut().insert(id, response.status());
+            response_received.notify_one();
         }
         writer.abort();
     })
@@ -332,17 +336,17 @@
 /// endpoint must get a response that is not a rejection; only a request that was not forwarded may
 /// have none.
 #[test]
-fn a_shutdown_ends_while_clients_go_on_sending() {
+fn a_shutdown_completes_while_clients_keep_sending() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let mut proxy = Proxy::start(from_ref(&endpoint)).await;
-        let responded = ResponseStatuses::default();
+        let statuses = ResponseStatuses::default();
         let mut clients = Vec::new();
         for number in 0..24 {
             let client = proxy.client().await;
-            clients.push(spawn_client(client, number % 2 == 0, responded.clone()));
+            clients.push(spawn_client(client, number % 2 == 0, statuses.clone()));
         }
-        wait_until("all clients are sending", || responded.borrow().len() > 240).await;
+        wait_until("all clients are sending", || statuses.borrow().len() > 240).await;
         drop(proxy.stop.take());
         (&mut proxy.task)
             .await
@@ -352,7 +356,7 @@
             client.await.expect("the client task ends without a panic");
         }
         for seen in endpoint.requests.borrow().iter() {
-            let status = responded
+            let status = statuses
                 .borrow()
                 .get(seen.header("x-call-id").expect("a request id"))
                 .copied();
--- a/proxy/tests/process_handoff.rs
+++ b/proxy/tests/process_handoff.rs
@@ -16,18 +16,18 @@
 
 /// The configuration, endpoint, discovery and folder shared by processes that listen at the same
 /// address.
-struct HandoffSite {
+struct HandoffFixture {
     endpoint: TestEndpoint,
     config: String,
     folder: PathBuf,
     address: SocketAddr,
     /// Keeps the port of `address` reserved for as long as the test runs.
-    _port: TcpSocket,
+    _reserved_port: TcpSocket,
     _discovery: TestDiscovery,
 }
 
-impl HandoffSite {
-    async fn new(name: &str, script: impl IntoIterator<Item = ScriptedResponse>) -> HandoffSite {
+impl HandoffFixture {
+    async fn new(name: &str, script: impl IntoIterator<Item = ScriptedResponse>) -> HandoffFixture {
         let endpoint = TestEndpoint::start(script).await;
         let discovery = TestDiscovery::without_updates().await;
         let port = reserve_port();
@@ -35,29 +35,29 @@
         let config = configuration(discovery.address, from_ref(&endpoint), |config| {
             config["listen"] = address.to_string().into();
         });
-        HandoffSite {
+        HandoffFixture {
             endpoint,
             config,
             folder: empty_folder(name),
             address,
-            _port: port,
+            _reserved_port: port,
             _discovery: discovery,
         }
     }
 
     /// Starts a process and waits until it is ready. Returns it and its address for operators.
     async fn start(&self) -> (RunningProgram, SocketAddr) {
-        let admin = reserve_port();
-        let at = admin.local_addr().expect("an address");
-        let name = self.folder.join("config.json");
-        let mut command = program_command(&self.config, name.to_str().expect("UTF-8")).0;
+        let admin_port = reserve_port();
+        let admin = admin_port.local_addr().expect("an address");
+        let config_path = self.folder.join("config.json");
+        let mut command = program_command(&self.config, config_path.to_str().expect("UTF-8")).0;
         command
             .env("TMPDIR", &self.folder)
-            .env("ROUTER_ADMIN", at.to_string())
+            .env("ROUTER_ADMIN", admin.to_string())
             .stderr(Stdio::null());
         let process = RunningProgram(command.spawn().expect("the program starts"));
-        while !is_ready(at).await {}
-        (process, at)
+        while !is_ready(admin).await {}
+        (process, admin)
     }
 
     async fn client(&self) -> std::io::Result<Client> {
@@ -66,7 +66,7 @@
 
     /// Whether a request on a new connection is served and the connection is kept open, which a
     /// process that shuts down would not do.
-    async fn is_served(&self) -> bool {
+    async fn is_new_connection_served(&self) -> bool {
         let mut client = self
             .client()
             .await
@@ -79,24 +79,24 @@
 /// A new process dies after it has become ready and before the old one begins its shutdown: the old
 /// one must get all new connections again, and the next new process must be able to take over.
 #[test]
-fn a_new_process_that_dies_leaves_its_clients_to_the_old_one() {
+fn the_old_process_serves_new_connections_again_after_the_new_one_dies() {
     run_test(async {
-        let site = HandoffSite::new("dies-before", [ok("served")]).await;
-        let (mut old, old_admin) = site.start().await;
-        assert!(site.is_served().await);
-        let (mut new, _) = site.start().await;
+        let fixture = HandoffFixture::new("new-dies-before-shutdown", [ok("served")]).await;
+        let (mut old, old_admin) = fixture.start().await;
+        assert!(fixture.is_new_connection_served().await);
+        let (mut new, _) = fixture.start().await;
         new.kill();
         for _ in 0..16 {
-            assert!(site.is_served().await);
+            assert!(fixture.is_new_connection_served().await);
         }
-        let (_next, _) = site.start().await;
+        let (_next, _) = fixture.start().await;
         old.stop();
         while is_ready(old_admin).await {}
         for _ in 0..16 {
-            assert!(site.is_served().await);
+            assert!(fixture.is_new_connection_served().await);
         }
         assert!(old.ends().await);
-        assert!(site.is_served().await);
+        assert!(fixture.is_new_connection_served().await);
     });
 }
 
@@ -104,31 +104,31 @@
 /// listener it must serve the connections that it accepts; later ones are refused until the next
 /// process listens.
 #[test]
-fn a_new_process_that_dies_during_a_shutdown_loses_no_request() {
+fn a_new_process_that_dies_during_the_shutdown_of_the_old_one_loses_no_request() {
     run_test(async {
-        let site = HandoffSite::new(
-            "dies-after",
+        let fixture = HandoffFixture::new(
+            "new-dies-during-shutdown",
             [ok("served"), ScriptedResponse::Stall, ok("served")],
         )
         .await;
-        let (mut old, old_admin) = site.start().await;
-        assert!(site.is_served().await);
-        let mut busy = site
+        let (mut old, old_admin) = fixture.start().await;
+        assert!(fixture.is_new_connection_served().await);
+        let mut busy = fixture
             .client()
             .await
             .expect("the program accepts connections");
         busy.send(&request("unsafe", "", "")).await;
         wait_until("the endpoint has the request", || {
-            site.endpoint.request_count() == 2
+            fixture.endpoint.request_count() == 2
         })
         .await;
-        let (mut new, _) = site.start().await;
+        let (mut new, _) = fixture.start().await;
         old.stop();
         while is_ready(old_admin).await {}
         new.kill();
         for _ in 0..16 {
             // Refused: the old process has closed its listener.
-            let Ok(mut client) = site.client().await else {
+            let Ok(mut client) = fixture.client().await else {
                 break;
             };
             let response = client.exchange(&request("unsafe", "", "")).await;
@@ -138,36 +138,36 @@
                 "the old process serves the connection and closes it"
             );
         }
-        let (_next, _) = site.start().await;
+        let (_next, _) = fixture.start().await;
         for _ in 0..16 {
             assert!(
-                site.is_served().await,
+                fixture.is_new_connection_served().await,
                 "the next process serves new connections"
             );
         }
-        site.endpoint.release.notify_one();
+        fixture.endpoint.release.notify_one();
         assert_eq!(busy.message().await.expect("a response").body, b"released");
         assert!(old.ends().await);
-        assert!(site.is_served().await);
+        assert!(fixture.is_new_connection_served().await);
     });
 }
 
 /// A process that cannot create its lock file must serve nevertheless, and log the error once.
 #[test]
-fn a_process_that_cannot_announce_itself_serves() {
+fn a_process_that_cannot_create_its_lock_file_serves_and_logs_the_error_once() {
     run_test(async {
-        let mut site = HandoffSite::new("unshown", [ok("served")]).await;
-        let config = site.folder.join("config.json");
-        site.folder = site.folder.join("missing");
-        let mut command = program_command(&site.config, config.to_str().expect("UTF-8")).0;
+        let mut fixture = HandoffFixture::new("no-lock-file", [ok("served")]).await;
+        let config_path = fixture.folder.join("config.json");
+        fixture.folder = fixture.folder.join("missing");
+        let mut command = program_command(&fixture.config, config_path.to_str().expect("UTF-8")).0;
         let mut process = RunningProgram(
             command
-                .env("TMPDIR", &site.folder)
+                .env("TMPDIR", &fixture.folder)
                 .spawn()
                 .expect("the program starts"),
         );
         let mut client = loop {
-            match site.client().await {
+            match fixture.client().await {
                 Ok(client) => break client,
                 Err(_) => sleep(Duration::from_millis(5)).await,
             }
@@ -187,7 +187,7 @@
             .read_to_string(&mut log)
             .expect("UTF-8");
         assert_eq!(
-            log.matches(site.folder.to_str().expect("UTF-8")).count(),
+            log.matches(fixture.folder.to_str().expect("UTF-8")).count(),
             1,
             "{log}"
         );
@@ -209,11 +209,11 @@
 
 /// A client whose request the endpoint has received but not responded to. It must be the second
 /// request that the endpoint receives.
-async fn client_with_stalled_request(site: &HandoffSite) -> Client {
-    let mut client = connect(site.address).await;
+async fn client_with_stalled_request(fixture: &HandoffFixture) -> Client {
+    let mut client = connect(fixture.address).await;
     client.send(&request("unsafe", "", "")).await;
     wait_until("the endpoint has the request", || {
-        site.endpoint.request_count() == 2
+        fixture.endpoint.request_count() == 2
     })
     .await;
     client
@@ -235,30 +235,30 @@
 /// Once the old process shuts down, new connections must reach the new process. The old one must
 /// respond to the requests on its own connections, close them, and end.
 #[test]
-fn a_new_process_takes_over_from_the_old_one() {
+fn new_connections_reach_the_new_process_while_the_old_one_shuts_down() {
     run_test(async {
         let script = [ok("served"), ScriptedResponse::Stall, ok("served")];
-        let site = HandoffSite::new("beside", script).await;
-        let (mut old, old_admin) = site.start().await;
-        let mut client = connect(site.address).await;
+        let fixture = HandoffFixture::new("takeover", script).await;
+        let (mut old, old_admin) = fixture.start().await;
+        let mut client = connect(fixture.address).await;
         assert_eq!(
             client.exchange(&request("unsafe", "", "")).await.body,
             b"served"
         );
-        let mut busy = client_with_stalled_request(&site).await;
-        let (mut new, new_admin) = site.start().await;
+        let mut busy = client_with_stalled_request(&fixture).await;
+        let (mut new, new_admin) = fixture.start().await;
         assert!(Command::new("kill")
             .arg(old.0.id().to_string())
             .status()
             .expect("kill runs")
             .success());
         while health_response(old_admin).await == "SUCCESS yes\n" {}
-        assert_new_connections_are_served(site.address).await;
+        assert_new_connections_are_served(fixture.address).await;
         assert!(
             client.message().await.is_none(),
             "the idle connection is closed"
         );
-        site.endpoint.release.notify_one();
+        fixture.endpoint.release.notify_one();
         let last = busy.message().await.expect("a response");
         assert_eq!(
             (last.status(), last.header("connection")),
--- a/proxy/tests/process_presence.rs
+++ b/proxy/tests/process_presence.rs
@@ -50,9 +50,9 @@
 /// notification; the other must be notified that it shares the limits, and again when the first
 /// one has ended.
 #[test]
-fn of_two_processes_that_start_at_once_one_is_notified_of_the_other() {
+fn of_two_processes_that_start_together_only_one_is_notified_of_the_other() {
     run_test(async {
-        let folder = empty_folder("at-once");
+        let folder = empty_folder("start-together");
         let processes = [Presence::announce(&folder), Presence::announce(&folder)];
         wait_until("one process is notified that the limits are shared", || {
             processes
@@ -61,19 +61,19 @@
         })
         .await;
         let [first, second] = processes;
-        let (alone, other) = if first.notifications().is_empty() {
+        let (holder, waiting) = if first.notifications().is_empty() {
             (first, second)
         } else {
             (second, first)
         };
         assert_eq!(
-            (alone.notifications(), other.notifications()),
+            (holder.notifications(), waiting.notifications()),
             (vec![], vec![true])
         );
-        alone.end().await;
+        holder.end().await;
         wait_until(
             "the other process is notified that the first has ended",
-            || other.notifications() == [true, false],
+            || waiting.notifications() == [true, false],
         )
         .await;
     });
@@ -82,7 +82,7 @@
 /// A process that starts cannot find a lock file that was deleted, so it must be created again, and
 /// be locked by one process only.
 #[test]
-fn a_deleted_lock_file_is_created_again() {
+fn a_deleted_lock_file_is_created_again_and_locked_by_one_process() {
     run_test(async {
         let folder = empty_folder("deleted");
         let old = Presence::announce(&folder);
@@ -134,7 +134,7 @@
 /// After the lock file has been replaced, each of two processes has locked a file of its own. The
 /// process whose file is no longer at the path must wait for the other one.
 #[test]
-fn a_replaced_lock_file_is_abandoned() {
+fn a_process_whose_lock_file_was_replaced_waits_for_the_new_holder() {
     run_test(async {
         let folder = empty_folder("replaced");
         let old = Presence::announce(&folder);
@@ -162,13 +162,13 @@
 /// If no file can be locked in the folder, the error must be returned at once, without a
 /// notification.
 #[test]
-fn a_folder_that_cannot_be_used_is_an_error() {
+fn an_unusable_folder_for_the_lock_file_is_reported_as_an_error() {
     run_test(async {
         let folder = empty_folder("unusable");
-        fs::create_dir_all(folder.join("taken").join(LOCK_FILE_NAME))
+        fs::create_dir_all(folder.join("lock-file-is-a-folder").join(LOCK_FILE_NAME))
             .expect("a folder in the place of the file");
-        fs::write(folder.join("file"), "").expect("a file in the place of the folder");
-        for unusable in ["missing", "taken", "file"] {
+        fs::write(folder.join("folder-is-a-file"), "").expect("a file in the place of the folder");
+        for unusable in ["missing", "lock-file-is-a-folder", "folder-is-a-file"] {
             let mut is_notified = false;
             let result = maintain_presence(&folder.join(unusable), |_| is_notified = true).await;
             assert!(result.is_err() && !is_notified, "{unusable}");
--- a/proxy/tests/readiness.rs
+++ b/proxy/tests/readiness.rs
@@ -22,17 +22,17 @@
 async fn record_readiness(
     address: SocketAddr,
     started: Instant,
-    at: Rc<Cell<[Option<Duration>; 2]>>,
+    times: Rc<Cell<[Option<Duration>; 2]>>,
 ) {
     loop {
         if let Ok(stream) = TcpStream::connect(address).await {
-            let [listens, _] = at.get();
+            let [listening, _] = times.get();
             let now = Some(started.elapsed());
             let status = MessageReader::new(stream)
                 .exchange(HEALTH_REQUEST)
                 .await
                 .status();
-            at.set([listens.or(now), (status == 200).then_some(()).and(now)]);
+            times.set([listening.or(now), (status == 200).then_some(()).and(now)]);
             if status == 200 {
                 return;
             }
@@ -51,12 +51,12 @@
     script: Vec<WatchResponse>,
 ) -> [Duration; 2] {
     let endpoint = TestEndpoint::start([ok("served")]).await;
-    let listing = format!(
+    let list_response = format!(
         "{WATCH_HEAD}{}",
         chunk(&list(42, true, &[entry("s-0", endpoint.address, "Ready")]))
     );
     let discovery =
-        ScriptedDiscovery::start(script.into_iter().chain(vec![Respond(listing); 3])).await;
+        ScriptedDiscovery::start(script.into_iter().chain(vec![Respond(list_response); 3])).await;
     let endpoints = if has_list { from_ref(&endpoint) } else { &[] };
     let config = configuration(discovery.address, endpoints, |config| {
         config["settings"]["discovery"] = mode.into();
@@ -66,34 +66,34 @@
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("ready-{}", discovery.address.port()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let other = File::create(folder.join("nettleworks.lock")).expect("a file");
+    let lock_file = File::create(folder.join("nettleworks.lock")).expect("a file");
     if has_other_process {
-        other.try_lock().expect("no other process serves");
+        lock_file.try_lock().expect("no other process serves");
     }
-    let read = Config::parse(&config).expect("a valid configuration");
-    let clients = client_proxy::process_handoff::bind(read.listen).expect("bound");
+    let parsed = Config::parse(&config).expect("a valid configuration");
+    let clients = client_proxy::process_handoff::bind(parsed.listen).expect("bound");
     let address = clients.local_addr().expect("an address");
     let listeners = client_proxy::Listeners {
         clients,
         operators: None,
     };
-    let (started, at) = (Instant::now(), Rc::new(Cell::new([None; 2])));
+    let (started, times) = (Instant::now(), Rc::new(Cell::new([None; 2])));
     spawn_local(client_proxy::run(
-        read,
+        parsed,
         listeners,
         Some(folder),
         async || None,
         std::future::pending(),
     ));
-    spawn_local(record_readiness(address, started, at.clone()));
-    advance_until("the process is ready", || at.get()[1].is_some()).await;
-    at.get().map(|time| time.expect("a time was recorded"))
+    spawn_local(record_readiness(address, started, times.clone()));
+    advance_until("the process is ready", || times.get()[1].is_some()).await;
+    times.get().map(|time| time.expect("a time was recorded"))
 }
 
 /// Nine in ten restarted processes must be ready within 10 s, and within 6 s on short days. The
 /// limits here are below that: 9 s if another process serves, 5.5 s if the process is alone.
 #[test]
-fn a_process_is_ready_in_time_whatever_discovery_does() {
+fn a_process_is_ready_in_time_even_if_discovery_is_slow_or_fails() {
     let discoveries: [fn() -> Vec<WatchResponse>; 5] = [
         Vec::new,
         || vec![REJECTED(); 1_000],
@@ -106,7 +106,7 @@
             for (has_list, has_other_process) in
                 [(true, true), (true, false), (false, true), (false, false)]
             {
-                let [listens, ready] = run_with_paused_time(time_to_readiness(
+                let [listening_after, ready_after] = run_with_paused_time(time_to_readiness(
                     mode,
                     balancer_count,
                     has_list,
@@ -115,26 +115,31 @@
                 ));
                 let name = format!(
                     "{mode}, {balancer_count} balancers, discovery {number}, list {has_list}, other process {has_other_process}: \
-                     listens at {listens:?}, ready at {ready:?}"
+                     listens after {listening_after:?}, ready after {ready_after:?}"
                 );
                 let max_ready = match (has_list || number == 0, has_other_process) {
                     (true, _) => 100 * MS,
                     (false, true) => 9_000 * MS,
                     (false, false) => 5_500 * MS,
                 };
-                assert!(ready <= max_ready, "{name}");
+                assert!(ready_after <= max_ready, "{name}");
                 // Without a list, a process leaves clients to another one for as long as possible;
                 // a process that is alone listens after 2 s and rejects their requests.
-                let waits = !has_list && number != 0;
+                let waits_for_list = !has_list && number != 0;
                 assert!(
-                    !(waits && has_other_process) || listens > 7_000 * MS,
+                    !(waits_for_list && has_other_process) || listening_after > 7_000 * MS,
                     "{name}"
                 );
                 assert!(
-                    !waits || has_other_process || (2_000 * MS..3_000 * MS).contains(&listens),
+                    !waits_for_list
+                        || has_other_process
+                        || (2_000 * MS..3_000 * MS).contains(&listening_after),
+                    "{name}"
+                );
+                assert!(
+                    !waits_for_list || has_other_process || ready_after > 4_000 * MS,
                     "{name}"
                 );
-                assert!(!waits || has_other_process || ready > 4_000 * MS, "{name}");
             }
         }
     }
--- a/proxy/tests/reload_propagation.rs
+++ b/proxy/tests/reload_propagation.rs
@@ -25,7 +25,7 @@
 /// The time counts from the reload, whatever the watch was doing, and whatever failures come before
 /// the new discovery's first list. The old discovery sends nothing more.
 #[test]
-fn a_change_that_a_new_discovery_has_is_applied_in_time() {
+fn a_list_of_a_new_discovery_is_applied_within_4_s_of_the_reload() {
     let modes = [
         ("ask", 300, 2),
         ("ask", 300, 3),
@@ -34,22 +34,25 @@
         ("ask", 5, 1),
         ("push", 5, 1),
     ];
-    for ((mode, balancer_count, seed), at) in modes.into_iter().flat_map(|m| {
-        [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff].map(|at| (m, at))
+    for ((mode, balancer_count, seed), phase) in modes.into_iter().flat_map(|m| {
+        [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff].map(|phase| (m, phase))
     }) {
-        for path in failure_sequences() {
-            let name = format!("{mode}, {balancer_count} balancers, seed {seed}, {at:?}, {path:?}");
+        for failures in failure_sequences() {
+            let name =
+                format!("{mode}, {balancer_count} balancers, seed {seed}, {phase:?}, {failures:?}");
             run_with_paused_time(async {
                 let endpoint = TestEndpoint::start([ok("served")]).await;
-                let old = match at {
+                let old = match phase {
                     WatchPhase::Open => vec![NO_UPDATES()],
                     WatchPhase::Opening => vec![NO_RESPONSE()],
                     WatchPhase::Backoff => vec![REJECTED(), Unreachable(Duration::from_secs(100))],
                 };
                 let (old, new) = (
                     ScriptedDiscovery::start(old).await,
-                    ScriptedDiscovery::start(path.into_iter().chain([notify_draining(&endpoint)]))
-                        .await,
+                    ScriptedDiscovery::start(
+                        failures.into_iter().chain([notify_draining(&endpoint)]),
+                    )
+                    .await,
                 );
                 let proxy =
                     PausedProxy::with_seed(seed, mode, balancer_count, &old, endpoint).await;
@@ -73,20 +76,20 @@
 /// replaced by one that was scheduled before the reload, and a list that the old discovery sends
 /// after the reload must be ignored.
 #[test]
-fn a_request_that_queues_at_a_new_discovery_is_not_abandoned() {
+fn a_watch_request_that_waits_for_a_new_discovery_is_not_abandoned() {
     for balancer_count in [5, 300] {
-        for at in [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff] {
+        for phase in [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff] {
             run_with_paused_time(async {
                 let endpoint = TestEndpoint::start([ok("served")]).await;
-                let old = match at {
+                let old = match phase {
                     WatchPhase::Open => vec![NO_UPDATES()],
                     WatchPhase::Opening => vec![RespondAfter(500 * MS, draining_list(&endpoint))],
                     WatchPhase::Backoff => vec![REJECTED(), Unreachable(Duration::from_secs(100))],
                 };
-                let turn = RespondAfter(Duration::from_secs(2), draining_list(&endpoint));
+                let delayed_list = RespondAfter(Duration::from_secs(2), draining_list(&endpoint));
                 let (old, new) = (
                     ScriptedDiscovery::start(old).await,
-                    ScriptedDiscovery::start([turn]).await,
+                    ScriptedDiscovery::start([delayed_list]).await,
                 );
                 let proxy = PausedProxy::start("ask", balancer_count, &old, endpoint).await;
                 wait_without_time("the old discovery has a request", || {
@@ -101,12 +104,12 @@
                     .await;
                 assert!(
                     elapsed >= Duration::from_secs(2),
-                    "{balancer_count} balancers, {at:?}: the old discovery was not ignored, {elapsed:?}"
+                    "{balancer_count} balancers, {phase:?}: the old discovery was not ignored, {elapsed:?}"
                 );
                 assert_eq!(
                     new.request_count.get(),
                     1,
-                    "{balancer_count} balancers, {at:?}"
+                    "{balancer_count} balancers, {phase:?}"
                 );
             });
         }
@@ -116,7 +119,7 @@
 /// Where lists are pushed, a list that the old discovery sends only after the reload must be
 /// ignored.
 #[test]
-fn a_late_response_of_the_old_agent_is_ignored_after_a_reload() {
+fn a_late_list_of_the_old_discovery_is_ignored_after_a_reload() {
     for delay in [60 * MS, 100 * MS, 110 * MS] {
         run_with_paused_time(async {
             let endpoint = TestEndpoint::start([ok("served")]).await;
--- a/proxy/tests/shared_address.rs
+++ b/proxy/tests/shared_address.rs
@@ -12,7 +12,7 @@
 /// A killed proxy leaves connections at its address that the system has not yet removed. The next
 /// proxy must be able to bind the address at once.
 #[test]
-fn the_address_can_be_bound_again_at_once() {
+fn an_address_can_be_bound_again_while_old_connections_remain() {
     run_test(async {
         // No other test uses this address, so none can take its port between the two listeners.
         let bind = |address| client_proxy::process_handoff::bind(address).expect("bound");
@@ -55,9 +55,9 @@
 /// A process without an endpoint list must not listen while another process runs, so that the other
 /// one gets the clients; it must listen once the other has ended.
 #[test]
-fn a_process_without_a_list_does_not_listen_beside_another() {
+fn a_process_without_an_endpoint_list_does_not_listen_while_another_runs() {
     run_test(async {
-        let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("listless");
+        let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("no-endpoint-list");
         std::fs::create_dir_all(&folder).expect("a folder");
         let other = client_proxy::process_handoff::announce_presence(&folder, |_| ())
             .await
@@ -94,9 +94,10 @@
 /// A process that starts first must get no notification. A second one must be notified that it
 /// shares the limits, and again when the first has ended.
 #[test]
-fn a_process_is_notified_whether_it_is_alone() {
+fn a_second_process_is_notified_when_it_shares_the_limits_and_when_the_first_ends() {
     run_test(async {
-        let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("presence");
+        let folder =
+            std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("second-process-notified");
         std::fs::create_dir_all(&folder).expect("a folder");
         use client_proxy::process_handoff::announce_presence;
         let first = announce_presence(&folder, |_| panic!("the first process has no other"))
--- a/proxy/tests/shutdown_during_retry.rs
+++ b/proxy/tests/shutdown_during_retry.rs
@@ -11,27 +11,27 @@
 
 /// A request whose first attempt was rejected, and whose second attempt waits for its connection to
 /// open.
-struct OpeningRetry {
+struct ConnectingRetry {
     proxy: Proxy,
     client: Client,
     /// The endpoint's side of the first attempt's connection.
-    connection: Client,
+    first_connection: Client,
     /// The listener of the second attempt's endpoint, and the connections that fill its backlog.
     listener: TcpListener,
-    full: Vec<TcpStream>,
+    fillers: Vec<TcpStream>,
     discovery: TestDiscovery,
 }
 
-async fn opening_retry() -> OpeningRetry {
-    let (stuck, full, listener) = endpoint_with_full_backlog().await;
+async fn start_connecting_retry() -> ConnectingRetry {
+    let (full_endpoint, fillers, listener) = endpoint_with_full_backlog().await;
     let first = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = first.local_addr().expect("an address");
     let discovery = TestDiscovery::without_updates().await;
-    let known = [TestEndpoint {
+    let known_endpoints = [TestEndpoint {
         address,
         ..TestEndpoint::start([ScriptedResponse::Stall]).await
     }];
-    let proxy = Proxy::start_with(&discovery, &known, |config| {
+    let proxy = Proxy::start_with(&discovery, &known_endpoints, |config| {
         config["admin"] = "127.0.0.1:0".into();
         config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
     })
@@ -39,37 +39,41 @@
     let admin = proxy.admin.expect("an address for operators");
     let mut client = proxy.client().await;
     client.send(&request("unsafe", "", "the body")).await;
-    let mut connection = MessageReader::new(first.accept().await.expect("the proxy connects").0);
-    connection.message().await.expect("the first attempt");
-    let update = list(42, false, &[entry("s-1", stuck.address, "Ready")]);
+    let mut first_connection =
+        MessageReader::new(first.accept().await.expect("the proxy connects").0);
+    first_connection.message().await.expect("the first attempt");
+    let update = list(42, false, &[entry("s-1", full_endpoint.address, "Ready")]);
     discovery.push(&chunk(&update)).await;
     while metrics(admin).await["members"] != 2 {}
-    let written = connection.stream.write_all(REJECTION.as_bytes()).await;
+    let written = first_connection
+        .stream
+        .write_all(REJECTION.as_bytes())
+        .await;
     written.expect("written");
     wait_until("the second connection is being opened", || {
-        is_connecting(stuck.address)
+        is_connecting(full_endpoint.address)
     })
     .await;
-    OpeningRetry {
+    ConnectingRetry {
         proxy,
         client,
-        connection,
+        first_connection,
         listener,
-        full,
+        fillers,
         discovery,
     }
 }
 
 /// Shuts the proxy down while the connection of a retry is being opened.
 async fn shut_down_during_a_retry(opens_in_time: bool) {
-    let OpeningRetry {
+    let ConnectingRetry {
         mut proxy,
         mut client,
-        connection,
+        first_connection,
         listener,
-        full,
+        fillers,
         discovery: _discovery,
-    } = opening_retry().await;
+    } = start_connecting_retry().await;
     let admin = proxy.admin.expect("an address for operators");
     let stopped_at = Instant::now();
     drop(proxy.stop.take());
@@ -77,10 +81,10 @@
         .await
         .starts_with("SUCCESS")
     {}
-    let mut full = Some(full);
+    let mut fillers = Some(fillers);
     let mut listener = Some(listener);
     let endpoint = listener.take_if(|_| opens_in_time).map(|listener| {
-        full.take();
+        fillers.take();
         TestEndpoint::on_listener(listener, [ok("served")])
     });
     let response = client.message().await.expect("a response");
@@ -103,7 +107,7 @@
         .expect("the proxy task ends without a panic");
     ended.expect("the proxy listens for clients");
     assert!(
-        connection.stream.try_read(&mut [0]).is_err(),
+        first_connection.stream.try_read(&mut [0]).is_err(),
         "the first endpoint gets no further request"
     );
 }
