--- a/proxy/tests/external_names.rs
+++ b/proxy/tests/external_names.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 #[test]
-fn each_key_of_the_configuration_and_of_the_list_is_read_under_its_name() {
+fn configuration_and_endpoint_list_keys_are_read_under_their_names() {
     let endpoint = json!({"host": "s-1", "dial": "127.0.0.1:9", "site": "split-dc", "block": 4, "health": "Terminating",
         "share": 2.5, "born_ms": 77});
     let class = json!({"name": "free", "objective_us": 1, "deadline_us": 2, "idempotency": "free"});
@@ -68,7 +68,7 @@
 /// The start lines and headers that an endpoint and a client get, the path of the health check, and
 /// the watch request for the endpoint list.
 #[test]
-fn messages_on_the_sockets_keep_their_names() {
+fn headers_and_paths_keep_their_names() {
     run_test(async {
         let discovery = TestDiscovery::without_updates().await;
         let endpoint = TestEndpoint::start([reject()]).await;
@@ -80,8 +80,8 @@
             .await;
         assert_eq!(response.start_line, "HTTP/1.1 503 Service Unavailable");
         assert!(response.header("retry-after").is_some());
-        let seen = endpoint.requests.borrow()[0].clone();
-        assert_eq!(seen.start_line, "POST /api HTTP/1.1");
+        let forwarded = endpoint.requests.borrow()[0].clone();
+        assert_eq!(forwarded.start_line, "POST /api HTTP/1.1");
         for name in [
             "x-call-id",
             "x-call-class",
@@ -90,7 +90,7 @@
             "x-again",
             "x-caller",
         ] {
-            assert!(seen.header(name).is_some(), "{name}");
+            assert!(forwarded.header(name).is_some(), "{name}");
         }
         wait_until("the proxy has requested the endpoint list", || {
             !discovery.watch_requests.borrow().is_empty()
--- a/proxy/tests/operators.rs
+++ b/proxy/tests/operators.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 
 #[test]
-fn health_is_yes_once_there_is_an_endpoint_list() {
+fn health_succeeds_only_with_a_non_empty_endpoint_list() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let (_proxy, admin) = start_with_admin(from_ref(&endpoint), |_| ()).await;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_unknown_command_gets_an_error_of_one_line() {
+fn an_invalid_command_gets_a_one_line_error() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let (_proxy, admin) = start_with_admin(from_ref(&endpoint), |_| ()).await;
@@ -47,7 +47,7 @@
 /// Requests are counted by class and result, attempts when they have been written completely, and
 /// requests without a reply as pending.
 #[test]
-fn metrics_count_requests_by_class_and_end() {
+fn metrics_count_requests_by_class_and_result() {
     run_test(async {
         let error = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
         let endpoint = TestEndpoint::start([
@@ -116,15 +116,15 @@
 /// Connections with an incomplete command, more of them than may be open at once, must not block
 /// operators that connect later.
 #[test]
-fn silent_operator_connections_do_not_block_others() {
+fn incomplete_operator_commands_do_not_block_other_operators() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let (_proxy, admin) = start_with_admin(from_ref(&endpoint), |_| ()).await;
-        let mut silent = Vec::new();
+        let mut connections = Vec::new();
         for _ in 0..100 {
             let mut stream = TcpStream::connect(admin).await.expect("connected");
             stream.write_all(b"heal").await.expect("written");
-            silent.push(stream);
+            connections.push(stream);
             assert!(admin_command(admin, "counters\n")
                 .await
                 .ends_with("\nEOT\n"));
--- a/proxy/tests/process_replacement.rs
+++ b/proxy/tests/process_replacement.rs
@@ -16,7 +16,7 @@
 fn a_retry_whose_connection_opens_after_its_retry_window_is_not_written() {
     run_test(async {
         let first = TestEndpoint::start([ScriptedResponse::Stall]).await;
-        let (stuck, full, listener) = endpoint_with_full_backlog().await;
+        let (full_endpoint, fillers, listener) = endpoint_with_full_backlog().await;
         let discovery = TestDiscovery::without_updates().await;
         let proxy = Proxy::start_with(&discovery, from_ref(&first), |config| {
             config["settings"]["classes"][1]["repeat_window_us"] = 500_000.into();
@@ -35,7 +35,7 @@
         .await;
         let endpoints = [
             entry("s-0", first.address, "Terminating"),
-            entry("s-1", stuck.address, "Ready"),
+            entry("s-1", full_endpoint.address, "Ready"),
         ];
         discovery.push(&chunk(&list(42, false, &endpoints))).await;
         assert_eq!(
@@ -44,10 +44,10 @@
         );
         first.reset();
         // The retry window is 0.5 s, the connect timeout 20 s.
-        let early = timeout(Duration::from_secs(2), client.message()).await;
+        let early_response = timeout(Duration::from_secs(2), client.message()).await;
         let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
-        drop(full);
-        let response = match early {
+        drop(fillers);
+        let response = match early_response {
             Ok(response) => response,
             Err(_) => client.message().await,
         };
@@ -95,36 +95,36 @@
             TestEndpoint::start([ok("other")]).await,
         );
         let discovery = TestDiscovery::without_updates().await;
-        let leaving = TestEndpoint {
+        let draining_endpoint = TestEndpoint {
             address: listener.local_addr().expect("an address"),
             ..other.clone()
         };
-        let proxy = Proxy::start_with(&discovery, from_ref(&leaving), with_admin).await;
+        let proxy = Proxy::start_with(&discovery, from_ref(&draining_endpoint), with_admin).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
-        let mut reused = accept(&listener).await;
-        reused.message().await.expect("a request");
-        respond_ok(&mut reused, "first").await;
+        let mut partly_written = accept(&listener).await;
+        partly_written.message().await.expect("a request");
+        respond_ok(&mut partly_written, "first").await;
         assert_eq!(client.message().await.expect("a response").body, b"first");
         client
             .send(&request("unsafe", "", &"x".repeat(60_000)))
             .await;
-        reused
+        partly_written
             .stream
             .readable()
             .await
             .expect("the request begins to arrive");
         let endpoints = [
-            entry("s-0", leaving.address, "Terminating"),
+            entry("s-0", draining_endpoint.address, "Terminating"),
             entry("s-1", other.address, "Ready"),
         ];
         discovery.push(&chunk(&list(42, false, &endpoints))).await;
         wait_for_members(&proxy, 2).await;
-        disconnect(reused, Disconnect::Reset);
-        let responded = async { client.message().await.expect("a response").body };
+        disconnect(partly_written, Disconnect::Reset);
+        let response_body = async { client.message().await.expect("a response").body };
         tokio::select! {
-            body = responded => assert_eq!(body, b"other"),
-            mut again = accept(&listener) => panic!("the request is sent to the draining endpoint again: {:?}", again.message().await.map(|m| m.start_line)),
+            body = response_body => assert_eq!(body, b"other"),
+            mut reopened = accept(&listener) => panic!("the request is sent to the draining endpoint again: {:?}", reopened.message().await.map(|m| m.start_line)),
         }
         assert_eq!(other.request_count(), 1);
     });
@@ -142,13 +142,13 @@
 /// endpoint's: all waiting attempts would otherwise reach the new process at once, during its slow
 /// start.
 #[test]
-fn an_unwritten_attempt_is_not_written_to_a_later_process() {
-    for moved in [false, true] {
+fn an_unwritten_attempt_is_withdrawn_when_its_endpoint_restarts() {
+    for has_new_address in [false, true] {
         run_test(async {
-            let (stuck, _full, _listener) = endpoint_with_full_backlog().await;
+            let (full_endpoint, _fillers, _listener) = endpoint_with_full_backlog().await;
             let other = TestEndpoint::start([ok("other")]).await;
             let discovery = TestDiscovery::without_updates().await;
-            let proxy = Proxy::start_with(&discovery, from_ref(&stuck), |config| {
+            let proxy = Proxy::start_with(&discovery, from_ref(&full_endpoint), |config| {
                 config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
             })
             .await;
@@ -163,10 +163,10 @@
                 proxy.client().await.exchange(HEALTH_REQUEST).await.status(),
                 200
             );
-            let endpoints = match moved {
+            let endpoints = match has_new_address {
                 true => vec![restarted_entry("s-0", &other)],
                 false => vec![
-                    restarted_entry("s-0", &stuck),
+                    restarted_entry("s-0", &full_endpoint),
                     entry("s-1", other.address, "Ready"),
                 ],
             };
@@ -174,7 +174,7 @@
             assert_eq!(
                 client.message().await.expect("a response").body,
                 b"other",
-                "the endpoint has a new address: {moved}"
+                "the endpoint has a new address: {has_new_address}"
             );
             assert_eq!(other.request_count(), 1);
         });
@@ -184,7 +184,7 @@
 /// A connection that was opened to the earlier process of an endpoint must not be reused after its
 /// response, as it does not lead to the process that the list now describes.
 #[test]
-fn a_connection_to_an_earlier_process_is_not_reused() {
+fn a_connection_from_before_an_endpoint_restart_is_not_reused() {
     run_test(async {
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall, ok("next")]).await;
         let discovery = TestDiscovery::without_updates().await;
@@ -218,13 +218,14 @@
 /// the endpoint must get the request again only if its class allows that, with the same id and
 /// idempotency key, whether the endpoint list or the connection's reset arrives first.
 #[test]
-fn a_retry_goes_to_the_new_process_of_its_endpoint_only_if_its_class_allows() {
+fn a_request_is_retried_at_a_restarted_endpoint_only_if_its_class_allows() {
     for list_first in [false, true] {
         for (class, status, sent) in [("free", 200, 2), ("keyed", 200, 2), ("unsafe", 502, 1)] {
             run_test(async {
                 // After a successful response a single reset does not eject the endpoint.
                 let endpoint =
-                    TestEndpoint::start([ok("before"), ScriptedResponse::Stall, ok("again")]).await;
+                    TestEndpoint::start([ok("before"), ScriptedResponse::Stall, ok("retried")])
+                        .await;
                 let discovery = TestDiscovery::without_updates().await;
                 let proxy = Proxy::start_with(&discovery, from_ref(&endpoint), with_admin).await;
                 let mut client = proxy.client().await;
@@ -260,12 +261,12 @@
                     status,
                     "{class}, list first: {list_first}"
                 );
-                let seen = endpoint.requests.borrow()[1..].to_vec();
-                assert_eq!(seen.len(), sent, "{class}, list first: {list_first}");
+                let received = endpoint.requests.borrow()[1..].to_vec();
+                assert_eq!(received.len(), sent, "{class}, list first: {list_first}");
                 for name in ["x-call-id", "idempotency-key"] {
-                    assert!(seen
+                    assert!(received
                         .iter()
-                        .all(|message| message.header(name) == seen[0].header(name)));
+                        .all(|message| message.header(name) == received[0].header(name)));
                 }
             });
         }
@@ -275,36 +276,37 @@
 /// The order in which the proxy gets the last byte of a response and the list in which its endpoint
 /// is draining.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum FirstSeen {
-    Response,
-    List,
-    Neither,
+enum ArrivalOrder {
+    ResponseFirst,
+    ListFirst,
+    /// The list first, without a wait until the proxy has applied it.
+    Together,
 }
 
 /// Sends the last byte of an endpoint's response and the update in which it is draining, in this
 /// order. Returns the client's response if it had to be read in between.
 async fn send_last_byte_and_update(
-    first: FirstSeen,
+    order: ArrivalOrder,
     endpoint: &Client,
     discovery: &TestDiscovery,
     update: &str,
     proxy: &Proxy,
     client: &mut Client,
 ) -> Option<Message> {
-    match first {
-        FirstSeen::Response => {
+    match order {
+        ArrivalOrder::ResponseFirst => {
             write_once_writable(endpoint, "x").await;
             let response = client.message().await;
             discovery.push(update).await;
             response
         }
-        FirstSeen::List => {
+        ArrivalOrder::ListFirst => {
             discovery.push(update).await;
             wait_for_members(proxy, 2).await;
             write_once_writable(endpoint, "x").await;
             None
         }
-        FirstSeen::Neither => {
+        ArrivalOrder::Together => {
             let writable = endpoint.stream.writable().await;
             writable.expect("the connection is writable");
             discovery.push(update).await;
@@ -316,16 +318,16 @@
 
 /// Lets an endpoint begin to drain as the last byte of its response arrives, and asserts that its
 /// connection is closed and the next request goes to another endpoint.
-async fn drain_at_the_end_of_a_response(large: bool, first: FirstSeen) {
+async fn drain_at_the_end_of_a_response(large: bool, order: ArrivalOrder) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let other = TestEndpoint::start([ok("other")]).await;
     let address = listener.local_addr().expect("an address");
-    let leaving = TestEndpoint {
+    let draining_endpoint = TestEndpoint {
         address,
         ..other.clone()
     };
     let discovery = TestDiscovery::without_updates().await;
-    let proxy = Proxy::start_with(&discovery, from_ref(&leaving), with_admin).await;
+    let proxy = Proxy::start_with(&discovery, from_ref(&draining_endpoint), with_admin).await;
     wait_until("the watch is open", || {
         discovery.watch_requests.borrow().len() == 1
     })
@@ -351,9 +353,9 @@
             .await
             .expect("the response begins to arrive");
     }
-    let early =
-        send_last_byte_and_update(first, &endpoint, &discovery, &update, &proxy, &mut client).await;
-    let response = match early {
+    let early_response =
+        send_last_byte_and_update(order, &endpoint, &discovery, &update, &proxy, &mut client).await;
+    let response = match early_response {
         Some(response) => Some(response),
         None => client.message().await,
     };
@@ -361,11 +363,11 @@
     assert_eq!(
         response.body.len(),
         size,
-        "large: {large}, first: {first:?}"
+        "large: {large}, order: {order:?}"
     );
     assert!(
         endpoint.message().await.is_none(),
-        "large: {large}, first: {first:?}: the connection is closed without another request"
+        "large: {large}, order: {order:?}: the connection is closed without another request"
     );
     wait_for_members(&proxy, 2).await;
     let next = client.exchange(&request("unsafe", "", "")).await;
@@ -378,8 +380,12 @@
 #[test]
 fn a_connection_that_becomes_idle_as_its_endpoint_begins_to_drain_is_closed() {
     for large in [false, true] {
-        for first in [FirstSeen::Response, FirstSeen::List, FirstSeen::Neither] {
-            run_test(drain_at_the_end_of_a_response(large, first));
+        for order in [
+            ArrivalOrder::ResponseFirst,
+            ArrivalOrder::ListFirst,
+            ArrivalOrder::Together,
+        ] {
+            run_test(drain_at_the_end_of_a_response(large, order));
         }
     }
 }
--- a/proxy/tests/program.rs
+++ b/proxy/tests/program.rs
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn the_program_serves_and_shuts_down_on_sigterm() {
+fn sigterm_shuts_the_program_down_despite_further_signals() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served"), ScriptedResponse::Stall]).await;
         let discovery = TestDiscovery::without_updates().await;
         let port = reserve_port();
         let address = port.local_addr().expect("an address");
         let config = configuration_at(address, &discovery, &endpoint);
-        let mut child = program_command(&config, "good.json")
+        let mut child = program_command(&config, "sigterm.json")
             .0
             .spawn()
             .expect("the program starts");
@@ -45,18 +45,17 @@
             client.exchange(&request("unsafe", "", "")).await.body,
             b"served"
         );
-        // Its deadline is later than the end of the shutdown, so its reply is sent before the
-        // deadline.
-        let mut stuck = connect(address).await;
-        stuck.send(&request("unsafe", "", "")).await;
+        // Its deadline is after the end of the shutdown, so its reply is sent before the deadline.
+        let mut stalled_client = connect(address).await;
+        stalled_client.send(&request("unsafe", "", "")).await;
         wait_until("the endpoint has the request", || {
             endpoint.request_count() == 2
         })
         .await;
         // The signals after the first must not affect the shutdown.
-        for order in ["-TERM", "-HUP", "-TERM"] {
+        for signal in ["-TERM", "-HUP", "-TERM"] {
             let sent = Command::new("kill")
-                .args([order, &child.id().to_string()])
+                .args([signal, &child.id().to_string()])
                 .status();
             assert!(sent.expect("kill runs").success());
         }
@@ -67,7 +66,10 @@
             }
         };
         assert_eq!(code, Some(0));
-        assert_eq!(stuck.message().await.expect("a response").status(), 502);
+        assert_eq!(
+            stalled_client.message().await.expect("a response").status(),
+            502
+        );
         let mut log = String::new();
         child
             .stderr
@@ -84,7 +86,7 @@
 }
 
 /// Sends a process SIGHUP, on which it reloads its configuration.
-fn send_hangup(process: &Child) {
+fn send_sighup(process: &Child) {
     let sent = Command::new("kill")
         .args(["-HUP", &process.id().to_string()])
         .status();
@@ -101,7 +103,7 @@
 /// endpoints, watch the new discovery at once, from the current version, and close the old watch,
 /// so that later lists of the old discovery are ignored.
 #[test]
-fn a_reload_moves_the_watch_and_keeps_the_endpoints() {
+fn a_reload_watches_the_new_discovery_and_keeps_the_endpoints() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("first")]).await;
         let other = TestEndpoint::start([ok("second")]).await;
@@ -119,12 +121,12 @@
             b"first"
         );
         std::fs::write(&path, "{ broken").expect("written");
-        send_hangup(&child);
+        send_sighup(&child);
         // The broken file is replaced only after the log reports it, so it has been read.
         let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
         read_until_line(&mut log, "configuration kept");
         std::fs::write(&path, configuration_at(address, &new, &endpoint)).expect("written");
-        send_hangup(&child);
+        send_sighup(&child);
         wait_for_watch("the new watch is open", &new).await;
         assert_eq!(
             new.watch_requests.borrow()[0],
@@ -144,7 +146,7 @@
 }
 
 #[test]
-fn an_invalid_configuration_ends_the_program_with_one_line() {
+fn an_invalid_configuration_ends_the_program_with_a_one_line_error() {
     let good = run_test(async {
         configuration(TestDiscovery::without_updates().await.address, &[], |_| ())
     });
@@ -249,7 +251,7 @@
 #[test]
 fn descriptors_are_reserved_for_the_watch_endpoints_and_operators() {
     for mode in ["ask", "push"] {
-        run_test(descriptors_are_reserved(mode));
+        run_test(check_reserved_descriptors(mode));
     }
 }
 
@@ -263,7 +265,7 @@
 }
 
 /// Connects this many clients, which send nothing.
-async fn connect_silent_clients(address: SocketAddr, count: usize) -> Vec<Client> {
+async fn connect_idle_clients(address: SocketAddr, count: usize) -> Vec<Client> {
     let mut clients = Vec::new();
     for _ in 0..count {
         clients.push(connect_when_listening(address).await);
@@ -272,7 +274,7 @@
 }
 
 /// Connects as many operators as may be connected at once; they send nothing.
-async fn connect_silent_operators(address: SocketAddr) -> Vec<TcpStream> {
+async fn connect_idle_operators(address: SocketAddr) -> Vec<TcpStream> {
     let mut operators = Vec::new();
     for _ in 0..client_proxy::config::MAX_OPERATOR_CONNECTIONS {
         operators.push(TcpStream::connect(address).await.expect("connected"));
@@ -292,8 +294,7 @@
     .await;
 }
 
-/// Starts discovery at this port, which responds to the watch with this list, and waits for the
-/// watch.
+/// Starts discovery at this port with this list, and waits until the watch is open.
 async fn start_discovery(port: TcpSocket, endpoint_list: &str) -> TestDiscovery {
     let discovery = TestDiscovery::on_listener(
         port.listen(8).expect("listening"),
@@ -328,7 +329,7 @@
     }
 }
 
-async fn descriptors_are_reserved(mode: &str) {
+async fn check_reserved_descriptors(mode: &str) {
     let endpoints = stalling_endpoints(24).await;
     let [listen, admin, discovery] = [reserve_port(), reserve_port(), reserve_port()];
     let [address, operators, discovery_address] =
@@ -342,31 +343,31 @@
     let parsed = client_proxy::config::Config::parse(&config).expect("a valid configuration");
     let max_clients = parsed.max_client_connections();
     let max_upstream = parsed.max_endpoint_connections();
-    let (process, log) = start_with_descriptor_limit(&config, &format!("full-{mode}"));
+    let (process, log) = start_with_descriptor_limit(&config, &format!("descriptors-{mode}"));
     // One request for each connection to endpoints that may be open, then clients that send
     // nothing.
     let mut stalled = clients_with_requests(address, max_upstream).await;
     wait_for_requests(&endpoints, max_upstream).await;
-    let silent = connect_silent_clients(address, 2 * max_clients).await;
-    let silent_operators = connect_silent_operators(operators).await;
+    let idle_clients = connect_idle_clients(address, 2 * max_clients).await;
+    let idle_operators = connect_idle_operators(operators).await;
     wait_until(
         "the program has all connections to clients, endpoints and operators that it may have",
-        || open_descriptors(process.0.id()) >= max_upstream + max_clients + silent_operators.len(),
+        || open_descriptors(process.0.id()) >= max_upstream + max_clients + idle_operators.len(),
     )
     .await;
     let _discovery = start_discovery(discovery, &list_with_first_draining(&endpoints)).await;
     while metrics(operators).await["members_unavailable"] == 0 {}
-    let drained = endpoints[0].request_count();
+    let requests_before = endpoints[0].request_count();
     assert_requests_are_served(&endpoints, &mut stalled, address).await;
     assert_eq!(
         endpoints[0].request_count(),
-        drained,
+        requests_before,
         "a draining endpoint gets no new request"
     );
     let log = std::fs::read_to_string(&log).expect("a log");
     // EMFILE.
     assert!(!log.contains("os error 24"), "{log}");
-    drop((silent, silent_operators, listen, admin));
+    drop((idle_clients, idle_operators, listen, admin));
 }
 
 /// If nobody reads the log and its pipe is full, requests must still be served.
--- a/proxy/tests/system_call_faults.rs
+++ b/proxy/tests/system_call_faults.rs
@@ -43,7 +43,7 @@
 /// The system may be out of buffers, memory or descriptors for a moment while the program starts.
 /// It must retry instead of ending.
 #[test]
-fn a_socket_call_that_fails_temporarily_does_not_end_the_start() {
+fn a_temporary_socket_failure_does_not_end_the_program_at_startup() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let discovery = TestDiscovery::without_updates().await;
@@ -79,9 +79,9 @@
             TestEndpoint::start([ok("b")]).await,
         );
         let discovery = TestDiscovery::without_updates().await;
-        let (port, operators) = (reserve_port(), reserve_port());
+        let (port, admin_port) = (reserve_port(), reserve_port());
         let address = port.local_addr().expect("an address");
-        let admin = operators.local_addr().expect("an address");
+        let admin = admin_port.local_addr().expect("an address");
         let mut command = program_command(
             &configuration_at(address, &discovery, from_ref(&endpoint)),
             "short.json",
@@ -111,20 +111,20 @@
 /// buffers. During a shutdown the proxy must not take that for an empty backlog: every client that
 /// connected before the shutdown must get a response.
 #[test]
-fn a_failure_to_accept_during_a_shutdown_rejects_nobody() {
-    const WAITING: usize = 8;
+fn an_accept_failure_during_a_shutdown_leaves_no_client_without_a_response() {
+    const BACKLOG_CLIENTS: usize = 8;
     for failure in ["ECONNABORTED", "ENOBUFS"] {
         run_test(async {
             let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
             let discovery = TestDiscovery::without_updates().await;
-            let (port, operators) = (reserve_port(), reserve_port());
+            let (port, admin_port) = (reserve_port(), reserve_port());
             let address = port.local_addr().expect("an address");
-            let admin = operators.local_addr().expect("an address");
-            let few = |config: &mut serde_json::Value| {
+            let admin = admin_port.local_addr().expect("an address");
+            let limit_descriptors = |config: &mut serde_json::Value| {
                 config["listen"] = address.to_string().into();
                 config["limits"]["sockets"] = 70.into();
             };
-            let text = configuration(discovery.address, from_ref(&endpoint), few);
+            let text = configuration(discovery.address, from_ref(&endpoint), limit_descriptors);
             let max_clients = client_proxy::config::Config::parse(&text)
                 .expect("a valid configuration")
                 .max_client_connections();
@@ -135,7 +135,7 @@
             let mut clients = vec![first_client(&mut program, address)
                 .await
                 .expect("the program listens")];
-            while clients.len() < max_clients + WAITING {
+            while clients.len() < max_clients + BACKLOG_CLIENTS {
                 clients.push(MessageReader::new(
                     TcpStream::connect(address).await.expect("connected"),
                 ));
@@ -191,7 +191,7 @@
 /// A temporary lack of local ports, routes or buffers is not the endpoint's fault: the connection
 /// must be retried, and the endpoint must not be ejected.
 #[test]
-fn a_connection_that_fails_temporarily_is_retried() {
+fn a_temporary_connect_failure_is_retried() {
     run_test(async {
         for failure in ["EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS"] {
             let endpoint = TestEndpoint::start([ok("served")]).await;
@@ -226,7 +226,7 @@
 /// The folder with the lock file may fail for a while. The program must create and lock the file
 /// once the folder works again, so that processes find each other.
 #[test]
-fn a_folder_that_fails_temporarily_is_used_later() {
+fn a_lock_file_that_fails_temporarily_is_locked_later() {
     run_test(async {
         for (call, failure) in [("open", "EIO"), ("open", "ENOSPC"), ("lock", "EIO")] {
             let endpoint = TestEndpoint::start([ok("served")]).await;
--- a/proxy/tests/withdrawn_attempts.rs
+++ b/proxy/tests/withdrawn_attempts.rs
@@ -12,10 +12,10 @@
 #[test]
 fn an_unwritten_attempt_is_withdrawn_when_its_endpoint_drains() {
     run_test(async {
-        let (stuck, _full, listener) = endpoint_with_full_backlog().await;
+        let (full_endpoint, _fillers, listener) = endpoint_with_full_backlog().await;
         let other = TestEndpoint::start([ok("served")]).await;
         let discovery = TestDiscovery::without_updates().await;
-        let proxy = Proxy::start_with(&discovery, from_ref(&stuck), |config| {
+        let proxy = Proxy::start_with(&discovery, from_ref(&full_endpoint), |config| {
             config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
         })
         .await;
@@ -31,7 +31,7 @@
             200
         );
         let endpoints = [
-            entry("s-0", stuck.address, "Terminating"),
+            entry("s-0", full_endpoint.address, "Terminating"),
             entry("s-1", other.address, "Ready"),
         ];
         discovery.push(&chunk(&list(42, false, &endpoints))).await;
@@ -46,23 +46,23 @@
 #[test]
 fn an_attempt_withdrawn_before_its_task_runs_is_not_written() {
     run_test(async {
-        let (leaving, other) = (
-            TestEndpoint::start([ok("leaving")]).await,
+        let (draining_endpoint, other) = (
+            TestEndpoint::start([ok("draining")]).await,
             TestEndpoint::start([ok("other")]).await,
         );
         let discovery = TestDiscovery::without_updates().await;
-        let proxy = Proxy::start_with(&discovery, from_ref(&leaving), |_| ()).await;
+        let proxy = Proxy::start_with(&discovery, from_ref(&draining_endpoint), |_| ()).await;
         let mut client = proxy.client().await;
         assert_eq!(
             client.exchange(&request("unsafe", "", "")).await.body,
-            b"leaving"
+            b"draining"
         );
         wait_until("the watch is open", || {
             discovery.watch_requests.borrow().len() == 1
         })
         .await;
         let endpoints = [
-            entry("s-0", leaving.address, "Terminating"),
+            entry("s-0", draining_endpoint.address, "Terminating"),
             entry("s-1", other.address, "Ready"),
         ];
         let list = chunk(&list(42, false, &endpoints));
@@ -71,7 +71,10 @@
         client.send(&request("unsafe", "", "")).await;
         discovery.push(&list).await;
         assert_eq!(client.message().await.expect("a response").body, b"other");
-        assert_eq!((leaving.request_count(), other.request_count()), (1, 1));
+        assert_eq!(
+            (draining_endpoint.request_count(), other.request_count()),
+            (1, 1)
+        );
     });
 }
 
@@ -81,11 +84,11 @@
 #[test]
 fn a_request_that_may_have_run_is_retried_only_if_its_class_allows() {
     run_test(async {
-        for reused in [0, 1] {
+        for requests_before in [0, 1] {
             for (class, status) in [("free", 200), ("keyed", 200), ("unsafe", 502)] {
-                let before = vec![ok("before"); reused];
+                let earlier_responses = vec![ok("before"); requests_before];
                 let breaking = TestEndpoint::start(
-                    before
+                    earlier_responses
                         .into_iter()
                         .chain([ScriptedResponse::WriteAndClose(String::new())]),
                 )
@@ -96,14 +99,14 @@
                 let response = loop {
                     let served_before = endpoints[1].request_count();
                     let response = client.exchange(&request(class, "", "")).await;
-                    if endpoints[0].request_count() > reused {
-                        let retries = endpoints[0].request_count() - reused - 1
+                    if endpoints[0].request_count() > requests_before {
+                        let retries = endpoints[0].request_count() - requests_before - 1
                             + endpoints[1].request_count()
                             - served_before;
                         assert_eq!(
                             retries,
                             usize::from(status == 200),
-                            "{class}, requests before: {reused}"
+                            "{class}, requests before: {requests_before}"
                         );
                         break response;
                     }
@@ -111,7 +114,7 @@
                 assert_eq!(
                     response.status(),
                     status,
-                    "{class}, requests before: {reused}"
+                    "{class}, requests before: {requests_before}"
                 );
             }
         }
@@ -123,10 +126,10 @@
 #[test]
 fn an_unwritten_attempt_is_withdrawn_when_its_request_ends() {
     run_test(async {
-        let (stuck, full, listener) = endpoint_with_full_backlog().await;
+        let (full_endpoint, fillers, listener) = endpoint_with_full_backlog().await;
         let proxy = Proxy::start_with(
             &TestDiscovery::without_updates().await,
-            from_ref(&stuck),
+            from_ref(&full_endpoint),
             |config| {
                 config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
                 config["settings"]["limits"]["cancel"] = false.into();
@@ -148,7 +151,7 @@
         );
         // Both connections open now, that of the first request before that of the second.
         let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
-        drop(full);
+        drop(fillers);
         assert_eq!(client.message().await.expect("a response").status(), 200);
         let bodies: Vec<_> = endpoint
             .requests
@@ -163,7 +166,7 @@
 /// An endpoint whose address has changed must get no new requests at the old one, where another
 /// endpoint may listen now. Requests in flight there complete.
 #[test]
-fn an_endpoint_that_moved_gets_requests_at_its_new_address() {
+fn an_endpoint_with_a_new_address_gets_new_requests_only_there() {
     run_test(async {
         let (old, new) = (
             TestEndpoint::start([ScriptedResponse::Stall, ok("old")]).await,
