--- a/proxy/tests/process_replacement.rs
+++ b/proxy/tests/endpoint_drain_and_restart.rs
@@ -1,5 +1,5 @@
-//! Endpoints that drain or whose process is replaced while requests are on their way to them: each
-//! order of events is forced by endpoints that the test plays.
+//! Endpoints that begin to drain, or whose process is replaced by a new one, while attempts are in
+//! flight to them. The tests play the endpoints, and so determine the order of events.
 
 mod common;
 
@@ -9,14 +9,14 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::timeout;
 
-/// The endpoints of a keyed class deduplicate retries within its window alone: a retry that is
-/// chosen in time and whose connection opens only after that must not be written, and its client
-/// gets an error at the end of the window.
+/// Endpoints deduplicate the retries of a keyed class only within its retry window. A retry that is
+/// chosen within the window but whose connection opens after it must not be written, and its client
+/// must get an error at the end of the window.
 #[test]
 fn a_retry_whose_connection_opens_after_its_retry_window_is_not_written() {
     run_test(async {
         let first = TestEndpoint::start([ScriptedResponse::Stall]).await;
-        let (stuck, full, listener) = endpoint_with_full_backlog().await;
+        let (full_endpoint, fillers, listener) = endpoint_with_full_backlog().await;
         let discovery = TestDiscovery::without_updates().await;
         let proxy = Proxy::start_with(&discovery, from_ref(&first), |config| {
             config["settings"]["classes"][1]["repeat_window_us"] = 500_000.into();
@@ -35,7 +35,7 @@
         .await;
         let endpoints = [
             entry("s-0", first.address, "Terminating"),
-            entry("s-1", stuck.address, "Ready"),
+            entry("s-1", full_endpoint.address, "Ready"),
         ];
         discovery.push(&chunk(&list(42, false, &endpoints))).await;
         assert_eq!(
@@ -43,11 +43,11 @@
             200
         );
         first.reset();
-        // Well past the window, and long before the connection attempt is abandoned.
-        let early = timeout(Duration::from_secs(2), client.message()).await;
+        // The retry window is 0.5 s, the connect timeout 20 s.
+        let early_response = timeout(Duration::from_secs(2), client.message()).await;
         let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
-        drop(full);
-        let response = match early {
+        drop(fillers);
+        let response = match early_response {
             Ok(response) => response,
             Err(_) => client.message().await,
         };
@@ -70,21 +70,23 @@
     });
 }
 
-/// A listener whose connections take little of what is sent to them until somebody reads.
+/// A listener whose connections have a small receive buffer, so that a large request can be written
+/// only partly until it is read.
 fn listen_with_small_buffer() -> TcpListener {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(1_024).expect("a small buffer");
-    // Otherwise one segment would be larger than all of a body.
+    // With the default segment size on loopback, a single segment could carry the whole body.
     nix::sys::socket::setsockopt(&socket, nix::sys::socket::sockopt::TcpMaxSeg, &536)
         .expect("small segments");
     socket
         .bind("127.0.0.1:0".parse().expect("an address"))
         .expect("a port");
-    socket.listen(16).expect("it listens")
+    socket.listen(16).expect("listening")
 }
 
-/// A draining endpoint gets nothing new. A request that it had partly received on a connection
-/// that then breaks is written from its beginning, so it goes to another endpoint.
+/// An endpoint begins to drain while a request to it is partly written, and the connection breaks.
+/// The request must be written again from its beginning, so it must go to another endpoint: a
+/// draining endpoint must not get new requests.
 #[test]
 fn a_partly_written_request_is_not_restarted_at_a_draining_endpoint() {
     run_test(async {
@@ -93,58 +95,60 @@
             TestEndpoint::start([ok("other")]).await,
         );
         let discovery = TestDiscovery::without_updates().await;
-        let leaving = TestEndpoint {
+        let draining_endpoint = TestEndpoint {
             address: listener.local_addr().expect("an address"),
             ..other.clone()
         };
-        let proxy = Proxy::start_with(&discovery, from_ref(&leaving), with_admin).await;
+        let proxy = Proxy::start_with(&discovery, from_ref(&draining_endpoint), with_admin).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
-        let mut reused = accept(&listener).await;
-        reused.message().await.expect("a request");
-        respond_ok(&mut reused, "first").await;
+        let mut partly_written = accept(&listener).await;
+        partly_written.message().await.expect("a request");
+        respond_ok(&mut partly_written, "first").await;
         assert_eq!(client.message().await.expect("a response").body, b"first");
         client
             .send(&request("unsafe", "", &"x".repeat(60_000)))
             .await;
-        reused
+        partly_written
             .stream
             .readable()
             .await
-            .expect("it has begun to arrive");
+            .expect("the request begins to arrive");
         let endpoints = [
-            entry("s-0", leaving.address, "Terminating"),
+            entry("s-0", draining_endpoint.address, "Terminating"),
             entry("s-1", other.address, "Ready"),
         ];
         discovery.push(&chunk(&list(42, false, &endpoints))).await;
         wait_for_members(&proxy, 2).await;
-        disconnect(reused, Disconnect::Reset);
-        let responded = async { client.message().await.expect("a response").body };
+        disconnect(partly_written, Disconnect::Reset);
+        let response_body = async { client.message().await.expect("a response").body };
         tokio::select! {
-            body = responded => assert_eq!(body, b"other"),
-            mut again = accept(&listener) => panic!("it is restarted: {:?}", again.message().await.map(|m| m.start_line)),
+            body = response_body => assert_eq!(body, b"other"),
+            mut reopened = accept(&listener) => panic!("the request is sent to the draining endpoint again: {:?}", reopened.message().await.map(|m| m.start_line)),
         }
         assert_eq!(other.request_count(), 1);
     });
 }
 
-/// The entry of an endpoint whose process is a new one, but old enough to have warmed up.
+/// The list entry of an endpoint whose process has been replaced by a new one, which started long
+/// enough ago that its slow start is over.
 fn restarted_entry(name: &str, endpoint: &TestEndpoint) -> serde_json::Value {
     let mut entry = entry(name, endpoint.address, "Ready");
     entry["born_ms"] = 1.into();
     entry
 }
 
-/// An attempt was meant for the process that was there: one that has started since is warming up,
-/// and all attempts that still wait for connections would reach it at once.
+/// An attempt that waits for its connection must be withdrawn when a new process replaces the
+/// endpoint's: all waiting attempts would otherwise reach the new process at once, during its slow
+/// start.
 #[test]
-fn an_unwritten_attempt_is_not_written_to_a_later_process() {
-    for moved in [false, true] {
+fn an_unwritten_attempt_is_withdrawn_when_its_endpoint_restarts() {
+    for has_new_address in [false, true] {
         run_test(async {
-            let (stuck, _full, _listener) = endpoint_with_full_backlog().await;
+            let (full_endpoint, _fillers, _listener) = endpoint_with_full_backlog().await;
             let other = TestEndpoint::start([ok("other")]).await;
             let discovery = TestDiscovery::without_updates().await;
-            let proxy = Proxy::start_with(&discovery, from_ref(&stuck), |config| {
+            let proxy = Proxy::start_with(&discovery, from_ref(&full_endpoint), |config| {
                 config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
             })
             .await;
@@ -154,15 +158,15 @@
             .await;
             let mut client = proxy.client().await;
             client.send(&request("unsafe", "", "")).await;
-            // Sent later and served: the proxy has read the request before.
+            // A health request sent later has a response, so the proxy has read the first request.
             assert_eq!(
                 proxy.client().await.exchange(HEALTH_REQUEST).await.status(),
                 200
             );
-            let endpoints = match moved {
+            let endpoints = match has_new_address {
                 true => vec![restarted_entry("s-0", &other)],
                 false => vec![
-                    restarted_entry("s-0", &stuck),
+                    restarted_entry("s-0", &full_endpoint),
                     entry("s-1", other.address, "Ready"),
                 ],
             };
@@ -170,16 +174,17 @@
             assert_eq!(
                 client.message().await.expect("a response").body,
                 b"other",
-                "{moved}"
+                "the endpoint has a new address: {has_new_address}"
             );
             assert_eq!(other.request_count(), 1);
         });
     }
 }
 
-/// A response of the process before: whatever its connection leads to by now is not reused.
+/// A connection that was opened to the earlier process of an endpoint must not be reused after its
+/// response, as it does not lead to the process that the list now describes.
 #[test]
-fn a_connection_to_an_earlier_process_is_not_reused() {
+fn a_connection_from_before_an_endpoint_restart_is_not_reused() {
     run_test(async {
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall, ok("next")]).await;
         let discovery = TestDiscovery::without_updates().await;
@@ -209,16 +214,18 @@
     });
 }
 
-/// What the first attempt's process did is not known once it is gone: the new one gets the request
-/// again only if its class allows, with its key, whether the list or the reset arrives first.
+/// Whether a process has run a request is not known once that process is gone. The new process of
+/// the endpoint must get the request again only if its class allows that, with the same id and
+/// idempotency key, whether the endpoint list or the connection's reset arrives first.
 #[test]
-fn a_retry_goes_to_the_new_process_of_its_endpoint_only_if_its_class_allows() {
+fn a_request_is_retried_at_a_restarted_endpoint_only_if_its_class_allows() {
     for list_first in [false, true] {
         for (class, status, sent) in [("free", 200, 2), ("keyed", 200, 2), ("unsafe", 502, 1)] {
             run_test(async {
-                // An endpoint that has just responded is not ejected for one reset.
+                // After a successful response a single reset does not eject the endpoint.
                 let endpoint =
-                    TestEndpoint::start([ok("before"), ScriptedResponse::Stall, ok("again")]).await;
+                    TestEndpoint::start([ok("before"), ScriptedResponse::Stall, ok("retried")])
+                        .await;
                 let discovery = TestDiscovery::without_updates().await;
                 let proxy = Proxy::start_with(&discovery, from_ref(&endpoint), with_admin).await;
                 let mut client = proxy.client().await;
@@ -241,7 +248,7 @@
                     wait_for_members(&proxy, 2).await;
                 }
                 endpoint.reset();
-                wait_until("its connection is closed", || {
+                wait_until("the endpoint's first connection is closed", || {
                     endpoint.open_connections.get() == 0 || endpoint.opened_connections.get() == 2
                 })
                 .await;
@@ -249,54 +256,59 @@
                     discovery.push(&list).await;
                 }
                 let response = client.message().await.expect("a response");
-                assert_eq!(response.status(), status, "{class}, {list_first}");
-                let seen = endpoint.requests.borrow()[1..].to_vec();
-                assert_eq!(seen.len(), sent, "{class}, {list_first}");
+                assert_eq!(
+                    response.status(),
+                    status,
+                    "{class}, list first: {list_first}"
+                );
+                let received = endpoint.requests.borrow()[1..].to_vec();
+                assert_eq!(received.len(), sent, "{class}, list first: {list_first}");
                 for name in ["x-call-id", "idempotency-key"] {
-                    assert!(seen
+                    assert!(received
                         .iter()
-                        .all(|message| message.header(name) == seen[0].header(name)));
+                        .all(|message| message.header(name) == received[0].header(name)));
                 }
             });
         }
     }
 }
 
-/// What arrives first where the end of a response and the list that says that its endpoint is
-/// draining arrive together.
+/// The order in which the proxy gets the last byte of a response and the list in which its endpoint
+/// is draining.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum FirstSeen {
-    Response,
-    List,
-    Neither,
+enum ArrivalOrder {
+    ResponseFirst,
+    ListFirst,
+    /// The list first, without a wait until the proxy has applied it.
+    Together,
 }
 
-/// Sends an endpoint's last byte and the update that it drains, in this order. Returns the client's
-/// response if it had to be read in between.
+/// Sends the last byte of an endpoint's response and the update in which it is draining, in this
+/// order. Returns the client's response if it had to be read in between.
 async fn send_last_byte_and_update(
-    first: FirstSeen,
+    order: ArrivalOrder,
     endpoint: &Client,
     discovery: &TestDiscovery,
     update: &str,
     proxy: &Proxy,
     client: &mut Client,
 ) -> Option<Message> {
-    match first {
-        FirstSeen::Response => {
+    match order {
+        ArrivalOrder::ResponseFirst => {
             write_once_writable(endpoint, "x").await;
             let response = client.message().await;
             discovery.push(update).await;
             response
         }
-        FirstSeen::List => {
+        ArrivalOrder::ListFirst => {
             discovery.push(update).await;
             wait_for_members(proxy, 2).await;
             write_once_writable(endpoint, "x").await;
             None
         }
-        FirstSeen::Neither => {
+        ArrivalOrder::Together => {
             let writable = endpoint.stream.writable().await;
-            writable.expect("it can be written to");
+            writable.expect("the connection is writable");
             discovery.push(update).await;
             write_once_writable(endpoint, "x").await;
             None
@@ -304,17 +316,18 @@
     }
 }
 
-/// The endpoint of a request begins to drain as the last byte of its response arrives.
-async fn drain_at_the_end_of_a_response(large: bool, first: FirstSeen) {
+/// Lets an endpoint begin to drain as the last byte of its response arrives, and asserts that its
+/// connection is closed and the next request goes to another endpoint.
+async fn drain_at_the_end_of_a_response(large: bool, order: ArrivalOrder) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let other = TestEndpoint::start([ok("other")]).await;
     let address = listener.local_addr().expect("an address");
-    let leaving = TestEndpoint {
+    let draining_endpoint = TestEndpoint {
         address,
         ..other.clone()
     };
     let discovery = TestDiscovery::without_updates().await;
-    let proxy = Proxy::start_with(&discovery, from_ref(&leaving), with_admin).await;
+    let proxy = Proxy::start_with(&discovery, from_ref(&draining_endpoint), with_admin).await;
     wait_until("the watch is open", || {
         discovery.watch_requests.borrow().len() == 1
     })
@@ -323,7 +336,7 @@
     client.send(&request("unsafe", "", "")).await;
     let mut endpoint = accept(&listener).await;
     endpoint.message().await.expect("a request");
-    // All but the last byte; a large response is forwarded before its end.
+    // All but the last byte. The proxy forwards a large response before it is complete.
     let size = if large { 100_000 } else { 10 };
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n");
     endpoint.send(&head).await;
@@ -334,32 +347,45 @@
     ];
     let update = chunk(&list(42, false, &endpoints));
     if large {
-        client.stream.readable().await.expect("it is passed on");
+        client
+            .stream
+            .readable()
+            .await
+            .expect("the response begins to arrive");
     }
-    let early =
-        send_last_byte_and_update(first, &endpoint, &discovery, &update, &proxy, &mut client).await;
-    let response = match early {
+    let early_response =
+        send_last_byte_and_update(order, &endpoint, &discovery, &update, &proxy, &mut client).await;
+    let response = match early_response {
         Some(response) => Some(response),
         None => client.message().await,
     };
     let response = response.expect("a response");
-    assert_eq!(response.body.len(), size, "{large}, {first:?}");
+    assert_eq!(
+        response.body.len(),
+        size,
+        "large: {large}, order: {order:?}"
+    );
     assert!(
         endpoint.message().await.is_none(),
-        "{large}, {first:?}: closed, and nothing more arrived"
+        "large: {large}, order: {order:?}: the connection is closed without another request"
     );
     wait_for_members(&proxy, 2).await;
     let next = client.exchange(&request("unsafe", "", "")).await;
     assert_eq!(next.body, b"other");
 }
 
-/// A draining endpoint gets nothing new, also on a connection whose response ends at that moment,
-/// small or large: it is closed whichever of the two the proxy sees first.
+/// The response on a connection ends at the moment at which its endpoint begins to drain. The
+/// connection must not be reused for a new request: it must be closed whichever of the two the
+/// proxy sees first, for a small and for a large response.
 #[test]
 fn a_connection_that_becomes_idle_as_its_endpoint_begins_to_drain_is_closed() {
     for large in [false, true] {
-        for first in [FirstSeen::Response, FirstSeen::List, FirstSeen::Neither] {
-            run_test(drain_at_the_end_of_a_response(large, first));
+        for order in [
+            ArrivalOrder::ResponseFirst,
+            ArrivalOrder::ListFirst,
+            ArrivalOrder::Together,
+        ] {
+            run_test(drain_at_the_end_of_a_response(large, order));
         }
     }
 }
--- a/proxy/tests/external_names.rs
+++ b/proxy/tests/external_names.rs
@@ -1,6 +1,7 @@
-//! Names that others know the program by: keys of its configuration and of the endpoint list,
-//! headers, paths, operators' commands, the lock file that a process of another version reads.
-//! They belong to the operators and never change.
+//! Names that operators and other programs depend on, and that must not change: the keys of the
+//! configuration and of the endpoint list, headers and paths. Operators' commands are checked in
+//! `operators.rs`, and the name of the lock file, which processes of other versions read, in
+//! `process_presence.rs`.
 
 mod common;
 
@@ -13,7 +14,7 @@
 use std::time::Duration;
 
 #[test]
-fn each_key_of_the_configuration_and_of_the_list_is_read_under_its_name() {
+fn configuration_and_endpoint_list_keys_are_read_under_their_names() {
     let endpoint = json!({"host": "s-1", "dial": "127.0.0.1:9", "site": "split-dc", "block": 4, "health": "Terminating",
         "share": 2.5, "born_ms": 77});
     let class = json!({"name": "free", "objective_us": 1, "deadline_us": 2, "idempotency": "free"});
@@ -27,7 +28,7 @@
             "invariants": {"cold_from": 0.5, "cold_us": 1, "drain_grace_us": 9_000},
         },
     });
-    let config = Config::parse(&config.to_string()).expect("a good configuration");
+    let config = Config::parse(&config.to_string()).expect("a valid configuration");
     assert_eq!(config.listen.port(), 1);
     assert_eq!(config.discovery.port(), 2);
     assert_eq!(config.admin.expect("an address").port(), 3);
@@ -64,9 +65,10 @@
     assert_eq!(endpoint.state, ListedState::Draining);
 }
 
-/// What an endpoint gets, what a client gets, and the request for a watch of the list.
+/// The start lines and headers that an endpoint and a client get, the path of the health check, and
+/// the watch request for the endpoint list.
 #[test]
-fn messages_on_the_sockets_keep_their_names() {
+fn headers_and_paths_keep_their_names() {
     run_test(async {
         let discovery = TestDiscovery::without_updates().await;
         let endpoint = TestEndpoint::start([reject()]).await;
@@ -78,8 +80,8 @@
             .await;
         assert_eq!(response.start_line, "HTTP/1.1 503 Service Unavailable");
         assert!(response.header("retry-after").is_some());
-        let seen = endpoint.requests.borrow()[0].clone();
-        assert_eq!(seen.start_line, "POST /api HTTP/1.1");
+        let forwarded = endpoint.requests.borrow()[0].clone();
+        assert_eq!(forwarded.start_line, "POST /api HTTP/1.1");
         for name in [
             "x-call-id",
             "x-call-class",
@@ -88,9 +90,9 @@
             "x-again",
             "x-caller",
         ] {
-            assert!(seen.header(name).is_some(), "{name}");
+            assert!(forwarded.header(name).is_some(), "{name}");
         }
-        wait_until("the list is watched", || {
+        wait_until("the proxy has requested the endpoint list", || {
             !discovery.watch_requests.borrow().is_empty()
         })
         .await;
@@ -103,10 +105,10 @@
     });
 }
 
-/// README runs the program with this file.
+/// `README.md` shows how to run the program with this file.
 #[test]
 fn the_example_configuration_is_valid() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/example.json");
-    let config = Config::load(&path).expect("a good configuration");
+    let config = Config::load(&path).expect("a valid configuration");
     assert_eq!(config.classes, ["read", "write"]);
 }
--- a/proxy/tests/withdrawn_attempts.rs
+++ b/proxy/tests/withdrawn_attempts.rs
@@ -1,20 +1,21 @@
-//! Attempts that are withdrawn before they are written, and retries of those that may have run.
+//! Attempts that are withdrawn before they are written, and retries of requests that may have run.
 
 mod common;
 
 use common::*;
 use std::slice::from_ref;
 
-/// An attempt counts when it is written. One that still waits for its connection when the proxy is
-/// notified that its endpoint is draining must not be written there later; it goes to another
-/// endpoint at once.
+/// A draining endpoint must not get new requests; what counts is when an attempt is written, not
+/// when its endpoint was chosen. An attempt that still waits for its connection when the proxy is
+/// notified of the drain must not be written there later; the request must go to another endpoint
+/// at once.
 #[test]
 fn an_unwritten_attempt_is_withdrawn_when_its_endpoint_drains() {
     run_test(async {
-        let (stuck, _full, listener) = endpoint_with_full_backlog().await;
+        let (full_endpoint, _fillers, listener) = endpoint_with_full_backlog().await;
         let other = TestEndpoint::start([ok("served")]).await;
         let discovery = TestDiscovery::without_updates().await;
-        let proxy = Proxy::start_with(&discovery, from_ref(&stuck), |config| {
+        let proxy = Proxy::start_with(&discovery, from_ref(&full_endpoint), |config| {
             config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
         })
         .await;
@@ -24,13 +25,13 @@
             discovery.watch_requests.borrow().len() == 1
         })
         .await;
-        // Sent later and served: the proxy has read the request before.
+        // A health request sent later has a response, so the proxy has read the first request.
         assert_eq!(
             proxy.client().await.exchange(HEALTH_REQUEST).await.status(),
             200
         );
         let endpoints = [
-            entry("s-0", stuck.address, "Terminating"),
+            entry("s-0", full_endpoint.address, "Terminating"),
             entry("s-1", other.address, "Ready"),
         ];
         discovery.push(&chunk(&list(42, false, &endpoints))).await;
@@ -40,50 +41,54 @@
     });
 }
 
-/// A withdrawn attempt is reported as never run: it must not be written by a task that already has
-/// it.
+/// A withdrawn attempt is reported as never run, so the connection's task must not write it, even
+/// if the attempt was handed to the task before.
 #[test]
 fn an_attempt_withdrawn_before_its_task_runs_is_not_written() {
     run_test(async {
-        let (leaving, other) = (
-            TestEndpoint::start([ok("leaving")]).await,
+        let (draining_endpoint, other) = (
+            TestEndpoint::start([ok("draining")]).await,
             TestEndpoint::start([ok("other")]).await,
         );
         let discovery = TestDiscovery::without_updates().await;
-        let proxy = Proxy::start_with(&discovery, from_ref(&leaving), |_| ()).await;
+        let proxy = Proxy::start_with(&discovery, from_ref(&draining_endpoint), |_| ()).await;
         let mut client = proxy.client().await;
         assert_eq!(
             client.exchange(&request("unsafe", "", "")).await.body,
-            b"leaving"
+            b"draining"
         );
         wait_until("the watch is open", || {
             discovery.watch_requests.borrow().len() == 1
         })
         .await;
         let endpoints = [
-            entry("s-0", leaving.address, "Terminating"),
+            entry("s-0", draining_endpoint.address, "Terminating"),
             entry("s-1", other.address, "Ready"),
         ];
         let list = chunk(&list(42, false, &endpoints));
-        // Both arrive in one turn of the proxy's loop, the request first: it is given to its
-        // connection's task, which runs only after the list.
+        // Both arrive before the proxy runs again, the request first. Its attempt is handed to the
+        // connection's task, which runs only after the list has been applied.
         client.send(&request("unsafe", "", "")).await;
         discovery.push(&list).await;
         assert_eq!(client.message().await.expect("a response").body, b"other");
-        assert_eq!((leaving.request_count(), other.request_count()), (1, 1));
+        assert_eq!(
+            (draining_endpoint.request_count(), other.request_count()),
+            (1, 1)
+        );
     });
 }
 
-/// A connection breaks once the request is fully written: it may have run. A request whose class
-/// forbids it is not retried, and its client is not advised to retry; others are retried at once.
+/// A request may have run if its connection breaks after it was completely written. If its class
+/// forbids retries, it must not be retried and its client must get a 502, which does not advise a
+/// retry; otherwise it must be retried at once.
 #[test]
 fn a_request_that_may_have_run_is_retried_only_if_its_class_allows() {
     run_test(async {
-        for reused in [0, 1] {
+        for requests_before in [0, 1] {
             for (class, status) in [("free", 200), ("keyed", 200), ("unsafe", 502)] {
-                let before = vec![ok("before"); reused];
+                let earlier_responses = vec![ok("before"); requests_before];
                 let breaking = TestEndpoint::start(
-                    before
+                    earlier_responses
                         .into_iter()
                         .chain([ScriptedResponse::WriteAndClose(String::new())]),
                 )
@@ -94,29 +99,37 @@
                 let response = loop {
                     let served_before = endpoints[1].request_count();
                     let response = client.exchange(&request(class, "", "")).await;
-                    if endpoints[0].request_count() > reused {
-                        let retries = endpoints[0].request_count() - reused - 1
+                    if endpoints[0].request_count() > requests_before {
+                        let retries = endpoints[0].request_count() - requests_before - 1
                             + endpoints[1].request_count()
                             - served_before;
-                        assert_eq!(retries, usize::from(status == 200), "{class}, {reused}");
+                        assert_eq!(
+                            retries,
+                            usize::from(status == 200),
+                            "{class}, requests before: {requests_before}"
+                        );
                         break response;
                     }
                 };
-                assert_eq!(response.status(), status, "{class}, {reused}");
+                assert_eq!(
+                    response.status(),
+                    status,
+                    "{class}, requests before: {requests_before}"
+                );
             }
         }
     });
 }
 
-/// Nothing is sent for a request that has ended, also where the settings do not allow cancelling
-/// attempts: one that still waits for its connection must not be written once that opens.
+/// An attempt that still waits for its connection when its client disconnects must not be written
+/// once the connection opens, even if the settings do not allow attempts to be cancelled.
 #[test]
 fn an_unwritten_attempt_is_withdrawn_when_its_request_ends() {
     run_test(async {
-        let (stuck, full, listener) = endpoint_with_full_backlog().await;
+        let (full_endpoint, fillers, listener) = endpoint_with_full_backlog().await;
         let proxy = Proxy::start_with(
             &TestDiscovery::without_updates().await,
-            from_ref(&stuck),
+            from_ref(&full_endpoint),
             |config| {
                 config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
                 config["settings"]["limits"]["cancel"] = false.into();
@@ -136,9 +149,9 @@
             proxy.client().await.exchange(HEALTH_REQUEST).await.status(),
             200
         );
-        // From here on connections open, the first one's before the second's.
+        // Both connections open now, that of the first request before that of the second.
         let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
-        drop(full);
+        drop(fillers);
         assert_eq!(client.message().await.expect("a response").status(), 200);
         let bodies: Vec<_> = endpoint
             .requests
@@ -150,9 +163,10 @@
     });
 }
 
-/// An endpoint that has moved gets nothing at its old address, where another may listen by now.
+/// An endpoint whose address has changed must get no new requests at the old one, where another
+/// endpoint may listen now. Requests in flight there complete.
 #[test]
-fn an_endpoint_that_moved_gets_requests_at_its_new_address() {
+fn an_endpoint_with_a_new_address_gets_new_requests_only_there() {
     run_test(async {
         let (old, new) = (
             TestEndpoint::start([ScriptedResponse::Stall, ok("old")]).await,
@@ -174,7 +188,7 @@
                 &[entry("s-0", new.address, "Ready")],
             )))
             .await;
-        wait_until("its idle connection closes", || {
+        wait_until("the idle connection to the old address is closed", || {
             old.open_connections.get() == 1
         })
         .await;
@@ -184,7 +198,7 @@
         );
         old.release.notify_one();
         assert_eq!(busy.message().await.expect("a response").body, b"released");
-        wait_until("its last connection closes", || {
+        wait_until("the last connection to the old address is closed", || {
             old.open_connections.get() == 0
         })
         .await;
