--- a/proxy/tests/reload_propagation.rs
+++ b/proxy/tests/reload_propagation.rs
@@ -1,5 +1,5 @@
-//! After a reload, the list of a new discovery counts as notified 4 s after the signal. Every wait
-//! on the way is added up, in time that only the test advances.
+//! After a reload, the proxy must apply the list of the new discovery within 4 s of the signal, as
+//! it counts as notified from then on. The tests measure that in time that only they advance.
 
 mod common;
 
@@ -11,21 +11,21 @@
 use std::time::Duration;
 use tokio::time::advance;
 
-/// What the watch is at when a new configuration arrives.
+/// What the watch is doing when a new configuration arrives.
 #[derive(Clone, Copy, Debug)]
 enum WatchPhase {
     /// It is open.
     Open,
-    /// It is being opened, and the old discovery has not responded.
+    /// It is requested, and the old discovery has not responded.
     Opening,
-    /// It waits for its backoff.
+    /// It has failed, and is in backoff before the next request.
     Backoff,
 }
 
-/// The time counts from the reload, whatever the watch was at, and the old discovery sends nothing
-/// more.
+/// The time counts from the reload, whatever the watch was doing, and whatever failures come before
+/// the new discovery's first list. The old discovery sends nothing more.
 #[test]
-fn a_change_that_a_new_discovery_has_is_applied_in_time() {
+fn a_list_of_a_new_discovery_is_applied_within_4_s_of_the_reload() {
     let modes = [
         ("ask", 300, 2),
         ("ask", 300, 3),
@@ -34,22 +34,25 @@
         ("ask", 5, 1),
         ("push", 5, 1),
     ];
-    for ((mode, balancer_count, seed), at) in modes.into_iter().flat_map(|m| {
-        [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff].map(|at| (m, at))
+    for ((mode, balancer_count, seed), phase) in modes.into_iter().flat_map(|m| {
+        [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff].map(|phase| (m, phase))
     }) {
-        for path in failure_sequences() {
-            let name = format!("{mode}, {balancer_count} balancers, seed {seed}, {at:?}, {path:?}");
+        for failures in failure_sequences() {
+            let name =
+                format!("{mode}, {balancer_count} balancers, seed {seed}, {phase:?}, {failures:?}");
             run_with_paused_time(async {
                 let endpoint = TestEndpoint::start([ok("served")]).await;
-                let old = match at {
+                let old = match phase {
                     WatchPhase::Open => vec![NO_UPDATES()],
                     WatchPhase::Opening => vec![NO_RESPONSE()],
                     WatchPhase::Backoff => vec![REJECTED(), Unreachable(Duration::from_secs(100))],
                 };
                 let (old, new) = (
                     ScriptedDiscovery::start(old).await,
-                    ScriptedDiscovery::start(path.into_iter().chain([notify_draining(&endpoint)]))
-                        .await,
+                    ScriptedDiscovery::start(
+                        failures.into_iter().chain([notify_draining(&endpoint)]),
+                    )
+                    .await,
                 );
                 let proxy =
                     PausedProxy::with_seed(seed, mode, balancer_count, &old, endpoint).await;
@@ -60,30 +63,33 @@
                 advance(50 * MS).await;
                 settle().await;
                 proxy.reload_with_discovery(&old, &new);
-                let elapsed = proxy.until_draining("the drain").await;
+                let elapsed = proxy
+                    .until_draining("the connection to the draining endpoint is closed")
+                    .await;
                 assert!(elapsed <= 4_000 * MS + MARGIN, "{elapsed:?}: {name}");
             });
         }
     }
 }
 
-/// A request that waits for its turn at the new discovery is not replaced by one that was planned
-/// before, and what the old one sends after the reload is ignored.
+/// A new discovery may take 2 s to respond. The watch request that waits for it must not be
+/// replaced by one that was scheduled before the reload, and a list that the old discovery sends
+/// after the reload must be ignored.
 #[test]
-fn a_request_that_queues_at_a_new_discovery_is_not_abandoned() {
+fn a_watch_request_that_waits_for_a_new_discovery_is_not_abandoned() {
     for balancer_count in [5, 300] {
-        for at in [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff] {
+        for phase in [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff] {
             run_with_paused_time(async {
                 let endpoint = TestEndpoint::start([ok("served")]).await;
-                let old = match at {
+                let old = match phase {
                     WatchPhase::Open => vec![NO_UPDATES()],
                     WatchPhase::Opening => vec![RespondAfter(500 * MS, draining_list(&endpoint))],
                     WatchPhase::Backoff => vec![REJECTED(), Unreachable(Duration::from_secs(100))],
                 };
-                let turn = RespondAfter(Duration::from_secs(2), draining_list(&endpoint));
+                let delayed_list = RespondAfter(Duration::from_secs(2), draining_list(&endpoint));
                 let (old, new) = (
                     ScriptedDiscovery::start(old).await,
-                    ScriptedDiscovery::start([turn]).await,
+                    ScriptedDiscovery::start([delayed_list]).await,
                 );
                 let proxy = PausedProxy::start("ask", balancer_count, &old, endpoint).await;
                 wait_without_time("the old discovery has a request", || {
@@ -93,24 +99,27 @@
                 advance(50 * MS).await;
                 settle().await;
                 proxy.reload_with_discovery(&old, &new);
-                let elapsed = proxy.until_draining("the drain").await;
+                let elapsed = proxy
+                    .until_draining("the connection to the draining endpoint is closed")
+                    .await;
                 assert!(
                     elapsed >= Duration::from_secs(2),
-                    "{elapsed:?}: the old discovery was not ignored, {at:?}"
+                    "{balancer_count} balancers, {phase:?}: the old discovery was not ignored, {elapsed:?}"
                 );
                 assert_eq!(
                     new.request_count.get(),
                     1,
-                    "{balancer_count} balancers, {at:?}"
+                    "{balancer_count} balancers, {phase:?}"
                 );
             });
         }
     }
 }
 
-/// The same where lists are pushed: an agent that responds only after the reload is ignored.
+/// Where lists are pushed, a list that the old discovery sends only after the reload must be
+/// ignored.
 #[test]
-fn a_late_response_of_the_old_agent_is_ignored_after_a_reload() {
+fn a_late_list_of_the_old_discovery_is_ignored_after_a_reload() {
     for delay in [60 * MS, 100 * MS, 110 * MS] {
         run_with_paused_time(async {
             let endpoint = TestEndpoint::start([ok("served")]).await;
@@ -137,12 +146,12 @@
             assert_eq!(
                 proxy.endpoint.open_connections.get(),
                 1,
-                "applied after {delay:?}"
+                "the old discovery's list, sent after {delay:?}, is ignored"
             );
             assert_eq!(
                 (old.request_count.get(), new.request_count.get()),
                 (1, 1),
-                "neither gets another request"
+                "neither discovery gets another request"
             );
         });
     }
