--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -1,11 +1,12 @@
-//! A library to be preloaded (`LD_PRELOAD`) into a process under test. It replaces functions of the
-//! C library and makes them fail by the schedule in the environment variable `SYSCALL_FAULTS`
-//! (JSON); without one all calls pass. No program links it.
+//! Injects faults into system calls of a process under test. The library is preloaded with
+//! `LD_PRELOAD`, replaces functions of the C library and makes their calls fail as the JSON
+//! schedule in the environment variable `SYSCALL_FAULTS` says. Without a schedule no call fails. No
+//! crate depends on it.
 
 #[macro_use]
 mod next_symbol;
 
-mod active;
+mod process_schedule;
 mod schedule;
 
 use libc::{
@@ -20,7 +21,9 @@
 /// The same conditions as for `socket(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    if matches!(domain, libc::AF_INET | libc::AF_INET6) && active::fails(Call::Socket) {
+    if matches!(domain, libc::AF_INET | libc::AF_INET6)
+        && process_schedule::inject_failure(Call::Socket)
+    {
         return -1;
     }
     next_symbol!("socket", unsafe extern "C" fn(c_int, c_int, c_int) -> c_int)(
@@ -39,14 +42,14 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if active::fails(Call::Accept) {
+    if process_schedule::inject_failure(Call::Accept) {
         return -1;
     }
-    let real = next_symbol!(
+    let next = next_symbol!(
         "accept4",
         unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int
     );
-    real(socket, address, length, flags)
+    next(socket, address, length, flags)
 }
 
 /// Replaces `connect(2)`.
@@ -59,7 +62,9 @@
     address: *const sockaddr,
     length: socklen_t,
 ) -> c_int {
-    if active::is_internet_socket(socket) && active::fails(Call::Connect) {
+    if process_schedule::is_internet_socket(socket)
+        && process_schedule::inject_failure(Call::Connect)
+    {
         return -1;
     }
     next_symbol!(
@@ -79,7 +84,7 @@
     length: usize,
     flags: c_int,
 ) -> ssize_t {
-    let Some(length) = active::transfer_length(Call::Receive, socket, length) else {
+    let Some(length) = process_schedule::max_transfer_length(Call::Receive, socket, length) else {
         return -1;
     };
     next_symbol!(
@@ -99,7 +104,7 @@
     length: usize,
     flags: c_int,
 ) -> ssize_t {
-    let Some(length) = active::transfer_length(Call::Send, socket, length) else {
+    let Some(length) = process_schedule::max_transfer_length(Call::Send, socket, length) else {
         return -1;
     };
     next_symbol!(
@@ -113,20 +118,20 @@
 /// # Safety
 /// The same conditions as for `writev(2)`.
 #[no_mangle]
-pub unsafe extern "C" fn writev(file: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    let real = next_symbol!(
+pub unsafe extern "C" fn writev(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
+    let next = next_symbol!(
         "writev",
         unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t
     );
     if count < 1 {
-        return real(file, parts, count);
+        return next(descriptor, buffers, count);
     }
-    let first = *parts;
-    match active::transfer_length(Call::Send, file, first.iov_len) {
+    let first = *buffers;
+    match process_schedule::max_transfer_length(Call::Send, descriptor, first.iov_len) {
         None => -1,
-        Some(length) if length == first.iov_len => real(file, parts, count),
-        Some(length) => real(
-            file,
+        Some(length) if length == first.iov_len => next(descriptor, buffers, count),
+        Some(length) => next(
+            descriptor,
             &iovec {
                 iov_base: first.iov_base,
                 iov_len: length,
@@ -142,19 +147,19 @@
 /// The same conditions as for `epoll_wait(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn epoll_wait(
-    queue: c_int,
+    epoll: c_int,
     events: *mut libc::epoll_event,
     max_events: c_int,
     timeout: c_int,
 ) -> c_int {
-    if active::fails(Call::Wait) {
+    if process_schedule::inject_failure(Call::Wait) {
         return -1;
     }
-    let real = next_symbol!(
+    let next = next_symbol!(
         "epoll_wait",
         unsafe extern "C" fn(c_int, *mut libc::epoll_event, c_int, c_int) -> c_int
     );
-    real(queue, events, max_events, timeout)
+    next(epoll, events, max_events, timeout)
 }
 
 /// Replaces `open64(2)`.
@@ -163,10 +168,11 @@
 /// The same conditions as for `open(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    if active::open_fails(CStr::from_ptr(path).to_bytes()) {
+    if process_schedule::inject_open_failure(CStr::from_ptr(path).to_bytes()) {
         return -1;
     }
-    // The C library's function is variadic; its third argument is passed in the same way.
+    // The C library's function is variadic, and its callers pass `mode` as they would to this
+    // function with three fixed parameters.
     next_symbol!(
         "open64",
         unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int
@@ -178,11 +184,11 @@
 /// # Safety
 /// The same conditions as for `flock(2)`.
 #[no_mangle]
-pub unsafe extern "C" fn flock(file: c_int, operation: c_int) -> c_int {
-    if active::fails(Call::Lock) {
+pub unsafe extern "C" fn flock(descriptor: c_int, operation: c_int) -> c_int {
+    if process_schedule::inject_failure(Call::Lock) {
         return -1;
     }
-    next_symbol!("flock", unsafe extern "C" fn(c_int, c_int) -> c_int)(file, operation)
+    next_symbol!("flock", unsafe extern "C" fn(c_int, c_int) -> c_int)(descriptor, operation)
 }
 
 /// Replaces `clock_gettime(2)`.
@@ -191,13 +197,13 @@
 /// The same conditions as for `clock_gettime(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    let real = next_symbol!(
+    let next = next_symbol!(
         "clock_gettime",
         unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int
     );
-    let result = real(clock, time);
+    let result = next(clock, time);
     if result == 0 && clock == libc::CLOCK_REALTIME {
-        let offset_ms = active::wall_clock_offset_ms();
+        let offset_ms = process_schedule::wall_clock_offset_ms();
         (*time).tv_sec += offset_ms.div_euclid(1_000);
         (*time).tv_nsec += offset_ms.rem_euclid(1_000) * 1_000_000;
         if (*time).tv_nsec >= 1_000_000_000 {
--- a/settings/src/message.rs
+++ b/settings/src/message.rs
@@ -1,7 +1,9 @@
-//! The settings as they are written, under the operators' names, and their translation to the
-//! balancer's terms. Unknown keys are ignored, absent optional ones get neutral defaults.
+//! The JSON form of the settings and its conversion to the balancer's [`Settings`]. The fields here
+//! have the balancer's terms; `rename` gives the key in the JSON. Unknown keys are ignored, and
+//! absent optional keys get defaults.
 
 use crate::error::SettingsError;
+use crate::json_path::path_on_line;
 use crate::zone::zone;
 use balancer::{
     Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights,
@@ -10,7 +12,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The settings as they are written, under the operators' names.
+/// The settings as JSON.
 #[derive(Deserialize)]
 pub(crate) struct SettingsMessage {
     #[serde(rename = "balancers")]
@@ -136,7 +138,8 @@
         }
     }
 
-    /// An unknown idempotency or scope counts as non-idempotent, which is always safe.
+    /// Unknown values of `idempotency` or `dedup_scope` count as non-idempotent, because not
+    /// repeating a request is always safe.
     fn idempotency(&self) -> Idempotency {
         let scope = match self.deduplication_scope.as_str() {
             "all" => Some(DeduplicationScope::All),
@@ -156,15 +159,15 @@
 }
 
 impl SettingsMessage {
-    /// Reads the settings as they are written.
+    /// Reads the settings from JSON.
     pub(crate) fn read(message: &Value) -> Result<SettingsMessage, SettingsError> {
         SettingsMessage::deserialize(message).map_err(|reason| SettingsError::Malformed {
-            key: wrong_key(message),
+            path: path_of_malformed_value(message),
             reason,
         })
     }
 
-    /// The settings in the balancer's terms.
+    /// The settings that a balancer is created with.
     pub(crate) fn settings(&self) -> Settings {
         let mode = if self.discovery_mode == "ask" {
             DiscoveryMode::Poll
@@ -189,8 +192,8 @@
                 health_checks: self.limits.health_checks,
                 hedging: self.limits.hedging,
                 max_attempts: self.limits.max_attempts,
-                // Taken even if clients are declared not to respect it: a rejection over HTTP
-                // always carries `Retry-After`.
+                // Applies even if clients are declared not to respect `Retry-After`, because
+                // every HTTP rejection carries the header.
                 max_retry_after: self.limits.max_retry_after_us,
             },
             slow_start: SlowStart {
@@ -211,12 +214,15 @@
     }
 }
 
-/// The key whose value can't be read. Serde's errors have no keys, but the lines of a text: each
-/// value is printed on one with its key.
-fn wrong_key(message: &Value) -> Option<String> {
-    let text = serde_json::to_string_pretty(message).ok()?;
-    let error = serde_json::from_str::<SettingsMessage>(&text).err()?;
-    let line = text.lines().nth(error.line().checked_sub(1)?)?;
-    let (key, _) = line.trim().strip_prefix('"')?.split_once("\":")?;
-    Some(key.to_owned())
+/// Path of the value that has the wrong type or lacks a key. Serde's error contains a line number
+/// but no path, so the settings are printed with one key per line and parsed again to find the path
+/// on that line. Empty if that fails.
+fn path_of_malformed_value(message: &Value) -> String {
+    let Ok(text) = serde_json::to_string_pretty(message) else {
+        return String::new();
+    };
+    match serde_json::from_str::<SettingsMessage>(&text) {
+        Ok(_) => String::new(),
+        Err(error) => path_on_line(&text, error.line()),
+    }
 }
