--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -95,12 +95,12 @@
         let mut total_work = 0.0;
         for (estimate, class) in self.latencies.iter().zip(&self.settings.classes) {
             total_weight += estimate.request_count * class.priority_weight;
-            total_work += estimate.request_count * estimate.base;
+            total_work += estimate.request_count * estimate.unloaded;
         }
         let unloaded_latency = self
             .latencies
             .get(request.class_id)
-            .map_or(f64::MAX, |estimate| estimate.base);
+            .map_or(f64::MAX, |estimate| estimate.unloaded);
         let relative_weight_per_work = request.class.priority_weight / unloaded_latency
             * total_work
             / total_weight.max(f64::MIN_POSITIVE);
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -93,7 +93,7 @@
             Event::EndpointList { kind, entries } => {
                 self.update_endpoint_list(now, kind, &entries);
             }
-            Event::Heartbeat => self.endpoint_starts.confirm_current(now),
+            Event::Heartbeat => self.endpoint_starts.mark_list_current(now),
             Event::RequestReceived {
                 request,
                 class,
@@ -107,7 +107,7 @@
                     self.admit(now, request, tenant, actions);
                 }
             }
-            Event::RequestCompleted { request, time_left } => {
+            Event::UploadCompleted { request, time_left } => {
                 self.complete_upload(now, request, time_left);
             }
             Event::ShutdownStarted { time_left } => {
@@ -123,7 +123,7 @@
             } => {
                 self.record_load_report(request, attempt, load);
                 if let Some(ended) = self.end_attempt(request, attempt, outcome) {
-                    self.learn_from_attempt(now, ended, outcome, elapsed, actions);
+                    self.record_attempt_end(now, ended, outcome, elapsed, actions);
                     self.finish_or_retry(now, request, outcome, request_finished, actions);
                 }
             }
--- a/balancer/src/class_rejections.rs
+++ b/balancer/src/class_rejections.rs
@@ -31,7 +31,7 @@
 
     /// Whether requests of a class may be sent to the endpoint; otherwise they prefer other
     /// endpoints.
-    pub(crate) fn accepts(&self, class_id: usize, now: Micros) -> bool {
+    pub(crate) fn accepts_class(&self, class_id: usize, now: Micros) -> bool {
         self.by_class
             .get(class_id)
             .is_none_or(|class| now >= class.avoided_until)
--- a/balancer/src/ended_attempt.rs
+++ b/balancer/src/ended_attempt.rs
@@ -8,7 +8,7 @@
 
 /// What an attempt's outcome says about its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum AttemptHealth {
     /// The endpoint works, though it may be slow.
     Healthy,
     /// The endpoint failed.
--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -45,7 +45,7 @@
     pub(crate) reported_load: f64,
     pub(crate) samples_since_limit_change: u32,
     pub(crate) limit_changed_at: Micros,
-    /// When an attempt at it last ended; attempts with a neutral verdict don't count.
+    /// When an attempt at it last ended; attempts that are neutral about its health don't count.
     pub(crate) last_ended_at: Micros,
     pub(crate) last_served_at: Micros,
     /// Moving average of the fraction of attempts that failed.
@@ -154,7 +154,7 @@
     /// Whether the effect of the last change of its limit can be judged: at least as many attempts
     /// as are in flight have ended since, and either these are enough for the moving average or
     /// enough time has passed.
-    pub(crate) fn is_settled(&self, now: Micros, typical_latency: f64) -> bool {
+    pub(crate) fn is_limit_settled(&self, now: Micros, typical_latency: f64) -> bool {
         let samples = self.samples_since_limit_change;
         let since_change = now.saturating_sub(self.limit_changed_at) as f64;
         samples >= self.in_flight.max(1)
@@ -162,8 +162,8 @@
                 || since_change >= SETTLING_TYPICAL_LATENCIES * typical_latency)
     }
 
-    /// Restarts the sample count and the clock for [`Endpoint::is_settled`] after a change of its
-    /// limit.
+    /// Restarts the sample count and the clock for [`Endpoint::is_limit_settled`] after a change of
+    /// its limit.
     pub(crate) fn mark_limit_changed(&mut self, now: Micros) {
         self.samples_since_limit_change = 0;
         self.limit_changed_at = now;
--- a/balancer/src/endpoint_starts.rs
+++ b/balancer/src/endpoint_starts.rs
@@ -40,7 +40,7 @@
 
 impl EndpointStarts {
     /// Records that the list is current now.
-    pub(crate) fn confirm_current(&mut self, now: Micros) {
+    pub(crate) fn mark_list_current(&mut self, now: Micros) {
         self.current_at = Some(now);
     }
 
@@ -76,7 +76,7 @@
             }
         }
         if kind != ListUpdate::Cached {
-            self.confirm_current(now);
+            self.mark_list_current(now);
         }
     }
 
--- a/balancer/src/endpoints.rs
+++ b/balancer/src/endpoints.rs
@@ -71,9 +71,9 @@
         available_count
     }
 
-    /// Whether another endpoint may be ejected. At most half of the listed endpoints are ever
+    /// Whether one more endpoint may be ejected. At most half of the listed endpoints are ever
     /// ejected: a fault that most endpoints show does not originate in the endpoints.
-    pub(crate) fn may_eject_another(&self) -> bool {
+    pub(crate) fn has_ejection_capacity(&self) -> bool {
         (self.ejected_count + 1) * 2 <= self.listed_count
     }
 }
--- a/balancer/src/event.rs
+++ b/balancer/src/event.rs
@@ -81,11 +81,11 @@
         client_retry: bool,
         /// Whether its body is still arriving and is not buffered, so that what was sent to one
         /// endpoint cannot be sent to another. The client's deadline and the endpoint's work then
-        /// count from [`Event::RequestCompleted`].
+        /// count from [`Event::UploadCompleted`].
         non_replayable: bool,
     },
-    /// The last byte of a non-replayable request has arrived.
-    RequestCompleted {
+    /// The last byte of a non-replayable request has arrived: its upload is complete.
+    UploadCompleted {
         /// The request.
         request: RequestId,
         /// Time until its client stops waiting.
--- a/balancer/src/feedback.rs
+++ b/balancer/src/feedback.rs
@@ -3,7 +3,7 @@
 
 use crate::attempt::{Attempt, Trial};
 use crate::balancer::Balancer;
-use crate::ended_attempt::{EndedAttempt, Verdict, MAX_LATENCY_PRESSURE};
+use crate::ended_attempt::{AttemptHealth, EndedAttempt, MAX_LATENCY_PRESSURE};
 use crate::latency::LATENCY_SMOOTHING;
 use crate::{Action, LoadReport, Micros, Outcome, RequestId};
 
@@ -48,7 +48,7 @@
 
     /// Updates the shared limit, the health of the zone and the state of the endpoint after an
     /// attempt has ended. `reported_elapsed` is its duration as measured by the proxy.
-    pub(crate) fn learn_from_attempt(
+    pub(crate) fn record_attempt_end(
         &mut self,
         now: Micros,
         attempt: Attempt,
@@ -57,7 +57,7 @@
         actions: &mut Vec<Action>,
     ) {
         if attempt.is_uploading {
-            self.begin_work(now, &attempt);
+            self.count_in_flight(now, &attempt);
         }
         let ended = self.ended_attempt(now, attempt, outcome, reported_elapsed);
         self.update_shared_limit(&ended);
@@ -65,24 +65,24 @@
         let Some(index) = self.endpoints.index_of(attempt.endpoint) else {
             return;
         };
-        if self.endpoints[index].started_at != attempt.started_at {
+        if self.endpoints[index].started_at != attempt.endpoint_started_at {
             // Outcomes of an endpoint's previous process don't apply to its current one.
             return;
         }
-        self.end_work(&ended, index);
-        let verdict = self.classify(&ended, index);
-        if verdict == Verdict::Neutral {
+        self.remove_in_flight(&ended, index);
+        let health = self.classify(&ended, index);
+        if health == AttemptHealth::Neutral {
             self.endpoints[index].limit.trial_in_flight &= attempt.trial != Trial::Endpoint;
             return;
         }
-        self.update_failure_rate(&ended, index, verdict);
-        let previous_pressure = self.update_latency(&ended, index, verdict);
+        self.update_failure_rate(&ended, index, health);
+        let previous_pressure = self.update_latency(&ended, index, health);
         self.update_concurrency_limit(&ended, index);
         let was_ejected = self.endpoints[index].is_ejected();
         self.remove_step_if_connection_lost(&ended, index);
         self.end_endpoint_trial(&ended, index, was_ejected, actions);
         if !was_ejected {
-            self.eject_outlier(&ended, index, verdict, previous_pressure, actions);
+            self.eject_outlier(&ended, index, health, previous_pressure, actions);
         }
         self.start_cool_down(&ended, index);
         if ended.is_served() {
@@ -139,9 +139,9 @@
             ..
         } = ended;
         shared_limit.end_attempt(*now, *elapsed, ended.typical_latency);
-        // Attempts that never ran are left out: a rejection concerns a single endpoint, usually a
-        // draining one, and not the load of all.
-        if !outcome.is_neutral() && !outcome.never_ran() {
+        // Attempts that were not executed are left out: a rejection concerns a single endpoint,
+        // usually a draining one, and not the load of all.
+        if !outcome.is_neutral() && !outcome.was_not_executed() {
             let pressure = ended.shared_latency_pressure;
             shared_limit.record_latency(*now, attempt.sent_at, pressure, *elapsed);
         }
@@ -158,7 +158,7 @@
         }
     }
 
-    fn end_work(&mut self, ended: &EndedAttempt, index: usize) {
+    fn remove_in_flight(&mut self, ended: &EndedAttempt, index: usize) {
         let endpoint = &mut self.endpoints[index];
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         // A minimum time keeps an endpoint with fast errors and rejections from looking idle.
@@ -175,7 +175,7 @@
         endpoint.record_busy_time(busy_time, self.forwarded_count, ended.subset_size as f64);
     }
 
-    fn classify(&mut self, ended: &EndedAttempt, index: usize) -> Verdict {
+    fn classify(&mut self, ended: &EndedAttempt, index: usize) -> AttemptHealth {
         let EndedAttempt {
             now,
             ref attempt,
@@ -197,24 +197,24 @@
             && endpoint.last_served_at > attempt.sent_at
             && self.shared_limit.is_none();
         if outcome == Outcome::Served {
-            Verdict::Healthy
+            AttemptHealth::Healthy
         } else if outcome.is_neutral() || has_short_deadline || rejects_only_class {
-            Verdict::Neutral
+            AttemptHealth::Neutral
         } else if is_only_slow {
-            Verdict::Healthy
+            AttemptHealth::Healthy
         } else {
-            Verdict::Failed
+            AttemptHealth::Failed
         }
     }
 
     /// Updates the endpoint's latency pressure and the latency estimate of the attempt's class.
     /// Returns the previous latency pressure.
-    fn update_latency(&mut self, ended: &EndedAttempt, index: usize, verdict: Verdict) -> f64 {
+    fn update_latency(&mut self, ended: &EndedAttempt, index: usize, health: AttemptHealth) -> f64 {
         let endpoint = &mut self.endpoints[index];
         let previous_pressure = endpoint.latency_pressure;
         let gap = ended.now.saturating_sub(endpoint.last_ended_at) as f64;
         endpoint.last_ended_at = ended.now;
-        if verdict == Verdict::Healthy {
+        if health == AttemptHealth::Healthy {
             // Where few samples arrive each gets more weight, as old ones would otherwise count for
             // too long.
             let age = gap / ended.longest_latency_objective;
@@ -245,7 +245,7 @@
             let pause_end = ended.now + ended.longest_typical_latency as Micros;
             endpoint.paused_until = endpoint.paused_until.max(pause_end);
         } else if endpoint.latency_pressure > 1.0
-            && endpoint.is_settled(ended.now, ended.longest_typical_latency)
+            && endpoint.is_limit_settled(ended.now, ended.longest_typical_latency)
         {
             let is_deep = endpoint.latency_pressure > DEEP_CUT_LATENCY_PRESSURE;
             endpoint.limit.cut(1.0 / endpoint.latency_pressure, is_deep);
--- a/balancer/src/forwarding.rs
+++ b/balancer/src/forwarding.rs
@@ -9,7 +9,7 @@
 fn new_attempt(now: Micros, request: &Request, endpoint: &Endpoint, trial: Trial) -> Attempt {
     Attempt {
         endpoint: endpoint.id,
-        started_at: endpoint.started_at,
+        endpoint_started_at: endpoint.started_at,
         zone: endpoint.zone,
         cell: endpoint.cell,
         class_id: request.class_id,
@@ -32,7 +32,7 @@
         actions: &mut Vec<Action>,
     ) {
         self.forwarded_count += 1;
-        self.account_for_slow_start(now, index);
+        self.spend_slow_start_credit(now, index);
         let initial_backoff = self.initial_backoff();
         self.mark_trial(index, trial);
         let Some(request) = self.requests.get_mut(&id) else {
@@ -40,7 +40,7 @@
         };
         let endpoint = &self.endpoints[index];
         self.zone_outages
-            .begin_trial(endpoint.zone, now, initial_backoff);
+            .avoid_during_trial(endpoint.zone, now, initial_backoff);
         let clock_resolution = self.settings.clock_resolution;
         let start_within = request
             .attempt_deadline()
@@ -48,7 +48,7 @@
         let attempt = new_attempt(now, request, endpoint, trial);
         request.attempts.push(attempt);
         if !attempt.is_uploading {
-            self.begin_work(now, &attempt);
+            self.count_in_flight(now, &attempt);
         }
         actions.push(Action::Forward {
             request: id,
@@ -72,10 +72,10 @@
     }
 
     /// Counts an attempt as in flight at its endpoint and under the shared limit.
-    pub(crate) fn begin_work(&mut self, now: Micros, attempt: &Attempt) {
+    pub(crate) fn count_in_flight(&mut self, now: Micros, attempt: &Attempt) {
         if let Some(index) = self.endpoints.index_of(attempt.endpoint) {
             let endpoint = &mut self.endpoints[index];
-            if endpoint.started_at == attempt.started_at {
+            if endpoint.started_at == attempt.endpoint_started_at {
                 endpoint.in_flight += 1;
             }
         }
--- a/balancer/src/latency.rs
+++ b/balancer/src/latency.rs
@@ -15,15 +15,15 @@
 /// the cap is based on is still too low.
 const BIASED_SAMPLES: u32 = 8;
 /// Cap on later samples, as a multiple of the unloaded latency.
-const MAX_SAMPLE_BASE_MULTIPLE: f64 = 8.0;
+const MAX_SAMPLE_UNLOADED_MULTIPLE: f64 = 8.0;
 /// Time in which the estimate of the unloaded latency may rise to the current mean.
-const BASE_DRIFT_US: f64 = 120e6;
+const UNLOADED_DRIFT_US: f64 = 120e6;
 /// Quantile of a class's latencies above which a request counts as late.
 const TAIL_QUANTILE: f64 = 0.95;
 
 /// A response shows latency pressure (a value above 1) if it takes longer than this multiple of its
 /// class's unloaded latency or this fraction of its latency objective, whichever is shorter.
-const LIMIT_BASE_MULTIPLE: f64 = 3.0;
+const LIMIT_UNLOADED_MULTIPLE: f64 = 3.0;
 const LIMIT_OBJECTIVE_FRACTION: f64 = 0.33;
 /// Replaces [`LIMIT_OBJECTIVE_FRACTION`] under a shared limit, as a fraction of the slack: the
 /// latency objective minus the unloaded latency. No balancer sends an endpoint enough requests to
@@ -33,7 +33,7 @@
 /// Minimum of the limit on response times under a shared limit: this multiple of the unloaded
 /// latency, but at most the unloaded latency plus this fraction of the slack. Without it, tight
 /// objectives would make idle endpoints look overloaded.
-const SHARED_MIN_LIMIT_BASE_MULTIPLE: f64 = 1.5;
+const SHARED_MIN_LIMIT_UNLOADED_MULTIPLE: f64 = 1.5;
 const SHARED_MIN_LIMIT_SLACK_FRACTION: f64 = 0.5;
 /// Maximum latency pressure of one response under a shared limit: a few responses of slow endpoints
 /// must not count as an overload of all endpoints.
@@ -48,8 +48,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct LatencyEstimate {
     pub(crate) mean: f64,
-    /// Unloaded latency: the lowest recent value of the mean.
-    pub(crate) base: f64,
+    /// Latency without load: the lowest recent value of the mean.
+    pub(crate) unloaded: f64,
     /// Estimate of the quantile [`TAIL_QUANTILE`].
     pub(crate) tail: f64,
     /// Number of requests of the class that have arrived.
@@ -66,7 +66,7 @@
         let mean = default_latency(class.latency_objective);
         LatencyEstimate {
             mean,
-            base: mean,
+            unloaded: mean,
             tail: class.latency_objective as f64 * INITIAL_TAIL_OBJECTIVE_FRACTION,
             latency_objective: class.latency_objective,
             ..LatencyEstimate::default()
@@ -76,19 +76,19 @@
     /// How long a response may take without showing latency pressure at its endpoint.
     pub(crate) fn limit(&self) -> f64 {
         let objective_limit = self.latency_objective as f64 * LIMIT_OBJECTIVE_FRACTION;
-        (self.base * LIMIT_BASE_MULTIPLE)
+        (self.unloaded * LIMIT_UNLOADED_MULTIPLE)
             .min(objective_limit)
-            .max(self.base)
+            .max(self.unloaded)
     }
 
     /// Latency pressure of a response under a shared limit: its time relative to how long it may
     /// take.
     pub(crate) fn shared_latency_pressure(&self, elapsed: f64) -> f64 {
-        let slack = (self.latency_objective as f64 - self.base).max(0.0);
-        let min_limit = (self.base * SHARED_MIN_LIMIT_BASE_MULTIPLE)
-            .min(self.base + slack * SHARED_MIN_LIMIT_SLACK_FRACTION);
-        let limit = (self.base * LIMIT_BASE_MULTIPLE)
-            .min(self.base + slack * SHARED_LIMIT_SLACK_FRACTION)
+        let slack = (self.latency_objective as f64 - self.unloaded).max(0.0);
+        let min_limit = (self.unloaded * SHARED_MIN_LIMIT_UNLOADED_MULTIPLE)
+            .min(self.unloaded + slack * SHARED_MIN_LIMIT_SLACK_FRACTION);
+        let limit = (self.unloaded * LIMIT_UNLOADED_MULTIPLE)
+            .min(self.unloaded + slack * SHARED_LIMIT_SLACK_FRACTION)
             .max(min_limit);
         (elapsed / limit).min(MAX_SHARED_LATENCY_PRESSURE)
     }
@@ -103,7 +103,7 @@
         let sample = if is_biased {
             elapsed
         } else {
-            elapsed.min(MAX_SAMPLE_BASE_MULTIPLE * self.base)
+            elapsed.min(MAX_SAMPLE_UNLOADED_MULTIPLE * self.unloaded)
         };
         let tail_step = if elapsed > self.tail {
             TAIL_QUANTILE
@@ -113,14 +113,14 @@
         self.tail *= 1.0 + tail_step * LATENCY_SMOOTHING;
         let weight = (1.0 / f64::from(self.sample_count)).max(LATENCY_SMOOTHING / 2.0);
         self.mean += (sample - self.mean) * weight;
-        let drift = (now.saturating_sub(self.updated_at) as f64 / BASE_DRIFT_US).min(1.0);
+        let drift = (now.saturating_sub(self.updated_at) as f64 / UNLOADED_DRIFT_US).min(1.0);
         self.updated_at = now;
         let drifted = if is_biased {
             self.mean
         } else {
-            self.base + (self.mean - self.base) * drift
+            self.unloaded + (self.mean - self.unloaded) * drift
         };
-        self.base = self.mean.min(drifted).max(1.0);
+        self.unloaded = self.mean.min(drifted).max(1.0);
     }
 }
 
--- a/balancer/src/outcome.rs
+++ b/balancer/src/outcome.rs
@@ -33,7 +33,7 @@
 
 impl Outcome {
     /// Whether this proves that the attempt was not executed.
-    pub fn never_ran(self) -> bool {
+    pub fn was_not_executed(self) -> bool {
         matches!(
             self,
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::Truncated | Outcome::NeverSent
--- a/balancer/src/outlier_detection.rs
+++ b/balancer/src/outlier_detection.rs
@@ -2,7 +2,7 @@
 
 use crate::attempt::Trial;
 use crate::balancer::Balancer;
-use crate::ended_attempt::{EndedAttempt, Verdict};
+use crate::ended_attempt::{AttemptHealth, EndedAttempt};
 use crate::endpoint::Endpoint;
 use crate::{Action, LogEvent, Micros, Outcome};
 
@@ -34,17 +34,17 @@
                 || endpoint.is_awaiting_trial(now, self.served_count, &self.settings.slow_start);
             endpoint.is_listed
                 && (endpoint.is_ejected() && !is_tried
-                    || !self.zone_outages.is_reachable(endpoint.zone, now))
+                    || !self.zone_outages.accepts_requests(endpoint.zone, now))
         };
         self.endpoints.iter().filter(is_avoided).count()
     }
 
-    /// Adds the verdict on an attempt to the endpoint's failure rate.
+    /// Updates the endpoint's failure rate with what an attempt shows about its health.
     pub(crate) fn update_failure_rate(
         &mut self,
         ended: &EndedAttempt,
         index: usize,
-        verdict: Verdict,
+        health: AttemptHealth,
     ) {
         // A timeout is weaker evidence of a fault than an error, as an overloaded endpoint may take
         // that long. So is a single broken connection or response, which happens at any endpoint.
@@ -53,7 +53,11 @@
             Outcome::TimedOut | Outcome::Unknown | Outcome::Reset => FAILURE_RATE_SMOOTHING / 2.0,
             _ => FAILURE_RATE_SMOOTHING,
         };
-        let sample = if verdict == Verdict::Failed { 1.0 } else { 0.0 };
+        let sample = if health == AttemptHealth::Failed {
+            1.0
+        } else {
+            0.0
+        };
         let endpoint = &mut self.endpoints[index];
         endpoint.failure_rate += (sample - endpoint.failure_rate) * weight;
     }
@@ -105,13 +109,14 @@
         &mut self,
         ended: &EndedAttempt,
         index: usize,
-        verdict: Verdict,
+        health: AttemptHealth,
         previous_pressure: f64,
         actions: &mut Vec<Action>,
     ) {
         let is_outlier = self.endpoints[index].failure_rate > EJECTION_FAILURE_RATE
-            || verdict == Verdict::Healthy && self.is_slow_outlier(ended, index, previous_pressure);
-        let may_eject = self.endpoints.may_eject_another();
+            || health == AttemptHealth::Healthy
+                && self.is_slow_outlier(ended, index, previous_pressure);
+        let may_eject = self.endpoints.has_ejection_capacity();
         let endpoint = &mut self.endpoints[index];
         if is_outlier && may_eject {
             endpoint.limit.steps = 0;
--- a/balancer/src/queue_dispatch.rs
+++ b/balancer/src/queue_dispatch.rs
@@ -65,14 +65,16 @@
     fn find_trial_request(&self, now: Micros, index: usize) -> Option<usize> {
         let endpoint = &self.endpoints[index];
         if !endpoint.is_awaiting_trial(now, self.served_count, &self.settings.slow_start)
-            || !self.zone_outages.is_reachable(endpoint.zone, now)
+            || !self.zone_outages.accepts_requests(endpoint.zone, now)
         {
             return None;
         }
         let is_suitable = |request: &Request| {
             request.attempts.is_empty()
                 && !request.is_non_replayable
-                && endpoint.class_rejections.accepts(request.class_id, now)
+                && endpoint
+                    .class_rejections
+                    .accepts_class(request.class_id, now)
         };
         self.queue
             .iter()
@@ -126,7 +128,10 @@
         let request = &self.requests[&id];
         request.first_possibly_executed().is_some()
             || self.endpoints.iter().any(|endpoint| {
-                endpoint.is_listed && !endpoint.class_rejections.accepts(request.class_id, now)
+                endpoint.is_listed
+                    && !endpoint
+                        .class_rejections
+                        .accepts_class(request.class_id, now)
             })
     }
 
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -36,7 +36,7 @@
     pub(crate) fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
-            .find(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran))
+            .find(|attempt| !attempt.outcome.is_some_and(Outcome::was_not_executed))
     }
 
     pub(crate) fn has_not_tried(&self, endpoint: EndpointId) -> bool {
--- a/balancer/src/selection.rs
+++ b/balancer/src/selection.rs
@@ -72,13 +72,13 @@
         let is_allowed = |index: &usize| {
             let endpoint = &self.endpoints[*index];
             endpoint.is_usable(now, self.served_count, slow_start)
-                && self.zone_outages.is_reachable(endpoint.zone, now)
+                && self.zone_outages.accepts_requests(endpoint.zone, now)
                 && request.may_attempt(now, endpoint, clock_resolution)
         };
         let accepts_class = |index: &usize| {
             self.endpoints[*index]
                 .class_rejections
-                .accepts(request.class_id, now)
+                .accepts_class(request.class_id, now)
         };
         let is_untried = |index: &usize| request.has_not_tried(self.endpoints[*index].id);
         let has_capacity = |index: &usize| !self.endpoints[*index].is_full(now, slow_start);
@@ -113,7 +113,7 @@
     fn may_exceed_limit(&self, now: Micros, endpoint: &Endpoint, typical_latency: f64) -> bool {
         endpoint.limit.is_trial_ready(now)
             && endpoint.latency_pressure <= 1.0
-            && (endpoint.limit_changed_at == 0 || endpoint.is_settled(now, typical_latency))
+            && (endpoint.limit_changed_at == 0 || endpoint.is_limit_settled(now, typical_latency))
             && endpoint.is_warm(now, &self.settings.slow_start)
     }
 
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -109,7 +109,7 @@
 
     /// Deducts the credit for a request that is forwarded to an endpoint, and sets when the next
     /// one may follow without credit.
-    pub(crate) fn account_for_slow_start(&mut self, now: Micros, index: usize) {
+    pub(crate) fn spend_slow_start_credit(&mut self, now: Micros, index: usize) {
         let interval = self.slow_start_interval(now, &self.endpoints[index]);
         let endpoint = &mut self.endpoints[index];
         endpoint.slow_start_credit = (endpoint.slow_start_credit - 1.0).max(0.0);
--- a/balancer/src/zone_outages.rs
+++ b/balancer/src/zone_outages.rs
@@ -47,7 +47,7 @@
     }
 
     /// Whether requests may be sent to the zone at present.
-    pub(crate) fn is_reachable(&self, zone: ZoneId, now: Micros) -> bool {
+    pub(crate) fn accepts_requests(&self, zone: ZoneId, now: Micros) -> bool {
         self.by_zone
             .get(&zone)
             .is_none_or(|outage| now >= outage.avoided_until)
@@ -55,7 +55,7 @@
 
     /// If the zone has an outage, avoids it for `backoff` after a request was sent to it: requests
     /// sent before the first one's connection fails would be late.
-    pub(crate) fn begin_trial(&mut self, zone: ZoneId, now: Micros, backoff: Micros) {
+    pub(crate) fn avoid_during_trial(&mut self, zone: ZoneId, now: Micros, backoff: Micros) {
         if self.has_outage(zone) {
             if let Some(outage) = self.by_zone.get_mut(&zone) {
                 outage.avoided_until = now + backoff;
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -152,7 +152,7 @@
     }
 
     /// Ends a request's first attempt, after which no other is needed whatever the outcome.
-    pub(crate) fn end_request(
+    pub(crate) fn end_only_attempt(
         &mut self,
         request: RequestId,
         outcome: Outcome,
@@ -187,20 +187,20 @@
         .collect()
 }
 
-pub(crate) fn rejected(actions: &[Action], id: RequestId) -> bool {
+pub(crate) fn is_rejected(actions: &[Action], id: RequestId) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Reject { request, .. } if *request == id))
 }
 
-pub(crate) fn failed(actions: &[Action], id: RequestId) -> bool {
+pub(crate) fn is_failed(actions: &[Action], id: RequestId) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Fail { request, .. } if *request == id))
 }
 
 /// The proxy of the balancer with this index among `balancer_count`, with this number of endpoints.
-pub(crate) fn balancer_of(balancer_count: u32, balancer_index: u32, endpoints: u32) -> Proxy {
+pub(crate) fn proxy_with_peers(balancer_count: u32, balancer_index: u32, endpoints: u32) -> Proxy {
     let settings = Settings {
         balancer_count,
         balancer_index,
@@ -210,8 +210,8 @@
 }
 
 /// The proxy of one of 100 balancers, with 60 endpoints, which have a shared limit.
-pub(crate) fn one_of_many() -> Proxy {
-    balancer_of(100, 0, 60)
+pub(crate) fn one_of_100_balancers() -> Proxy {
+    proxy_with_peers(100, 0, 60)
 }
 
 /// Sends `requests` requests at once and returns those that were forwarded.
--- a/balancer/tests/concurrency_limit.rs
+++ b/balancer/tests/concurrency_limit.rs
@@ -252,7 +252,7 @@
     for _ in 0..40 {
         let (request, _) = proxy.request();
         proxy.now += 40 * MS;
-        proxy.end_request(request, Outcome::Served, 40 * MS, load);
+        proxy.end_only_attempt(request, Outcome::Served, 40 * MS, load);
         proxy.advance(100 * MS);
     }
     assert_eq!(
--- a/balancer/tests/list_polling.rs
+++ b/balancer/tests/list_polling.rs
@@ -87,7 +87,7 @@
                 );
                 for (request, failure_time) in failure_times.iter().enumerate() {
                     let delay = started_at[request + 1] - (started_at[request] + failure_time);
-                    let sum = RESPONSE_TIMEOUT + delay + RESPONSE_TIME;
+                    let sum = RESPONSE_TIMEOUT + delay + RESPONSE_TIME_ALLOWANCE;
                     assert!(
                         sum <= NOTIFICATION_DEADLINE,
                         "{balancer_count} balancers: {sum} us after poll {request} \
@@ -121,7 +121,7 @@
                 );
                 let last = started_at
                     .iter()
-                    .rfind(|started_at| **started_at + RESPONSE_TIME <= deadline)
+                    .rfind(|started_at| **started_at + RESPONSE_TIME_ALLOWANCE <= deadline)
                     .expect("no poll starts in time");
                 // With polls that are rejected immediately, the last one in time starts as late as
                 // possible.
@@ -183,7 +183,7 @@
                 now = next_poll(&mut balancer, now, &mut actions);
             }
             assert!(
-                now + RESPONSE_TIME <= broken_at + NOTIFICATION_DEADLINE,
+                now + RESPONSE_TIME_ALLOWANCE <= broken_at + NOTIFICATION_DEADLINE,
                 "{balancer_count} balancers, {failure_time:?}: \
                  next poll {} us after the watch broke",
                 now - broken_at
--- a/balancer/tests/models/discovery.rs
+++ b/balancer/tests/models/discovery.rs
@@ -15,7 +15,7 @@
 /// Notification deadline after a new configuration.
 pub(crate) const NOTIFICATION_DEADLINE_AFTER_RECONFIGURATION: Micros = 4 * SECOND;
 /// Time allowed for a connection, the head and the first object of a response together.
-pub(crate) const RESPONSE_TIME: Micros = 500 * MS;
+pub(crate) const RESPONSE_TIME_ALLOWANCE: Micros = 500 * MS;
 pub(crate) const MANY_BALANCERS: u32 = 300;
 
 pub(crate) fn polling_balancer(balancer_count: u32, balancer_index: u32) -> Balancer {
--- a/balancer/tests/outlier_detection.rs
+++ b/balancer/tests/outlier_detection.rs
@@ -130,7 +130,7 @@
             proxy.now += 2 * MS;
             let actions = proxy.end_attempt(request, 0, Outcome::Invalid, 2 * MS);
             assert!(
-                failed(&actions, request) && forwarded(&actions).is_empty(),
+                is_failed(&actions, request) && forwarded(&actions).is_empty(),
                 "expected the request to fail without a retry: {actions:?}"
             );
         }
@@ -161,7 +161,7 @@
             proxy.now += 2 * MS;
             let actions = proxy.end_attempt(request, 0, attempt_outcome, 2 * MS);
             assert_eq!(
-                failed(&actions, request),
+                is_failed(&actions, request),
                 attempt_outcome == outcome,
                 "a request that may have been executed must fail without a retry"
             );
--- a/balancer/tests/poll_delays.rs
+++ b/balancer/tests/poll_delays.rs
@@ -79,7 +79,7 @@
         discovery: polled_discovery(),
         ..settings(Idempotency::Idempotent)
     };
-    let mut proxy = one_of_many();
+    let mut proxy = one_of_100_balancers();
     proxy.balancer = Balancer::new(u64::from(balancer_index), settings);
     let delays = (0..4).map(|_| {
         proxy.update_list(ListUpdate::PollFailed, Vec::new());
--- a/balancer/tests/random_sequences.rs
+++ b/balancer/tests/random_sequences.rs
@@ -281,8 +281,11 @@
             in_flight == 0 || self.hedging && in_flight == 1,
             "more attempts in flight than allowed: {in_flight}"
         );
-        let may_have_been_executed =
-            |attempt: &&AttemptRecord| attempt.outcome.is_none_or(|outcome| !outcome.never_ran());
+        let may_have_been_executed = |attempt: &&AttemptRecord| {
+            attempt
+                .outcome
+                .is_none_or(|outcome| !outcome.was_not_executed())
+        };
         let first = request.attempts.iter().find(may_have_been_executed);
         match (self.classes[request.class].idempotency, first) {
             (Idempotency::NonIdempotent, Some(_)) => panic!("a non-idempotent request was retried"),
@@ -314,7 +317,7 @@
         );
         let mut attempts = request.attempts.iter();
         let never_executed =
-            attempts.all(|attempt| attempt.outcome.is_some_and(Outcome::never_ran));
+            attempts.all(|attempt| attempt.outcome.is_some_and(Outcome::was_not_executed));
         let is_repeatable = matches!(
             self.classes[request.class].idempotency,
             Idempotency::Idempotent
--- a/balancer/tests/request_outcomes.rs
+++ b/balancer/tests/request_outcomes.rs
@@ -32,7 +32,7 @@
         let mut proxy = Proxy::new(settings(idempotency), 0);
         let (request, mut actions) = proxy.request();
         assert!(forwarded(&actions).is_empty());
-        while !rejected(&actions, request) {
+        while !is_rejected(&actions, request) {
             let after = timer_after(&actions);
             actions = proxy.advance(after.expect("a timer for the queued request"));
         }
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_request_that_timed_out_is_rejected_if_repeatable_and_failed_otherwise() {
-    for (idempotency, is_rejected) in [
+    for (idempotency, is_repeatable) in [
         (Idempotency::Idempotent, true),
         (Idempotency::NonIdempotent, false),
         (KEYED_BY_CELL, false),
@@ -51,8 +51,8 @@
         let (request, _) = proxy.request();
         proxy.now += 1_200 * MS;
         let actions = proxy.end_attempt(request, 0, Outcome::TimedOut, 1_200 * MS);
-        assert_eq!(rejected(&actions, request), is_rejected);
-        assert_eq!(failed(&actions, request), !is_rejected);
+        assert_eq!(is_rejected(&actions, request), is_repeatable);
+        assert_eq!(is_failed(&actions, request), !is_repeatable);
         assert!(forwarded(&proxy.request().1)
             .iter()
             .all(|attempt| attempt.0 != request));
@@ -75,7 +75,7 @@
         let mut actions = proxy.handle(Event::ShutdownStarted {
             time_left: 100 * MS,
         });
-        while !rejected(&actions, request) {
+        while !is_rejected(&actions, request) {
             let after = timer_after(&actions);
             actions = proxy.advance(after.expect("a timer for the queued request"));
         }
@@ -105,9 +105,12 @@
     proxy.now += MS;
     let actions = proxy.end_attempt(request, 0, first, MS);
     let retries = forwarded(&actions);
-    let never_executed = first.never_ran();
+    let never_executed = first.was_not_executed();
     if idempotency == Idempotency::NonIdempotent && !never_executed {
-        assert!(retries.is_empty() && failed(&actions, request), "{first:?}");
+        assert!(
+            retries.is_empty() && is_failed(&actions, request),
+            "{first:?}"
+        );
         return;
     }
     assert_eq!(retries.len(), 1, "{idempotency:?} after {first:?}");
@@ -135,18 +138,18 @@
             scope: DeduplicationScope::All,
             ..
         } => true,
-        _ => never_executed && second.never_ran(),
+        _ => never_executed && second.was_not_executed(),
     };
     assert!(
         forwarded(&actions).is_empty(),
         "retried although a response would be late"
     );
     assert_eq!(
-        rejected(&actions, request),
+        is_rejected(&actions, request),
         is_repeatable,
         "{idempotency:?} {first:?} {second:?}"
     );
-    assert_eq!(failed(&actions, request), !is_repeatable);
+    assert_eq!(is_failed(&actions, request), !is_repeatable);
 }
 
 #[test]
@@ -183,7 +186,7 @@
     let (request, _) = proxy.request();
     proxy.now += 100 * MS;
     let actions = proxy.end_attempt(request, 0, Outcome::Error, 100 * MS);
-    assert!(forwarded(&actions).is_empty() && failed(&actions, request));
+    assert!(forwarded(&actions).is_empty() && is_failed(&actions, request));
 }
 
 /// A queued retry gets its reply as soon as its deduplication window ends, as it may not be sent to
@@ -207,7 +210,7 @@
     );
     proxy.now += 10 * MS;
     let mut actions = proxy.end_attempt(request, 0, Outcome::Error, 10 * MS);
-    while !failed(&actions, request) {
+    while !is_failed(&actions, request) {
         assert!(forwarded(&actions).is_empty());
         let after = timer_after(&actions);
         actions = proxy.advance(after.expect("a timer for the queued request"));
@@ -289,7 +292,7 @@
     for _ in 0..60 {
         proxy.now += 10 * MS;
         let (request, actions) = proxy.request();
-        rejected_count += usize::from(rejected(&actions, request));
+        rejected_count += usize::from(is_rejected(&actions, request));
     }
     assert!(
         rejected_count > 20,
--- a/balancer/tests/selection.rs
+++ b/balancer/tests/selection.rs
@@ -175,7 +175,7 @@
 fn the_subsets_of_all_balancers_cover_the_endpoints_evenly() {
     let mut subset_counts: BTreeMap<EndpointId, u32> = BTreeMap::new();
     for balancer_index in 0..100 {
-        let mut proxy = balancer_of(100, balancer_index, 50);
+        let mut proxy = proxy_with_peers(100, balancer_index, 50);
         let mut used = std::collections::BTreeSet::new();
         for _ in 0..60 {
             proxy.now += 500 * MS;
@@ -256,7 +256,7 @@
 fn slower_endpoints_get_fewer_requests_although_single_latencies_vary_more() {
     let (mut slow, mut all) = (0, 0);
     for balancer_index in 0..100 {
-        let mut proxy = balancer_of(100, balancer_index, 60);
+        let mut proxy = proxy_with_peers(100, balancer_index, 60);
         for step in 0..200_u64 {
             let (request, actions) = proxy.request();
             let is_slow = forwarded(&actions)[0].1 .0.is_multiple_of(2);
--- a/balancer/tests/shared_limit.rs
+++ b/balancer/tests/shared_limit.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn one_overload_at_most_halves_the_shared_limit() {
-    let mut proxy = one_of_many();
+    let mut proxy = one_of_100_balancers();
     raise_shared_limit(&mut proxy);
     let out = request_burst(&mut proxy, 40);
     let before = out.len();
@@ -52,7 +52,7 @@
 
 #[test]
 fn fast_first_responses_do_not_make_typical_responses_look_late() {
-    let mut proxy = one_of_many();
+    let mut proxy = one_of_100_balancers();
     // Every second request takes twenty times longer, so a response after that time is typical.
     let response_time = |request: u64| {
         if request.is_multiple_of(2) {
@@ -71,7 +71,7 @@
 
 #[test]
 fn rejections_by_draining_endpoints_do_not_cut_the_shared_limit() {
-    let mut proxy = one_of_many();
+    let mut proxy = one_of_100_balancers();
     raise_shared_limit(&mut proxy);
     // Half of the endpoints drain, which the endpoint list does not show yet.
     let out: Vec<(RequestId, EndpointId)> = (0..40)
@@ -105,7 +105,7 @@
 
 #[test]
 fn a_few_late_responses_do_not_cut_the_shared_limit() {
-    let mut proxy = one_of_many();
+    let mut proxy = one_of_100_balancers();
     raise_shared_limit(&mut proxy);
     let before = request_burst(&mut proxy, 40);
     let (late, rest) = before.split_at(6);
@@ -200,7 +200,7 @@
 /// A few timeouts concern single endpoints that send no response, and not the load of the others.
 #[test]
 fn a_few_timeouts_do_not_cut_the_shared_limit() {
-    let mut proxy = one_of_many();
+    let mut proxy = one_of_100_balancers();
     raise_shared_limit(&mut proxy);
     let out = request_burst(&mut proxy, 40);
     let before = out.len();
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -110,7 +110,7 @@
 fn a_thousand_balancers_together_stay_within_a_new_endpoints_capacity() {
     let (mut to_new, mut total) = (0, 0);
     for balancer_index in 0..1_000 {
-        let mut proxy = balancer_of(1_000, balancer_index, 20);
+        let mut proxy = proxy_with_peers(1_000, balancer_index, 20);
         (0..3).for_each(|_| drop((proxy.advance(500 * MS), proxy.serve_request(40 * MS))));
         let started_at = proxy.now;
         proxy.update_list(
@@ -140,7 +140,7 @@
 fn new_endpoints_serve_their_part_if_most_endpoints_are_new() {
     let (mut to_new, mut total) = (0, 0);
     for balancer_index in 0..100 {
-        let mut proxy = balancer_of(100, balancer_index, 60);
+        let mut proxy = proxy_with_peers(100, balancer_index, 60);
         // A third of slow start has passed: the new endpoints have at least four tenths of their
         // capacity.
         let started_at = proxy.now;
--- a/balancer/tests/timeouts.rs
+++ b/balancer/tests/timeouts.rs
@@ -112,7 +112,7 @@
             40 * MS,
         );
         proxy.now += timeout;
-        proxy.end_request(timed_out, Outcome::TimedOut, timeout, LoadReport::default());
+        proxy.end_only_attempt(timed_out, Outcome::TimedOut, timeout, LoadReport::default());
         let forwarded_after: Vec<(RequestId, EndpointId)> = (0..40)
             .flat_map(|_| forwarded(&proxy.request().1))
             .collect();
@@ -136,7 +136,7 @@
 fn all_balancers_together_send_few_requests_to_endpoints_that_do_not_respond() {
     let (mut timed_out, mut all) = (0, 0);
     for balancer_index in 0..100 {
-        let mut proxy = balancer_of(100, balancer_index, 60);
+        let mut proxy = proxy_with_peers(100, balancer_index, 60);
         for step in 0..300 {
             let (request, actions) = proxy.request();
             let Some(&(_, endpoint)) = forwarded(&actions).first() else {
@@ -150,7 +150,7 @@
                 (Outcome::Served, 20 * MS)
             };
             proxy.now += elapsed;
-            proxy.end_request(request, outcome, elapsed, LoadReport::default());
+            proxy.end_only_attempt(request, outcome, elapsed, LoadReport::default());
             if step >= 100 {
                 (timed_out, all) = (timed_out + usize::from(is_unresponsive), all + 1);
             }
--- a/balancer/tests/uploads.rs
+++ b/balancer/tests/uploads.rs
@@ -32,7 +32,7 @@
     );
     // One complete request reaches the limit, the next exceeds it as a trial, and the one after
     // that is queued.
-    proxy.handle(Event::RequestCompleted {
+    proxy.handle(Event::UploadCompleted {
         request: RequestId(1_000),
         time_left: 1_200 * MS,
     });
@@ -65,7 +65,7 @@
             "{outcome:?}"
         );
         assert_eq!(
-            rejected(&actions, RequestId(1_000)),
+            is_rejected(&actions, RequestId(1_000)),
             !is_retried,
             "{outcome:?}"
         );
--- a/balancer/tests/zone_outages.rs
+++ b/balancer/tests/zone_outages.rs
@@ -48,7 +48,7 @@
 /// Returns one of 100 balancers, with a raised limit. Half of its sixty endpoints are in a zone
 /// whose connections have started to fail, and that is avoided after the first failures.
 fn proxy_after_losing_a_zone() -> Proxy {
-    let mut proxy = one_of_many();
+    let mut proxy = one_of_100_balancers();
     proxy.update_list(
         ListUpdate::Full,
         (1..=60)
--- a/proxy/src/control/request_lifecycle.rs
+++ b/proxy/src/control/request_lifecycle.rs
@@ -111,7 +111,7 @@
         request.complete(deadline);
         let time_left = micros_until(deadline);
         drop(state);
-        self.dispatch([Event::RequestCompleted {
+        self.dispatch([Event::UploadCompleted {
             request: id,
             time_left,
         }]);
--- a/proxy/src/invariants/history.rs
+++ b/proxy/src/invariants/history.rs
@@ -26,7 +26,7 @@
     /// When the attempt's first byte was written.
     pub(super) started_at: Option<Instant>,
     /// Whether the attempt is known not to have been executed. `None` while it is in flight.
-    pub(super) never_ran: Option<bool>,
+    pub(super) was_not_executed: Option<bool>,
 }
 
 impl AttemptHistory {
@@ -35,12 +35,12 @@
             target,
             advertised_time: None,
             started_at: None,
-            never_ran: None,
+            was_not_executed: None,
         }
     }
 
-    fn may_have_run(&self) -> bool {
-        self.started_at.is_some() && self.never_ran != Some(true)
+    fn may_have_been_executed(&self) -> bool {
+        self.started_at.is_some() && self.was_not_executed != Some(true)
     }
 }
 
@@ -88,8 +88,10 @@
     }
 
     /// Whether any attempt may have been executed.
-    pub(super) fn may_have_run(&self) -> bool {
-        self.attempts.iter().any(AttemptHistory::may_have_run)
+    pub(super) fn may_have_been_executed(&self) -> bool {
+        self.attempts
+            .iter()
+            .any(AttemptHistory::may_have_been_executed)
     }
 
     /// Whether a reply sent now is too late, and the client is still connected.
@@ -157,7 +159,7 @@
     fn is_forbidden_hedge(&self, index: usize) -> bool {
         let is_hedge = self
             .other_started(index)
-            .any(|other| other.never_ran.is_none());
+            .any(|other| other.was_not_executed.is_none());
         let may_hedge =
             self.policy.hedging && self.policy.idempotency != Idempotency::NonIdempotent;
         is_hedge && !may_hedge
@@ -175,7 +177,7 @@
     fn retry_violation(&self, index: usize, now: Instant) -> Option<Violation> {
         let first = self
             .other_started(index)
-            .find(|other| other.may_have_run())?;
+            .find(|other| other.may_have_been_executed())?;
         let retry = &self.attempts[index];
         let (scope, window) = match self.policy.idempotency {
             Idempotency::Idempotent => return None,
--- a/proxy/src/invariants/mod.rs
+++ b/proxy/src/invariants/mod.rs
@@ -91,7 +91,7 @@
         history.has_reply = true;
         tracing::debug!(request = ?history.id, reply = ?kind, "reply sent to the client");
         let is_rejected = kind == ReplyKind::Rejected;
-        if is_rejected && !history.is_repeatable_anywhere() && history.may_have_run() {
+        if is_rejected && !history.is_repeatable_anywhere() && history.may_have_been_executed() {
             self.report(&history, Violation::RejectedAfterRun);
         }
         if history.is_late() {
@@ -146,8 +146,8 @@
         let mut history = self.request.history.borrow_mut();
         let request = &history.id;
         tracing::debug!(?request, attempt = self.index, ?outcome, "attempt ended");
-        history.attempts[self.index].never_ran = Some(outcome.never_ran());
-        if is_written && outcome.never_ran() && outcome != Outcome::Rejected {
+        history.attempts[self.index].was_not_executed = Some(outcome.was_not_executed());
+        if is_written && outcome.was_not_executed() && outcome != Outcome::Rejected {
             self.request.report(&history, Violation::WrittenButNeverRan);
         }
     }
--- a/proxy/src/invariants/tests.rs
+++ b/proxy/src/invariants/tests.rs
@@ -56,7 +56,7 @@
     attempt.record_advertised_time(SECOND);
     attempt.started();
     if let Some(outcome) = outcome {
-        attempt.ended(outcome, !outcome.never_ran());
+        attempt.ended(outcome, !outcome.was_not_executed());
     }
     attempt
 }
