--- a/proxy/src/body/attempt_body.rs
+++ b/proxy/src/body/attempt_body.rs
@@ -54,7 +54,7 @@
 
     fn notify_if_ended(&self) {
         if self.is_end_stream() {
-            self.write_guard.set_request_ended();
+            self.write_guard.set_last_byte_queued();
         }
     }
 }
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -66,7 +66,7 @@
 
 /// The outcome of reloading the configuration of a running proxy.
 #[derive(Clone, Debug)]
-pub struct Reloaded {
+pub struct ReloadedConfig {
     /// The configuration to use from now on.
     pub config: Config,
     /// Whether the new configuration also changes values that take effect only at a restart.
@@ -128,9 +128,9 @@
         })
     }
 
-    /// Merges a new configuration into that of a running proxy. Only values that can change at run
-    /// time are taken from the new one; the others stay as they were at the start.
-    pub fn reloaded(&self, new: Config) -> Reloaded {
+    /// Merges a newly loaded configuration into that of a running proxy. Only values that can
+    /// change at run time are taken from the new one; the others stay as they were at the start.
+    pub fn merge_reloaded(&self, new: Config) -> ReloadedConfig {
         let needs_restart = self.listen != new.listen
             || self.settings != new.settings
             || self.classes != new.classes
@@ -142,7 +142,7 @@
             connection_idle_timeout: new.connection_idle_timeout,
             ..self.clone()
         };
-        Reloaded {
+        ReloadedConfig {
             config,
             needs_restart,
         }
@@ -174,7 +174,7 @@
 
     /// Number of client connections above which idle ones are closed early: half of the third of
     /// the descriptors that clients use at most for connections with requests.
-    pub fn busy_client_connections(&self) -> usize {
+    pub fn busy_connection_threshold(&self) -> usize {
         self.process_descriptors() / 6
     }
 
--- a/proxy/src/control/attempt.rs
+++ b/proxy/src/control/attempt.rs
@@ -46,7 +46,7 @@
         // The client's upload failed, which says nothing about the endpoint.
         match self
             .forwarded
-            .payload
+            .body
             .upload()
             .and_then(|upload| upload.result())
         {
@@ -68,11 +68,11 @@
     /// known yet; if the upload fails, this never completes, and the request is cancelled
     /// elsewhere.
     async fn deadline_passed(&self) {
-        let deadline = match self.forwarded.payload.upload() {
+        let deadline = match self.forwarded.body.upload() {
             None => self.deadline,
             Some(upload) => match upload.finished().await {
                 Ok(completed_at) => {
-                    let deadline = completed_at + self.forwarded.budget;
+                    let deadline = completed_at + self.forwarded.response_timeout;
                     self.control.state().shutdown.limit_deadline(deadline)
                 }
                 Err(_) => pending().await,
@@ -82,7 +82,7 @@
     }
 
     fn timeout_outcome(&self) -> Outcome {
-        let upload = self.forwarded.payload.upload();
+        let upload = self.forwarded.body.upload();
         if self.write_guard.is_fully_written() {
             Outcome::TimedOut
         } else if upload.is_some_and(|upload| upload.is_consumed()) {
@@ -93,7 +93,7 @@
     }
 
     async fn exchange(&self, idle_connection: Option<IdleConnection>) -> AttemptEnd {
-        if let Some(idle_connection) = settled(idle_connection).await {
+        if let Some(idle_connection) = wait_for_reuse_delay(idle_connection).await {
             if let Some(end) = self.exchange_on_reused(idle_connection).await {
                 return end;
             }
@@ -123,7 +123,7 @@
         }
         let is_broken = end.as_ref().is_none_or(|end| end.outcome == Outcome::Stale);
         if is_broken {
-            self.control.metrics().count().broken_reuse += 1;
+            self.control.metrics().counters_mut().broken_reuse += 1;
         }
         self.control
             .state_mut()
@@ -141,15 +141,15 @@
         let metrics = self.control.metrics();
         let end = match opened {
             Ok(connection) => {
-                metrics.count().opened += 1;
+                metrics.counters_mut().opened += 1;
                 self.exchange_on(connection)
                     .await
                     .or_else(|| self.end_if_disconnected())
             }
             Err(error) => {
-                metrics.count().open_failed += 1;
+                metrics.counters_mut().open_failed += 1;
                 error
-                    .is_local()
+                    .is_resource_exhaustion()
                     .then(|| AttemptEnd::without_response(Outcome::NeverSent))
             }
         };
@@ -157,10 +157,10 @@
     }
 
     async fn exchange_on(&self, connection: Connection) -> Option<AttemptEnd> {
-        let memory = self.control.memory();
+        let memory = self.control.body_memory();
         let (control, process) = (self.control.clone(), self.process);
         let context = ExchangeContext {
-            request_body: &self.forwarded.payload,
+            request_body: &self.forwarded.body,
             write_guard: &self.write_guard,
             memory: &memory,
             return_connection: Box::new(move |connection| {
@@ -187,8 +187,8 @@
     }
 }
 
-async fn settled(idle_connection: Option<IdleConnection>) -> Option<IdleConnection> {
-    idle_connection?.settled().await
+async fn wait_for_reuse_delay(idle_connection: Option<IdleConnection>) -> Option<IdleConnection> {
+    idle_connection?.wait_for_reuse_delay().await
 }
 
 /// Returns the connection of a streamed response to the pool once it can be reused.
--- a/proxy/src/control/attempt_lifecycle.rs
+++ b/proxy/src/control/attempt_lifecycle.rs
@@ -36,7 +36,7 @@
         };
         let ReadyEndpoint { process, target } = endpoint;
         let start_deadline = start_within.map(|start_within| now + start_within);
-        let record = request.record.attempt(target);
+        let record = request.record.add_attempt(target);
         let presence = request.forwarded.client.client_presence();
         let write_guard = WriteGuard::new(&self.metrics, presence, start_deadline, record);
         let attempt = Attempt {
@@ -50,7 +50,7 @@
         let idle_connection = self.pool.take(endpoint_id, max_idle);
         let number = request.attempts.len() as u32;
         let task = attempt.spawn(id, number, idle_connection);
-        self.metrics.count().attempts += 1;
+        self.metrics.counters_mut().attempts += 1;
         let in_flight = InFlightAttempt {
             process,
             started_at: now,
--- a/proxy/src/control/connection_pool.rs
+++ b/proxy/src/control/connection_pool.rs
@@ -15,7 +15,7 @@
 /// Minimum time between a response and the next request on a connection: an endpoint may send a
 /// second, unexpected response within milliseconds, which would be taken for the response to the
 /// next request.
-const SETTLE_DELAY: Duration = Duration::from_millis(10);
+const REUSE_DELAY: Duration = Duration::from_millis(10);
 
 /// An open connection that carries no request.
 #[derive(Debug)]
@@ -26,10 +26,10 @@
 }
 
 impl IdleConnection {
-    /// Waits until [`SETTLE_DELAY`] has passed. Returns `None` if the connection is no longer
+    /// Waits until [`REUSE_DELAY`] has passed. Returns `None` if the connection is no longer
     /// usable by then.
-    pub(super) async fn settled(self) -> Option<IdleConnection> {
-        sleep_until(self.idle_since + SETTLE_DELAY).await;
+    pub(super) async fn wait_for_reuse_delay(self) -> Option<IdleConnection> {
+        sleep_until(self.idle_since + REUSE_DELAY).await;
         self.connection.is_ready().then_some(self)
     }
 }
@@ -93,7 +93,7 @@
         };
         drop(connections.remove(0));
         self.metrics
-            .count()
+            .counters_mut()
             .endpoint_connections_closed(EndpointCloseReason::Evicted, 1);
         true
     }
@@ -107,9 +107,10 @@
         self.idle.entry(endpoint).or_default().push(idle);
     }
 
-    /// Removes and returns the most recently used connection that has settled, or else the one that
-    /// will settle first. Expired connections and those that received data or an end of stream are
-    /// closed first: a request must not be written while the endpoint is closing its connection.
+    /// Removes and returns the most recently used connection whose [`REUSE_DELAY`] has passed, or
+    /// else the one whose delay ends first. Expired connections and those that received data or an
+    /// end of stream are closed first: a request must not be written while the endpoint is closing
+    /// its connection.
     pub(super) fn take(
         &mut self,
         endpoint: EndpointId,
@@ -120,10 +121,10 @@
             idle.connection.is_ready()
         });
         let connections = self.idle.get_mut(&endpoint)?;
-        let settled = connections
+        let reuse_delay_passed = connections
             .iter()
-            .rposition(|idle| idle.idle_since.elapsed() >= SETTLE_DELAY);
-        (!connections.is_empty()).then(|| connections.remove(settled.unwrap_or(0)))
+            .rposition(|idle| idle.idle_since.elapsed() >= REUSE_DELAY);
+        (!connections.is_empty()).then(|| connections.remove(reuse_delay_passed.unwrap_or(0)))
     }
 
     /// Closes all idle connections to an endpoint that accepts no new requests or has restarted.
@@ -154,7 +155,7 @@
         let before = connections.len();
         connections.retain(is_retained);
         self.metrics
-            .count()
+            .counters_mut()
             .endpoint_connections_closed(reason, before - connections.len());
     }
 
@@ -164,7 +165,7 @@
     pub(super) fn max_idle(&self, endpoint_idle_timeout: Duration) -> Duration {
         let configured = endpoint_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
         self.idle_timeout_estimate
-            .limit()
+            .max_idle_time()
             .map_or(configured, |estimate| estimate.min(configured))
     }
 
--- a/proxy/src/control/in_flight.rs
+++ b/proxy/src/control/in_flight.rs
@@ -140,7 +140,7 @@
     /// and restarts the attempts' elapsed time.
     pub(super) fn complete(&mut self, deadline: Instant) {
         self.deadline = deadline;
-        self.record.completed(deadline);
+        self.record.upload_completed(deadline);
         for attempt in self.attempts.iter_mut().flatten() {
             attempt.started_at = Instant::now();
         }
--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -166,7 +166,7 @@
         let mut actions = Vec::new();
         while let Some(event) = state.events.pop_front() {
             if let Event::AttemptEnded { outcome, .. } = event {
-                state.metrics.count().attempt_ended(outcome);
+                state.metrics.counters_mut().attempt_ended(outcome);
             }
             let now = state.clock.now();
             state.balancer.handle(now, event, &mut actions);
@@ -187,13 +187,13 @@
     }
 
     /// The memory limit that all buffered bodies share.
-    pub fn memory(&self) -> BodyMemory {
+    pub fn body_memory(&self) -> BodyMemory {
         self.state().memory.clone()
     }
 
     /// Counts a request that was answered with this status and never reached the balancer.
     pub fn count_invalid_request(&self, status: StatusCode) {
-        self.metrics().count().request_invalid(status);
+        self.metrics().counters_mut().request_invalid(status);
     }
 
     /// Records whether the listener accepts connections.
@@ -201,10 +201,10 @@
         self.state_mut().is_accepting = is_accepting;
     }
 
-    /// Whether an endpoint list has been received, or the wait for one has ended.
+    /// Whether an endpoint list has been received, or the process counts as ready without one.
     pub fn is_ready(&self) -> bool {
         let state = self.state();
-        state.watch.has_list || state.watch.list_wait_ended
+        state.watch.has_list || state.watch.is_ready_without_list
     }
 
     /// Whether this process serves clients: it accepts connections and has an endpoint list.
@@ -213,13 +213,13 @@
         state.is_accepting && state.watch.has_list
     }
 
-    /// Ends the wait for the first endpoint list: from now on the process is ready without one.
-    pub fn end_list_wait(&self) {
-        self.state_mut().watch.list_wait_ended = true;
+    /// From now on the process counts as ready even if no endpoint list has been received.
+    pub fn set_ready_without_list(&self) {
+        self.state_mut().watch.is_ready_without_list = true;
     }
 
-    /// Completes once an endpoint list has been received.
-    pub async fn list_received(&self) {
+    /// Waits until an endpoint list has been received.
+    pub async fn wait_for_list(&self) {
         let list_received = self.state().watch.list_received.clone();
         while !self.state().watch.has_list {
             list_received.notified().await;
@@ -237,9 +237,9 @@
         self.dispatch([Event::ShutdownStarted { time_left }]);
     }
 
-    /// Completes once the graceful shutdown rejects requests whose last byte arrives from now on.
-    pub async fn request_cutoff(&self) {
+    /// Waits until the graceful shutdown rejects requests whose last byte arrives from then on.
+    pub async fn wait_for_request_cutoff(&self) {
         let shutdown = self.state().shutdown.clone();
-        shutdown.request_cutoff().await;
+        shutdown.wait_for_request_cutoff().await;
     }
 }
--- a/proxy/src/control/reload.rs
+++ b/proxy/src/control/reload.rs
@@ -1,6 +1,6 @@
 //! Applies configuration changes while the proxy runs.
 
-use crate::config::{Config, Reloaded};
+use crate::config::{Config, ReloadedConfig};
 use crate::control::Control;
 use crate::log;
 use balancer::{DiscoveryMode, Event, ListUpdate};
@@ -11,10 +11,10 @@
     /// is watched at once, starting from the version of the list that the proxy has.
     pub fn reload(&self, config: Config) {
         let mut state = self.state_mut();
-        let Reloaded {
+        let ReloadedConfig {
             config,
             needs_restart,
-        } = state.config.reloaded(config);
+        } = state.config.merge_reloaded(config);
         let discovery_changed = config.discovery != state.config.discovery;
         let note = if needs_restart {
             "; the other changes take effect after a restart"
--- a/proxy/src/control/request.rs
+++ b/proxy/src/control/request.rs
@@ -22,9 +22,9 @@
     /// The end-to-end headers, without the hop-by-hop headers of the client's connection.
     pub headers: HeaderMap,
     /// The body, buffered or streamed.
-    pub payload: RequestBody,
+    pub body: RequestBody,
     /// How long the client waits for the response after the request's last byte.
-    pub budget: Duration,
+    pub response_timeout: Duration,
     /// The client's connection.
     pub client: Socket,
 }
@@ -37,7 +37,7 @@
         deadline: Instant,
         write_guard: &WriteGuard,
     ) -> Request<AttemptBody> {
-        let mut message = Request::new(AttemptBody::new(&self.payload, write_guard));
+        let mut message = Request::new(AttemptBody::new(&self.body, write_guard));
         *message.method_mut() = self.method.clone();
         *message.uri_mut() = self.target.clone();
         *message.headers_mut() = self.headers.clone();
@@ -46,7 +46,7 @@
         let deadline = if self.is_complete() {
             deadline
         } else {
-            self.client.earliest_arrival() + self.budget
+            self.client.earliest_arrival() + self.response_timeout
         };
         let time_left = deadline.saturating_duration_since(Instant::now());
         let time_left_ms = time_left.as_millis() as u64;
@@ -59,7 +59,7 @@
 
     /// Whether the request's last byte has arrived, which starts the client's timeout.
     pub(super) fn is_complete(&self) -> bool {
-        self.payload
+        self.body
             .upload()
             .is_none_or(|upload| upload.result().is_some())
     }
@@ -67,7 +67,7 @@
 
 /// The part of a request that the balancer needs.
 #[derive(Clone, Debug)]
-pub struct RequestDescriptor {
+pub struct RequestMetadata {
     /// The client's request id, which must be unique among the requests in flight.
     pub id: HeaderValue,
     /// The request's class.
@@ -77,7 +77,7 @@
     /// When the client must have its response.
     pub deadline: Instant,
     /// Whether the client marked this request as its own retry of an earlier one.
-    pub client_retry: bool,
+    pub is_client_retry: bool,
 }
 
 /// The final reply to a request.
--- a/proxy/src/control/request_lifecycle.rs
+++ b/proxy/src/control/request_lifecycle.rs
@@ -3,7 +3,7 @@
 
 use crate::control::clock::micros_until;
 use crate::control::in_flight::InFlightRequest;
-use crate::control::request::{ForwardedRequest, Reply, RequestDescriptor};
+use crate::control::request::{ForwardedRequest, Reply, RequestMetadata};
 use crate::control::{Control, ControlState};
 use crate::invariants::{ReplyKind, RequestPolicy, RequestRecord};
 use crate::metrics::{RequestEnd, RequestTracker};
@@ -38,7 +38,7 @@
     }
 
     /// Reports that the request's last byte has arrived: the client waits for `time_left` from now.
-    pub fn completed(&mut self, time_left: Duration) {
+    pub fn upload_completed(&mut self, time_left: Duration) {
         if let Some(tracker) = &mut self.tracker {
             tracker.set_complete();
         }
@@ -54,19 +54,19 @@
 
 impl Control {
     /// Submits a request to the balancer. Returns `None` if a request with its id is in flight.
-    pub fn request(
+    pub fn submit_request(
         &self,
-        descriptor: RequestDescriptor,
+        metadata: RequestMetadata,
         forwarded: ForwardedRequest,
     ) -> Option<PendingReply> {
-        let RequestDescriptor {
+        let RequestMetadata {
             id: client_id,
             class,
             tenant,
             deadline,
-            client_retry,
-        } = descriptor;
-        let non_replayable = forwarded.payload.upload().is_some();
+            is_client_retry,
+        } = metadata;
+        let non_replayable = forwarded.body.upload().is_some();
         let mut state = self.state_mut();
         let request = state.requests.reserve_id(&client_id)?;
         let tracker = state.metrics.track(class, !non_replayable);
@@ -84,7 +84,7 @@
             class,
             tenant,
             time_left,
-            client_retry,
+            client_retry: is_client_retry,
             non_replayable,
         }]);
         Some(PendingReply {
@@ -143,7 +143,7 @@
     ) {
         if let Some(request) = self.requests.get_mut(id) {
             if let Some(sender) = request.reply.take() {
-                self.metrics.count().request_abandoned(reason);
+                self.metrics.counters_mut().request_abandoned(reason);
                 request.record.abandoned(reason);
                 request.record.replied(match reply {
                     Reply::Failed => ReplyKind::Failed,
--- a/proxy/src/control/shutdown.rs
+++ b/proxy/src/control/shutdown.rs
@@ -46,9 +46,9 @@
         }
     }
 
-    /// Completes once newly complete requests must be rejected: a long response to one of them
+    /// Waits until newly complete requests must be rejected: a long response to one of them
     /// might be truncated when the process ends.
-    pub(super) async fn request_cutoff(&self) {
+    pub(super) async fn wait_for_request_cutoff(&self) {
         sleep_until(self.begun().await.reject_from).await;
     }
 
--- a/proxy/src/control/watch.rs
+++ b/proxy/src/control/watch.rs
@@ -15,8 +15,8 @@
     /// Whether a list has been received, or the configuration contains a cached list with
     /// endpoints.
     pub(super) has_list: bool,
-    /// Whether the wait for the first list has ended: clients are served even without one.
-    pub(super) list_wait_ended: bool,
+    /// Whether the process counts as ready even if no list has been received.
+    pub(super) is_ready_without_list: bool,
     /// Notified when a list or an update is received.
     pub(super) list_received: Rc<Notify>,
     /// Number of the current watch. Events of watches with other numbers are ignored.
--- a/proxy/src/downstream/client_connections.rs
+++ b/proxy/src/downstream/client_connections.rs
@@ -42,7 +42,7 @@
         let limit = config.max_client_connections();
         self.shared
             .is_busy
-            .set(self.open.len() > config.busy_client_connections());
+            .set(self.open.len() > config.busy_connection_threshold());
         if self.open.len() >= limit {
             self.open
                 .retain(|connection| !connection.task.is_finished());
--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -32,7 +32,7 @@
 pub(super) struct SharedState {
     /// Handles the requests.
     pub(super) control: Control,
-    /// More client connections are open than [`crate::config::Config::busy_client_connections`].
+    /// More client connections are open than [`crate::config::Config::busy_connection_threshold`].
     pub(super) is_busy: Rc<Cell<bool>>,
     /// The process is shutting down: each connection is closed after its next response.
     pub(super) is_shutting_down: Rc<Cell<bool>>,
@@ -82,15 +82,15 @@
 
     /// Closes the connection immediately. Its descriptor is free when this returns.
     pub(super) fn close(&self, reason: ClientCloseReason) {
-        self.metrics.count().client_closed(reason);
+        self.metrics.counters_mut().client_connection_closed(reason);
         let phase = self.phase.get();
         tracing::debug!(socket = ?self.socket, ?phase, ?reason, "closed");
         let is_unanswered =
             matches!(self.phase.get(), Phase::Open) && reason != ClientCloseReason::ResponseStalled;
         if is_unanswered && !self.socket.has_disconnected() {
             self.metrics
-                .count()
-                .violation(Violation::ClosedWithoutReply);
+                .counters_mut()
+                .invariant_violated(Violation::ClosedWithoutReply);
             log::line(&format!(
                 "invariant violated: a client connection was closed before its open request was answered: {reason:?}"
             ));
@@ -165,12 +165,13 @@
             // If the connection fails, the open request is dropped, which cancels it.
             _ = connection => {}
             () = self.disconnected_while_request_open() => {
-                self.metrics.count().client_closed(ClientCloseReason::ClientDisconnected);
+                let reason = ClientCloseReason::ClientDisconnected;
+                self.metrics.counters_mut().client_connection_closed(reason);
                 self.socket.close();
             }
             () = self.timed_out() => {
                 let reason = self.phase.get().timeout_reason(&self.socket);
-                self.metrics.count().client_closed(reason);
+                self.metrics.counters_mut().client_connection_closed(reason);
             }
         }
         self.phase.set(Phase::Closing(Instant::now()));
--- a/proxy/src/downstream/forward.rs
+++ b/proxy/src/downstream/forward.rs
@@ -3,7 +3,7 @@
 use super::headers::remove_hop_by_hop;
 use super::request::{validate, RequestError, ValidRequest};
 use crate::body::{RequestBody, Upload};
-use crate::control::request::{ForwardedRequest, Reply, RequestDescriptor};
+use crate::control::request::{ForwardedRequest, Reply, RequestMetadata};
 use crate::control::{Control, PendingReply};
 use crate::socket::Socket;
 use balancer::ClassId;
@@ -29,15 +29,16 @@
 ) -> Result<Reply, RequestError> {
     let valid = validate(&control.config(), &head, upload.length())?;
     let class = valid.class;
-    let Some(payload) = receive_body(control, upload).await? else {
+    let Some(body) = receive_body(control, upload).await? else {
         return Ok(control.reject(class));
     };
     // The client may have timed out before its connection was accepted or its request was read.
     if client.has_disconnected() {
         return Ok(control.reject(class));
     }
-    let budget = valid.timeout - MAX_RETURN_MARGIN.min(valid.timeout / RETURN_MARGIN_DIVISOR);
-    let is_streamed = payload.upload().is_some();
+    let response_timeout =
+        valid.timeout - MAX_RETURN_MARGIN.min(valid.timeout / RETURN_MARGIN_DIVISOR);
+    let is_streamed = body.upload().is_some();
     let forwarded = ForwardedRequest {
         method: head.method,
         target: head
@@ -47,16 +48,16 @@
             .map(Uri::from)
             .unwrap_or_default(),
         headers: remove_hop_by_hop(head.headers),
-        payload,
-        budget,
+        body,
+        response_timeout,
         client: client.clone(),
     };
-    let descriptor = request_descriptor(valid, deadline(upload, budget));
+    let metadata = request_metadata(valid, deadline(upload, response_timeout));
     let mut pending = control
-        .request(descriptor, forwarded)
+        .submit_request(metadata, forwarded)
         .ok_or(RequestError::DuplicateId)?;
     if is_streamed {
-        streamed_reply(control, &mut pending, upload, budget, class).await
+        streamed_reply(control, &mut pending, upload, response_timeout, class).await
     } else {
         Ok(pending.reply().await)
     }
@@ -68,10 +69,10 @@
     control: &Control,
     upload: &Rc<Upload>,
 ) -> Result<Option<RequestBody>, RequestError> {
-    let memory = control.memory();
+    let memory = control.body_memory();
     let buffered = tokio::select! {
         biased;
-        () = control.request_cutoff() => return Ok(None),
+        () = control.wait_for_request_cutoff() => return Ok(None),
         buffered = upload.buffer(&memory) => buffered?,
     };
     Ok(Some(match buffered {
@@ -80,16 +81,16 @@
     }))
 }
 
-/// When the request must be answered. The budget starts when the last byte of the request arrives;
+/// When the request must be answered. The timeout starts when the last byte of the request arrives;
 /// while the body is still arriving, this deadline is provisional.
-fn deadline(upload: &Upload, budget: Duration) -> Instant {
+fn deadline(upload: &Upload, response_timeout: Duration) -> Instant {
     match upload.result() {
-        Some(Ok(completed_at)) => completed_at + budget,
-        _ => Instant::now() + budget,
+        Some(Ok(completed_at)) => completed_at + response_timeout,
+        _ => Instant::now() + response_timeout,
     }
 }
 
-fn request_descriptor(valid: ValidRequest, deadline: Instant) -> RequestDescriptor {
+fn request_metadata(valid: ValidRequest, deadline: Instant) -> RequestMetadata {
     let ValidRequest {
         id,
         class,
@@ -97,12 +98,12 @@
         is_client_retry,
         ..
     } = valid;
-    RequestDescriptor {
+    RequestMetadata {
         id,
         class,
         tenant,
         deadline,
-        client_retry: is_client_retry,
+        is_client_retry,
     }
 }
 
@@ -112,18 +113,18 @@
     control: &Control,
     pending: &mut PendingReply,
     upload: &Upload,
-    budget: Duration,
+    response_timeout: Duration,
     class: ClassId,
 ) -> Result<Reply, RequestError> {
     tokio::select! {
         biased;
         ended = upload.finished() => {
-            let deadline = ended? + budget;
-            pending.completed(deadline.saturating_duration_since(Instant::now()));
+            let deadline = ended? + response_timeout;
+            pending.upload_completed(deadline.saturating_duration_since(Instant::now()));
         }
         reply = pending.reply() => return Ok(reply),
         // The endpoint has not executed the request, as its body is incomplete.
-        () = control.request_cutoff() => return Ok(control.reject(class)),
+        () = control.wait_for_request_cutoff() => return Ok(control.reject(class)),
     }
     Ok(pending.reply().await)
 }
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -20,7 +20,7 @@
 use crate::downstream::client_connections::ClientConnections;
 use crate::downstream::listener::{accept_remaining, accept_until};
 use crate::log;
-use crate::process_handoff::steer_to_newer_process;
+use crate::process_handoff::attach_newer_listener_filter;
 use std::future::Future;
 use tokio::net::TcpListener;
 use tokio::time::sleep;
@@ -37,7 +37,7 @@
     control.set_accepting(true);
     accept_until(&listener, &mut connections, stop).await;
     connections.begin_shutdown(shutdown::schedule(longest_deadline));
-    if let Err(error) = steer_to_newer_process(&listener) {
+    if let Err(error) = attach_newer_listener_filter(&listener) {
         log::line(&format!(
             "cannot lead new connections to the next process: {error}"
         ));
--- a/proxy/src/downstream/tests.rs
+++ b/proxy/src/downstream/tests.rs
@@ -5,7 +5,7 @@
 use super::timeouts::{IdleTimeouts, IDLE_TIMEOUT, IDLE_TIMEOUT_WHEN_BUSY, WRITE_STALL_TIMEOUT};
 use crate::body::RequestBody;
 use crate::config::Config;
-use crate::control::request::{ForwardedRequest, Reply, RequestDescriptor};
+use crate::control::request::{ForwardedRequest, Reply, RequestMetadata};
 use crate::control::Control;
 use crate::metrics::Metrics;
 use crate::socket::Socket;
@@ -60,13 +60,13 @@
 }
 
 /// A request with an empty body from this client.
-fn forwarded_request(client: Socket, budget: Duration) -> ForwardedRequest {
+fn forwarded_request(client: Socket, response_timeout: Duration) -> ForwardedRequest {
     ForwardedRequest {
         method: Method::GET,
         target: Uri::from_static("/api"),
         headers: HeaderMap::new(),
-        payload: RequestBody::Buffered(Bytes::new()),
-        budget,
+        body: RequestBody::Buffered(Bytes::new()),
+        response_timeout,
         client,
     }
 }
@@ -144,16 +144,16 @@
         while !socket.is_known_disconnected() {
             yield_now().await;
         }
-        let budget = Duration::from_secs(4);
-        let descriptor = RequestDescriptor {
+        let response_timeout = Duration::from_secs(4);
+        let metadata = RequestMetadata {
             id: HeaderValue::from_static("1"),
             class: ClassId(0),
             tenant: None,
-            deadline: Instant::now() + budget,
-            client_retry: false,
+            deadline: Instant::now() + response_timeout,
+            is_client_retry: false,
         };
         let control = Control::start(config);
-        let pending = control.request(descriptor, forwarded_request(socket, budget));
+        let pending = control.submit_request(metadata, forwarded_request(socket, response_timeout));
         let mut pending = pending.expect("no other request has this id");
         assert!(matches!(pending.reply().await, Reply::Failed));
         assert!(
--- a/proxy/src/invariants/history.rs
+++ b/proxy/src/invariants/history.rs
@@ -7,15 +7,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Tolerance that the protocol grants on every time limit.
-const TIME_LIMIT_SLACK: Duration = Duration::from_millis(50);
+/// Tolerance that the protocol grants on time limits: here on the drain grace and on the
+/// deduplication window.
+const TIME_LIMIT_TOLERANCE: Duration = Duration::from_millis(50);
 /// Tolerance by which the time advertised to an endpoint may exceed the time that the client still
 /// waits.
-const ADVERTISED_TIME_SLACK: Duration = Duration::from_millis(150);
+const ADVERTISED_TIME_TOLERANCE: Duration = Duration::from_millis(150);
 /// Tolerance within which an attempt may still start after its client has disconnected.
-const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
+const DISCONNECT_TOLERANCE: Duration = Duration::from_millis(100);
 /// A reply that is later than the deadline by more than this is of no use to the client.
-const REPLY_SLACK: Duration = Duration::from_millis(500);
+const REPLY_TOLERANCE: Duration = Duration::from_millis(500);
 
 /// The history of an attempt.
 #[derive(Debug)]
@@ -96,7 +97,7 @@
 
     /// Whether a reply sent now is too late, and the client is still connected.
     pub(super) fn is_late(&self) -> bool {
-        let is_late = |deadline: Instant| Instant::now() > deadline + REPLY_SLACK;
+        let is_late = |deadline: Instant| Instant::now() > deadline + REPLY_TOLERANCE;
         self.disconnected_at.is_none() && self.deadline.is_some_and(is_late)
     }
 
@@ -110,7 +111,7 @@
                 Violation::SentToDrainingEndpoint,
             ),
             (
-                self.is_past_disconnect_slack(now),
+                self.is_past_disconnect_tolerance(now),
                 Violation::SentForDisconnectedClient,
             ),
             (self.has_reply, Violation::SentAfterReply),
@@ -143,7 +144,7 @@
     }
 
     fn is_past_drain_grace(&self, attempt: &AttemptHistory, now: Instant) -> bool {
-        let grace = self.policy.drain_grace.saturating_add(TIME_LIMIT_SLACK);
+        let grace = self.policy.drain_grace.saturating_add(TIME_LIMIT_TOLERANCE);
         attempt
             .target
             .drain_status
@@ -151,9 +152,9 @@
             .is_some_and(|since| now > since + grace)
     }
 
-    fn is_past_disconnect_slack(&self, now: Instant) -> bool {
+    fn is_past_disconnect_tolerance(&self, now: Instant) -> bool {
         self.disconnected_at
-            .is_some_and(|since| now > since + DISCONNECT_SLACK)
+            .is_some_and(|since| now > since + DISCONNECT_TOLERANCE)
     }
 
     fn is_forbidden_hedge(&self, index: usize) -> bool {
@@ -169,7 +170,7 @@
         let (Some(deadline), Some(advertised)) = (self.deadline, attempt.advertised_time) else {
             return false;
         };
-        advertised > deadline.saturating_duration_since(now) + ADVERTISED_TIME_SLACK
+        advertised > deadline.saturating_duration_since(now) + ADVERTISED_TIME_TOLERANCE
     }
 
     /// The rule that is violated if a retry starts now, after an attempt that may have been
@@ -192,7 +193,7 @@
         if !is_in_scope {
             return Some(Violation::RetriedOutOfScope);
         }
-        let end = first.started_at? + window + TIME_LIMIT_SLACK;
+        let end = first.started_at? + window + TIME_LIMIT_TOLERANCE;
         (now > end).then_some(Violation::RetriedAfterWindow)
     }
 }
--- a/proxy/src/invariants/mod.rs
+++ b/proxy/src/invariants/mod.rs
@@ -56,12 +56,12 @@
     }
 
     /// Records that the request's last byte has arrived, which determines its deadline.
-    pub(crate) fn completed(&self, deadline: Instant) {
+    pub(crate) fn upload_completed(&self, deadline: Instant) {
         self.history.borrow_mut().deadline = Some(deadline);
     }
 
     /// Creates the record of the request's next attempt, which has not started yet.
-    pub(crate) fn attempt(&self, target: AttemptTarget) -> AttemptRecord {
+    pub(crate) fn add_attempt(&self, target: AttemptTarget) -> AttemptRecord {
         let mut history = self.history.borrow_mut();
         history.attempts.push(AttemptHistory::new(target));
         AttemptRecord {
@@ -100,7 +100,7 @@
     }
 
     fn report(&self, history: &RequestHistory, violation: Violation) {
-        self.metrics.count().violation(violation);
+        self.metrics.counters_mut().invariant_violated(violation);
         let id = &history.id;
         log::line(&format!(
             "invariant violated: {violation:?}, request {id:?}: {history:?}"
--- a/proxy/src/invariants/tests.rs
+++ b/proxy/src/invariants/tests.rs
@@ -52,7 +52,7 @@
     target: AttemptTarget,
     outcome: Option<Outcome>,
 ) -> AttemptRecord {
-    let attempt = request.attempt(target);
+    let attempt = request.add_attempt(target);
     attempt.record_advertised_time(SECOND);
     attempt.started();
     if let Some(outcome) = outcome {
@@ -106,7 +106,7 @@
         let (request, metrics) = request(idempotency);
         run_attempt(&request, in_cell(1), Some(Outcome::Reset));
         tokio::time::advance(wait).await;
-        let retry = request.attempt(in_cell(cell));
+        let retry = request.add_attempt(in_cell(cell));
         retry.started();
         assert_eq!(violations(&metrics), violation);
     }
@@ -138,14 +138,16 @@
     );
     assert_eq!(violations(&metrics), "{}", "the drain grace has not passed");
     tokio::time::advance(SECOND / 5).await;
-    request_to_draining.attempt(target.clone()).started();
+    request_to_draining.add_attempt(target.clone()).started();
     assert_eq!(violations(&metrics), "{SentToDrainingEndpoint: 1}");
     target.drain_status.set_ready(true);
 
     let (request_of_disconnected, metrics) = request(Idempotency::Idempotent);
     request_of_disconnected.client_disconnected();
     tokio::time::advance(SECOND / 5).await;
-    request_of_disconnected.attempt(target.clone()).started();
+    request_of_disconnected
+        .add_attempt(target.clone())
+        .started();
     assert_eq!(violations(&metrics), "{SentForDisconnectedClient: 1}");
 
     let (request, metrics) = request(Idempotency::Idempotent);
@@ -157,7 +159,7 @@
 #[tokio::test(start_paused = true)]
 async fn excessive_advertised_times_false_outcomes_and_unsafe_or_late_replies_are_violations() {
     let (request, metrics) = request(Idempotency::NonIdempotent);
-    let attempt = request.attempt(in_cell(1));
+    let attempt = request.add_attempt(in_cell(1));
     attempt.record_advertised_time(SECOND);
     tokio::time::advance(SECOND / 5).await;
     attempt.started();
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -79,7 +79,7 @@
     let operators = listeners
         .operators
         .map(|listener| task::spawn(operators::serve(listener, control.clone())));
-    let _list_wait = task::spawn(end_list_wait_after_delay(control.clone()));
+    let _ready_delay = task::spawn(set_ready_after_delay(control.clone()));
     let _presence = presence_folder
         .map(|folder| task::spawn(share_limits_with_other_process(folder, control.clone())));
     let result = tokio::select! {
@@ -142,20 +142,20 @@
         let left = list_timeout()
             .saturating_sub(start.elapsed())
             .min(LIST_TIMEOUT);
-        if timeout(left, control.list_received()).await.is_ok() {
+        if timeout(left, control.wait_for_list()).await.is_ok() {
             return;
         }
     }
 }
 
 /// Reports the process ready after the delay, even if no endpoint list has been received.
-async fn end_list_wait_after_delay(control: Control) {
+async fn set_ready_after_delay(control: Control) {
     let start = Instant::now();
     sleep(READY_DELAY).await;
     if control.config().process_count > 1 {
         sleep_until(start + READY_DELAY_BESIDE_OTHER_PROCESS).await;
     }
-    control.end_list_wait();
+    control.set_ready_without_list();
 }
 
 /// Halves this process's share of the descriptors for as long as another process of the program
--- a/proxy/src/log.rs
+++ b/proxy/src/log.rs
@@ -16,7 +16,7 @@
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Number of lines dropped since the program started.
-pub fn dropped() -> u64 {
+pub fn dropped_line_count() -> u64 {
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
--- a/proxy/src/metrics/counters.rs
+++ b/proxy/src/metrics/counters.rs
@@ -87,7 +87,7 @@
     }
 
     /// Counts a client connection that the proxy has closed.
-    pub fn client_closed(&mut self, reason: ClientCloseReason) {
+    pub fn client_connection_closed(&mut self, reason: ClientCloseReason) {
         *self.client_closes.entry(reason).or_default() += 1;
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Counts a violated invariant.
-    pub fn violation(&mut self, violation: Violation) {
+    pub fn invariant_violated(&mut self, violation: Violation) {
         *self.violations.entry(violation).or_default() += 1;
     }
 
@@ -162,7 +162,7 @@
         )?;
         write!(formatter, "client_closes: {:?}, ", self.client_closes)?;
         write!(formatter, "endpoint_closes: {:?}, ", self.endpoint_closes)?;
-        write!(formatter, "log_dropped: {}, ", log::dropped())?;
+        write!(formatter, "log_dropped: {}, ", log::dropped_line_count())?;
         write!(formatter, "invariant_violations: {:?}", self.violations)
     }
 }
--- a/proxy/src/metrics/mod.rs
+++ b/proxy/src/metrics/mod.rs
@@ -28,8 +28,8 @@
         self.0.borrow()
     }
 
-    /// The counters, to count an event.
-    pub fn count(&self) -> RefMut<'_, Counters> {
+    /// The counters, for counting an event.
+    pub fn counters_mut(&self) -> RefMut<'_, Counters> {
         self.0.borrow_mut()
     }
 
@@ -65,7 +65,7 @@
     pub fn set_complete(&mut self) {
         if !self.is_complete {
             self.is_complete = true;
-            self.metrics.count().pending += 1;
+            self.metrics.counters_mut().pending += 1;
         }
     }
 
@@ -79,7 +79,7 @@
 impl Drop for RequestTracker {
     fn drop(&mut self) {
         if self.is_complete {
-            let mut metrics = self.metrics.count();
+            let mut metrics = self.metrics.counters_mut();
             metrics.pending -= 1;
             metrics.request_ended(self.class, self.end);
         }
--- a/proxy/src/metrics/tests.rs
+++ b/proxy/src/metrics/tests.rs
@@ -35,13 +35,13 @@
 fn closed_endpoint_connections_are_added_up_by_reason_and_zero_closes_are_not_listed() {
     let metrics = Metrics::new(1);
     metrics
-        .count()
+        .counters_mut()
         .endpoint_connections_closed(EndpointCloseReason::Idle, 2);
     metrics
-        .count()
+        .counters_mut()
         .endpoint_connections_closed(EndpointCloseReason::EndpointUnavailable, 0);
     metrics
-        .count()
+        .counters_mut()
         .endpoint_connections_closed(EndpointCloseReason::Idle, 1);
     assert!(metrics
         .counters()
--- a/proxy/src/process_handoff.rs
+++ b/proxy/src/process_handoff.rs
@@ -45,7 +45,7 @@
 /// last one takes over its index. So the older of two listeners always has index 0 and the newer
 /// one index 1. If no listener has the index that the filter returns, the kernel selects one as it
 /// does without a filter.
-pub fn steer_to_newer_process(listener: impl AsFd) -> io::Result<()> {
+pub fn attach_newer_listener_filter(listener: impl AsFd) -> io::Result<()> {
     const NEWER_LISTENER_INDEX: u32 = 1;
     let code = (libc::BPF_RET | libc::BPF_K) as u16;
     let mut filter = [libc::sock_filter {
--- a/proxy/src/socket/tests.rs
+++ b/proxy/src/socket/tests.rs
@@ -36,8 +36,8 @@
     poll_fn(|context| Pin::new(&mut *socket).poll_write(context, bytes)).await
 }
 
-/// The write guard of an attempt on behalf of this client that must start before `begin_before`.
-fn write_guard(client: &Socket, begin_before: Option<Instant>) -> WriteGuard {
+/// The write guard of an attempt on behalf of this client that must start before `start_deadline`.
+fn write_guard(client: &Socket, start_deadline: Option<Instant>) -> WriteGuard {
     let (id, idempotency) = (HeaderValue::from_static("1"), Idempotency::Idempotent);
     let policy = RequestPolicy {
         idempotency,
@@ -45,12 +45,12 @@
         hedging: false,
         drain_grace: Duration::MAX,
     };
-    let record =
-        RequestRecord::new(Metrics::default(), id, policy, None).attempt(AttemptTarget::default());
+    let record = RequestRecord::new(Metrics::default(), id, policy, None)
+        .add_attempt(AttemptTarget::default());
     WriteGuard::new(
         &Metrics::default(),
         client.client_presence(),
-        begin_before,
+        start_deadline,
         record,
     )
 }
@@ -146,7 +146,7 @@
     let write_guard = WriteGuard::default();
     first.set_write_guard(&write_guard);
     assert_eq!(write(&mut first, b"GET").await.expect("written"), 3);
-    write_guard.set_request_ended();
+    write_guard.set_last_byte_queued();
     write_guard.reset_written();
     second.set_write_guard(&write_guard);
     poll_fn(|context| Pin::new(&mut second).poll_flush(context))
--- a/proxy/src/socket/write.rs
+++ b/proxy/src/socket/write.rs
@@ -33,7 +33,10 @@
     fn check_write(&self) -> io::Result<()> {
         let must_have_no_input = self.0.forbids_write_on_unread_input.replace(false);
         let has_no_unread_input = must_have_no_input.then(|| self.has_no_unread_input());
-        self.0.write_guard.borrow().may_write(has_no_unread_input)?;
+        self.0
+            .write_guard
+            .borrow()
+            .check_write(has_no_unread_input)?;
         Ok(())
     }
 
--- a/proxy/src/upstream/connection.rs
+++ b/proxy/src/upstream/connection.rs
@@ -40,7 +40,7 @@
 
 impl ConnectError {
     /// Whether this machine ran out of resources, which says nothing about the endpoint.
-    pub(crate) fn is_local(&self) -> bool {
+    pub(crate) fn is_resource_exhaustion(&self) -> bool {
         let ConnectError::Io(error) = self else {
             return false;
         };
--- a/proxy/src/upstream/idle_timeout.rs
+++ b/proxy/src/upstream/idle_timeout.rs
@@ -58,7 +58,7 @@
     }
 
     /// The idle time from which too many connections are broken; `None` if there is no such time.
-    pub(crate) fn limit(&self) -> Option<Duration> {
+    pub(crate) fn max_idle_time(&self) -> Option<Duration> {
         let breaks_often = |counts: &ReuseCounts| {
             counts.broken >= MIN_BROKEN_COUNT && counts.broken > counts.total * MAX_BROKEN_FRACTION
         };
--- a/proxy/src/upstream/idle_timeout/tests.rs
+++ b/proxy/src/upstream/idle_timeout/tests.rs
@@ -10,11 +10,11 @@
         estimate.record_reuse(Duration::from_millis(150), false);
         estimate.record_reuse(Duration::from_millis(150), true);
     }
-    assert_eq!(estimate.limit(), Some(Duration::from_millis(128)));
+    assert_eq!(estimate.max_idle_time(), Some(Duration::from_millis(128)));
     for _ in 0..100 {
         estimate.decay();
     }
-    assert_eq!(estimate.limit(), None);
+    assert_eq!(estimate.max_idle_time(), None);
 }
 
 #[test]
@@ -26,5 +26,5 @@
             estimate.record_reuse(Duration::from_millis(ms), n % 10 == 0);
         }
     }
-    assert_eq!(estimate.limit(), None);
+    assert_eq!(estimate.max_idle_time(), None);
 }
--- a/proxy/src/write_guard.rs
+++ b/proxy/src/write_guard.rs
@@ -63,7 +63,7 @@
     ///
     /// `has_no_unread_input` says whether the connection has no unread input; `None` if unread
     /// input does not forbid this write.
-    pub fn may_write(&self, has_no_unread_input: Option<bool>) -> Result<(), WriteDenial> {
+    pub fn check_write(&self, has_no_unread_input: Option<bool>) -> Result<(), WriteDenial> {
         let denial = if self.0.is_withdrawn.get() {
             WriteDenial::Withdrawn
         } else if self.is_start_window_closed() {
@@ -75,7 +75,7 @@
         } else {
             return Ok(());
         };
-        self.0.metrics.count().write_denied(denial);
+        self.0.metrics.counters_mut().write_denied(denial);
         if let Some(record) = &self.0.record {
             record.write_denied(denial);
         }
@@ -120,7 +120,7 @@
 
     /// Records that the request's last byte has been handed to the HTTP connection: once that is
     /// flushed, the attempt is written completely.
-    pub fn set_request_ended(&self) {
+    pub fn set_last_byte_queued(&self) {
         self.0.is_last_byte_queued.set(true);
     }
 
@@ -162,7 +162,7 @@
     pub fn record_flush(&self) {
         let is_complete = self.0.is_last_byte_queued.get() && self.bytes_written() > 0;
         if is_complete && !self.0.is_fully_written.replace(true) {
-            self.0.metrics.count().attempt_written();
+            self.0.metrics.counters_mut().attempt_written();
         }
     }
 }
--- a/proxy/tests/endpoint_connections.rs
+++ b/proxy/tests/endpoint_connections.rs
@@ -101,7 +101,7 @@
 /// A second response may arrive some milliseconds behind the first: until then the connection
 /// carries no other request, which would get it.
 #[test]
-fn a_connection_settles_before_its_next_request() {
+fn a_connection_stays_idle_before_its_next_request() {
     run_test(async {
         let (endpoint, listener) = manual_endpoint().await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
--- a/proxy/tests/shared_address.rs
+++ b/proxy/tests/shared_address.rs
@@ -27,10 +27,10 @@
     });
 }
 
-/// Once steered, connections reach the newer listener alone; when that has ended, the older one
-/// again.
+/// With the filter attached, connections reach only the newer listener, and the older one again
+/// after the newer one has closed.
 #[test]
-fn connections_are_steered_to_the_newer_listener() {
+fn connections_go_to_the_newer_listener() {
     run_test(async {
         let bind = |address| client_proxy::process_handoff::bind(address).expect("bound");
         let old = bind("127.0.0.3:0".parse().expect("an address"))
@@ -38,7 +38,7 @@
             .expect("it listens");
         let address = old.local_addr().expect("an address");
         let new = bind(address).listen(64).expect("it listens too");
-        client_proxy::process_handoff::steer_to_newer_process(&old).expect("steered");
+        client_proxy::process_handoff::attach_newer_listener_filter(&old).expect("attached");
         for _ in 0..32 {
             let _client = TcpStream::connect(address).await.expect("connected");
             new.accept().await.expect("accepted");
