--- a/adapter/src/endpoint_message.rs
+++ b/adapter/src/endpoint_message.rs
@@ -2,7 +2,7 @@
 
 use crate::error::InputError;
 use balancer::{CellId, EndpointEntry, EndpointId, EndpointState, Micros};
-use balancer_settings::zone;
+use balancer_settings::zone_id;
 use serde::Deserialize;
 
 /// An endpoint in a list. `rename` gives the field's name on the wire.
@@ -38,7 +38,7 @@
         Ok(EndpointEntry {
             endpoint: EndpointId(self.endpoint),
             state,
-            zone: zone(&self.zone),
+            zone: zone_id(&self.zone),
             cell: CellId(self.cell),
             started_at: self.started_at,
             weight: self.weight,
--- a/deploy/sites/generate/src/generator.rs
+++ b/deploy/sites/generate/src/generator.rs
@@ -60,33 +60,36 @@
 
     /// Replaces the randomized parts of a site by new values.
     pub(crate) fn randomize(&mut self, site: &mut Table) -> Result<(), MissingTable> {
-        self.network(site)?;
-        self.clients(site)?;
-        self.discovery(site)?;
-        self.limits(site)?;
-        self.rules(site)?;
-        self.endpoints(site)?;
-        site.insert("class".into(), self.classes());
+        self.randomize_network(site)?;
+        self.randomize_clients(site)?;
+        self.randomize_discovery(site)?;
+        self.randomize_limits(site)?;
+        self.randomize_rules(site)?;
+        self.randomize_endpoints(site)?;
+        site.insert("class".into(), self.draw_classes());
         site.remove("tenant");
-        site.extend(self.tenants().map(|tenants| ("tenant".to_owned(), tenants)));
+        site.extend(
+            self.draw_tenants()
+                .map(|tenants| ("tenant".to_owned(), tenants)),
+        );
         Ok(())
     }
 
-    fn uniform(&mut self, (low, high): (f64, f64)) -> f64 {
+    fn draw_uniform(&mut self, (low, high): (f64, f64)) -> f64 {
         self.random.gen_range(low..=high)
     }
 
-    /// A random number whose logarithm is uniformly distributed, so that each factor of 2 between
+    /// Draws a number whose logarithm is uniformly distributed, so that each factor of 2 between
     /// the bounds is equally likely.
-    fn log_uniform(&mut self, (low, high): (f64, f64)) -> f64 {
-        self.uniform((low.ln(), high.ln())).exp()
+    fn draw_log_uniform(&mut self, (low, high): (f64, f64)) -> f64 {
+        self.draw_uniform((low.ln(), high.ln())).exp()
     }
 
-    fn log_uniform_integer(&mut self, bounds: (f64, f64)) -> i64 {
-        self.log_uniform(bounds).round() as i64
+    fn draw_log_uniform_integer(&mut self, bounds: (f64, f64)) -> i64 {
+        self.draw_log_uniform(bounds).round() as i64
     }
 
-    fn network(&mut self, site: &mut Table) -> Result<(), MissingTable> {
+    fn randomize_network(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         let zones = self.random.gen_range(1..=4);
         let names = (1..=zones)
             .map(|zone| Value::from(format!("zone-{zone}")))
@@ -95,9 +98,9 @@
         Ok(())
     }
 
-    fn clients(&mut self, site: &mut Table) -> Result<(), MissingTable> {
-        let max_impatient = round_to(self.uniform((0.0, 0.3)), 2);
-        let min_timeout_fraction = round_to(self.uniform((0.3, 0.9)), 2);
+    fn randomize_clients(&mut self, site: &mut Table) -> Result<(), MissingTable> {
+        let max_impatient = round_to(self.draw_uniform((0.0, 0.3)), 2);
+        let min_timeout_fraction = round_to(self.draw_uniform((0.3, 0.9)), 2);
         let retries = self.random.gen_range(0..=3);
         let backoffs = [
             &["none"][..],
@@ -122,7 +125,7 @@
         Ok(())
     }
 
-    fn discovery(&mut self, site: &mut Table) -> Result<(), MissingTable> {
+    fn randomize_discovery(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         let mode = if self.random.gen_bool(0.7) {
             "push"
         } else {
@@ -132,7 +135,7 @@
         Ok(())
     }
 
-    fn limits(&mut self, site: &mut Table) -> Result<(), MissingTable> {
+    fn randomize_limits(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         let attempts = self.random.gen_range(1..=4);
         let flags = ["cancel", "second_copies", "retry_after"]
             .map(|name| (name, self.random.gen::<bool>()));
@@ -142,10 +145,10 @@
         Ok(())
     }
 
-    fn rules(&mut self, site: &mut Table) -> Result<(), MissingTable> {
-        let drain_grace_ms = self.log_uniform_integer((200.0, 3_000.0));
-        let overload_multiple = round_to(self.uniform((2.5, 4.0)), 1);
-        let overload_ms = self.log_uniform_integer((1_000.0, 3_000.0));
+    fn randomize_rules(&mut self, site: &mut Table) -> Result<(), MissingTable> {
+        let drain_grace_ms = self.draw_log_uniform_integer((200.0, 3_000.0));
+        let overload_multiple = round_to(self.draw_uniform((2.5, 4.0)), 1);
+        let overload_ms = self.draw_log_uniform_integer((1_000.0, 3_000.0));
         let rules = table_in(site, "rules")?;
         rules.insert("drain_grace_ms".into(), drain_grace_ms.into());
         rules.insert("fall_multiple".into(), overload_multiple.into());
@@ -153,19 +156,19 @@
         Ok(())
     }
 
-    fn endpoints(&mut self, site: &mut Table) -> Result<(), MissingTable> {
+    fn randomize_endpoints(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         for tier in tables_in(site, "tier", "tier")? {
             let connections = table_in(tier, "conn").map_err(|_| MissingTable("tier.conn"))?;
-            let handshake_us = self.log_uniform_integer((1_000.0, 9_000.0)) as f64;
+            let handshake_us = self.draw_log_uniform_integer((1_000.0, 9_000.0)) as f64;
             connections.insert(
                 "handshake_us".into(),
                 range_value(handshake_us, 1.6 * handshake_us),
             );
             connections.insert(
                 "idle_s".into(),
-                self.log_uniform_integer((3.0, 120.0)).into(),
+                self.draw_log_uniform_integer((3.0, 120.0)).into(),
             );
-            let connect_timeout_ms = self.log_uniform_integer((100.0, 1_000.0));
+            let connect_timeout_ms = self.draw_log_uniform_integer((100.0, 1_000.0));
             connections.insert("connect_timeout_ms".into(), connect_timeout_ms.into());
             let long_slow_start = self.random.gen_bool(0.5);
             for kind in tables_in(tier, "kind", "tier.kind")? {
@@ -180,8 +183,8 @@
     /// Gives endpoints a slow start with a lower initial capacity and a longer duration than most
     /// have.
     fn set_long_slow_start(&mut self, kind: &mut Table) {
-        let initial_capacity = round_to(self.uniform((0.1, 0.2)), 2);
-        let duration_s = round_to(self.uniform((12.0, 24.0)), 0);
+        let initial_capacity = round_to(self.draw_uniform((0.1, 0.2)), 2);
+        let duration_s = round_to(self.draw_uniform((12.0, 24.0)), 0);
         kind.insert(
             "cold_from".into(),
             range_value(initial_capacity, 2.0 * initial_capacity),
@@ -189,21 +192,21 @@
         kind.insert("cold_s".into(), range_value(duration_s / 2.0, duration_s));
     }
 
-    fn classes(&mut self) -> Value {
+    fn draw_classes(&mut self) -> Value {
         let count = self.random.gen_range(CLASS_COUNT);
         Value::Array(
             (1..=count)
-                .map(|number| Value::Table(self.class(number)))
+                .map(|number| Value::Table(self.draw_class(number)))
                 .collect(),
         )
     }
 
-    fn class(&mut self, number: usize) -> Table {
-        let deadline_ms = self.log_uniform(DEADLINE_BOUNDS_MS);
-        let objective_ms = deadline_ms * self.uniform(OBJECTIVE_FRACTION_BOUNDS);
-        let work_ms = (objective_ms * self.uniform(WORK_FRACTION_BOUNDS))
+    fn draw_class(&mut self, number: usize) -> Table {
+        let deadline_ms = self.draw_log_uniform(DEADLINE_BOUNDS_MS);
+        let objective_ms = deadline_ms * self.draw_uniform(OBJECTIVE_FRACTION_BOUNDS);
+        let work_ms = (objective_ms * self.draw_uniform(WORK_FRACTION_BOUNDS))
             .clamp(WORK_BOUNDS_MS.0, WORK_BOUNDS_MS.1);
-        let share = round_to(self.log_uniform((0.08, 0.8)), 2);
+        let share = round_to(self.draw_log_uniform((0.08, 0.8)), 2);
         let mut class = Table::new();
         let mut set = |name: &str, value: Value| class.insert(name.into(), value);
         set("name", format!("class-{number}").into());
@@ -220,11 +223,11 @@
         set("worth", Value::Integer(self.random.gen_range(1..=9)));
         let late_weight = if self.random.gen_bool(0.2) { 0.5 } else { 0.0 };
         set("late_worth", late_weight.into());
-        class.extend(self.idempotency());
+        class.extend(self.draw_idempotency());
         class
     }
 
-    fn idempotency(&mut self) -> Table {
+    fn draw_idempotency(&mut self) -> Table {
         let mut idempotency = Table::new();
         let mut set = |name: &str, value: Value| idempotency.insert(name.into(), value);
         match self.random.gen_range(0..4) {
@@ -240,7 +243,7 @@
                 );
                 set(
                     "window_ms",
-                    self.log_uniform_integer((300.0, 20_000.0)).into(),
+                    self.draw_log_uniform_integer((300.0, 20_000.0)).into(),
                 );
             }
             _ => {
@@ -250,9 +253,9 @@
         idempotency
     }
 
-    /// The tenants. Quotas decrease with the tenant's number and add up to 1, except for rounding.
-    /// `None`: the deployment has no tenants.
-    fn tenants(&mut self) -> Option<Value> {
+    /// Draws the tenants. Quotas decrease with the tenant's number and add up to 1, except for
+    /// rounding. `None`: the deployment has no tenants.
+    fn draw_tenants(&mut self) -> Option<Value> {
         let count = self.random.gen_range(0..=MAX_TENANTS);
         let sum: f64 = (1..=count).map(|rank| 1.0 / rank as f64).sum();
         let tenant = |rank: usize| {
--- a/proxy/src/control/endpoints.rs
+++ b/proxy/src/control/endpoints.rs
@@ -152,7 +152,7 @@
             std::mem::take(&mut endpoint.target.drain_status).set_ready(false);
         }
         endpoint.state = entry.state;
-        endpoint.target.zone = balancer_settings::zone(&entry.zone);
+        endpoint.target.zone = balancer_settings::zone_id(&entry.zone);
         endpoint.target.cell = CellId(entry.cell);
         EndpointEntry {
             endpoint: endpoint_id,
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -6,11 +6,11 @@
 mod json_path;
 mod message;
 mod validation;
-mod zone;
+mod zone_id;
 
 pub use error::{AllowedRange, SettingsError};
 pub use validation::validate;
-pub use zone::zone;
+pub use zone_id::zone_id;
 
 use balancer::Settings;
 use message::SettingsMessage;
--- a/settings/src/message.rs
+++ b/settings/src/message.rs
@@ -4,7 +4,7 @@
 
 use crate::error::SettingsError;
 use crate::json_path::path_on_line;
-use crate::zone::zone;
+use crate::zone_id::zone_id;
 use balancer::{
     Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights,
     Settings, SlowStart, Tenant,
@@ -178,7 +178,7 @@
             balancer_count: self.balancer_count,
             balancer_index: self.balancer_index,
             clock_resolution: self.clock_resolution_us,
-            zone: self.zone.as_deref().map(zone),
+            zone: self.zone.as_deref().map(zone_id),
             classes: self.classes.iter().map(ClassMessage::class).collect(),
             tenants: self
                 .tenants
--- a/settings/src/zone.rs
+++ b/settings/src/zone_id.rs
@@ -3,7 +3,7 @@
 use balancer::ZoneId;
 
 /// The id of a zone: the FNV-1a hash of its name.
-pub fn zone(name: &str) -> ZoneId {
+pub fn zone_id(name: &str) -> ZoneId {
     ZoneId(name.bytes().fold(0x811c_9dc5, |hash, byte| {
         (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
     }))
--- a/settings/tests/keys.rs
+++ b/settings/tests/keys.rs
@@ -5,7 +5,7 @@
     Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights,
     Settings, SlowStart, Tenant,
 };
-use balancer_settings::{read, zone};
+use balancer_settings::{read, zone_id};
 use serde_json::{json, Value};
 
 /// Settings in which each key has a value that is not its default, so that a key that is not read
@@ -44,7 +44,7 @@
         balancer_count: 7,
         balancer_index: 5,
         clock_resolution: 8,
-        zone: Some(zone("split-dc")),
+        zone: Some(zone_id("split-dc")),
         classes: vec![
             class(Idempotency::Idempotent),
             keyed(DeduplicationScope::All),
@@ -88,6 +88,6 @@
 /// Programs that derived different ids from the same zone name would treat it as two zones.
 #[test]
 fn a_zone_id_is_the_fnv_1a_hash_of_the_zone_name() {
-    assert_eq!(zone("").0, 0x811c_9dc5);
-    assert_eq!(zone("a").0, 0xe40c_292c);
+    assert_eq!(zone_id("").0, 0x811c_9dc5);
+    assert_eq!(zone_id("a").0, 0xe40c_292c);
 }
--- a/settings/tests/validation.rs
+++ b/settings/tests/validation.rs
@@ -1,6 +1,6 @@
 //! Which settings are accepted, and what the errors for the others say.
 
-use balancer_settings::{read, validate, zone};
+use balancer_settings::{read, validate, zone_id};
 use serde_json::{json, Value};
 
 #[test]
@@ -46,7 +46,7 @@
     message["locality"] = "split-dc".into();
     assert_eq!(
         read(&message).expect("well-formed settings").settings.zone,
-        Some(zone("split-dc"))
+        Some(zone_id("split-dc"))
     );
 }
 
--- a/soak/src/clients/invalid.rs
+++ b/soak/src/clients/invalid.rs
@@ -14,7 +14,7 @@
 /// Time within which the proxy must send an invalid client an error or close its connection.
 const INVALID_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Tolerance for delays of this program and the loopback.
-const SLACK: Duration = Duration::from_millis(150);
+const LOOPBACK_DELAY_TOLERANCE: Duration = Duration::from_millis(150);
 
 /// Incomplete and malformed requests.
 const INVALID_REQUESTS: [&str; 6] = [
@@ -60,7 +60,7 @@
     let request = draw_invalid_request(environment);
     // If writing fails, the connection is closed, which the next read reports.
     let _ = connection.reader.stream.write_all(request.as_bytes()).await;
-    let until = connected_at + INVALID_CLIENT_TIMEOUT + SLACK;
+    let until = connected_at + INVALID_CLIENT_TIMEOUT + LOOPBACK_DELAY_TOLERANCE;
     let reaction = tokio::select! {
         reply = connection.reader.read_message() => match reply {
             Ok(message) => message.status.map_or(Reaction::Closed, Reaction::Status),
--- a/soak/src/ledger/rules.rs
+++ b/soak/src/ledger/rules.rs
@@ -5,7 +5,7 @@
 
 /// Tolerance of each time limit: 50 ms that the protocol grants, and 50 ms for delays of the
 /// loopback and of this program.
-const SLACK: Duration = Duration::from_millis(50 + 50);
+const TIME_LIMIT_TOLERANCE: Duration = Duration::from_millis(50 + 50);
 /// Time by which an advertised timeout may exceed the time that the client still waits.
 const ADVERTISED_TIMEOUT_SLACK: Duration = Duration::from_millis(150);
 /// Time after a client's disconnection in which attempts of its request may still start.
@@ -78,13 +78,13 @@
     }
 
     fn after_disconnect(&self) -> Option<Finding> {
-        let limit = self.request.disconnected_at? + DISCONNECT_SLACK + SLACK;
+        let limit = self.request.disconnected_at? + DISCONNECT_SLACK + TIME_LIMIT_TOLERANCE;
         (self.attempt.first_byte_at > limit)
             .then(|| Finding::new(Rule::Lost, "an attempt after its client had disconnected"))
     }
 
     fn after_response(&self) -> Option<Finding> {
-        let limit = self.request.completion?.at + SLACK;
+        let limit = self.request.completion?.at + TIME_LIMIT_TOLERANCE;
         (self.attempt.first_byte_at > limit)
             .then(|| Finding::new(Rule::Lost, "an attempt after its client had the response"))
     }
@@ -94,7 +94,7 @@
         let deadline = self.request.complete_at? + self.request.client_timeout;
         let remaining = deadline.saturating_duration_since(self.attempt.first_byte_at);
         let allowed = remaining + ADVERTISED_TIMEOUT_SLACK;
-        (advertised > allowed + SLACK).then(|| {
+        (advertised > allowed + TIME_LIMIT_TOLERANCE).then(|| {
             let reason = format!("advertised {advertised:?}, allowed {allowed:?}");
             Finding::new(Rule::AdvertisedTimeout, reason)
         })
@@ -106,7 +106,7 @@
             .attempts
             .iter()
             .find(|attempt| attempt.may_have_executed())?;
-        let window_end = first.first_byte_at + self.deduplication_window + SLACK;
+        let window_end = first.first_byte_at + self.deduplication_window + TIME_LIMIT_TOLERANCE;
         let reason = match self.request.class {
             RequestClass::NonIdempotent => "sent again after it may have been executed",
             RequestClass::Keyed if first.zone != self.attempt.zone => "sent again to another zone",
@@ -120,7 +120,7 @@
 
     fn concurrent_attempts(&self) -> Option<Finding> {
         let in_flight = |earlier: &AttemptRecord| {
-            let ended = |at: Instant| at <= self.attempt.first_byte_at + SLACK;
+            let ended = |at: Instant| at <= self.attempt.first_byte_at + TIME_LIMIT_TOLERANCE;
             earlier.may_have_executed() && !earlier.ended_at.is_some_and(ended)
         };
         let allowed = self.hedging && self.request.class != RequestClass::NonIdempotent;
@@ -137,7 +137,8 @@
         return lost("its connection ended without a response".to_owned());
     };
     let deadline = request.complete_at.map(|at| at + request.client_timeout);
-    let late = deadline.is_some_and(|at| completion.at > at + RESPONSE_SLACK + SLACK);
+    let late =
+        deadline.is_some_and(|at| completion.at > at + RESPONSE_SLACK + TIME_LIMIT_TOLERANCE);
     let executed = request
         .attempts
         .iter()
