--- a/proxy/src/config/error.rs
+++ b/proxy/src/config/error.rs
@@ -56,9 +56,10 @@
     /// The balancer's settings are malformed or out of range.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The settings that concern connections are malformed.
+    /// In the settings that concern connections, a value has the wrong type. The message contains
+    /// its path.
     #[error("settings: {0}")]
-    ConnectionSettings(serde_json::Error),
+    ConnectionSettings(serde_path_to_error::Error<serde_json::Error>),
     /// A limit or timeout is too low or too high.
     #[error("{key}: {value} is out of range; allowed: {allowed}")]
     OutOfRange {
--- a/proxy/src/config/message.rs
+++ b/proxy/src/config/message.rs
@@ -101,8 +101,7 @@
     pub(super) fn parse_connection_settings(
         &self,
     ) -> Result<ConnectionSettingsMessage, ConfigError> {
-        ConnectionSettingsMessage::deserialize(&self.settings)
-            .map_err(ConfigError::ConnectionSettings)
+        serde_path_to_error::deserialize(&self.settings).map_err(ConfigError::ConnectionSettings)
     }
 }
 
--- a/proxy/tests/program.rs
+++ b/proxy/tests/program.rs
@@ -171,6 +171,13 @@
             &good.replace("\"connect_timeout_us\":1000000", "\"connect_timeout_us\":0"),
             "connect_timeout_us",
         ),
+        (
+            &good.replace(
+                "\"connect_timeout_us\":1000000",
+                "\"connect_timeout_us\":[0]",
+            ),
+            "settings: limits.connect_timeout_us: invalid type: sequence, expected u64",
+        ),
     ];
     for (number, (config, reason)) in cases.iter().enumerate() {
         let output = program_command(config, &format!("broken-{number}.json"))
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -9,15 +9,11 @@
 /// Why settings cannot be used. Messages name keys as they are written in the settings.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// A key is missing, or its value has the wrong type.
-    #[error("{}{reason}", path_prefix(path))]
-    Malformed {
-        /// Path of the value with the wrong type, or of the object in which a key is missing. Empty
-        /// for the settings as a whole.
-        path: String,
-        /// What was found and what was expected, or which key is missing.
-        reason: serde_json::Error,
-    },
+    /// A key is missing, or its value has the wrong type. The message begins with the path of that
+    /// value, or of the object in which the key is missing; it has no path if that object is the
+    /// settings as a whole.
+    #[error("{0}")]
+    Malformed(serde_path_to_error::Error<serde_json::Error>),
     /// There is no class.
     #[error("classes is empty; at least one class is required")]
     NoClasses,
@@ -33,14 +29,6 @@
     },
 }
 
-fn path_prefix(path: &str) -> String {
-    if path.is_empty() {
-        String::new()
-    } else {
-        format!("{path}: ")
-    }
-}
-
 /// Values that a setting may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AllowedRange {
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -3,7 +3,6 @@
 #![forbid(unsafe_code)]
 
 mod error;
-mod json_path;
 mod message;
 mod validation;
 mod zone_id;
--- a/settings/src/message.rs
+++ b/settings/src/message.rs
@@ -3,7 +3,6 @@
 //! absent optional keys get defaults.
 
 use crate::error::SettingsError;
-use crate::json_path::path_on_line;
 use crate::zone_id::zone_id;
 use balancer::{
     Class, DeduplicationScope, Discovery, DiscoveryMode, Idempotency, Limits, ScoreWeights,
@@ -161,10 +160,7 @@
 impl SettingsMessage {
     /// Reads the settings from JSON.
     pub(crate) fn read(message: &Value) -> Result<SettingsMessage, SettingsError> {
-        SettingsMessage::deserialize(message).map_err(|reason| SettingsError::Malformed {
-            path: path_of_malformed_value(message),
-            reason,
-        })
+        serde_path_to_error::deserialize(message).map_err(SettingsError::Malformed)
     }
 
     /// The settings that a balancer is created with.
@@ -213,16 +209,3 @@
         }
     }
 }
-
-/// Path of the value that has the wrong type or lacks a key. Serde's error contains a line number
-/// but no path, so the settings are printed with one key per line and parsed again to find the path
-/// on that line. Empty if that fails.
-fn path_of_malformed_value(message: &Value) -> String {
-    let Ok(text) = serde_json::to_string_pretty(message) else {
-        return String::new();
-    };
-    match serde_json::from_str::<SettingsMessage>(&text) {
-        Ok(_) => String::new(),
-        Err(error) => path_on_line(&text, error.line()),
-    }
-}
