--- a/proxy/tests/shared_address.rs
+++ b/proxy/tests/shared_address.rs
@@ -28,10 +28,10 @@
     });
 }
 
-/// Once connections are steered, only the newer of two listeners must get them; when it has been
-/// closed, the older one must get them again.
+/// With the filter attached, connections reach only the newer listener, and the older one again
+/// after the newer one has closed.
 #[test]
-fn connections_are_steered_to_the_newer_listener() {
+fn connections_go_to_the_newer_listener() {
     run_test(async {
         let bind = |address| client_proxy::process_handoff::bind(address).expect("bound");
         let old = bind("127.0.0.3:0".parse().expect("an address"))
@@ -41,7 +41,7 @@
         let new = bind(address)
             .listen(64)
             .expect("listening beside the first");
-        client_proxy::process_handoff::steer_to_newer_process(&old).expect("steered");
+        client_proxy::process_handoff::attach_newer_listener_filter(&old).expect("attached");
         for _ in 0..32 {
             let _client = TcpStream::connect(address).await.expect("connected");
             new.accept().await.expect("accepted");
