--- a/soak/src/watch_delivery.rs
+++ b/soak/src/agent.rs
@@ -1,9 +1,9 @@
 //! Discovery agents. Each proxy has one, which delivers the endpoint list to the proxy's watches.
 
-use crate::environment::Environment;
 use crate::error::SetupError;
 use crate::http::{set_close_mode, CloseMode, Reader};
 use crate::notification::HEARTBEAT_INTERVAL;
+use crate::shared_state::SharedState;
 use rand::Rng;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -40,7 +40,7 @@
 
 /// Starts an agent for a proxy.
 pub(crate) async fn start_agent(
-    environment: &Environment,
+    shared: &SharedState,
     proxy: usize,
     mode: watch::Receiver<AgentMode>,
 ) -> Result<Agent, SetupError> {
@@ -52,14 +52,14 @@
         .await
         .map_err(listen_error)?;
     let address = listener.local_addr().map_err(listen_error)?;
-    let environment = environment.clone();
+    let shared = shared.clone();
     let task = spawn_local(async move {
         let mut watches = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
             while watches.try_join_next().is_some() {}
             set_close_mode(&stream, CloseMode::Reset);
             let watch = Watch {
-                environment: environment.clone(),
+                shared: shared.clone(),
                 proxy,
                 reader: Reader::new(stream),
                 mode: mode.clone(),
@@ -75,7 +75,7 @@
 
 /// A proxy's watch of the endpoint list.
 struct Watch {
-    environment: Environment,
+    shared: SharedState,
     proxy: usize,
     reader: Reader,
     mode: watch::Receiver<AgentMode>,
@@ -103,9 +103,9 @@
     /// Delivers the whole list, then its changes and heartbeats, until the agent's mode or the
     /// proxy ends the watch.
     async fn deliver(mut self) {
-        let mut list_versions = self.environment.subscribe_to_list_versions();
+        let mut list_versions = self.shared.subscribe_to_list_versions();
         let (snapshot, mut delivered) = self
-            .environment
+            .shared
             .with_list(|list| (list.snapshot(), list.version()));
         let mut message = Some(snapshot);
         loop {
@@ -115,10 +115,9 @@
             if !self.write_chunk(&line).await {
                 return;
             }
-            self.environment
-                .with_notifications(self.proxy, |notifications| {
-                    notifications.record_delivery(delivered)
-                });
+            self.shared.with_notifications(self.proxy, |notifications| {
+                notifications.record_delivery(delivered)
+            });
             tokio::select! {
                 () = sleep_until((Instant::now() + HEARTBEAT_INTERVAL).into()) => {}
                 changed = list_versions.changed() => if changed.is_err() { return },
@@ -130,11 +129,9 @@
                 AgentMode::Silent => return self.stay_silent().await,
                 AgentMode::Refusing => return,
             }
-            message = self
-                .environment
-                .with_list(|list| list.changes_since(delivered));
+            message = self.shared.with_list(|list| list.changes_since(delivered));
             if message.is_some() {
-                delivered = self.environment.with_list(|list| list.version());
+                delivered = self.shared.with_list(|list| list.version());
             }
         }
     }
@@ -142,9 +139,7 @@
     /// Writes a line as a chunk, in two parts. Returns whether that succeeded.
     async fn write_chunk(&mut self, line: &str) -> bool {
         let chunk = format!("{:x}\r\n{line}\r\n", line.len());
-        let cut = self
-            .environment
-            .draw(|random| random.gen_range(0..chunk.len()));
+        let cut = self.shared.draw(|random| random.gen_range(0..chunk.len()));
         let (first, second) = chunk.as_bytes().split_at(cut);
         let stream = &mut self.reader.stream;
         write(stream, first).await && write(stream, second).await
--- a/soak/src/clients/invalid.rs
+++ b/soak/src/clients/invalid.rs
@@ -2,9 +2,9 @@
 //! each an error or close its connection.
 
 use super::connection::Connection;
-use crate::environment::Environment;
 use crate::ledger::Rule;
 use crate::proxy::Proxy;
+use crate::shared_state::SharedState;
 use rand::Rng;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -42,22 +42,18 @@
 }
 
 /// Repeatedly connects and sends an invalid request, until `end`.
-pub(crate) async fn run_invalid_client(environment: Environment, proxy: Rc<Proxy>, end: Instant) {
+pub(crate) async fn run_invalid_client(shared: SharedState, proxy: Rc<Proxy>, end: Instant) {
     while Instant::now() < end {
-        sleep(environment.draw_seconds(0.5, 4.0)).await;
+        sleep(shared.draw_seconds(0.5, 4.0)).await;
         if let Some(connection) = Connection::open(&proxy).await {
-            send_invalid_request(&environment, &proxy, connection).await;
+            send_invalid_request(&shared, &proxy, connection).await;
         }
     }
 }
 
-async fn send_invalid_request(
-    environment: &Environment,
-    proxy: &Proxy,
-    mut connection: Connection,
-) {
+async fn send_invalid_request(shared: &SharedState, proxy: &Proxy, mut connection: Connection) {
     let connected_at = Instant::now();
-    let request = draw_invalid_request(environment);
+    let request = draw_invalid_request(shared);
     // If writing fails, the connection is closed, which the next read reports.
     let _ = connection.reader.stream.write_all(request.as_bytes()).await;
     let until = connected_at + INVALID_CLIENT_TIMEOUT + SLACK;
@@ -68,7 +64,8 @@
         },
         () = sleep_until(until.into()) => Reaction::Missing,
     };
-    let excused = proxy.was_killed(connection.process_number) || proxy.was_disturbed(connected_at);
+    let excused = proxy.may_have_dropped_requests(connection.process_number)
+        || proxy.was_disturbed(connected_at);
     match reaction {
         Reaction::Missing if !excused => {
             let excerpt = &request[..request.len().min(EXCERPT_BYTES)];
@@ -77,21 +74,21 @@
                 proxy.number,
                 request.len()
             );
-            environment.record_violation(Rule::InvalidClient, description);
+            shared.record_violation(Rule::InvalidClient, description);
         }
         Reaction::Status(status) if !(400..600).contains(&status) => {
             let description = format!("an invalid client was answered with {status}");
-            environment.record_violation(Rule::Lost, description);
+            shared.record_violation(Rule::Lost, description);
         }
         Reaction::Status(_) | Reaction::Closed | Reaction::Missing => {}
     }
 }
 
-fn draw_invalid_request(environment: &Environment) -> String {
+fn draw_invalid_request(shared: &SharedState) -> String {
     let request =
-        INVALID_REQUESTS[environment.draw(|random| random.gen_range(0..INVALID_REQUESTS.len()))];
+        INVALID_REQUESTS[shared.draw(|random| random.gen_range(0..INVALID_REQUESTS.len()))];
     let mut request = request.to_owned();
-    if request == INCOMPLETE_BODY && environment.draw_bool(0.5) {
+    if request == INCOMPLETE_BODY && shared.draw_bool(0.5) {
         request.push_str(&"x".repeat(LONG_BODY_BYTES));
     }
     request
--- a/soak/src/clients/pipelining.rs
+++ b/soak/src/clients/pipelining.rs
@@ -2,9 +2,9 @@
 
 use super::connection::Connection;
 use super::request;
-use crate::environment::Environment;
 use crate::http::{Message, ReadError};
 use crate::proxy::Proxy;
+use crate::shared_state::SharedState;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
 use tokio::time::timeout_at;
@@ -15,15 +15,15 @@
 /// Sends pipelined requests and reads their responses. Returns whether the connection can be
 /// reused.
 pub(super) async fn exchange_pipelined(
-    environment: &Environment,
+    shared: &SharedState,
     proxy: &Proxy,
     connection: &mut Connection,
     count: usize,
 ) -> bool {
-    let ids = write_requests(environment, proxy, connection, count).await;
-    let disconnects = environment.draw_bool(0.3);
+    let ids = write_requests(shared, proxy, connection, count).await;
+    let disconnects = shared.draw_bool(0.3);
     let wait = if disconnects {
-        environment.draw_millis(0, 60)
+        shared.draw_millis(0, 60)
     } else {
         RESPONSES_TIMEOUT
     };
@@ -31,24 +31,24 @@
     for index in 0..ids.len() {
         match timeout_at(until.into(), connection.reader.read_message()).await {
             Ok(Ok(message)) => {
-                if !record_response(environment, &ids[index..], &message) {
+                if !record_response(shared, &ids[index..], &message) {
                     return false;
                 }
             }
             Ok(Err(error)) => {
-                let killed = proxy.was_killed(connection.process_number);
+                let maybe_dropped = proxy.may_have_dropped_requests(connection.process_number);
                 record_broken_connection(
-                    environment,
+                    shared,
                     &ids[index..],
                     &error,
-                    killed,
+                    maybe_dropped,
                     connection.used,
                 );
                 return false;
             }
             Err(_) => {
-                let killed = proxy.was_killed(connection.process_number);
-                record_missing_responses(environment, &ids[index..], disconnects, killed);
+                let maybe_dropped = proxy.may_have_dropped_requests(connection.process_number);
+                record_missing_responses(shared, &ids[index..], disconnects, maybe_dropped);
                 return false;
             }
         }
@@ -58,13 +58,13 @@
 
 /// Writes the requests and returns their ids.
 async fn write_requests(
-    environment: &Environment,
+    shared: &SharedState,
     proxy: &Proxy,
     connection: &mut Connection,
     count: usize,
 ) -> Vec<u64> {
     let requests: Vec<_> = (0..count)
-        .map(|_| request::draw_request(environment, proxy, connection))
+        .map(|_| request::draw_request(shared, proxy, connection))
         .collect();
     let bytes: Vec<u8> = requests
         .iter()
@@ -74,10 +74,10 @@
     let now = Instant::now();
     let ids: Vec<u64> = requests.iter().map(|request| request.id).collect();
     for &id in &ids {
-        environment.update_request(id, |record| {
-            record.complete_at = Some(now);
+        shared.update_request(id, |record| {
+            record.timeout_starts_at = Some(now);
             // If writing failed, the proxy may not have read the request.
-            record.exempt = !written;
+            record.response_not_required = !written;
         });
     }
     ids
@@ -85,21 +85,22 @@
 
 /// Records the response to the first of the open requests. Returns whether further responses may
 /// follow on the connection.
-fn record_response(environment: &Environment, open: &[u64], message: &Message) -> bool {
+fn record_response(shared: &SharedState, open: &[u64], message: &Message) -> bool {
     let Some((&answered, following)) = open.split_first() else {
         return false;
     };
-    environment
-        .with_ledger(|ledger| ledger.record_completion(answered, message.status, &message.body));
+    shared.with_ledger(|ledger| ledger.record_completion(answered, message.status, &message.body));
     if let Some(&next) = following.first() {
         // Responses come in order, so the next request's timeout begins only now.
-        environment.update_request(next, |record| record.complete_at = Some(Instant::now()));
+        shared.update_request(next, |record| {
+            record.timeout_starts_at = Some(Instant::now())
+        });
     }
     if message.header("connection") != Some("close") {
         return true;
     }
     for &id in following {
-        environment.update_request(id, |record| record.exempt = true);
+        shared.update_request(id, |record| record.response_not_required = true);
     }
     false
 }
@@ -108,35 +109,35 @@
 /// read: one after a truncated response, or one that was sent while the proxy closed a reused
 /// connection between two requests.
 fn record_broken_connection(
-    environment: &Environment,
+    shared: &SharedState,
     open: &[u64],
     error: &ReadError,
-    killed: bool,
+    maybe_dropped: bool,
     used: bool,
 ) {
     let truncated = matches!(error, ReadError::Truncated { .. });
     for (position, &id) in open.iter().enumerate() {
         let is_first = position == 0;
-        if is_first && truncated && !killed {
-            environment.with_ledger(|ledger| ledger.record_truncated_response(id));
+        if is_first && truncated && !maybe_dropped {
+            shared.with_ledger(|ledger| ledger.record_truncated_response(id));
         }
-        environment.update_request(id, |record| {
+        shared.update_request(id, |record| {
             let unread = record.attempts.is_empty() && (truncated || !is_first || used);
-            record.exempt |= killed || unread || (truncated && is_first);
+            record.response_not_required |= maybe_dropped || unread || (truncated && is_first);
         });
     }
 }
 
 fn record_missing_responses(
-    environment: &Environment,
+    shared: &SharedState,
     open: &[u64],
     disconnects: bool,
-    killed: bool,
+    maybe_dropped: bool,
 ) {
     for &id in open {
-        environment.update_request(id, |record| {
+        shared.update_request(id, |record| {
             record.disconnected_at = disconnects.then(Instant::now);
-            record.exempt |= killed;
+            record.response_not_required |= maybe_dropped;
         });
     }
 }
--- a/soak/src/clients/request.rs
+++ b/soak/src/clients/request.rs
@@ -1,9 +1,9 @@
 //! Draws random requests.
 
 use super::connection::Connection;
-use crate::environment::Environment;
 use crate::ledger::{RequestClass, RequestRecord};
 use crate::proxy::Proxy;
+use crate::shared_state::SharedState;
 use rand::Rng;
 use std::time::{Duration, Instant};
 
@@ -25,23 +25,23 @@
 
 /// Draws a request and records it in the ledger.
 pub(super) fn draw_request(
-    environment: &Environment,
+    shared: &SharedState,
     proxy: &Proxy,
     connection: &Connection,
 ) -> DrawnRequest {
-    let class = environment.draw(|random| CLASSES[random.gen_range(0..CLASSES.len())]);
-    let timeout_ms = draw_timeout_ms(environment, class);
-    let body = vec![b'x'; draw_body_length(environment, class)];
-    let id = environment.add_request(RequestRecord {
+    let class = shared.draw(|random| CLASSES[random.gen_range(0..CLASSES.len())]);
+    let timeout_ms = draw_timeout_ms(shared, class);
+    let body = vec![b'x'; draw_body_length(shared, class)];
+    let id = shared.add_request(RequestRecord {
         proxy: proxy.number,
         class,
         client_timeout: Duration::from_millis(timeout_ms),
         started_at: Instant::now(),
-        complete_at: None,
+        timeout_starts_at: None,
         disconnected_at: None,
         completion: None,
         new_connection: !connection.used,
-        exempt: false,
+        response_not_required: false,
         body: body.clone(),
         attempts: Vec::new(),
     });
@@ -50,22 +50,22 @@
     DrawnRequest { id, bytes }
 }
 
-fn draw_timeout_ms(environment: &Environment, class: RequestClass) -> u64 {
+fn draw_timeout_ms(shared: &SharedState, class: RequestClass) -> u64 {
     let deadline_ms = class.deadline_ms();
-    if environment.draw_bool(0.1) {
-        environment.draw(|random| random.gen_range(5..120))
+    if shared.draw_bool(0.1) {
+        shared.draw(|random| random.gen_range(5..120))
     } else {
-        environment.draw(|random| random.gen_range(deadline_ms / 2..=deadline_ms))
+        shared.draw(|random| random.gen_range(deadline_ms / 2..=deadline_ms))
     }
 }
 
-fn draw_body_length(environment: &Environment, class: RequestClass) -> usize {
+fn draw_body_length(shared: &SharedState, class: RequestClass) -> usize {
     if class == RequestClass::Idempotent {
         0
-    } else if environment.draw_bool(0.02) {
-        environment.draw(|random| random.gen_range(70_000..150_000))
+    } else if shared.draw_bool(0.02) {
+        shared.draw(|random| random.gen_range(70_000..150_000))
     } else {
-        environment.draw(|random| random.gen_range(0..2_000))
+        shared.draw(|random| random.gen_range(0..2_000))
     }
 }
 
--- a/soak/src/config.rs
+++ b/soak/src/config.rs
@@ -18,7 +18,7 @@
 
 /// Parameters of a run, which the proxies' settings state and the endpoints act by.
 #[derive(Clone, Debug)]
-pub(crate) struct SimulationConfig {
+pub(crate) struct RunConfig {
     /// Number of proxies.
     pub(crate) proxy_count: usize,
     /// How proxies expect the endpoint list to be delivered.
@@ -44,9 +44,9 @@
     pub(crate) capacity_per_s: f64,
 }
 
-impl SimulationConfig {
+impl RunConfig {
     /// Draws the parameters; the same seed gives the same ones.
-    pub(crate) fn draw(proxy_count: usize, seed: u64) -> SimulationConfig {
+    pub(crate) fn draw(proxy_count: usize, seed: u64) -> RunConfig {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ CONFIG_SEED_MASK);
         let pushed = random.gen_bool(0.5);
         let mut draw_either_ms = |first, second| {
@@ -56,7 +56,7 @@
         let deduplication_window = draw_either_ms(800, 300);
         let endpoint_idle_timeout = draw_either_ms(3_000, 400);
         let hedging = random.gen_bool(0.5);
-        SimulationConfig {
+        RunConfig {
             proxy_count,
             discovery: if pushed {
                 DiscoveryMode::Push
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -1,6 +1,6 @@
 //! An endpoint process: its state, and the requests that it was sent during its slow start.
 
-use crate::config::SimulationConfig;
+use crate::config::RunConfig;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -102,11 +102,7 @@
     }
 
     /// Records the arrival of a complete request, and returns the overload if it causes one.
-    pub(crate) fn record_arrival(
-        &mut self,
-        at: Instant,
-        config: &SimulationConfig,
-    ) -> Option<Overload> {
+    pub(crate) fn record_arrival(&mut self, at: Instant, config: &RunConfig) -> Option<Overload> {
         let age = at.saturating_duration_since(self.started_at);
         if age > config.slow_start {
             return None;
@@ -133,7 +129,7 @@
 
 /// Number of requests that all proxies together may send within the overload duration: the
 /// capacity at this age, and a tolerance because proxies do not know of each other's requests.
-fn allowed_arrivals(age: Duration, config: &SimulationConfig) -> f64 {
+fn allowed_arrivals(age: Duration, config: &RunConfig) -> f64 {
     let progress = age.as_secs_f64() / config.slow_start.as_secs_f64();
     let capacity_fraction = config.initial_capacity + (1.0 - config.initial_capacity) * progress;
     let capacity = config.overload_multiple
--- a/soak/src/endpoint_response.rs
+++ b/soak/src/endpoint_response.rs
@@ -2,8 +2,8 @@
 //! invalid and error responses.
 
 use crate::endpoint::Behaviour;
-use crate::environment::Environment;
 use crate::ledger::response_body;
+use crate::shared_state::SharedState;
 use rand::Rng;
 
 /// Response that rejects a request without executing it.
@@ -43,18 +43,17 @@
 }
 
 /// Draws an error response.
-pub(crate) fn draw_error_response(environment: &Environment) -> &'static [u8] {
-    ERROR_RESPONSES[environment.draw(|random| random.gen_range(0..ERROR_RESPONSES.len()))]
-        .as_bytes()
+pub(crate) fn draw_error_response(shared: &SharedState) -> &'static [u8] {
+    ERROR_RESPONSES[shared.draw(|random| random.gen_range(0..ERROR_RESPONSES.len()))].as_bytes()
 }
 
 /// Draws a response with status 200. Only an endpoint that resets connections truncates it.
 pub(crate) fn draw_success_response(
-    environment: &Environment,
+    shared: &SharedState,
     id: u64,
     behaviour: Behaviour,
 ) -> PlannedResponse {
-    let length = environment.draw(|random| {
+    let length = shared.draw(|random| {
         if random.gen_bool(0.02) {
             random.gen_range(70_000..200_000)
         } else {
@@ -62,21 +61,21 @@
         }
     });
     let body = response_body(id, length);
-    let truncated = behaviour == Behaviour::Resetting && environment.draw_bool(0.4);
+    let truncated = behaviour == Behaviour::Resetting && shared.draw_bool(0.4);
     let written_body = if truncated {
         &body[..length / 2]
     } else {
         &body[..]
     };
     let mut after = AfterResponse::KeepAlive;
-    let bytes = match environment.draw(|random| random.gen_range(0..4)) {
+    let bytes = match shared.draw(|random| random.gen_range(0..4)) {
         0 => {
             after = AfterResponse::Close;
             close_delimited(written_body)
         }
         1 => chunked(written_body, truncated),
         _ => {
-            if !truncated && environment.draw_bool(0.05) {
+            if !truncated && shared.draw_bool(0.05) {
                 after = AfterResponse::Close;
             }
             length_delimited(written_body, length)
--- a/soak/src/endpoint_server.rs
+++ b/soak/src/endpoint_server.rs
@@ -3,10 +3,10 @@
 
 use crate::endpoint::{Behaviour, EndpointProcess, ProcessState};
 use crate::endpoint_response::{self, AfterResponse};
-use crate::environment::Environment;
 use crate::error::SetupError;
 use crate::http::{set_close_mode, CloseMode, Message, ReadError, Reader};
 use crate::ledger::{AttemptRecord, Rule};
+use crate::shared_state::SharedState;
 use rand::Rng;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 
 /// Starts an endpoint process with its server task.
 pub(crate) async fn start(
-    environment: &Environment,
+    shared: &SharedState,
     name: &str,
     zone: char,
 ) -> Result<EndpointProcess, SetupError> {
@@ -35,13 +35,13 @@
         .await
         .map_err(listen_error)?;
     let address = listener.local_addr().map_err(listen_error)?;
-    let number = environment.next_process_number();
+    let number = shared.next_process_number();
     let state = ProcessState {
         behaviour: Rc::new(Cell::new(Behaviour::Normal)),
         draining: Rc::new(Cell::new(false)),
     };
     let server = Server {
-        environment: environment.clone(),
+        shared: shared.clone(),
         number,
         zone,
         state: state.clone(),
@@ -65,7 +65,7 @@
 
 #[derive(Clone)]
 struct Server {
-    environment: Environment,
+    shared: SharedState,
     number: u64,
     zone: char,
     state: ProcessState,
@@ -86,13 +86,13 @@
 
     async fn serve_connection(self, stream: TcpStream) {
         let mut reader = Reader::new(stream);
-        let idle_timeout = self.environment.config().endpoint_idle_timeout;
+        let idle_timeout = self.shared.config().endpoint_idle_timeout;
         loop {
             let message = match timeout(idle_timeout, reader.read_message()).await {
                 Ok(Ok(message)) => message,
                 Ok(Err(error)) => return self.handle_read_error(&reader, error),
                 Err(_) => {
-                    if self.environment.draw_bool(0.5) {
+                    if self.shared.draw_bool(0.5) {
                         set_close_mode(&reader.stream, CloseMode::Graceful);
                     }
                     return;
@@ -122,7 +122,7 @@
     }
 
     fn record_violation(&self, description: &str) {
-        self.environment
+        self.shared
             .record_violation(Rule::RequestIntegrity, description.to_owned());
     }
 
@@ -144,11 +144,11 @@
             .and_then(|value| value.parse().ok());
         let advertised_timeout = advertised_ms.map(Duration::from_millis);
         let attempt = self.new_attempt(message.first_byte_at, Some(message.last_byte_at));
-        let attempt =
-            self.environment
-                .record_attempt(id, attempt, advertised_timeout, &message.body)?;
+        let attempt = self
+            .shared
+            .record_attempt(id, attempt, advertised_timeout, &message.body)?;
         let after = self.respond(id, attempt, reader).await;
-        self.environment.update_attempt(id, attempt, |record| {
+        self.shared.update_attempt(id, attempt, |record| {
             record.ended_at = Some(Instant::now());
             record.fully_written = record.served && after != AfterResponse::Reset;
         });
@@ -178,14 +178,14 @@
         if let Some(id) = id.and_then(|id| u64::from_str_radix(id, 16).ok()) {
             let mut attempt = self.new_attempt(first_byte_at, None);
             attempt.ended_at = Some(Instant::now());
-            self.environment.record_attempt(id, attempt, None, &[]);
+            self.shared.record_attempt(id, attempt, None, &[]);
         }
     }
 
     async fn respond(&self, id: u64, attempt: usize, reader: &mut Reader) -> AfterResponse {
         let behaviour = self.state.behaviour.get();
-        if self.state.draining.get() && self.environment.draw_bool(0.7) {
-            self.environment
+        if self.state.draining.get() && self.shared.draw_bool(0.7) {
+            self.shared
                 .update_attempt(id, attempt, |record| record.rejected = true);
             return write(
                 reader,
@@ -195,7 +195,7 @@
             .await;
         }
         let execution_s = self
-            .environment
+            .shared
             .draw_exponential_s(MEAN_EXECUTION_S)
             .min(MAX_EXECUTION_S);
         match behaviour {
@@ -203,11 +203,11 @@
                 reader.wait_for_activity().await;
                 return AfterResponse::Reset;
             }
-            Behaviour::Resetting if self.environment.draw_bool(0.3) => return AfterResponse::Reset,
+            Behaviour::Resetting if self.shared.draw_bool(0.3) => return AfterResponse::Reset,
             _ => sleep(Duration::from_secs_f64(execution_s)).await,
         }
-        if behaviour == Behaviour::Failing && self.environment.draw_bool(0.6) {
-            let response = endpoint_response::draw_error_response(&self.environment);
+        if behaviour == Behaviour::Failing && self.shared.draw_bool(0.6) {
+            let response = endpoint_response::draw_error_response(&self.shared);
             return write(reader, response, AfterResponse::KeepAlive).await;
         }
         self.respond_with_success(id, attempt, reader, behaviour)
@@ -221,19 +221,19 @@
         reader: &mut Reader,
         behaviour: Behaviour,
     ) -> AfterResponse {
-        let response = endpoint_response::draw_success_response(&self.environment, id, behaviour);
+        let response = endpoint_response::draw_success_response(&self.shared, id, behaviour);
         // This must precede the write: the client may check the response before this task goes on.
-        self.environment
+        self.shared
             .update_attempt(id, attempt, |record| record.served = !response.truncated);
         let cut = self
-            .environment
+            .shared
             .draw(|random| random.gen_range(0..=response.bytes.len()));
         let (first, second) = response.bytes.split_at(cut);
         if write(reader, first, AfterResponse::KeepAlive).await == AfterResponse::Reset {
             return AfterResponse::Reset;
         }
-        if self.environment.draw_bool(0.1) {
-            sleep(self.environment.draw_millis(1, 40)).await;
+        if self.shared.draw_bool(0.1) {
+            sleep(self.shared.draw_millis(1, 40)).await;
         }
         write(reader, second, response.after).await
     }
--- a/soak/src/faults/endpoints.rs
+++ b/soak/src/faults/endpoints.rs
@@ -2,8 +2,8 @@
 
 use crate::endpoint::{endpoint_name, Behaviour, EndpointHealth, EndpointProcess};
 use crate::endpoint_server;
-use crate::environment::Environment;
 use crate::error::SetupError;
+use crate::shared_state::SharedState;
 use rand::Rng;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -14,50 +14,50 @@
 const MIN_READY_PER_ZONE: usize = 2;
 
 /// Adds an endpoint with a new name.
-pub(super) async fn add_endpoint(environment: &Environment) -> Result<(), SetupError> {
-    let name = endpoint_name(environment.draw(|random| random.gen()));
-    let zone = if environment.draw_bool(0.5) { 'a' } else { 'b' };
-    let process = endpoint_server::start(environment, &name, zone).await?;
-    environment.add_endpoint(process);
+pub(super) async fn add_endpoint(shared: &SharedState) -> Result<(), SetupError> {
+    let name = endpoint_name(shared.draw(|random| random.gen()));
+    let zone = if shared.draw_bool(0.5) { 'a' } else { 'b' };
+    let process = endpoint_server::start(shared, &name, zone).await?;
+    shared.add_endpoint(process);
     Ok(())
 }
 
 /// Gives an endpoint this behaviour for a random time.
-pub(super) async fn change_behaviour(environment: &Environment, behaviour: Behaviour) {
-    let count = environment.with_processes(|processes| processes.len());
-    let index = environment.draw(|random| random.gen_range(0..count));
-    let state = environment.with_processes(|processes| processes[index].state.clone());
+pub(super) async fn change_behaviour(shared: &SharedState, behaviour: Behaviour) {
+    let count = shared.with_processes(|processes| processes.len());
+    let index = shared.draw(|random| random.gen_range(0..count));
+    let state = shared.with_processes(|processes| processes[index].state.clone());
     state.behaviour.set(behaviour);
-    sleep(environment.draw_seconds(0.5, 3.0)).await;
+    sleep(shared.draw_seconds(0.5, 3.0)).await;
     state.behaviour.set(Behaviour::Normal);
 }
 
 /// Lists all ready endpoints as draining for a random time.
-pub(super) async fn drain_all(environment: &Environment) {
-    let mut ready: Vec<u64> = environment.with_processes(|processes| {
+pub(super) async fn drain_all(shared: &SharedState) {
+    let mut ready: Vec<u64> = shared.with_processes(|processes| {
         processes
             .iter()
             .filter(|process| !process.is_draining())
             .map(|process| process.number)
             .collect()
     });
-    environment.log_event(format!(
+    shared.log_event(format!(
         "endpoint processes {ready:?} are listed as draining"
     ));
     for &number in &ready {
-        environment.set_listed_health(number, EndpointHealth::Draining);
+        shared.set_listed_health(number, EndpointHealth::Draining);
     }
-    sleep(environment.draw_seconds(0.1, 0.7)).await;
+    sleep(shared.draw_seconds(0.1, 0.7)).await;
     // An overlapping fault may have started to drain some of them, which must not become ready.
     ready.retain(|&number| {
-        environment.with_processes(|processes| {
+        shared.with_processes(|processes| {
             processes
                 .iter()
                 .any(|process| process.number == number && !process.is_draining())
         })
     });
     for number in ready {
-        environment.set_listed_health(number, EndpointHealth::Ready);
+        shared.set_listed_health(number, EndpointHealth::Ready);
     }
 }
 
@@ -71,47 +71,46 @@
 /// Replaces an endpoint process by another one, under the same name or a new one. The old process
 /// drains during `replacement_delay` if `graceful`, and is killed first if not.
 pub(super) async fn replace_process(
-    environment: &Environment,
+    shared: &SharedState,
     replacement_delay: Duration,
     graceful: bool,
 ) -> Result<(), SetupError> {
-    let Some(old) = choose_process_to_replace(environment, replacement_delay) else {
+    let Some(old) = choose_process_to_replace(shared, replacement_delay) else {
         return Ok(());
     };
-    let same_name = environment.draw_bool(0.5);
+    let same_name = shared.draw_bool(0.5);
     let name = if same_name {
         old.name.clone()
     } else {
-        endpoint_name(environment.draw(|random| random.gen()))
+        endpoint_name(shared.draw(|random| random.gen()))
     };
-    environment.log_event(format!(
+    shared.log_event(format!(
         "endpoint process {} is to be replaced, drained first: {graceful}",
         old.number
     ));
     if graceful {
-        environment.set_listed_health(old.number, EndpointHealth::Draining);
+        shared.set_listed_health(old.number, EndpointHealth::Draining);
     } else {
-        kill(environment, old.number);
+        kill(shared, old.number);
     }
     sleep(replacement_delay).await;
-    let new = endpoint_server::start(environment, &name, old.zone).await?;
+    let new = endpoint_server::start(shared, &name, old.zone).await?;
     if !same_name {
-        environment.set_listed_health(old.number, EndpointHealth::Removed);
+        shared.set_listed_health(old.number, EndpointHealth::Removed);
     }
-    environment.add_endpoint(new);
+    shared.add_endpoint(new);
     sleep(REPLACED_PROCESS_DELAY).await;
-    kill(environment, old.number);
-    environment
-        .with_processes(|processes| processes.retain(|process| process.number != old.number));
+    kill(shared, old.number);
+    shared.with_processes(|processes| processes.retain(|process| process.number != old.number));
     Ok(())
 }
 
 /// Chooses a ready process in a zone that has more than the minimum, and marks it as draining.
 fn choose_process_to_replace(
-    environment: &Environment,
+    shared: &SharedState,
     replacement_delay: Duration,
 ) -> Option<ReplacedProcess> {
-    environment.with_processes(|processes| {
+    shared.with_processes(|processes| {
         let ready: Vec<_> = processes
             .iter()
             .filter(|process| !process.is_draining())
@@ -133,13 +132,13 @@
     })
 }
 
-fn kill(environment: &Environment, number: u64) {
-    environment.log_event(format!("endpoint process {number} is killed"));
-    environment.with_processes(|processes| {
+fn kill(shared: &SharedState, number: u64) {
+    shared.log_event(format!("endpoint process {number} is killed"));
+    shared.with_processes(|processes| {
         processes
             .iter()
             .filter(|process| process.number == number)
             .for_each(EndpointProcess::kill);
     });
-    environment.with_ledger(|ledger| ledger.record_process_kill(number));
+    shared.with_ledger(|ledger| ledger.record_process_kill(number));
 }
--- a/soak/src/faults/mod.rs
+++ b/soak/src/faults/mod.rs
@@ -6,11 +6,11 @@
 
 pub(crate) use syscalls::draw_syscall_schedule;
 
+use crate::agent::AgentMode;
 use crate::endpoint::Behaviour;
-use crate::environment::Environment;
 use crate::error::SetupError;
 use crate::proxy::Proxy;
-use crate::watch_delivery::AgentMode;
+use crate::shared_state::SharedState;
 use rand::Rng;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -70,7 +70,7 @@
 /// Starts faults at random intervals until `end`, and waits until all are over. Returns a
 /// description of each fault with the time of its start.
 pub(crate) async fn run_schedule(
-    environment: Environment,
+    shared: SharedState,
     proxies: Vec<Rc<Proxy>>,
     end: Instant,
 ) -> Result<Vec<String>, SetupError> {
@@ -78,13 +78,9 @@
     let mut started = Vec::new();
     let mut running: Vec<JoinHandle<Result<(), SetupError>>> = Vec::new();
     while Instant::now() < end {
-        let (fault, pause) = draw_fault(&environment);
+        let (fault, pause) = draw_fault(&shared);
         started.push(format!("{:.2} s {fault:?}", start.elapsed().as_secs_f64()));
-        running.push(spawn_local(inject(
-            environment.clone(),
-            proxies.clone(),
-            fault,
-        )));
+        running.push(spawn_local(inject(shared.clone(), proxies.clone(), fault)));
         sleep(pause).await;
     }
     for fault in running {
@@ -94,14 +90,14 @@
 }
 
 /// Draws a fault, and the pause between its start and the next one's.
-fn draw_fault(environment: &Environment) -> (Fault, Duration) {
-    let (fault, pause_s) = environment.draw(|random| {
+fn draw_fault(shared: &SharedState) -> (Fault, Duration) {
+    let (fault, pause_s) = shared.draw(|random| {
         (
             FAULTS[random.gen_range(0..FAULTS.len())],
             random.gen_range(0.1..0.6),
         )
     });
-    let added = environment.draw_bool(0.1);
+    let added = shared.draw_bool(0.1);
     (
         if added { Fault::EndpointAdded } else { fault },
         Duration::from_secs_f64(pause_s),
@@ -109,46 +105,46 @@
 }
 
 async fn inject(
-    environment: Environment,
+    shared: SharedState,
     proxies: Vec<Rc<Proxy>>,
     fault: Fault,
 ) -> Result<(), SetupError> {
-    let environment = &environment;
+    let shared = &shared;
     let proxies = &proxies;
     match fault {
         Fault::ProxyShutdown | Fault::ProxyKill => {
             let graceful = fault == Fault::ProxyShutdown;
-            proxies::restart_proxies(environment, proxies, graceful).await
+            proxies::restart_proxies(shared, proxies, graceful).await
         }
         Fault::ProxyPause => {
-            proxies::pause_proxies(environment, proxies).await;
+            proxies::pause_proxies(shared, proxies).await;
             Ok(())
         }
-        Fault::ProxyReload => proxies::reload_proxies(environment, proxies).await,
-        Fault::ProxyHandoff => proxies::hand_off_proxies(environment, proxies).await,
+        Fault::ProxyReload => proxies::reload_proxies(shared, proxies).await,
+        Fault::ProxyHandoff => proxies::hand_off_proxies(shared, proxies).await,
         Fault::IdleConnections => {
-            proxies::open_idle_connections(environment, proxies).await;
+            proxies::open_idle_connections(shared, proxies).await;
             Ok(())
         }
         Fault::AgentOutage(mode) => {
-            proxies::fail_agents(environment, proxies, mode).await;
+            proxies::fail_agents(shared, proxies, mode).await;
             Ok(())
         }
         Fault::EndpointDrain => {
-            let replacement_delay = environment.draw_seconds(0.6, 3.0);
-            endpoints::replace_process(environment, replacement_delay, true).await
+            let replacement_delay = shared.draw_seconds(0.6, 3.0);
+            endpoints::replace_process(shared, replacement_delay, true).await
         }
         Fault::EndpointCrash => {
-            let replacement_delay = environment.draw_seconds(0.2, 2.5);
-            endpoints::replace_process(environment, replacement_delay, false).await
+            let replacement_delay = shared.draw_seconds(0.2, 2.5);
+            endpoints::replace_process(shared, replacement_delay, false).await
         }
-        Fault::EndpointAdded => endpoints::add_endpoint(environment).await,
+        Fault::EndpointAdded => endpoints::add_endpoint(shared).await,
         Fault::EndpointBehaviour(behaviour) => {
-            endpoints::change_behaviour(environment, behaviour).await;
+            endpoints::change_behaviour(shared, behaviour).await;
             Ok(())
         }
         Fault::AllEndpointsDrain => {
-            endpoints::drain_all(environment).await;
+            endpoints::drain_all(shared).await;
             Ok(())
         }
     }
--- a/soak/src/faults/proxies.rs
+++ b/soak/src/faults/proxies.rs
@@ -1,9 +1,9 @@
 //! Injects faults of proxies, their clients and their agents.
 
-use crate::environment::Environment;
+use crate::agent::AgentMode;
 use crate::error::SetupError;
 use crate::proxy::Proxy;
-use crate::watch_delivery::AgentMode;
+use crate::shared_state::SharedState;
 use rand::seq::SliceRandom;
 use rand::Rng;
 use std::rc::Rc;
@@ -15,18 +15,18 @@
 const IDLE_CONNECTIONS: usize = 100;
 
 /// Draws between one and `max` proxies.
-fn draw_proxies(environment: &Environment, proxies: &[Rc<Proxy>], max: usize) -> Vec<Rc<Proxy>> {
-    let count = environment.draw(|random| random.gen_range(1..=max));
-    environment.draw(|random| proxies.choose_multiple(random, count).cloned().collect())
+fn draw_proxies(shared: &SharedState, proxies: &[Rc<Proxy>], max: usize) -> Vec<Rc<Proxy>> {
+    let count = shared.draw(|random| random.gen_range(1..=max));
+    shared.draw(|random| proxies.choose_multiple(random, count).cloned().collect())
 }
 
 /// Shuts down (if `graceful`) or kills some proxies at the same time, and starts them again.
 pub(super) async fn restart_proxies(
-    environment: &Environment,
+    shared: &SharedState,
     proxies: &[Rc<Proxy>],
     graceful: bool,
 ) -> Result<(), SetupError> {
-    let chosen = draw_proxies(environment, proxies, 3);
+    let chosen = draw_proxies(shared, proxies, 3);
     let restarts = chosen
         .into_iter()
         .map(|proxy| spawn_local(restart(proxy, graceful)));
@@ -48,19 +48,19 @@
 }
 
 /// Pauses some proxies one after the other.
-pub(super) async fn pause_proxies(environment: &Environment, proxies: &[Rc<Proxy>]) {
-    let duration = environment.draw_seconds(0.02, 0.14);
-    for proxy in draw_proxies(environment, proxies, 4) {
+pub(super) async fn pause_proxies(shared: &SharedState, proxies: &[Rc<Proxy>]) {
+    let duration = shared.draw_seconds(0.02, 0.14);
+    for proxy in draw_proxies(shared, proxies, 4) {
         proxy.pause(duration).await;
     }
 }
 
 /// Reloads the configuration of some proxies one after the other.
 pub(super) async fn reload_proxies(
-    environment: &Environment,
+    shared: &SharedState,
     proxies: &[Rc<Proxy>],
 ) -> Result<(), SetupError> {
-    for proxy in draw_proxies(environment, proxies, 2) {
+    for proxy in draw_proxies(shared, proxies, 2) {
         if proxy.reserve() {
             if proxy.accepts_connections() {
                 proxy.reload().await?;
@@ -73,10 +73,10 @@
 
 /// Hands off some proxies to new processes at the same time.
 pub(super) async fn hand_off_proxies(
-    environment: &Environment,
+    shared: &SharedState,
     proxies: &[Rc<Proxy>],
 ) -> Result<(), SetupError> {
-    let chosen = draw_proxies(environment, proxies, 2);
+    let chosen = draw_proxies(shared, proxies, 2);
     join_all(
         chosen
             .into_iter()
@@ -103,24 +103,24 @@
 }
 
 /// Puts the agents of some proxies into a failing mode for a random time.
-pub(super) async fn fail_agents(environment: &Environment, proxies: &[Rc<Proxy>], mode: AgentMode) {
-    let mut chosen = draw_proxies(environment, proxies, 8);
+pub(super) async fn fail_agents(shared: &SharedState, proxies: &[Rc<Proxy>], mode: AgentMode) {
+    let mut chosen = draw_proxies(shared, proxies, 8);
     chosen.retain(|proxy| proxy.reserve());
     for proxy in &chosen {
-        environment.log_event(format!("proxy {}: agent mode is {mode:?}", proxy.number));
+        shared.log_event(format!("proxy {}: agent mode is {mode:?}", proxy.number));
         proxy.set_agent_mode(mode);
     }
-    sleep(environment.draw_seconds(0.3, 4.0)).await;
+    sleep(shared.draw_seconds(0.3, 4.0)).await;
     for proxy in chosen {
-        environment.log_event(format!("proxy {}: agent responds again", proxy.number));
+        shared.log_event(format!("proxy {}: agent responds again", proxy.number));
         proxy.set_agent_mode(AgentMode::Responding);
         proxy.release();
     }
 }
 
 /// Opens many connections to a proxy and keeps them idle for a random time.
-pub(super) async fn open_idle_connections(environment: &Environment, proxies: &[Rc<Proxy>]) {
-    let Some(proxy) = draw_proxies(environment, proxies, 1).pop() else {
+pub(super) async fn open_idle_connections(shared: &SharedState, proxies: &[Rc<Proxy>]) {
+    let Some(proxy) = draw_proxies(shared, proxies, 1).pop() else {
         return;
     };
     let mut idle = Vec::new();
@@ -129,5 +129,5 @@
             idle.extend(TcpStream::connect(proxy.address).await);
         }
     }
-    sleep(environment.draw_seconds(0.5, 4.0)).await;
+    sleep(shared.draw_seconds(0.5, 4.0)).await;
 }
--- a/soak/src/faults/syscalls.rs
+++ b/soak/src/faults/syscalls.rs
@@ -1,6 +1,6 @@
 //! Draws the schedule of failing system calls of a proxy, in the format of the preloaded library.
 
-use crate::environment::Environment;
+use crate::shared_state::SharedState;
 use rand::seq::SliceRandom;
 use rand::Rng;
 use serde_json::{json, Value};
@@ -9,13 +9,13 @@
 const WALL_CLOCK_OFFSETS_MS: [i64; 4] = [0, 0, -3_600_000, -7_000];
 
 /// Draws the schedule of a proxy. Some proxies have no failing system calls.
-pub(crate) fn draw_syscall_schedule(environment: &Environment, seed: u64, proxy: usize) -> Value {
-    let fraction: f64 = environment.draw(|random| random.gen_range(0.01..0.15));
+pub(crate) fn draw_syscall_schedule(shared: &SharedState, seed: u64, proxy: usize) -> Value {
+    let fraction: f64 = shared.draw(|random| random.gen_range(0.01..0.15));
     let rules: Vec<Value> = failing_calls(proxy)
         .iter()
         .map(|failing| failing.rule(fraction))
         .collect();
-    let offset_ms = environment.draw(|random| *WALL_CLOCK_OFFSETS_MS.choose(random).unwrap_or(&0));
+    let offset_ms = shared.draw(|random| *WALL_CLOCK_OFFSETS_MS.choose(random).unwrap_or(&0));
     json!({"seed": seed.wrapping_add(proxy as u64), "wall_clock_ms": offset_ms, "rules": rules})
 }
 
--- a/soak/src/ledger/mod.rs
+++ b/soak/src/ledger/mod.rs
@@ -10,7 +10,7 @@
 pub(crate) use records::{AttemptRecord, Completion, RequestClass, RequestRecord, Rule, Violation};
 pub(crate) use rules::response_body;
 
-use crate::config::SimulationConfig;
+use crate::config::RunConfig;
 use rules::AttemptArrival;
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -41,7 +41,7 @@
 
 impl Ledger {
     /// Creates an empty ledger for a run that begins at `start`.
-    pub(crate) fn new(start: Instant, config: &SimulationConfig) -> Ledger {
+    pub(crate) fn new(start: Instant, config: &RunConfig) -> Ledger {
         Ledger {
             start,
             deduplication_window: config.deduplication_window,
@@ -162,7 +162,7 @@
             status,
             at: Instant::now(),
         });
-        if request.exempt {
+        if request.response_not_required {
             return;
         }
         if let Some(finding) = rules::completion_finding(id, request, body) {
@@ -188,8 +188,9 @@
     /// Records a violation for each complete request that still lacks its response. To be called at
     /// the end of a run.
     pub(crate) fn record_unanswered_requests(&mut self) {
-        let unanswered =
-            |request: &RequestRecord| request.complete_at.is_some() && request.is_unanswered();
+        let unanswered = |request: &RequestRecord| {
+            request.timeout_starts_at.is_some() && request.is_unanswered()
+        };
         let requests = self
             .requests
             .iter()
--- a/soak/src/ledger/records.rs
+++ b/soak/src/ledger/records.rs
@@ -86,7 +86,7 @@
     pub(crate) started_at: Instant,
     /// Time from which the client's timeout counts: when the request was written, or, for pipelined
     /// requests, when the response before its own had arrived.
-    pub(crate) complete_at: Option<Instant>,
+    pub(crate) timeout_starts_at: Option<Instant>,
     /// Time at which the client disconnected without waiting for the response.
     pub(crate) disconnected_at: Option<Instant>,
     /// How it ended for its client; `None` until then.
@@ -94,7 +94,7 @@
     /// Whether it was the first request on its connection.
     pub(crate) new_connection: bool,
     /// Whether the proxy owes no response, for instance because its process was killed.
-    pub(crate) exempt: bool,
+    pub(crate) response_not_required: bool,
     /// Body, which endpoints must receive unchanged.
     pub(crate) body: Vec<u8>,
     /// Attempts, in the order of their arrival at endpoints.
@@ -104,7 +104,7 @@
 impl RequestRecord {
     /// Whether the proxy still owes the client a response.
     pub(crate) fn is_unanswered(&self) -> bool {
-        self.completion.is_none() && self.disconnected_at.is_none() && !self.exempt
+        self.completion.is_none() && self.disconnected_at.is_none() && !self.response_not_required
     }
 }
 
--- a/soak/src/ledger/rules.rs
+++ b/soak/src/ledger/rules.rs
@@ -91,7 +91,7 @@
 
     fn excessive_advertised_timeout(&self) -> Option<Finding> {
         let advertised = self.advertised_timeout?;
-        let deadline = self.request.complete_at? + self.request.client_timeout;
+        let deadline = self.request.timeout_starts_at? + self.request.client_timeout;
         let remaining = deadline.saturating_duration_since(self.attempt.first_byte_at);
         let allowed = remaining + ADVERTISED_TIMEOUT_SLACK;
         (advertised > allowed + SLACK).then(|| {
@@ -136,7 +136,9 @@
     let Some(status) = completion.status else {
         return lost("its connection ended without a response".to_owned());
     };
-    let deadline = request.complete_at.map(|at| at + request.client_timeout);
+    let deadline = request
+        .timeout_starts_at
+        .map(|at| at + request.client_timeout);
     let late = deadline.is_some_and(|at| completion.at > at + RESPONSE_SLACK + SLACK);
     let executed = request
         .attempts
--- a/soak/src/ledger/tests.rs
+++ b/soak/src/ledger/tests.rs
@@ -19,11 +19,11 @@
         class,
         client_timeout: Duration::from_secs(1),
         started_at: now,
-        complete_at: Some(now),
+        timeout_starts_at: Some(now),
         disconnected_at: None,
         completion: None,
         new_connection: true,
-        exempt: false,
+        response_not_required: false,
         body: b"body".to_vec(),
         attempts: Vec::new(),
     }
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_forged_wrong_or_missing_response_and_a_rejection_after_execution_are_violations() {
+fn a_made_up_wrong_or_missing_response_and_a_rejection_after_execution_are_violations() {
     let completed = |class, served, status, body: &[u8]| {
         let mut ledger = ledger(false);
         let attempts = vec![AttemptRecord {
@@ -243,12 +243,12 @@
 }
 
 #[test]
-fn late_missing_and_truncated_responses_are_violations_unless_exempt_or_the_endpoint_was_killed() {
+fn late_missing_and_truncated_responses_are_violations_unless_not_required_or_endpoint_killed() {
     let past = Instant::now()
         .checked_sub(Duration::from_secs(2))
         .expect("the monotonic clock reads at least 2 s");
     let late = RequestRecord {
-        complete_at: Some(past),
+        timeout_starts_at: Some(past),
         ..request(RequestClass::Idempotent)
     };
     let mut ledger = ledger(false);
@@ -260,7 +260,7 @@
     ledger.requests.insert(
         ID + 2,
         RequestRecord {
-            exempt: true,
+            response_not_required: true,
             ..request(RequestClass::Keyed)
         },
     );
--- a/soak/src/ledger/timeline.rs
+++ b/soak/src/ledger/timeline.rs
@@ -16,7 +16,7 @@
     )];
     lines.extend(
         request
-            .complete_at
+            .timeout_starts_at
             .map(|complete| format!("    {} complete", at(complete))),
     );
     lines.extend(
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -4,6 +4,7 @@
 //! The fault schedule is not reproducible from the seed alone: it also depends on the order in
 //! which concurrent tasks draw random numbers.
 
+mod agent;
 mod arguments;
 mod clients;
 mod config;
@@ -11,7 +12,6 @@
 mod endpoint_list;
 mod endpoint_response;
 mod endpoint_server;
-mod environment;
 mod error;
 mod faults;
 mod http;
@@ -19,10 +19,10 @@
 mod notification;
 mod proxy;
 mod run;
+mod shared_state;
 #[cfg(test)]
 mod test_support;
 mod verdict;
-mod watch_delivery;
 
 use arguments::Arguments;
 use clap::Parser;
--- a/soak/src/proxy/configuration.rs
+++ b/soak/src/proxy/configuration.rs
@@ -1,9 +1,9 @@
 //! The configuration file of a proxy. Its keys and values are those of the program's
 //! configuration format.
 
-use crate::config::{DiscoveryMode, SimulationConfig};
-use crate::environment::Environment;
+use crate::config::{DiscoveryMode, RunConfig};
 use crate::ledger::RequestClass;
+use crate::shared_state::SharedState;
 use rand::Rng;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -16,24 +16,24 @@
 
 /// Returns the configuration of a proxy, with a newly drawn seed and the present endpoint list.
 pub(super) fn proxy_configuration(
-    environment: &Environment,
+    shared: &SharedState,
     proxy: usize,
     listen: SocketAddr,
     discovery: SocketAddr,
 ) -> Value {
-    let known = environment.with_list(|list| list.snapshot());
+    let known = shared.with_list(|list| list.snapshot());
     json!({
         "name": format!("n{proxy}"),
         "listen": listen.to_string(),
         "discovery": discovery.to_string(),
-        "seed": format!("{:016x}", environment.draw(|random| random.gen::<u64>())),
+        "seed": format!("{:016x}", shared.draw(|random| random.gen::<u64>())),
         "limits": {"cores": 1.0, "memory_mb": MAX_MEMORY_MB, "sockets": MAX_DESCRIPTORS},
         "known": known,
-        "settings": settings(environment.config(), proxy),
+        "settings": settings(shared.config(), proxy),
     })
 }
 
-fn settings(config: &SimulationConfig, proxy: usize) -> Value {
+fn settings(config: &RunConfig, proxy: usize) -> Value {
     let class = |class: RequestClass, idempotency: &str| {
         json!({"name": class.wire_name(), "objective_us": 400_000,
             "deadline_us": class.deadline_ms() * 1_000, "worth": 1.0, "idempotency": idempotency,
--- a/soak/src/proxy/handoff.rs
+++ b/soak/src/proxy/handoff.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 /// Port of the admin interface of the first process that takes over; later ones count up.
-const FIRST_ADMIN_PORT: u16 = 4_000;
+const ADMIN_PORT_BASE: u16 = 4_000;
 /// Time after a new process reported to be ready during which it does not yet count as notified of
 /// the endpoint list.
 const HANDOFF_NOTIFICATION_DELAY: Duration = Duration::from_secs(2);
@@ -26,7 +26,7 @@
         }
         let admin_address = SocketAddr::new(
             self.address.ip(),
-            FIRST_ADMIN_PORT + self.process_number() as u16,
+            ADMIN_PORT_BASE + self.process_number() as u16,
         );
         let new = self.spawn(Some(admin_address))?;
         self.log_event("a new process was started for a handoff");
@@ -35,7 +35,7 @@
         let previous = self.process_number();
         self.process_count.set(previous + 1);
         sleep(SHUTDOWN_TIMEOUT).await;
-        self.killed_processes.borrow_mut().push(previous);
+        self.ended_processes.borrow_mut().push(previous);
         self.end_previous_process();
         Ok(())
     }
@@ -56,7 +56,7 @@
 
     fn replace_process(&self, new: Child) {
         let now = Instant::now();
-        self.environment
+        self.shared
             .with_notifications(self.number, |notifications| {
                 notifications.record_process_start(now + HANDOFF_NOTIFICATION_DELAY);
             });
--- a/soak/src/proxy/process.rs
+++ b/soak/src/proxy/process.rs
@@ -2,11 +2,11 @@
 //! them signals.
 
 use super::configuration::proxy_configuration;
-use crate::environment::Environment;
+use crate::agent::{start_agent, Agent, AgentMode};
 use crate::error::SetupError;
 use crate::http::Reader;
 use crate::ledger::Rule;
-use crate::watch_delivery::{start_agent, Agent, AgentMode};
+use crate::shared_state::SharedState;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::cell::{Cell, RefCell};
@@ -55,7 +55,7 @@
     pub(crate) number: usize,
     /// Address to which its clients connect.
     pub(crate) address: SocketAddr,
-    pub(super) environment: Environment,
+    pub(super) shared: SharedState,
     program: Program,
     syscall_schedule: serde_json::Value,
     pub(super) child: RefCell<Option<Child>>,
@@ -63,7 +63,7 @@
     pub(super) previous: RefCell<Option<Child>>,
     /// Number of processes started so far, which is also the number of the present one.
     pub(super) process_count: Cell<u64>,
-    pub(super) killed_processes: RefCell<Vec<u64>>,
+    pub(super) ended_processes: RefCell<Vec<u64>>,
     pub(super) accepts_connections: Cell<bool>,
     /// Times of pauses, SIGTERM and handoffs.
     pub(super) disturbances: RefCell<Vec<Instant>>,
@@ -75,7 +75,7 @@
 impl Proxy {
     /// Creates a proxy, which does not run yet, and starts its agent.
     pub(crate) async fn new(
-        environment: &Environment,
+        shared: &SharedState,
         program: &Program,
         number: usize,
         syscall_schedule: serde_json::Value,
@@ -83,25 +83,25 @@
         // If the system chose the port, another program could get it between two processes of the
         // proxy. Instead the address is derived from this program's process id, so that parallel
         // runs do not share addresses.
-        let run = std::process::id();
+        let program_id = std::process::id();
         let ip = [
             127,
-            10 + (run % 200) as u8,
-            (run / 200 % 250) as u8,
+            10 + (program_id % 200) as u8,
+            (program_id / 200 % 250) as u8,
             1 + number as u8,
         ];
         let (agent_mode, modes) = watch::channel(AgentMode::Responding);
-        let agent = start_agent(environment, number, modes).await?;
+        let agent = start_agent(shared, number, modes).await?;
         Ok(Rc::new(Proxy {
             number,
             address: SocketAddr::from((ip, LISTEN_PORT)),
-            environment: environment.clone(),
+            shared: shared.clone(),
             program: program.clone(),
             syscall_schedule,
             child: RefCell::default(),
             previous: RefCell::default(),
             process_count: Cell::new(0),
-            killed_processes: RefCell::default(),
+            ended_processes: RefCell::default(),
             accepts_connections: Cell::new(false),
             disturbances: RefCell::default(),
             agent_mode,
@@ -132,8 +132,8 @@
     }
 
     /// Whether this process was killed, or its time for a graceful shutdown is over.
-    pub(crate) fn was_killed(&self, process: u64) -> bool {
-        self.killed_processes.borrow().contains(&process)
+    pub(crate) fn may_have_dropped_requests(&self, process: u64) -> bool {
+        self.ended_processes.borrow().contains(&process)
     }
 
     /// Whether a pause, SIGTERM or handoff may have delayed a client that connected at `since`.
@@ -154,8 +154,7 @@
 
     fn write_configuration(&self) -> Result<PathBuf, SetupError> {
         let discovery = self.agent.borrow().address;
-        let configuration =
-            proxy_configuration(&self.environment, self.number, self.address, discovery);
+        let configuration = proxy_configuration(&self.shared, self.number, self.address, discovery);
         let path = self.folder().join("config.json");
         fs::create_dir_all(self.folder())
             .and_then(|()| fs::write(&path, configuration.to_string()))
@@ -197,7 +196,7 @@
     /// Starts a process and waits until it is ready; records a violation if it is not in time.
     pub(crate) async fn start(&self) -> Result<(), SetupError> {
         let started = Instant::now();
-        self.environment
+        self.shared
             .with_notifications(self.number, |notifications| {
                 notifications.record_process_start(started);
             });
@@ -252,12 +251,12 @@
     }
 
     pub(super) fn log_event(&self, description: &str) {
-        self.environment
+        self.shared
             .log_event(format!("proxy {}: {description}", self.number));
     }
 
     pub(super) fn record_violation(&self, rule: Rule, description: &str) {
-        self.environment
+        self.shared
             .record_violation(rule, format!("proxy {} {description}", self.number));
     }
 
@@ -265,7 +264,7 @@
     pub(crate) fn kill(&self) {
         self.log_event("killed");
         self.accepts_connections.set(false);
-        self.killed_processes
+        self.ended_processes
             .borrow_mut()
             .push(self.process_number());
         if let Some(mut child) = self.child.borrow_mut().take() {
@@ -306,11 +305,10 @@
 
     /// Reloads its configuration by SIGHUP, with a new agent in it. The old agent ends later.
     pub(crate) async fn reload(&self) -> Result<(), SetupError> {
-        let agent =
-            start_agent(&self.environment, self.number, self.agent_mode.subscribe()).await?;
+        let agent = start_agent(&self.shared, self.number, self.agent_mode.subscribe()).await?;
         let old = self.agent.replace(agent);
         self.write_configuration()?;
-        self.environment
+        self.shared
             .with_notifications(self.number, |notifications| notifications.record_reload());
         self.log_event("SIGHUP");
         self.signal(Signal::SIGHUP);
@@ -321,7 +319,7 @@
 
     /// Sets how its agent behaves from now on.
     pub(crate) fn set_agent_mode(&self, mode: AgentMode) {
-        self.environment
+        self.shared
             .with_notifications(self.number, |notifications| {
                 if mode == AgentMode::Responding {
                     notifications.record_outage_end();
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -3,13 +3,13 @@
 
 use crate::arguments::Arguments;
 use crate::clients::{run_client, run_invalid_client};
-use crate::config::SimulationConfig;
+use crate::config::RunConfig;
 use crate::endpoint::endpoint_name;
 use crate::endpoint_server;
-use crate::environment::Environment;
 use crate::error::SetupError;
 use crate::faults;
 use crate::proxy::{Program, Proxy};
+use crate::shared_state::SharedState;
 use crate::verdict::print_verdict;
 use std::cell::Cell;
 use std::fs;
@@ -32,37 +32,32 @@
 
 /// Runs one seed and returns whether it passed.
 pub(crate) async fn run_seed(arguments: &Arguments, seed: u64) -> Result<bool, SetupError> {
-    let config = SimulationConfig::draw(arguments.proxies, seed);
+    let config = RunConfig::draw(arguments.proxies, seed);
     println!("seed {seed}: {config:?}");
-    let environment = Environment::new(seed, config);
-    start_endpoints(&environment, arguments.endpoints).await?;
-    let proxies = start_proxies(&environment, arguments, seed).await?;
-    let scheduling_delay = run_clients_and_faults(arguments, &environment, &proxies).await?;
-    Ok(print_verdict(
-        &environment,
-        &proxies,
-        seed,
-        scheduling_delay,
-    ))
+    let shared = SharedState::new(seed, config);
+    start_endpoints(&shared, arguments.endpoints).await?;
+    let proxies = start_proxies(&shared, arguments, seed).await?;
+    let scheduling_delay = run_clients_and_faults(arguments, &shared, &proxies).await?;
+    Ok(print_verdict(&shared, &proxies, seed, scheduling_delay))
 }
 
 /// Starts the first endpoints, dated back so that they are past their slow start.
-async fn start_endpoints(environment: &Environment, count: usize) -> Result<(), SetupError> {
+async fn start_endpoints(shared: &SharedState, count: usize) -> Result<(), SetupError> {
     for index in 0..count {
         let zone = if index.is_multiple_of(2) { 'a' } else { 'b' };
         let name = endpoint_name(index as u32);
-        let mut process = endpoint_server::start(environment, &name, zone).await?;
+        let mut process = endpoint_server::start(shared, &name, zone).await?;
         process.started_unix_ms = 0;
         let started_at = process.started_at.checked_sub(FIRST_ENDPOINTS_AGE);
         process.started_at = started_at.unwrap_or(process.started_at);
-        environment.add_endpoint(process);
+        shared.add_endpoint(process);
     }
     Ok(())
 }
 
 /// Starts all proxies and waits until they are ready.
 async fn start_proxies(
-    environment: &Environment,
+    shared: &SharedState,
     arguments: &Arguments,
     seed: u64,
 ) -> Result<Vec<Rc<Proxy>>, SetupError> {
@@ -78,8 +73,8 @@
     };
     let mut proxies = Vec::new();
     for number in 0..arguments.proxies {
-        let syscall_schedule = faults::draw_syscall_schedule(environment, seed, number);
-        proxies.push(Proxy::new(environment, &program, number, syscall_schedule).await?);
+        let syscall_schedule = faults::draw_syscall_schedule(shared, seed, number);
+        proxies.push(Proxy::new(shared, &program, number, syscall_schedule).await?);
     }
     let start = |proxy: Rc<Proxy>| spawn_local(async move { proxy.start().await });
     let starts: Vec<_> = proxies.iter().cloned().map(start).collect();
@@ -100,7 +95,7 @@
 /// Runs the clients and the fault schedule. Returns the longest scheduling delay of this program.
 async fn run_clients_and_faults(
     arguments: &Arguments,
-    environment: &Environment,
+    shared: &SharedState,
     proxies: &[Rc<Proxy>],
 ) -> Result<Duration, SetupError> {
     let end = Instant::now() + Duration::from_secs(arguments.seconds);
@@ -110,14 +105,14 @@
     for proxy in proxies {
         for _ in 0..arguments.clients {
             spawn_local(run_client(
-                environment.clone(),
+                shared.clone(),
                 proxy.clone(),
                 end + CLIENTS_DURATION_AFTER_FAULTS,
             ));
         }
-        spawn_local(run_invalid_client(environment.clone(), proxy.clone(), end));
+        spawn_local(run_invalid_client(shared.clone(), proxy.clone(), end));
     }
-    let started = faults::run_schedule(environment.clone(), proxies.to_vec(), end).await?;
+    let started = faults::run_schedule(shared.clone(), proxies.to_vec(), end).await?;
     println!("faults: {}", started.join(", "));
     sleep(FINAL_RESPONSES_DELAY).await;
     checks.abort();
--- a/soak/src/environment/mod.rs
+++ b/soak/src/shared_state/mod.rs
@@ -1,7 +1,7 @@
 //! The state that all tasks of a run share: the ledger, the endpoint list, the endpoint processes,
 //! what the proxies were notified of, and the random number generator.
 
-use crate::config::SimulationConfig;
+use crate::config::RunConfig;
 use crate::endpoint::{EndpointHealth, EndpointProcess};
 use crate::endpoint_list::EndpointList;
 use crate::ledger::{AttemptRecord, Ledger, RequestRecord, Rule};
@@ -20,7 +20,7 @@
 const DRAIN_SLACK: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
-struct State {
+struct Inner {
     random: Pcg64Mcg,
     ledger: Ledger,
     list: EndpointList,
@@ -34,15 +34,15 @@
 
 /// The shared state of a run. Clones refer to the same state.
 #[derive(Clone, Debug)]
-pub(crate) struct Environment {
-    config: Rc<SimulationConfig>,
-    state: Rc<RefCell<State>>,
+pub(crate) struct SharedState {
+    config: Rc<RunConfig>,
+    inner: Rc<RefCell<Inner>>,
 }
 
-impl Environment {
-    /// Creates an environment without endpoints.
-    pub(crate) fn new(seed: u64, config: SimulationConfig) -> Environment {
-        let state = State {
+impl SharedState {
+    /// Creates the state of a run without endpoints.
+    pub(crate) fn new(seed: u64, config: RunConfig) -> SharedState {
+        let inner = Inner {
             random: Pcg64Mcg::seed_from_u64(seed),
             ledger: Ledger::new(Instant::now(), &config),
             list: EndpointList::default(),
@@ -52,20 +52,20 @@
             last_request_id: 0,
             notifications: vec![Notifications::default(); config.proxy_count],
         };
-        Environment {
+        SharedState {
             config: Rc::new(config),
-            state: Rc::new(RefCell::new(state)),
+            inner: Rc::new(RefCell::new(inner)),
         }
     }
 
     /// Returns the parameters of the run.
-    pub(crate) fn config(&self) -> &SimulationConfig {
+    pub(crate) fn config(&self) -> &RunConfig {
         &self.config
     }
 
     /// Draws from the run's random number generator.
     pub(crate) fn draw<T>(&self, draw: impl FnOnce(&mut Pcg64Mcg) -> T) -> T {
-        draw(&mut self.state.borrow_mut().random)
+        draw(&mut self.inner.borrow_mut().random)
     }
 
     /// Draws a boolean that is true with this probability.
@@ -90,12 +90,12 @@
 
     /// Calls `access` with the ledger.
     pub(crate) fn with_ledger<T>(&self, access: impl FnOnce(&mut Ledger) -> T) -> T {
-        access(&mut self.state.borrow_mut().ledger)
+        access(&mut self.inner.borrow_mut().ledger)
     }
 
     /// Records a new request and returns its id.
     pub(crate) fn add_request(&self, request: RequestRecord) -> u64 {
-        let mut state = self.state.borrow_mut();
+        let mut state = self.inner.borrow_mut();
         state.last_request_id += 1;
         let id = state.last_request_id;
         state.ledger.requests.insert(id, request);
@@ -173,18 +173,18 @@
         if first_byte_at <= notified + self.config.drain_grace + DRAIN_SLACK {
             return;
         }
-        let late = first_byte_at - notified;
+        let since_notification = first_byte_at - notified;
         let disruptions =
             self.with_notifications(proxy, |notifications| notifications.disruptions().clone());
         let description = format!(
             "request {request:016x} sent to draining endpoint process {process} by proxy {proxy}, \
-             {late:?} after the proxy was notified; {disruptions:?}"
+             {since_notification:?} after the proxy was notified; {disruptions:?}"
         );
         self.record_violation(Rule::Drain, description);
     }
 
     fn drain_notified_at(&self, proxy: usize, process: u64) -> Option<Instant> {
-        let state = self.state.borrow();
+        let state = self.inner.borrow();
         let change = state.list.draining_since(process)?;
         state.notifications[proxy].notified_at(change, self.config.discovery)
     }
@@ -207,13 +207,13 @@
 
     /// Calls `read` with the endpoint list.
     pub(crate) fn with_list<T>(&self, read: impl FnOnce(&EndpointList) -> T) -> T {
-        read(&self.state.borrow().list)
+        read(&self.inner.borrow().list)
     }
 
     /// Changes the health of a process in the endpoint list, and wakes the agents.
     pub(crate) fn set_listed_health(&self, process: u64, health: EndpointHealth) {
-        let mut state = self.state.borrow_mut();
-        let State {
+        let mut state = self.inner.borrow_mut();
+        let Inner {
             list,
             processes,
             list_version,
@@ -228,7 +228,7 @@
 
     /// Returns a receiver of the endpoint list's versions.
     pub(crate) fn subscribe_to_list_versions(&self) -> watch::Receiver<u64> {
-        self.state.borrow().list_version.subscribe()
+        self.inner.borrow().list_version.subscribe()
     }
 
     /// Calls `access` with the notifications of a proxy.
@@ -237,12 +237,12 @@
         proxy: usize,
         access: impl FnOnce(&mut Notifications) -> T,
     ) -> T {
-        access(&mut self.state.borrow_mut().notifications[proxy])
+        access(&mut self.inner.borrow_mut().notifications[proxy])
     }
 
     /// Returns a number for a new endpoint process.
     pub(crate) fn next_process_number(&self) -> u64 {
-        let mut state = self.state.borrow_mut();
+        let mut state = self.inner.borrow_mut();
         state.last_process_number += 1;
         state.last_process_number
     }
@@ -259,6 +259,6 @@
         &self,
         access: impl FnOnce(&mut Vec<EndpointProcess>) -> T,
     ) -> T {
-        access(&mut self.state.borrow_mut().processes)
+        access(&mut self.inner.borrow_mut().processes)
     }
 }
--- a/soak/src/test_support.rs
+++ b/soak/src/test_support.rs
@@ -1,11 +1,11 @@
 //! Test data that several test modules share.
 
-use crate::config::{DiscoveryMode, SimulationConfig};
+use crate::config::{DiscoveryMode, RunConfig};
 use std::time::Duration;
 
 /// Returns the parameters of a run with one proxy.
-pub(crate) fn config(discovery: DiscoveryMode, hedging: bool) -> SimulationConfig {
-    SimulationConfig {
+pub(crate) fn config(discovery: DiscoveryMode, hedging: bool) -> RunConfig {
+    RunConfig {
         proxy_count: 1,
         discovery,
         drain_grace: Duration::from_millis(400),
--- a/soak/src/verdict.rs
+++ b/soak/src/verdict.rs
@@ -1,8 +1,8 @@
 //! Decides whether a run passed, and prints its report.
 
-use crate::environment::Environment;
 use crate::ledger::{Ledger, RequestRecord, Violation};
 use crate::proxy::Proxy;
+use crate::shared_state::SharedState;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,12 +20,12 @@
 /// Prints the report of a run and returns whether it passed. `scheduling_delay` is the longest
 /// scheduling delay of this program.
 pub(crate) fn print_verdict(
-    environment: &Environment,
+    shared: &SharedState,
     proxies: &[Rc<Proxy>],
     seed: u64,
     scheduling_delay: Duration,
 ) -> bool {
-    let violations = environment.with_ledger(|ledger| {
+    let violations = shared.with_ledger(|ledger| {
         ledger.record_unanswered_requests();
         println!(
             "requests: {:?}, longest scheduling delay of this program: {scheduling_delay:?}",
@@ -69,7 +69,7 @@
     match status {
         Some(status) => status.to_string(),
         None if request.disconnected_at.is_some() => "client disconnected".to_owned(),
-        None if request.exempt => "exempt".to_owned(),
+        None if request.response_not_required => "exempt".to_owned(),
         None => "none".to_owned(),
     }
 }
