--- a/soak/src/agent.rs
+++ b/soak/src/agent.rs
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Writes a line as a chunk, in two parts. Returns whether that succeeded.
+    /// Writes a line as a chunk in two parts, which are cut at a random byte so that the proxy may
+    /// read only a part of it at first. Returns whether writing succeeded.
     async fn write_chunk(&mut self, line: &str) -> bool {
         let chunk = format!("{:x}\r\n{line}\r\n", line.len());
         let cut = self.shared.draw(|random| random.gen_range(0..chunk.len()));
--- a/soak/src/clients/exchange.rs
+++ b/soak/src/clients/exchange.rs
@@ -16,7 +16,8 @@
 /// How long a client waits for a response, and what it does then.
 struct ResponseWait {
     duration: Duration,
-    /// Whether it disconnects when the time is over. If not, the proxy must respond before.
+    /// Whether the client disconnects after `duration`. If not, it also stops waiting then, and the
+    /// request counts as one without a response.
     disconnects: bool,
 }
 
@@ -128,8 +129,9 @@
     shared.with_ledger(|ledger| ledger.record_completion(id, None, &[]));
 }
 
-/// Records that the client's wait ended without a response: the client disconnects, or the
-/// response is overdue, which is excused only if the proxy's process was killed.
+/// Records that the client's wait ended without a response: the client disconnects, or the response
+/// is overdue, which is excused only if the proxy's process may have ended with the request in
+/// flight.
 fn record_missing_response(
     shared: &SharedState,
     proxy: &Proxy,
--- a/soak/src/clients/invalid.rs
+++ b/soak/src/clients/invalid.rs
@@ -11,7 +11,8 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{sleep, sleep_until};
 
-/// Time within which the proxy must send an invalid client an error or close its connection.
+/// Time after connecting within which a client that sends an invalid request must get an error, or
+/// its connection must be closed.
 const INVALID_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Tolerance for delays of this program and the loopback.
 const SLACK: Duration = Duration::from_millis(150);
@@ -70,14 +71,19 @@
         Reaction::Missing if !excused => {
             let excerpt = &request[..request.len().min(EXCERPT_BYTES)];
             let description = format!(
-                "proxy {}: no error and no close within 3 s after {excerpt:?}, {} bytes in all",
+                "proxy {}: neither a response nor a close within {:?} of connecting, after an \
+                 invalid request of {} bytes that begins with {excerpt:?}",
                 proxy.number,
+                until - connected_at,
                 request.len()
             );
             shared.record_violation(Rule::InvalidClient, description);
         }
         Reaction::Status(status) if !(400..600).contains(&status) => {
-            let description = format!("an invalid client was answered with {status}");
+            let description = format!(
+                "proxy {}: an invalid request got status {status}, expected 400 to 599",
+                proxy.number
+            );
             shared.record_violation(Rule::Lost, description);
         }
         Reaction::Status(_) | Reaction::Closed | Reaction::Missing => {}
--- a/soak/src/config.rs
+++ b/soak/src/config.rs
@@ -7,7 +7,8 @@
 /// Combined with the seed so that the configuration and the run draw from different sequences.
 const CONFIG_SEED_MASK: u64 = 0x5e77;
 
-/// How proxies expect to learn of changes of the endpoint list.
+/// How the proxies are set to receive changes of the endpoint list. Their agents do the same in
+/// both modes, but the time from which a proxy counts as notified of a change differs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiscoveryMode {
     /// The proxy's agent pushes changes.
@@ -16,12 +17,13 @@
     Poll,
 }
 
-/// Parameters of a run, which the proxies' settings state and the endpoints act by.
+/// Parameters of a run. They determine the proxies' settings, the idle timeout of the endpoints,
+/// and the limits against which the proxies are checked.
 #[derive(Clone, Debug)]
 pub(crate) struct RunConfig {
     /// Number of proxies.
     pub(crate) proxy_count: usize,
-    /// How proxies expect the endpoint list to be delivered.
+    /// How the proxies are set to receive the endpoint list.
     pub(crate) discovery: DiscoveryMode,
     /// How long a draining endpoint may still be sent requests after the proxy was notified.
     pub(crate) drain_grace: Duration,
--- a/soak/src/endpoint.rs
+++ b/soak/src/endpoint.rs
@@ -127,8 +127,10 @@
     }
 }
 
-/// Number of requests that all proxies together may send within the overload duration: the
-/// capacity at this age, and a tolerance because proxies do not know of each other's requests.
+/// Number of requests that all proxies together may send within the overload duration: the overload
+/// multiple of the capacity at this age, and a tolerance. Proxies send requests independently of
+/// each other, so their number varies around its mean by about its square root. The tolerance is a
+/// larger multiple of it for small numbers.
 fn allowed_arrivals(age: Duration, config: &RunConfig) -> f64 {
     let progress = age.as_secs_f64() / config.slow_start.as_secs_f64();
     let capacity_fraction = config.initial_capacity + (1.0 - config.initial_capacity) * progress;
--- a/soak/src/endpoint_list.rs
+++ b/soak/src/endpoint_list.rs
@@ -80,8 +80,8 @@
         (!entries.is_empty()).then_some(message)
     }
 
-    /// Returns the change since which a process must be sent no new requests; `None` if it is ready
-    /// or never was.
+    /// Returns the change since which a process must be sent no new requests; `None` if it is
+    /// listed as ready or has never been.
     pub(crate) fn draining_since(&self, process: u64) -> Option<ChangeTime> {
         let ready =
             |change: &Change| change.process == process && change.health == EndpointHealth::Ready;
--- a/soak/src/endpoint_response.rs
+++ b/soak/src/endpoint_response.rs
@@ -81,7 +81,8 @@
             length_delimited(written_body, length)
         }
     };
-    // A response with a length or chunks is complete before the reset and remains valid.
+    // A connection may be reset after a complete response with a length or chunks, which remains
+    // valid. A response that ends with its connection would be truncated by a reset.
     let reset_after_complete =
         behaviour == Behaviour::Resetting && after == AfterResponse::KeepAlive;
     if truncated || reset_after_complete {
--- a/soak/src/endpoint_server.rs
+++ b/soak/src/endpoint_server.rs
@@ -116,27 +116,30 @@
                 first_byte_at,
             } => self.record_truncated_request(&bytes, first_byte_at),
             ReadError::Invalid => {
-                self.record_violation("an endpoint received bytes that are not a valid request")
+                self.record_violation("received bytes that are not a valid HTTP/1.1 request")
             }
         }
     }
 
     fn record_violation(&self, description: &str) {
-        self.shared
-            .record_violation(Rule::RequestIntegrity, description.to_owned());
+        self.shared.record_violation(
+            Rule::RequestIntegrity,
+            format!("endpoint process {} {description}", self.number),
+        );
     }
 
-    /// Records a request and responds to it. Returns `None` if no client sent the request.
+    /// Records a request and responds to it. Returns `None`, without a response, if the request has
+    /// no valid id or no client has sent it; its connection is then reset.
     async fn handle_request(
         &self,
         message: &Message,
         reader: &mut Reader,
     ) -> Option<AfterResponse> {
-        let id = message
-            .header("x-call-id")
-            .and_then(|id| u64::from_str_radix(id, 16).ok());
-        let Some(id) = id else {
-            self.record_violation("an endpoint received a request without a valid X-Call-Id");
+        let id_header = message.header("x-call-id");
+        let Some(id) = id_header.and_then(|id| u64::from_str_radix(id, 16).ok()) else {
+            self.record_violation(&format!(
+                "received a request with X-Call-Id {id_header:?}, expected a hexadecimal number"
+            ));
             return None;
         };
         let advertised_ms = message
--- a/soak/src/faults/mod.rs
+++ b/soak/src/faults/mod.rs
@@ -38,11 +38,12 @@
     EndpointCrash,
     /// An endpoint is added.
     EndpointAdded,
-    /// An endpoint behaves in this way for a while.
+    /// An endpoint has this behaviour for 0.5 s to 3 s.
     EndpointBehaviour(Behaviour),
-    /// All endpoints drain for a while, so that requests queue and clients disconnect.
+    /// All endpoints are listed as draining for 0.1 s to 0.7 s, so that requests queue and clients
+    /// disconnect.
     AllEndpointsDrain,
-    /// The agents of some proxies fail in this way for a while.
+    /// The agents of some proxies have this mode for 0.3 s to 4 s.
     AgentOutage(AgentMode),
 }
 
--- a/soak/src/ledger/mod.rs
+++ b/soak/src/ledger/mod.rs
@@ -153,7 +153,7 @@
 
     /// Records how a request ended for its client: with a response of this status and body or, if
     /// the status is `None`, with a closed connection and no response. Checks the response against
-    /// the rules unless the request is exempt.
+    /// the rules unless none is required.
     pub(crate) fn record_completion(&mut self, id: u64, status: Option<u16>, body: &[u8]) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Records a violation for each complete request that still lacks its response. To be called at
-    /// the end of a run.
+    /// Records a violation for each request that was written and still lacks its response. To be
+    /// called at the end of a run.
     pub(crate) fn record_unanswered_requests(&mut self) {
         let unanswered = |request: &RequestRecord| {
             request.timeout_starts_at.is_some() && request.is_unanswered()
@@ -197,7 +197,7 @@
             .filter(|(_, request)| unanswered(request));
         let lost: Vec<u64> = requests.map(|(id, _)| *id).collect();
         for id in lost {
-            self.record_request_violation(Rule::Lost, id, "no response");
+            self.record_request_violation(Rule::Lost, id, "no response by the end of the run");
         }
     }
 }
--- a/soak/src/ledger/records.rs
+++ b/soak/src/ledger/records.rs
@@ -84,8 +84,9 @@
     pub(crate) client_timeout: Duration,
     /// Time at which the client began to write it.
     pub(crate) started_at: Instant,
-    /// Time from which the client's timeout counts: when the request was written, or, for pipelined
-    /// requests, when the response before its own had arrived.
+    /// Time from which the client's timeout counts: when the request was written or, for a
+    /// pipelined request, when the previous response arrived. `None` until the request has been
+    /// written.
     pub(crate) timeout_starts_at: Option<Instant>,
     /// Time at which the client disconnected without waiting for the response.
     pub(crate) disconnected_at: Option<Instant>,
@@ -93,7 +94,9 @@
     pub(crate) completion: Option<Completion>,
     /// Whether it was the first request on its connection.
     pub(crate) new_connection: bool,
-    /// Whether the proxy owes no response, for instance because its process was killed.
+    /// Whether the proxy need not send a complete response: its process was killed or shut down,
+    /// the client could not write the whole request, the connection ended before the proxy can have
+    /// read the request, or the response was truncated, which is checked separately.
     pub(crate) response_not_required: bool,
     /// Body, which endpoints must receive unchanged.
     pub(crate) body: Vec<u8>,
@@ -102,16 +105,17 @@
 }
 
 impl RequestRecord {
-    /// Whether the proxy still owes the client a response.
+    /// Whether the proxy must still send the client a response.
     pub(crate) fn is_unanswered(&self) -> bool {
         self.completion.is_none() && self.disconnected_at.is_none() && !self.response_not_required
     }
 }
 
-/// A rule that proxies must follow. The report prints it under the label of its `Display`.
+/// A rule that proxies must follow. The report prints the label that `Display` gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Rule {
     /// The timeout advertised with an attempt is no longer than the time its client still waits.
+    /// Its label is the name of the header, `X-Budget-Ms`: "budget".
     AdvertisedTimeout,
     /// A proxy does not end by itself, and exits successfully when it is shut down.
     Crash,
@@ -119,18 +123,20 @@
     Drain,
     /// A request is sent again only as often, and only where, its class allows it.
     Duplicate,
-    /// A client that sends an invalid request gets an error or a close in time.
+    /// A client that sends an invalid request gets a response or a close within 3 s of connecting.
     InvalidClient,
     /// Open descriptors and memory stay within their limits.
     Limit,
-    /// Each request gets a valid response in time, and no attempt starts after its client has
-    /// disconnected or has been answered.
+    /// Each request gets a valid response by its client's timeout, an invalid request gets no
+    /// status other than 400 to 599, and no attempt starts after the client has disconnected or got
+    /// the response. The label "lost" stands for all of these.
     Lost,
-    /// A proxy is ready in time after its start.
+    /// A proxy is ready within 10 s of its start.
     Readiness,
     /// An endpoint in its slow start is not overloaded.
     SlowStart,
-    /// Endpoints get only requests that clients sent, with their bodies unchanged.
+    /// Endpoints get only valid requests that clients sent, with their bodies unchanged. Its label
+    /// is "void".
     RequestIntegrity,
 }
 
--- a/soak/src/ledger/rules.rs
+++ b/soak/src/ledger/rules.rs
@@ -3,7 +3,7 @@
 use super::records::{AttemptRecord, RequestClass, RequestRecord, Rule};
 use std::time::{Duration, Instant};
 
-/// Tolerance of each time limit: 50 ms that the protocol grants, and 50 ms for delays of the
+/// Tolerance of each time limit: 50 ms by which proxies may exceed it, and 50 ms for delays of the
 /// loopback and of this program.
 const SLACK: Duration = Duration::from_millis(50 + 50);
 /// Time by which an advertised timeout may exceed the time that the client still waits.
@@ -67,35 +67,54 @@
         changed.then(|| {
             Finding::new(
                 Rule::RequestIntegrity,
-                "its body was changed on the way to the endpoint",
+                "the body of a request was changed on the way to the endpoint",
             )
         })
     }
 
     fn too_many_attempts(&self) -> Option<Finding> {
         let exceeded = self.request.attempts.len() >= MAX_ATTEMPTS;
-        exceeded.then(|| Finding::new(Rule::Duplicate, "too many attempts"))
+        exceeded.then(|| {
+            let number = self.request.attempts.len() + 1;
+            let reason = format!("attempt {number} of a request, allowed {MAX_ATTEMPTS}");
+            Finding::new(Rule::Duplicate, reason)
+        })
     }
 
     fn after_disconnect(&self) -> Option<Finding> {
-        let limit = self.request.disconnected_at? + DISCONNECT_SLACK + SLACK;
-        (self.attempt.first_byte_at > limit)
-            .then(|| Finding::new(Rule::Lost, "an attempt after its client had disconnected"))
+        let disconnected_at = self.request.disconnected_at?;
+        let limit = disconnected_at + DISCONNECT_SLACK + SLACK;
+        (self.attempt.first_byte_at > limit).then(|| {
+            let reason = format!(
+                "an attempt {:?} after the client had disconnected, allowed {:?}",
+                self.attempt.first_byte_at - disconnected_at,
+                limit - disconnected_at
+            );
+            Finding::new(Rule::Lost, reason)
+        })
     }
 
     fn after_response(&self) -> Option<Finding> {
-        let limit = self.request.completion?.at + SLACK;
-        (self.attempt.first_byte_at > limit)
-            .then(|| Finding::new(Rule::Lost, "an attempt after its client had the response"))
+        let completed_at = self.request.completion?.at;
+        let limit = completed_at + SLACK;
+        (self.attempt.first_byte_at > limit).then(|| {
+            let reason = format!(
+                "an attempt {:?} after the request had ended for the client, allowed {:?}",
+                self.attempt.first_byte_at - completed_at,
+                limit - completed_at
+            );
+            Finding::new(Rule::Lost, reason)
+        })
     }
 
     fn excessive_advertised_timeout(&self) -> Option<Finding> {
         let advertised = self.advertised_timeout?;
         let deadline = self.request.timeout_starts_at? + self.request.client_timeout;
         let remaining = deadline.saturating_duration_since(self.attempt.first_byte_at);
-        let allowed = remaining + ADVERTISED_TIMEOUT_SLACK;
-        (advertised > allowed + SLACK).then(|| {
-            let reason = format!("advertised {advertised:?}, allowed {allowed:?}");
+        let allowed = remaining + ADVERTISED_TIMEOUT_SLACK + SLACK;
+        (advertised > allowed).then(|| {
+            let reason =
+                format!("an attempt advertised a timeout of {advertised:?}, allowed {allowed:?}");
             Finding::new(Rule::AdvertisedTimeout, reason)
         })
     }
@@ -108,11 +127,19 @@
             .find(|attempt| attempt.may_have_executed())?;
         let window_end = first.first_byte_at + self.deduplication_window + SLACK;
         let reason = match self.request.class {
-            RequestClass::NonIdempotent => "sent again after it may have been executed",
-            RequestClass::Keyed if first.zone != self.attempt.zone => "sent again to another zone",
-            RequestClass::Keyed if self.attempt.first_byte_at > window_end => {
-                "sent again after its deduplication window"
+            RequestClass::NonIdempotent => {
+                "a non-idempotent request was sent again after it may have been executed".to_owned()
             }
+            RequestClass::Keyed if first.zone != self.attempt.zone => format!(
+                "a keyed request was sent again to zone {}, first to zone {}",
+                self.attempt.zone, first.zone
+            ),
+            RequestClass::Keyed if self.attempt.first_byte_at > window_end => format!(
+                "a keyed request was sent again {:?} after the attempt that may have been \
+                 executed first, allowed {:?}",
+                self.attempt.first_byte_at - first.first_byte_at,
+                window_end - first.first_byte_at
+            ),
             RequestClass::Keyed | RequestClass::Idempotent => return None,
         };
         Some(Finding::new(Rule::Duplicate, reason))
@@ -125,7 +152,14 @@
         };
         let allowed = self.hedging && self.request.class != RequestClass::NonIdempotent;
         let concurrent = self.request.attempts.iter().any(in_flight);
-        (concurrent && !allowed).then(|| Finding::new(Rule::Duplicate, "two attempts in flight"))
+        (concurrent && !allowed).then(|| {
+            let reason = format!(
+                "two attempts in flight, allowed only with hedging (here: {}) and unless the \
+                 class is NonIdempotent (here: {:?})",
+                self.hedging, self.request.class
+            );
+            Finding::new(Rule::Duplicate, reason)
+        })
     }
 }
 
@@ -134,12 +168,15 @@
     let completion = request.completion?;
     let lost = |reason: String| Some(Finding::new(Rule::Lost, reason));
     let Some(status) = completion.status else {
-        return lost("its connection ended without a response".to_owned());
+        return lost("the connection ended without a response to a request".to_owned());
     };
     let deadline = request
         .timeout_starts_at
         .map(|at| at + request.client_timeout);
-    let late = deadline.is_some_and(|at| completion.at > at + RESPONSE_SLACK + SLACK);
+    let limit = deadline.map(|at| at + RESPONSE_SLACK + SLACK);
+    let late = deadline
+        .zip(limit)
+        .filter(|(_, limit)| completion.at > *limit);
     let executed = request
         .attempts
         .iter()
@@ -154,11 +191,16 @@
         )),
         429 | 503 if request.class != RequestClass::Idempotent && executed => Some(Finding::new(
             Rule::Duplicate,
-            "rejected after it may have been executed",
+            format!("rejected with status {status} after it may have been executed"),
         )),
         400..=428 => lost(format!("a valid request was answered with {status}")),
-        _ if late => lost("a late response".to_owned()),
-        _ => None,
+        _ => late.and_then(|(deadline, limit)| {
+            lost(format!(
+                "a response {:?} after the client's timeout, allowed {:?}",
+                completion.at - deadline,
+                limit - deadline
+            ))
+        }),
     }
 }
 
--- a/soak/src/ledger/tests.rs
+++ b/soak/src/ledger/tests.rs
@@ -1,4 +1,5 @@
-//! Tests that the ledger reports each violation of a rule for requests, and nothing else.
+//! Tests that the ledger records each violation of a rule for requests, and that allowed attempts
+//! and responses cause no violation.
 
 use super::*;
 use crate::config::DiscoveryMode;
--- a/soak/src/ledger/timeline.rs
+++ b/soak/src/ledger/timeline.rs
@@ -17,7 +17,7 @@
     lines.extend(
         request
             .timeout_starts_at
-            .map(|complete| format!("    {} complete", at(complete))),
+            .map(|start| format!("    {} client timeout starts", at(start))),
     );
     lines.extend(
         request
@@ -43,6 +43,7 @@
 
 fn format_attempt(start: Instant, attempt: &AttemptRecord) -> String {
     let at = |instant: Instant| format_seconds(start, instant);
+    let at_or_never = |instant: Option<Instant>| instant.map_or_else(|| "never".to_owned(), at);
     let AttemptRecord {
         process,
         zone,
@@ -51,11 +52,11 @@
         ..
     } = attempt;
     format!(
-        "    {} at process {process} in {zone}, complete {:?}, ended {:?}, rejected: {rejected}, \
-         served: {served}",
+        "    {} attempt arrived at endpoint process {process} in zone {zone}, complete: {}, \
+         ended: {}, rejected: {rejected}, served: {served}",
         at(attempt.first_byte_at),
-        attempt.complete_at.map(at),
-        attempt.ended_at.map(at),
+        at_or_never(attempt.complete_at),
+        at_or_never(attempt.ended_at),
     )
 }
 
--- a/soak/src/notification.rs
+++ b/soak/src/notification.rs
@@ -5,9 +5,11 @@
 use crate::endpoint_list::ChangeTime;
 use std::time::{Duration, Instant};
 
-/// Longest time in which a proxy learns of a change while its agent responds.
+/// Time from which a proxy counts as notified of a change that it polls for, if its agent responds.
+/// A watch on which nothing arrives is closed by the proxy within the same time.
 const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
-/// Longest time after SIGHUP in which a proxy gets pushed changes from its new agent.
+/// Time after SIGHUP from which a proxy counts as notified of the changes that its new agent
+/// pushes.
 const RELOAD_NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(4);
 /// Interval of the heartbeats (empty lines) on an idle watch.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
@@ -81,8 +83,9 @@
         });
     }
 
-    /// Returns the time from which the proxy counts as notified of a change: its delivery or the
-    /// time by which it should have been delivered, whichever is earlier. `None`: not yet.
+    /// Returns the time from which the proxy counts as notified of a change: when the change was
+    /// delivered or when it should have been, whichever is earlier. Returns `None` if the change
+    /// has not been delivered and the time by which it should be is not known yet.
     pub(crate) fn notified_at(&self, change: ChangeTime, mode: DiscoveryMode) -> Option<Instant> {
         let started = self.disruptions.process_started_at?;
         let includes_change =
@@ -127,6 +130,9 @@
             NOTIFICATION_TIMEOUT
         };
         for &reload in &self.reloads {
+            // A change from long before the reload was due before it, and one from long after it is
+            // delivered by the new agent. A change in between may have been lost with the watch of
+            // the old agent, and is delivered only with the whole list from the new agent.
             let before_reload = available_at + NOTIFICATION_TIMEOUT < reload;
             let after_reload = available_at > reload + RELOAD_NOTIFICATION_TIMEOUT;
             if !before_reload && !after_reload {
@@ -138,9 +144,10 @@
 }
 
 impl Outage {
-    /// Whether the outage may delay the delivery of a change. A watch that falls silent may have
-    /// lost a change from just before the outage, and stays silent after it until the proxy gives
-    /// it up.
+    /// Whether the outage may delay the delivery of a change. A watch that becomes silent may have
+    /// lost a change that was made up to `HEARTBEAT_INTERVAL` before the outage. The watch stays
+    /// silent even after the outage, until the proxy closes it: at the latest
+    /// `NOTIFICATION_TIMEOUT` after the start of the outage.
     fn may_delay(&self, available_at: Instant) -> bool {
         let broken_until = self
             .until
--- a/soak/src/proxy/handoff.rs
+++ b/soak/src/proxy/handoff.rs
@@ -11,10 +11,11 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Port of the admin interface of the first process that takes over; later ones count up.
+/// Base of the ports of admin interfaces. The number of the process that is replaced is added to
+/// it, so that each handoff of a proxy uses another port.
 const ADMIN_PORT_BASE: u16 = 4_000;
-/// Time after a new process reported to be ready during which it does not yet count as notified of
-/// the endpoint list.
+/// Time after a new process reported to be ready until it counts as notified of the endpoint list.
+/// Deliveries before then may have gone only to the old process.
 const HANDOFF_NOTIFICATION_DELAY: Duration = Duration::from_secs(2);
 
 impl Proxy {
@@ -46,7 +47,7 @@
             if started.elapsed() > READY_TIMEOUT {
                 self.record_violation(
                     Rule::Readiness,
-                    "has a new process that is not ready after 10 s",
+                    &format!("has a new process that was not ready within {READY_TIMEOUT:?}"),
                 );
                 return;
             }
@@ -62,7 +63,10 @@
             });
         self.disturbances.borrow_mut().push(now);
         self.signal(Signal::SIGTERM);
-        self.log_event("SIGTERM to the old process");
+        self.log_event(&format!(
+            "process {}, the old one in the handoff, is sent SIGTERM",
+            self.process_number()
+        ));
         let previous = self.child.borrow_mut().replace(new);
         *self.previous.borrow_mut() = previous;
     }
@@ -73,7 +77,12 @@
         };
         if let Ok(Some(status)) = previous.try_wait() {
             if !status.success() {
-                self.record_violation(Rule::Crash, &format!("ended with {status}"));
+                self.record_violation(
+                    Rule::Crash,
+                    &format!(
+                        "had an old process that ended with {status} after SIGTERM in a handoff"
+                    ),
+                );
             }
         }
         kill_child(&mut previous);
--- a/soak/src/proxy/limits.rs
+++ b/soak/src/proxy/limits.rs
@@ -14,7 +14,10 @@
             return;
         }
         if self.has_ended() {
-            self.record_violation(Rule::Crash, "has ended by itself");
+            self.record_violation(
+                Rule::Crash,
+                &format!("ended by itself with {}", self.exit_status_text()),
+            );
             self.accepts_connections.set(false);
             return;
         }
--- a/soak/src/proxy/process.rs
+++ b/soak/src/proxy/process.rs
@@ -13,7 +13,7 @@
 use std::fs::{self, File};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, Command, ExitStatus, Stdio};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
@@ -25,19 +25,20 @@
 const LISTEN_PORT: u16 = 3_000;
 /// Time within which a started proxy must be ready.
 pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between SIGTERM and SIGKILL: the longest deadline of a class, and 0.7 s.
+/// Time between SIGTERM and SIGKILL: 2 s, the longest deadline of a class (`RequestClass::Keyed`),
+/// in which requests in flight can end, and 0.7 s more.
 pub(super) const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(2_000 + 700);
 /// How long clients still open connections after SIGTERM.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(300);
 /// How long the old agent continues after SIGHUP.
 const OLD_AGENT_DELAY: Duration = Duration::from_millis(1_500);
-/// Time after a pause, a SIGTERM or a handoff in which the timeout of invalid clients is not
-/// enforced.
+/// Time after a pause, a SIGTERM or a handoff in which a missing response to an invalid request is
+/// no violation.
 const DISTURBANCE_DURATION: Duration = Duration::from_secs(4);
 /// Interval at which the state of a process is polled.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The program that the proxies run, and its surroundings.
+/// The program that the proxies run, with the paths that its processes need.
 #[derive(Clone, Debug)]
 pub(crate) struct Program {
     /// Path of the executable.
@@ -63,6 +64,7 @@
     pub(super) previous: RefCell<Option<Child>>,
     /// Number of processes started so far, which is also the number of the present one.
     pub(super) process_count: Cell<u64>,
+    /// Numbers of the processes that may have ended with requests in flight.
     pub(super) ended_processes: RefCell<Vec<u64>>,
     pub(super) accepts_connections: Cell<bool>,
     /// Times of pauses, SIGTERM and handoffs.
@@ -131,7 +133,8 @@
         self.process_count.get()
     }
 
-    /// Whether this process was killed, or its time for a graceful shutdown is over.
+    /// Whether this process may have ended with requests in flight: it was killed, or its time for
+    /// a graceful shutdown is over.
     pub(crate) fn may_have_dropped_requests(&self, process: u64) -> bool {
         self.ended_processes.borrow().contains(&process)
     }
@@ -165,7 +168,7 @@
         Ok(path)
     }
 
-    /// Starts a process, whose admin interface listens at the given address, if there is one.
+    /// Starts a process. It has an admin interface only if `admin_address` is given.
     pub(super) fn spawn(&self, admin_address: Option<SocketAddr>) -> Result<Child, SetupError> {
         let configuration = self.write_configuration()?;
         let path = self.log_path();
@@ -205,17 +208,23 @@
         *self.child.borrow_mut() = Some(child);
         while !self.is_ready().await {
             if self.has_ended() {
-                self.record_violation(Rule::Crash, "ended before it was ready");
+                self.record_violation(
+                    Rule::Crash,
+                    &format!("ended with {} before it was ready", self.exit_status_text()),
+                );
                 return Ok(());
             }
             if started.elapsed() > READY_TIMEOUT {
-                self.record_violation(Rule::Readiness, "was not ready within 10 s");
+                self.record_violation(
+                    Rule::Readiness,
+                    &format!("was not ready within {READY_TIMEOUT:?}"),
+                );
                 return Ok(());
             }
             sleep(POLL_INTERVAL).await;
         }
         self.accepts_connections.set(true);
-        self.log_event(&format!("ready, process {}", self.process_number()));
+        self.log_process_event("is ready");
         Ok(())
     }
 
@@ -250,11 +259,32 @@
             .is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
+    /// Returns the exit status of its present process; `None` if it has not ended.
+    fn exit_status(&self) -> Option<ExitStatus> {
+        self.child
+            .borrow_mut()
+            .as_mut()
+            .and_then(|child| child.try_wait().ok().flatten())
+    }
+
+    /// Describes the exit status of its present process, which has ended.
+    pub(super) fn exit_status_text(&self) -> String {
+        self.exit_status().map_or_else(
+            || "an unknown status".to_owned(),
+            |status| status.to_string(),
+        )
+    }
+
     pub(super) fn log_event(&self, description: &str) {
         self.shared
             .log_event(format!("proxy {}: {description}", self.number));
     }
 
+    /// Logs an event of its present process.
+    fn log_process_event(&self, description: &str) {
+        self.log_event(&format!("process {} {description}", self.process_number()));
+    }
+
     pub(super) fn record_violation(&self, rule: Rule, description: &str) {
         self.shared
             .record_violation(rule, format!("proxy {} {description}", self.number));
@@ -262,7 +292,7 @@
 
     /// Kills its present process.
     pub(crate) fn kill(&self) {
-        self.log_event("killed");
+        self.log_process_event("is killed if it still runs");
         self.accepts_connections.set(false);
         self.ended_processes
             .borrow_mut()
@@ -276,19 +306,14 @@
     pub(crate) async fn shut_down(&self) {
         let started = Instant::now();
         self.disturbances.borrow_mut().push(started);
-        self.log_event("SIGTERM");
+        self.log_process_event("is sent SIGTERM");
         self.signal(Signal::SIGTERM);
         sleep(ACCEPT_AFTER_SIGTERM).await;
         self.accepts_connections.set(false);
         while !self.has_ended() && started.elapsed() < SHUTDOWN_TIMEOUT {
             sleep(POLL_INTERVAL).await;
         }
-        let status = self
-            .child
-            .borrow_mut()
-            .as_mut()
-            .and_then(|child| child.try_wait().ok().flatten());
-        if let Some(status) = status.filter(|status| !status.success()) {
+        if let Some(status) = self.exit_status().filter(|status| !status.success()) {
             self.record_violation(Rule::Crash, &format!("ended with {status} after SIGTERM"));
         }
         self.kill();
@@ -297,7 +322,7 @@
     /// Pauses its process by SIGSTOP and SIGCONT.
     pub(crate) async fn pause(&self, duration: Duration) {
         self.disturbances.borrow_mut().push(Instant::now());
-        self.log_event("SIGSTOP");
+        self.log_process_event("is sent SIGSTOP");
         self.signal(Signal::SIGSTOP);
         sleep(duration).await;
         self.signal(Signal::SIGCONT);
@@ -310,7 +335,7 @@
         self.write_configuration()?;
         self.shared
             .with_notifications(self.number, |notifications| notifications.record_reload());
-        self.log_event("SIGHUP");
+        self.log_process_event("is sent SIGHUP");
         self.signal(Signal::SIGHUP);
         sleep(OLD_AGENT_DELAY).await;
         old.task.abort();
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -19,7 +19,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How long clients continue after the last fault has been started.
+/// How long clients continue to send requests after the last time at which a fault may start.
 const CLIENTS_DURATION_AFTER_FAULTS: Duration = Duration::from_secs(2);
 /// Time after the fault schedule in which the last requests must get their responses.
 const FINAL_RESPONSES_DELAY: Duration = Duration::from_secs(6);
--- a/soak/src/shared_state/mod.rs
+++ b/soak/src/shared_state/mod.rs
@@ -1,5 +1,5 @@
 //! The state that all tasks of a run share: the ledger, the endpoint list, the endpoint processes,
-//! what the proxies were notified of, and the random number generator.
+//! the deliveries of the list to the proxies, and the random number generator.
 
 use crate::config::RunConfig;
 use crate::endpoint::{EndpointHealth, EndpointProcess};
@@ -170,7 +170,8 @@
         let Some(notified) = self.drain_notified_at(proxy, process) else {
             return;
         };
-        if first_byte_at <= notified + self.config.drain_grace + DRAIN_SLACK {
+        let allowed = self.config.drain_grace + DRAIN_SLACK;
+        if first_byte_at <= notified + allowed {
             return;
         }
         let since_notification = first_byte_at - notified;
@@ -178,7 +179,8 @@
             self.with_notifications(proxy, |notifications| notifications.disruptions().clone());
         let description = format!(
             "request {request:016x} sent to draining endpoint process {process} by proxy {proxy}, \
-             {since_notification:?} after the proxy was notified; {disruptions:?}"
+             {since_notification:?} after the proxy counted as notified, allowed {allowed:?}; \
+             {disruptions:?}"
         );
         self.record_violation(Rule::Drain, description);
     }
@@ -197,9 +199,9 @@
         });
         if let Some((name, overload)) = overload {
             let description = format!(
-                "endpoint process {process} of {name}, {:?} after its start, got {} requests, \
-                 allowed {:.1}",
-                overload.age, overload.received, overload.allowed
+                "endpoint process {process} of {name}, {:?} after its start, got {} requests \
+                 within {:?}, allowed {:.1}",
+                overload.age, overload.received, self.config.overload_duration, overload.allowed
             );
             self.record_violation(Rule::SlowStart, description);
         }
--- a/soak/src/shared_state/tests.rs
+++ b/soak/src/shared_state/tests.rs
@@ -1,5 +1,5 @@
-//! Tests that violations of the rules for draining and for slowly starting endpoints are recorded,
-//! and nothing else.
+//! Tests that violations of the rules for draining endpoints and for endpoints in slow start are
+//! recorded, and that allowed requests cause no violation.
 
 use super::*;
 use crate::config::DiscoveryMode;
--- a/soak/src/verdict.rs
+++ b/soak/src/verdict.rs
@@ -7,14 +7,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest scheduling delay of this program with which a run is judged. Observed times are not
-/// reliable beyond it.
+/// Maximum scheduling delay of this program for a run to pass. After a longer delay the times that
+/// clients and endpoints observed are not reliable: the run is reported as not judged, and counts
+/// as failed in the total and in the exit code.
 const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(60);
 /// Time before a violation from which events are printed with it.
 const EVENTS_BEFORE_S: f64 = 3.0;
 /// Time after a violation until which events are printed with it.
 const EVENTS_AFTER_S: f64 = 0.1;
-/// Maximum number of failures from the proxies' logs that are printed.
+/// Maximum number of panics and violated invariants from the proxies' logs that are printed.
 const MAX_PRINTED_FAILURES: usize = 10;
 
 /// Prints the report of a run and returns whether it passed. `scheduling_delay` is the longest
@@ -45,15 +46,21 @@
         .iter()
         .flat_map(|proxy| proxy.logged_failures())
         .collect();
-    for line in failures.iter().take(MAX_PRINTED_FAILURES) {
-        println!("  logged: {line}");
+    for (number, line) in (1..).zip(failures.iter().take(MAX_PRINTED_FAILURES)) {
+        println!(
+            "  panic or violated invariant {number} of {} in the proxies' logs: {line}",
+            failures.len()
+        );
     }
     let judged = scheduling_delay <= MAX_SCHEDULING_DELAY;
     let passed = judged && violations.is_empty() && failures.is_empty();
     let result = match (judged, passed) {
-        (false, _) => "NOT JUDGED, this program's scheduling delay was too long",
-        (true, true) => "passed",
-        (true, false) => "FAILED",
+        (false, _) => format!(
+            "NOT JUDGED, a task of this program ran {scheduling_delay:?} late, allowed \
+             {MAX_SCHEDULING_DELAY:?}; run it again on a less loaded machine"
+        ),
+        (true, true) => "passed".to_owned(),
+        (true, false) => "FAILED".to_owned(),
     };
     println!("seed {seed}: {result} {violations:?}");
     passed
@@ -69,8 +76,8 @@
     match status {
         Some(status) => status.to_string(),
         None if request.disconnected_at.is_some() => "client disconnected".to_owned(),
-        None if request.response_not_required => "exempt".to_owned(),
-        None => "none".to_owned(),
+        None if request.response_not_required => "no response required".to_owned(),
+        None => "no response".to_owned(),
     }
 }
 
