--- a/balancer/tests/endpoint_starts.rs
+++ b/balancer/tests/endpoint_starts.rs
@@ -7,7 +7,7 @@
 
 const HOUR: Micros = 3_600 * SECOND;
 const WARM_COUNT: u32 = 3;
-const NEW: EndpointId = EndpointId(WARM_COUNT + 1);
+const NEW_ENDPOINT: EndpointId = EndpointId(WARM_COUNT + 1);
 
 /// Returns a proxy that has sent requests to warm endpoints and has then been notified of a new
 /// endpoint with this start time.
@@ -23,7 +23,7 @@
         ListUpdate::Delta,
         vec![EndpointEntry {
             started_at,
-            ..ready(NEW.0)
+            ..ready(NEW_ENDPOINT.0)
         }],
     );
     proxy
@@ -35,7 +35,7 @@
     let (end, mut requests, mut to_new) = (proxy.now + time, 0, 0);
     while proxy.now < end {
         requests += 1;
-        to_new += u32::from(proxy.serve_request(50 * MS) == Some(NEW));
+        to_new += u32::from(proxy.serve_request(50 * MS) == Some(NEW_ENDPOINT));
     }
     f64::from(to_new) / f64::from(requests)
 }
@@ -89,7 +89,7 @@
         ListUpdate::Delta,
         vec![EndpointEntry {
             started_at,
-            ..ready(NEW.0)
+            ..ready(NEW_ENDPOINT.0)
         }],
     );
     let fraction = fraction_to_new(&mut proxy, 5 * SECOND);
@@ -110,7 +110,7 @@
         ListUpdate::Delta,
         vec![EndpointEntry {
             state: EndpointState::Removed,
-            ..ready(NEW.0)
+            ..ready(NEW_ENDPOINT.0)
         }],
     );
     fraction_to_new(&mut proxy, 10 * SECOND);
@@ -119,7 +119,7 @@
         ListUpdate::Delta,
         vec![EndpointEntry {
             started_at,
-            ..ready(NEW.0)
+            ..ready(NEW_ENDPOINT.0)
         }],
     );
     let fraction = fraction_to_new(&mut proxy, 10 * SECOND);
@@ -144,7 +144,7 @@
     };
     let newest = EndpointEntry {
         started_at: listed_start(SECOND),
-        ..ready(NEW.0)
+        ..ready(NEW_ENDPOINT.0)
     };
     proxy.update_list(
         ListUpdate::Full,
--- a/balancer/tests/list_polling.rs
+++ b/balancer/tests/list_polling.rs
@@ -75,9 +75,9 @@
         (MANY_BALANCERS, 7),
         (MANY_BALANCERS, 299),
     ] {
-        for path in 0..3_usize.pow(5) {
+        for sequence_index in 0..3_usize.pow(5) {
             let failure_times: Vec<_> = (0..5)
-                .map(|position| FAILURE_TIMES[path / 3_usize.pow(position) % 3])
+                .map(|position| FAILURE_TIMES[sequence_index / 3_usize.pow(position) % 3])
                 .collect();
             for watch_lost_at in [None, Some(0), Some(RESPONSE_TIMEOUT)] {
                 let started_at = poll_start_times(
@@ -85,12 +85,12 @@
                     watch_lost_at,
                     &failure_times,
                 );
-                for (request, failure_time) in failure_times.iter().enumerate() {
-                    let delay = started_at[request + 1] - (started_at[request] + failure_time);
+                for (poll, failure_time) in failure_times.iter().enumerate() {
+                    let delay = started_at[poll + 1] - (started_at[poll] + failure_time);
                     let sum = RESPONSE_TIMEOUT + delay + RESPONSE_TIME_ALLOWANCE;
                     assert!(
                         sum <= NOTIFICATION_DEADLINE,
-                        "{balancer_count} balancers: {sum} us after poll {request} \
+                        "{balancer_count} balancers: {sum} us after poll {poll} \
                          of {failure_times:?}, \
                          watch lost at {watch_lost_at:?}"
                     );
@@ -105,7 +105,7 @@
 /// The same applies after a new configuration, with its shorter deadline.
 #[test]
 fn changes_since_a_watch_was_lost_are_polled_before_the_notification_deadline() {
-    let paths: [&[Micros]; 4] = [&[], &[QUEUE_TIMEOUT], &[RESPONSE_TIMEOUT], &[0; 40]];
+    let failure_sequences: [&[Micros]; 4] = [&[], &[QUEUE_TIMEOUT], &[RESPONSE_TIMEOUT], &[0; 40]];
     for (balancer_count, balancer_index) in
         (0..40).flat_map(|balancer_index| [(5, balancer_index), (MANY_BALANCERS, balancer_index)])
     {
@@ -113,7 +113,7 @@
             (RESPONSE_TIMEOUT, NOTIFICATION_DEADLINE),
             (0, NOTIFICATION_DEADLINE_AFTER_RECONFIGURATION),
         ] {
-            for failure_times in paths {
+            for failure_times in failure_sequences {
                 let started_at = poll_start_times(
                     &mut polling_balancer(balancer_count, balancer_index),
                     Some(watch_lost_at),
@@ -213,7 +213,7 @@
 /// If discovery has enough capacity to answer all polls in time, all balancers must be notified in
 /// time. If its capacity is far too low, failed polls must not keep it from answering others.
 #[test]
-fn all_of_very_many_balancers_that_lose_their_watches_together_are_notified_in_time() {
+fn all_of_300_balancers_that_lose_their_watches_together_are_notified_in_time() {
     for (noticed_at, deadline) in [
         (RESPONSE_TIMEOUT, NOTIFICATION_DEADLINE),
         (MS, NOTIFICATION_DEADLINE_AFTER_RECONFIGURATION),
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn all_of_very_many_balancers_that_restart_together_are_notified_in_time() {
+fn all_of_300_balancers_that_restart_together_are_notified_in_time() {
     for rejection_cost in [0.0, 1.0] {
         for capacity in [120, 60] {
             let mut fleet = fleet_losing_watches_at(Micros::MAX, capacity, rejection_cost);
@@ -272,7 +272,7 @@
 /// While discovery is unreachable no balancer can be notified. When it recovers, all must get its
 /// changes in time, whatever the state of their backoff.
 #[test]
-fn all_of_very_many_balancers_are_notified_in_time_after_discovery_recovers() {
+fn all_of_300_balancers_are_notified_in_time_after_discovery_recovers() {
     for (availability, rejection_cost) in [
         (Availability::RefusesConnections, 0.0),
         (Availability::RefusesConnections, 1.0),
--- a/balancer/tests/models/outage/attempts.rs
+++ b/balancer/tests/models/outage/attempts.rs
@@ -32,7 +32,7 @@
     }
 
     /// Ends a client's attempt: unless it was served, the client may retry.
-    pub(super) fn end_client_attempt(&mut self, balancer: usize, id: u64, served: bool) {
+    pub(super) fn end_request(&mut self, balancer: usize, id: u64, served: bool) {
         let Some(request) = self.requests.remove(&(balancer, id)) else {
             return;
         };
@@ -40,12 +40,12 @@
         let retry_delay = 25 * MS + (self.random_unit() * 100e3) as Micros;
         let user_request = &mut self.user_requests[index];
         let (class, sent_at) = (user_request.class, user_request.sent_at);
-        user_request.attempts += 1;
+        user_request.tries += 1;
         user_request.has_ended = served;
         if served && self.now <= sent_at + LATENCY_OBJECTIVE[class] {
             self.count(sent_at, SERVED_IN_TIME);
         } else if !served
-            && self.user_requests[index].attempts < MAX_CLIENT_ATTEMPTS
+            && self.user_requests[index].tries < MAX_CLIENT_TRIES
             && self.now < sent_at + DEADLINE[class]
         {
             self.schedule(self.now + retry_delay, ModelEvent::ClientRequest(index));
@@ -84,10 +84,10 @@
             balancer,
             class,
             sent_at,
-            attempts,
+            tries,
             ..
         } = &self.user_requests[index];
-        if attempts == 0 {
+        if tries == 0 {
             self.count(sent_at, REQUESTS);
         }
         self.sequence_number += 1;
@@ -106,7 +106,7 @@
             },
         );
         let (request, tenant, client_retry, non_replayable) =
-            (RequestId(request), None, attempts > 0, false);
+            (RequestId(request), None, tries > 0, false);
         let class = class_id;
         self.handle_event(
             balancer,
--- a/balancer/tests/models/outage/endpoint.rs
+++ b/balancer/tests/models/outage/endpoint.rs
@@ -11,8 +11,8 @@
     pub(super) is_up: bool,
     pub(super) started_at: Micros,
     pub(super) is_failing: bool,
-    pub(super) slows_down: bool,
-    pub(super) is_slow: bool,
+    pub(super) slows_down_when_overloaded: bool,
+    pub(super) is_slowed_down: bool,
     pub(super) overloaded_since: Option<Micros>,
     pub(super) low_load_since: Option<Micros>,
     /// Remaining work of each attempt that is being executed.
@@ -37,7 +37,11 @@
         let warm_up =
             INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age as f64 / SLOW_START_DURATION as f64;
         let speed = self.speed * if warms_up { warm_up } else { 1.0 }
-            / if self.is_slow { SLOWDOWN_FACTOR } else { 1.0 };
+            / if self.is_slowed_down {
+                SLOWDOWN_FACTOR
+            } else {
+                1.0
+            };
         speed * (self.cores / self.executing.len().max(1) as f64).min(1.0)
     }
 
@@ -49,21 +53,21 @@
             work.0 -= done;
         }
         let load = self.request_count() as f64 / self.cores;
-        let since = |is: bool, since: Option<Micros>| is.then(|| since.unwrap_or(now));
-        self.overloaded_since = since(load > OVERLOAD_PER_CORE, self.overloaded_since);
-        self.low_load_since = since(load < RECOVERY_PER_CORE, self.low_load_since);
-        if self.slows_down
+        let start_of = |applies: bool, start: Option<Micros>| applies.then(|| start.unwrap_or(now));
+        self.overloaded_since = start_of(load > OVERLOAD_PER_CORE, self.overloaded_since);
+        self.low_load_since = start_of(load < RECOVERY_PER_CORE, self.low_load_since);
+        if self.slows_down_when_overloaded
             && self
                 .overloaded_since
                 .is_some_and(|at| now >= at + OVERLOAD_DURATION)
         {
-            self.is_slow = true;
+            self.is_slowed_down = true;
         }
         if self
             .low_load_since
             .is_some_and(|at| now >= at + RECOVERY_DURATION)
         {
-            self.is_slow = false;
+            self.is_slowed_down = false;
         }
     }
 }
--- a/balancer/tests/models/outage/mod.rs
+++ b/balancer/tests/models/outage/mod.rs
@@ -33,7 +33,7 @@
 const DEADLINE: [Micros; 2] = [1_200 * MS, 5_000 * MS];
 /// Mean work of a request by class, in microseconds on a core of speed 1.
 const WORK: [f64; 2] = [80e3, 130e3];
-const MAX_CLIENT_ATTEMPTS: u32 = 4;
+const MAX_CLIENT_TRIES: u32 = 4;
 const CONNECT_TIMEOUT: Micros = 250 * MS;
 /// An endpoint becomes slower by `SLOWDOWN_FACTOR` after it had more than `OVERLOAD_PER_CORE`
 /// requests per core for `OVERLOAD_DURATION`, until it had fewer than `RECOVERY_PER_CORE` for
@@ -78,7 +78,7 @@
     balancer: usize,
     class: usize,
     sent_at: Micros,
-    attempts: u32,
+    tries: u32,
     has_ended: bool,
 }
 
@@ -170,7 +170,7 @@
                     request, endpoint, ..
                 } => self.send_attempt(balancer, request.0, endpoint.0 as usize - 1),
                 Action::Reject { request, .. } | Action::Fail { request, .. } => {
-                    self.end_client_attempt(balancer, request.0, false)
+                    self.end_request(balancer, request.0, false)
                 }
                 Action::SetTimer { after } => {
                     self.timers[balancer] += 1;
@@ -193,12 +193,12 @@
             ModelEvent::Arrival(attempt) => self.arrive_at_endpoint(attempt),
             ModelEvent::Response(attempt, outcome) if self.is_in_flight(attempt) => {
                 if outcome == Outcome::Served {
-                    self.end_client_attempt(attempt.0, attempt.1, true);
+                    self.end_request(attempt.0, attempt.1, true);
                 }
                 self.report_outcome(attempt, outcome, outcome == Outcome::Served);
             }
             ModelEvent::Deadline(attempt) if self.is_in_flight(attempt) => {
-                self.end_client_attempt(attempt.0, attempt.1, false);
+                self.end_request(attempt.0, attempt.1, false);
                 self.report_outcome(attempt, Outcome::TimedOut, true);
             }
             ModelEvent::Response(..) | ModelEvent::Deadline(_) => {}
@@ -240,7 +240,7 @@
             endpoint.is_up = true;
             endpoint.started_at = self.now;
             endpoint.updated_at = self.now;
-            endpoint.is_slow = false;
+            endpoint.is_slowed_down = false;
         }
         self.notify_all_of_lost_zone(EndpointState::Ready);
     }
--- a/balancer/tests/models/outage/setup.rs
+++ b/balancer/tests/models/outage/setup.rs
@@ -48,7 +48,7 @@
             speed
         };
         let zone = (self.random_unit() * f64::from(ZONES)) as u32;
-        let slows_down = self.random_unit() < 0.6;
+        let slows_down_when_overloaded = self.random_unit() < 0.6;
         self.endpoints.push(Endpoint {
             cores,
             speed: present_speed,
@@ -56,8 +56,8 @@
             is_up: true,
             started_at: 0,
             is_failing,
-            slows_down,
-            is_slow: false,
+            slows_down_when_overloaded,
+            is_slowed_down: false,
             overloaded_since: None,
             low_load_since: None,
             executing: Vec::new(),
@@ -108,11 +108,11 @@
     /// Schedules the client requests. Some balancers get several times the mean load; the load of
     /// all falls by a third until the end. `capacity` is the part of the endpoints' capacity that
     /// is used at the start.
-    fn add_load(&mut self, balancers: usize, capacity: f64) {
+    fn add_load(&mut self, balancers: usize, initial_load: f64) {
         let shares: Vec<f64> = (0..balancers)
             .map(|_| 0.3 - self.random_unit().ln())
             .collect();
-        let per_second = capacity * 2e6 / (WORK[0] + WORK[1]) / shares.iter().sum::<f64>();
+        let per_second = initial_load * 2e6 / (WORK[0] + WORK[1]) / shares.iter().sum::<f64>();
         for (balancer, share) in shares.iter().enumerate() {
             let mut sent_at = LOAD_START as f64;
             loop {
@@ -130,7 +130,7 @@
                     balancer,
                     class,
                     sent_at,
-                    attempts: 0,
+                    tries: 0,
                     has_ended: false,
                 };
                 self.user_requests.push(request);
--- a/balancer/tests/models/slow_start_fleet/faults.rs
+++ b/balancer/tests/models/slow_start_fleet/faults.rs
@@ -16,10 +16,10 @@
                     .drain(..)
                     .map(|(_, end)| end)
                     .collect();
-                let sent = self.now;
+                let reset_at = self.now;
                 in_flight.into_iter().for_each(|end| {
                     self.schedule(
-                        sent,
+                        reset_at,
                         ModelEvent::Ended(AttemptEnd {
                             outcome: Outcome::Reset,
                             ..end
--- a/balancer/tests/models/slow_start_fleet/mod.rs
+++ b/balancer/tests/models/slow_start_fleet/mod.rs
@@ -56,13 +56,13 @@
     /// Fraction of the warm endpoints' capacity that is used before new ones start.
     pub(crate) utilization: f64,
     /// Speed of new endpoints once they are warm, relative to the mean.
-    pub(crate) speed: f64,
+    pub(crate) new_endpoint_speed: f64,
     /// When the model stops.
     pub(crate) end_at: Micros,
     /// Weight of warm endpoints in the endpoint list; that of new ones is 1.
-    pub(crate) weight: f64,
+    pub(crate) warm_endpoint_weight: f64,
     /// Maximum number of requests queued at an endpoint, which rejects further ones.
-    pub(crate) queued: usize,
+    pub(crate) max_queued: usize,
 }
 
 /// One endpoint joins while the rate of requests triples.
@@ -77,10 +77,10 @@
     restart: Restart::No,
     notification_spread: 500 * MS,
     utilization: 0.5,
-    speed: 1.0,
+    new_endpoint_speed: 1.0,
     end_at: NEW_ENDPOINTS_START + SLOW_START_DURATION,
-    weight: 1.0,
-    queued: 3,
+    warm_endpoint_weight: 1.0,
+    max_queued: 3,
 };
 
 /// An attempt and its outcome.
@@ -90,7 +90,7 @@
     request: u64,
     attempt: u32,
     outcome: Outcome,
-    sent: Micros,
+    sent_at: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -118,8 +118,8 @@
     queued: VecDeque<(f64, AttemptEnd)>,
     /// For each request: when it arrived, its work relative to the mean, and whether its sender had
     /// been notified of the new endpoints.
-    sent: Vec<(Micros, f64, bool)>,
-    served: f64,
+    received_requests: Vec<(Micros, f64, bool)>,
+    served_work: f64,
 }
 
 /// A process of a balancer.
@@ -194,15 +194,15 @@
                         .remove(&request.0);
                 }
                 Action::CancelAttempt { request, attempt } => {
-                    let (request, sent, outcome) = (request.0, self.now, Outcome::Cancelled);
+                    let (request, sent_at, outcome) = (request.0, self.now, Outcome::Cancelled);
                     self.schedule(
-                        sent,
+                        sent_at,
                         ModelEvent::Ended(AttemptEnd {
                             balancer_process,
                             request,
                             attempt,
                             outcome,
-                            sent,
+                            sent_at,
                         }),
                     );
                 }
@@ -219,13 +219,13 @@
             .expect("an attempt is only sent for a request in flight");
         let (deadline, work, attempt) = (request_state.0, request_state.1, request_state.2);
         request_state.2 += 1;
-        let (process, sent) = (self.process_by_endpoint[&endpoint], self.now);
+        let (process, sent_at) = (self.process_by_endpoint[&endpoint], self.now);
         let end = AttemptEnd {
             balancer_process,
             request,
             attempt,
             outcome: Outcome::Served,
-            sent,
+            sent_at,
         };
         self.schedule(
             deadline,
@@ -235,16 +235,16 @@
             }),
         );
         self.endpoint_processes[process]
-            .sent
-            .push((sent, work, is_notified));
-        if self.endpoint_processes[process].queued.len() < self.scenario.queued {
+            .received_requests
+            .push((sent_at, work, is_notified));
+        if self.endpoint_processes[process].queued.len() < self.scenario.max_queued {
             self.endpoint_processes[process]
                 .queued
                 .push_back((work, end));
             self.start_queued_work(process);
         } else {
             self.schedule(
-                sent + MS,
+                sent_at + MS,
                 ModelEvent::Ended(AttemptEnd {
                     outcome: Outcome::Rejected,
                     ..end
@@ -262,7 +262,7 @@
                 return;
             };
             endpoint.busy += 1;
-            endpoint.served += work;
+            endpoint.served_work += work;
             let time = work * MEAN_WORK_US / endpoint.speed / warm_up(endpoint.started_at, now);
             self.sequence_number += 1;
             self.events.push(Reverse((
@@ -278,7 +278,7 @@
             return;
         }
         let (request, attempt, outcome) = (RequestId(end.request), end.attempt, end.outcome);
-        let (elapsed, request_finished) = (self.now - end.sent, outcome == Outcome::Served);
+        let (elapsed, request_finished) = (self.now - end.sent_at, outcome == Outcome::Served);
         if request_finished {
             self.balancer_processes[end.balancer_process]
                 .requests
--- a/balancer/tests/models/slow_start_fleet/setup.rs
+++ b/balancer/tests/models/slow_start_fleet/setup.rs
@@ -52,18 +52,18 @@
     /// Starts a process of an endpoint.
     pub(super) fn start_endpoint(&mut self, id: u32, started_at: Micros) {
         let speed = if started_at > 0 {
-            self.scenario.speed
+            self.scenario.new_endpoint_speed
         } else {
             0.7 + 0.6 * self.random_unit()
         };
-        let (busy, queued, sent) = (0, VecDeque::new(), Vec::new());
+        let (busy, queued, received_requests) = (0, VecDeque::new(), Vec::new());
         self.endpoint_processes.push(EndpointProcess {
             started_at,
             speed,
             busy,
             queued,
-            sent,
-            served: 0.0,
+            received_requests,
+            served_work: 0.0,
         });
         self.process_by_endpoint
             .insert(id, self.endpoint_processes.len() - 1);
@@ -75,7 +75,7 @@
             let weight = if started_at > 0 {
                 1.0
             } else {
-                self.scenario.weight
+                self.scenario.warm_endpoint_weight
             };
             EndpointEntry {
                 started_at,
--- a/balancer/tests/outlier_detection.rs
+++ b/balancer/tests/outlier_detection.rs
@@ -146,14 +146,14 @@
 /// as a failure at all.
 #[test]
 fn occasional_broken_or_stale_connections_eject_no_endpoint() {
-    for (outcome, every) in [(Outcome::Reset, 12), (Outcome::Stale, 3)] {
+    for (outcome, failure_interval) in [(Outcome::Reset, 12), (Outcome::Stale, 3)] {
         let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
         let mut counts = [0; 5];
         for _ in 0..400 {
             let (request, actions) = proxy.request();
             let count = &mut counts[forwarded(&actions)[0].1 .0 as usize];
             *count += 1;
-            let attempt_outcome = if *count % every == 0 {
+            let attempt_outcome = if *count % failure_interval == 0 {
                 outcome
             } else {
                 Outcome::Served
@@ -177,7 +177,7 @@
 /// endpoint whose responses are mostly malformed must not attract requests by being fast.
 #[test]
 fn an_endpoint_is_ejected_for_many_malformed_responses_but_not_for_two_in_a_row() {
-    for (every, min_malformed, max_malformed) in [(10, 8, 400), (1, 1, 8)] {
+    for (malformed_interval, min_malformed, max_malformed) in [(10, 8, 400), (1, 1, 8)] {
         let mut proxy = Proxy::new(settings(Idempotency::NonIdempotent), 4);
         let (mut malformed_count, mut response_count) = (0, 0);
         for _ in 0..400 {
@@ -186,7 +186,7 @@
             if forwarded(&actions)[0].1 == EndpointId(1) {
                 response_count += 1;
                 // Two in a row, and then valid ones.
-                if response_count % (2 * every) < 2 {
+                if response_count % (2 * malformed_interval) < 2 {
                     (malformed_count, attempt_outcome) = (malformed_count + 1, Outcome::Unknown);
                 }
             }
@@ -195,7 +195,7 @@
         }
         assert!(
             (min_malformed..=max_malformed).contains(&malformed_count),
-            "one in {every}: {malformed_count} of {response_count} responses were malformed"
+            "one in {malformed_interval}: {malformed_count} of {response_count} responses were malformed"
         );
     }
 }
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn an_endpoint_that_rejects_gets_no_requests_for_a_typical_latency() {
+fn after_a_rejection_an_endpoint_gets_no_requests_for_the_duration_of_a_typical_response() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 2);
     for _ in 0..30 {
         proxy.serve_request(40 * MS);
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn a_rejecting_endpoint_gets_few_requests_even_if_they_arrive_slower_than_backoffs_end() {
+fn a_rejecting_endpoint_gets_less_than_its_part_even_if_backoffs_end_between_two_requests() {
     // One request arrives per second, so a backoff of fixed duration would have ended before most
     // of them, and a thousand such balancers would keep sending requests to the endpoint.
     let limits = Limits {
--- a/balancer/tests/poll_delays.rs
+++ b/balancer/tests/poll_delays.rs
@@ -96,7 +96,7 @@
 /// notification deadline, as the other half is for detecting that a poll timed out and for a
 /// response. The load of discovery is modelled in `models/discovery.rs`.
 #[test]
-fn very_many_balancers_spread_their_polls_over_the_available_time() {
+fn a_hundred_balancers_spread_their_polls_over_half_of_the_notification_deadline() {
     let discovery = settings(Idempotency::Idempotent).discovery;
     let max_delay = discovery.notification_deadline / 2;
     let delays_of_many: Vec<_> = (0..100)
@@ -162,7 +162,7 @@
 /// A balancer counts as notified of a change 6 s after it, of which 2.5 s pass before a silent
 /// watch is detected.
 #[test]
-fn a_lost_watch_is_reopened_soon_but_not_immediately() {
+fn a_lost_watch_is_reopened_within_a_32nd_of_the_poll_interval_but_not_immediately() {
     for balancer_count in [5, 100] {
         let mut proxy = Proxy::new(
             Settings {
--- a/balancer/tests/selection.rs
+++ b/balancer/tests/selection.rs
@@ -27,7 +27,7 @@
 /// Returns how many were forwarded to endpoint 2.
 fn requests_to_endpoint_2(
     entries: Vec<EndpointEntry>,
-    end: impl Fn(EndpointId) -> (Outcome, Micros),
+    outcome_at: impl Fn(EndpointId) -> (Outcome, Micros),
 ) -> usize {
     let limits = Limits {
         max_attempts: 1,
@@ -52,7 +52,7 @@
             continue;
         };
         to_endpoint_2 += usize::from(endpoint == EndpointId(2));
-        let (outcome, elapsed) = end(endpoint);
+        let (outcome, elapsed) = outcome_at(endpoint);
         proxy.now += elapsed;
         proxy.end_attempt(request, 0, outcome, elapsed);
     }
@@ -62,7 +62,7 @@
 #[test]
 fn ties_go_to_the_endpoint_with_less_recent_busy_time() {
     let both_ready = || vec![ready(1), ready(2)];
-    let slow_first = |endpoint| {
+    let slow_endpoint_1 = |endpoint| {
         (
             Outcome::Served,
             if endpoint == EndpointId(1) {
@@ -73,7 +73,7 @@
         )
     };
     assert!(
-        requests_to_endpoint_2(both_ready(), slow_first) > 300,
+        requests_to_endpoint_2(both_ready(), slow_endpoint_1) > 300,
         "endpoint 2 is five times as fast and should get five of six requests"
     );
     let to_endpoint_2 = requests_to_endpoint_2(both_ready(), |_| (Outcome::Served, 40 * MS));
@@ -114,14 +114,14 @@
         (180..=220).contains(&to_endpoint_2),
         "invalid weights should count as equal: {to_endpoint_2} of 400 requests"
     );
-    let rejects_at_first = |endpoint| {
+    let rejecting_endpoint_1 = |endpoint| {
         if endpoint == EndpointId(1) {
             (Outcome::Rejected, MS)
         } else {
             (Outcome::Served, 40 * MS)
         }
     };
-    let to_serving = requests_to_endpoint_2(both_ready(), rejects_at_first);
+    let to_serving = requests_to_endpoint_2(both_ready(), rejecting_endpoint_1);
     assert!(
         to_serving > 300,
         "fast rejections attracted requests: only {to_serving} of 400 went to the other endpoint"
--- a/balancer/tests/shared_limit.rs
+++ b/balancer/tests/shared_limit.rs
@@ -9,13 +9,13 @@
 fn one_overload_at_most_halves_the_shared_limit() {
     let mut proxy = one_of_100_balancers();
     raise_shared_limit(&mut proxy);
-    let out = request_burst(&mut proxy, 40);
-    let before = out.len();
+    let in_flight = request_burst(&mut proxy, 40);
+    let before = in_flight.len();
     assert!(
         before >= 30,
         "the limit of a busy balancer does not grow to its load: {before} requests"
     );
-    serve_forwarded(&mut proxy, out, 400 * MS);
+    serve_forwarded(&mut proxy, in_flight, 400 * MS);
     proxy.advance(300 * MS);
     let after = request_burst(&mut proxy, 40).len();
     assert!(
@@ -74,15 +74,15 @@
     let mut proxy = one_of_100_balancers();
     raise_shared_limit(&mut proxy);
     // Half of the endpoints drain, which the endpoint list does not show yet.
-    let out: Vec<(RequestId, EndpointId)> = (0..40)
+    let in_flight: Vec<(RequestId, EndpointId)> = (0..40)
         .flat_map(|_| forwarded(&proxy.request().1))
         .collect();
-    let before = out.len();
-    let mut out: Vec<(RequestId, u32, EndpointId)> = out
+    let before = in_flight.len();
+    let mut in_flight: Vec<(RequestId, u32, EndpointId)> = in_flight
         .into_iter()
         .map(|(request, to)| (request, 0, to))
         .collect();
-    while let Some((request, attempt, to)) = out.pop() {
+    while let Some((request, attempt, to)) = in_flight.pop() {
         let outcome = if to.0 <= 30 {
             Outcome::Rejected
         } else {
@@ -90,7 +90,7 @@
         };
         proxy.now += MS;
         let next = forwarded(&proxy.end_attempt(request, attempt, outcome, MS));
-        out.extend(
+        in_flight.extend(
             next.iter()
                 .map(|(id, to)| (*id, if *id == request { attempt + 1 } else { 0 }, *to)),
         );
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_few_late_responses_do_not_cut_the_shared_limit() {
+fn six_late_responses_of_forty_do_not_cut_the_shared_limit() {
     let mut proxy = one_of_100_balancers();
     raise_shared_limit(&mut proxy);
     let before = request_burst(&mut proxy, 40);
@@ -135,16 +135,16 @@
 #[test]
 fn a_new_balancer_starts_with_a_small_burst_and_doubles_it_within_two_seconds() {
     let mut proxy = one_of_300_balancers(500 * MS);
-    let out = request_burst(&mut proxy, 40);
-    let first = out.len();
+    let in_flight = request_burst(&mut proxy, 40);
+    let first = in_flight.len();
     assert!(
         (2..=4).contains(&first),
         "{first} requests are forwarded at the same time"
     );
-    serve_forwarded(&mut proxy, out, 40 * MS);
+    serve_forwarded(&mut proxy, in_flight, 40 * MS);
     for _ in 0..10 {
-        let out = request_burst(&mut proxy, 40);
-        serve_forwarded(&mut proxy, out, 40 * MS);
+        let in_flight = request_burst(&mut proxy, 40);
+        serve_forwarded(&mut proxy, in_flight, 40 * MS);
         proxy.advance(100 * MS);
     }
     let later = request_burst(&mut proxy, 40).len();
@@ -160,20 +160,20 @@
 fn a_balancer_with_few_requests_cuts_its_limit_within_two_seconds_of_an_overload() {
     let mut proxy = one_of_300_balancers(500 * MS);
     raise_shared_limit(&mut proxy);
-    let out = request_burst(&mut proxy, 40);
-    let before = out.len();
-    serve_forwarded(&mut proxy, out, 40 * MS);
+    let in_flight = request_burst(&mut proxy, 40);
+    let before = in_flight.len();
+    serve_forwarded(&mut proxy, in_flight, 40 * MS);
     proxy.advance(300 * MS);
-    let mut out = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     for _ in 0..14 {
-        out.extend(request_burst(&mut proxy, 1));
+        in_flight.extend(request_burst(&mut proxy, 1));
         proxy.now += 100 * MS;
-        if out.len() == 2 {
-            let oldest = out.pop_front().expect("two requests are in flight");
+        if in_flight.len() == 2 {
+            let oldest = in_flight.pop_front().expect("two requests are in flight");
             proxy.end_attempt(oldest, 0, Outcome::Served, 200 * MS);
         }
     }
-    serve_forwarded(&mut proxy, out.into(), 100 * MS);
+    serve_forwarded(&mut proxy, in_flight.into(), 100 * MS);
     proxy.advance(300 * MS);
     let after = request_burst(&mut proxy, 40).len();
     assert!(
@@ -187,10 +187,10 @@
 #[test]
 fn a_tight_latency_objective_does_not_make_busy_endpoints_look_overloaded() {
     let mut proxy = one_of_300_balancers(100 * MS);
-    let alone = |request: u64| (35 + 5 * (request % 5)) * MS;
-    serve_stream(&mut proxy, 1_000, alone);
-    let busy = |request: u64| (50 + 5 * (request % 5)) * MS;
-    let forwarded_count = serve_stream(&mut proxy, 1_000, busy);
+    let idle_response_time = |request: u64| (35 + 5 * (request % 5)) * MS;
+    serve_stream(&mut proxy, 1_000, idle_response_time);
+    let busy_response_time = |request: u64| (50 + 5 * (request % 5)) * MS;
+    let forwarded_count = serve_stream(&mut proxy, 1_000, busy_response_time);
     assert!(
         forwarded_count > 900,
         "only {forwarded_count} of 1000 requests were forwarded"
@@ -199,12 +199,12 @@
 
 /// A few timeouts concern single endpoints that send no response, and not the load of the others.
 #[test]
-fn a_few_timeouts_do_not_cut_the_shared_limit() {
+fn four_timeouts_of_forty_requests_do_not_cut_the_shared_limit() {
     let mut proxy = one_of_100_balancers();
     raise_shared_limit(&mut proxy);
-    let out = request_burst(&mut proxy, 40);
-    let before = out.len();
-    let (lost, rest) = out.split_at(4);
+    let in_flight = request_burst(&mut proxy, 40);
+    let before = in_flight.len();
+    let (lost, rest) = in_flight.split_at(4);
     serve_forwarded(&mut proxy, rest.to_vec(), 40 * MS);
     proxy.now += 1_100 * MS;
     for &request in lost {
@@ -228,25 +228,25 @@
         },
         20,
     );
-    let out: Vec<RequestId> = (0..4).map(|_| proxy.request().0).collect();
+    let in_flight: Vec<RequestId> = (0..4).map(|_| proxy.request().0).collect();
     assert_eq!(
         forwarded(&proxy.actions).len(),
         4,
         "expected a burst of three requests and one trial"
     );
-    (proxy, out)
+    (proxy, in_flight)
 }
 
 #[test]
 fn a_shared_limit_bounds_requests_to_all_endpoints_and_allows_one_trial_at_a_time() {
-    let (mut proxy, out) = one_of_1000_balancers();
+    let (mut proxy, in_flight) = one_of_1000_balancers();
     let (queued, actions) = proxy.request();
     assert!(
         forwarded(&actions).is_empty(),
         "a request to an idle endpoint exceeds the shared limit while a trial is in flight"
     );
     proxy.now += 50 * MS;
-    let actions = proxy.end_attempt(out[3], 0, Outcome::Served, 50 * MS);
+    let actions = proxy.end_attempt(in_flight[3], 0, Outcome::Served, 50 * MS);
     assert_eq!(
         forwarded(&actions).first().map(|&(request, _)| request),
         Some(queued),
@@ -256,13 +256,13 @@
 
 #[test]
 fn a_failed_trial_of_the_shared_limit_backs_off_from_all_endpoints() {
-    let (mut proxy, out) = one_of_1000_balancers();
+    let (mut proxy, in_flight) = one_of_1000_balancers();
     proxy.now += 400 * MS;
-    let actions = proxy.end_attempt(out[3], 0, Outcome::TimedOut, 400 * MS);
+    let actions = proxy.end_attempt(in_flight[3], 0, Outcome::TimedOut, 400 * MS);
     assert!(
         forwarded(&actions)
             .iter()
-            .all(|(request, _)| *request == out[3]),
+            .all(|(request, _)| *request == in_flight[3]),
         "a request other than the trial's own retry is forwarded"
     );
     assert!(
--- a/balancer/tests/slow_start_fleet.rs
+++ b/balancer/tests/slow_start_fleet.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_new_endpoint_that_all_balancers_learn_of_at_the_same_time_is_not_overloaded() {
+fn a_new_endpoint_that_all_balancers_are_notified_of_at_the_same_time_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
         notified_by_full_list: true,
         notification_spread: 1,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_new_endpoint_that_balancers_learn_of_over_two_seconds_is_not_overloaded() {
+fn a_new_endpoint_that_balancers_are_notified_of_over_two_seconds_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
         notification_spread: 2 * SECOND,
         ..BURST
@@ -128,7 +128,7 @@
 #[test]
 fn a_new_endpoint_with_a_long_queue_is_not_overloaded() {
     assert_safe_slow_start(Scenario {
-        queued: 40,
+        max_queued: 40,
         ..BURST
     });
 }
@@ -149,7 +149,7 @@
 /// endpoints inside, they would all use it on that endpoint at the same time.
 #[test]
 fn balancers_whose_subsets_grow_in_a_burst_overload_no_slow_new_endpoint() {
-    for (seed, weight, queued) in [
+    for (seed, warm_endpoint_weight, max_queued) in [
         (1, 1.0, 40),
         (2, 1.0, 40),
         (1, 1.0, 3),
@@ -162,12 +162,12 @@
             warm_count: 54,
             new_count: 6,
             reuses_ids: true,
-            weight,
-            queued,
+            warm_endpoint_weight,
+            max_queued,
             ..BURST
         };
         let slow_endpoints = Scenario {
-            speed: 0.7,
+            new_endpoint_speed: 0.7,
             end_at: NEW_ENDPOINTS_START + 4 * SECOND,
             ..many_endpoints
         };
@@ -175,17 +175,17 @@
             .run()
             .peak_load_and_utilization();
         println!(
-            "weight {weight}, queue of {queued}, seed {seed}: \
+            "weight {warm_endpoint_weight}, queue of {max_queued}, seed {seed}: \
              load {peak_load:.2}, {utilization:.2} of capacity"
         );
         assert!(
             peak_load <= 1.0,
-            "weight {weight}, queue of {queued}, seed {seed}: \
+            "weight {warm_endpoint_weight}, queue of {max_queued}, seed {seed}: \
              {peak_load:.2} of the load that overloads a new endpoint"
         );
         assert!(
             utilization >= 0.3,
-            "weight {weight}, queue of {queued}, seed {seed}: \
+            "weight {warm_endpoint_weight}, queue of {max_queued}, seed {seed}: \
              only {utilization:.2} of the new endpoints' capacity used"
         );
     }
--- a/balancer/tests/timeouts.rs
+++ b/balancer/tests/timeouts.rs
@@ -133,7 +133,7 @@
 /// A quarter of the endpoints do not respond. Of the requests of all balancers together, only a
 /// small part may be sent to them as trials.
 #[test]
-fn all_balancers_together_send_few_requests_to_endpoints_that_do_not_respond() {
+fn less_than_a_twentieth_of_all_requests_go_to_endpoints_that_do_not_respond() {
     let (mut timed_out, mut all) = (0, 0);
     for balancer_index in 0..100 {
         let mut proxy = proxy_with_peers(100, balancer_index, 60);
