--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Ends a request's first attempt, after which no other is needed whatever the outcome.
+    /// Ends a request's first attempt and reports the request as finished, so that the balancer
+    /// does not retry it whatever the outcome.
     pub(crate) fn end_only_attempt(
         &mut self,
         request: RequestId,
@@ -199,7 +200,8 @@
         .any(|action| matches!(action, Action::Fail { request, .. } if *request == id))
 }
 
-/// The proxy of the balancer with this index among `balancer_count`, with this number of endpoints.
+/// Returns the proxy of the balancer with this index among `balancer_count`, with `endpoints` ready
+/// endpoints.
 pub(crate) fn proxy_with_peers(balancer_count: u32, balancer_index: u32, endpoints: u32) -> Proxy {
     let settings = Settings {
         balancer_count,
@@ -209,7 +211,8 @@
     Proxy::new(settings, endpoints)
 }
 
-/// The proxy of one of 100 balancers, with 60 endpoints, which have a shared limit.
+/// Returns the proxy of the first of 100 balancers, with 60 endpoints. With so many balancers the
+/// endpoints share one concurrency limit.
 pub(crate) fn one_of_100_balancers() -> Proxy {
     proxy_with_peers(100, 0, 60)
 }
--- a/balancer/tests/concurrency_limit.rs
+++ b/balancer/tests/concurrency_limit.rs
@@ -5,8 +5,8 @@
 use balancer::*;
 use common::*;
 
-/// Returns a proxy whose only endpoint has reached its initial limit, one request with seven
-/// balancers, and the request that is in flight there.
+/// Returns a proxy whose only endpoint is at its initial limit, and the request that is in flight
+/// there. With the seven balancers of `settings` the initial limit is one request.
 fn proxy_at_its_limit(idempotency: Idempotency) -> (Proxy, RequestId) {
     let mut proxy = Proxy::new(settings(idempotency), 1);
     let (first, actions) = proxy.request();
@@ -130,8 +130,8 @@
     assert_eq!(order[..], queued[..order.len()]);
 }
 
-/// Returns how many requests an endpoint is sent at the same time, the last of them as a trial,
-/// after seven earlier ones, of which one ended with `outcome` and the others were served.
+/// Ends one of seven requests with `outcome` and serves the other six. Then returns how many
+/// requests the endpoint is sent at the same time, including one as a trial.
 fn requests_sent_after(outcome: Outcome) -> usize {
     let limits = Limits {
         max_attempts: 1,
@@ -149,7 +149,7 @@
     assert_eq!(
         forwarded(&proxy.actions).len(),
         7,
-        "the initial limit of a single balancer"
+        "the initial limit of a single balancer should allow seven requests at the same time"
     );
     proxy.now += 5 * MS;
     proxy.end_attempt(requests[0], 0, outcome, 5 * MS);
@@ -239,8 +239,8 @@
     );
 }
 
-/// Serves requests in 40 ms with the given load report. Returns whether a second request at the
-/// same time is sent beyond the limit as a trial.
+/// Serves 40 requests one at a time, each in 40 ms and with the given load report. Returns whether
+/// a second request is then sent beyond the limit as a trial while the first is in flight.
 fn trial_follows(load: LoadReport) -> bool {
     let mut proxy = Proxy::new(
         Settings {
--- a/balancer/tests/endpoint_starts.rs
+++ b/balancer/tests/endpoint_starts.rs
@@ -134,7 +134,7 @@
 #[test]
 fn with_the_clock_behind_only_the_newest_endpoint_of_the_first_list_warms_up() {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 0);
-    // A balancer that has not received a list yet.
+    // `Proxy::new` delivers a list, so its balancer is replaced by one that has not received any.
     proxy.balancer = Balancer::new(7, settings(Idempotency::Idempotent));
     proxy.now += 2 * HOUR;
     let listed_start = |age: Micros| proxy.now + HOUR - age;
--- a/balancer/tests/hedging.rs
+++ b/balancer/tests/hedging.rs
@@ -1,4 +1,5 @@
-//! Hedged requests.
+//! Tests of hedging: which requests are hedged, that the slower attempt is cancelled, and that
+//! hedging leaves retry budget for failed attempts.
 
 mod common;
 use balancer::*;
--- a/balancer/tests/list_polling.rs
+++ b/balancer/tests/list_polling.rs
@@ -1,7 +1,8 @@
-//! Tests of how soon the endpoint list is polled again: however polls fail, a balancer counts as
-//! notified of a change 6 s after discovery had it and could be reached. The tests with very many
-//! balancers use a model of discovery with a fixed capacity: polls are queued, and one that has
-//! waited too long is rejected, which may cost as much of the capacity as a response.
+//! Tests of the time until the endpoint list is polled again. A balancer counts as notified of a
+//! change 6 s after discovery has received it and is reachable, so the balancer must have polled
+//! the list by then, however earlier polls failed. The tests with 300 balancers use a model of
+//! discovery with a fixed capacity: polls are queued, and one that has waited for longer than
+//! `QUEUE_TIMEOUT` is rejected, which may cost as much of the capacity as a response.
 
 mod common;
 #[path = "models/discovery.rs"]
@@ -11,8 +12,9 @@
 use common::*;
 use model::*;
 
-/// Runs one balancer: its watch is lost at `lost`, or it starts with a cached list if that is
-/// `None`; then each poll fails after the given time. Returns when each poll started.
+/// Runs one balancer whose watch is lost at `watch_lost_at` or, if that is `None`, which starts
+/// with a cached list. Poll number `i` fails after `failure_times[i]`. Returns when each poll
+/// started, including the one after the last failure.
 fn poll_start_times(
     balancer: &mut Balancer,
     watch_lost_at: Option<Micros>,
@@ -63,9 +65,10 @@
 /// a response.
 const FAILURE_TIMES: [Micros; 3] = [0, QUEUE_TIMEOUT, RESPONSE_TIMEOUT];
 
-/// Discovery may become reachable at any time, and a poll that starts after that delivers its
-/// changes. A poll that is in flight at that time takes at most `RESPONSE_TIMEOUT` to fail, so the
-/// sum of that, the delay of the next poll and its response time must not exceed the deadline.
+/// Discovery may become reachable at any time, and polls that start later succeed. A poll that is
+/// in flight when discovery becomes reachable may still take `RESPONSE_TIMEOUT` to fail. So
+/// `RESPONSE_TIMEOUT`, the delay until the next poll and `RESPONSE_TIME_ALLOWANCE` together must
+/// not exceed `NOTIFICATION_DEADLINE`.
 #[test]
 fn after_any_sequence_of_failed_polls_the_next_poll_starts_in_time() {
     for (balancer_count, balancer_index) in [
@@ -90,9 +93,9 @@
                     let sum = RESPONSE_TIMEOUT + delay + RESPONSE_TIME_ALLOWANCE;
                     assert!(
                         sum <= NOTIFICATION_DEADLINE,
-                        "{balancer_count} balancers: {sum} us after poll {poll} \
-                         of {failure_times:?}, \
-                         watch lost at {watch_lost_at:?}"
+                        "{balancer_count} balancers: the timeout, the delay after poll {poll} and \
+                         the response time are {sum} us, allowed {NOTIFICATION_DEADLINE}; \
+                         failure times {failure_times:?}, watch lost at {watch_lost_at:?}"
                     );
                 }
             }
@@ -101,8 +104,9 @@
 }
 
 /// A watch has been silent since time 0. After one poll that times out, one that is rejected after
-/// it was queued, or any number that are rejected immediately, another poll must still be in time.
-/// The same applies after a new configuration, with its shorter deadline.
+/// it was queued, or any number that are rejected immediately, another poll must start early enough
+/// for its response to arrive by the notification deadline. The deadline is shorter after a new
+/// configuration.
 #[test]
 fn changes_since_a_watch_was_lost_are_polled_before_the_notification_deadline() {
     let failure_sequences: [&[Micros]; 4] = [&[], &[QUEUE_TIMEOUT], &[RESPONSE_TIMEOUT], &[0; 40]];
@@ -122,9 +126,9 @@
                 let last = started_at
                     .iter()
                     .rfind(|started_at| **started_at + RESPONSE_TIME_ALLOWANCE <= deadline)
-                    .expect("no poll starts in time");
-                // With polls that are rejected immediately, the last one in time starts as late as
-                // possible.
+                    .expect("no poll starts early enough for its response to meet the deadline");
+                // With polls that are rejected immediately, the last one before the deadline starts
+                // as late as possible.
                 assert!(
                     failure_times.len() < 40 || *last >= watch_lost_at + 2_750 * MS,
                     "{balancer_count} balancers: {started_at:?}"
@@ -139,7 +143,8 @@
 }
 
 /// Two watches in a row break right after they were opened, and then one poll may fail in any way.
-/// The list was current until the second watch broke; later changes must be polled in time.
+/// The list was current until the second watch broke; later changes must be polled early enough for
+/// the response to arrive by the notification deadline.
 #[test]
 fn changes_since_two_flapping_watches_are_polled_before_the_notification_deadline() {
     for (balancer_count, balancer_index) in
@@ -210,8 +215,9 @@
     }
 }
 
-/// If discovery has enough capacity to answer all polls in time, all balancers must be notified in
-/// time. If its capacity is far too low, failed polls must not keep it from answering others.
+/// If discovery has enough capacity to answer all polls before they time out, all balancers must be
+/// notified by the deadline. With a third of that capacity, polls that fail must not keep discovery
+/// from answering others: all balancers must be notified within 20 s.
 #[test]
 fn all_of_300_balancers_that_lose_their_watches_together_are_notified_in_time() {
     for (noticed_at, deadline) in [
@@ -270,7 +276,7 @@
 }
 
 /// While discovery is unreachable no balancer can be notified. When it recovers, all must get its
-/// changes in time, whatever the state of their backoff.
+/// changes by the notification deadline, whatever the state of their backoff.
 #[test]
 fn all_of_300_balancers_are_notified_in_time_after_discovery_recovers() {
     for (availability, rejection_cost) in [
--- a/balancer/tests/models/discovery.rs
+++ b/balancer/tests/models/discovery.rs
@@ -9,12 +9,14 @@
 pub(crate) const RESPONSE_TIMEOUT: Micros = 2_500 * MS;
 /// Time that a poll may be queued at discovery before it is rejected.
 pub(crate) const QUEUE_TIMEOUT: Micros = 2 * SECOND;
-/// Time after which a balancer counts as notified of a change. The drain grace, which is added to
-/// it, leaves time for the response of an idle discovery.
+/// Time after which a balancer counts as notified of a change. The model answers a poll without
+/// delay when discovery is idle; the time that a real response takes is covered by the drain grace,
+/// in which draining endpoints may still be sent requests after the deadline.
 pub(crate) const NOTIFICATION_DEADLINE: Micros = 6 * SECOND;
 /// Notification deadline after a new configuration.
 pub(crate) const NOTIFICATION_DEADLINE_AFTER_RECONFIGURATION: Micros = 4 * SECOND;
-/// Time allowed for a connection, the head and the first object of a response together.
+/// Time allowed for opening a connection and for receiving the head of the response and the
+/// endpoint list that follows it.
 pub(crate) const RESPONSE_TIME_ALLOWANCE: Micros = 500 * MS;
 pub(crate) const MANY_BALANCERS: u32 = 300;
 
@@ -209,6 +211,8 @@
     /// Kills all proxies and restarts them with a cached list.
     pub(crate) fn restart(&mut self) {
         for (proxy_index, balancer_index) in (0..).zip(0..self.proxies.len() as u32) {
+            // The seed is derived from the index, so a new process gets an index beyond those of
+            // the old ones, to draw other random numbers.
             self.proxies[proxy_index].balancer =
                 polling_balancer(MANY_BALANCERS, balancer_index + MANY_BALANCERS);
             self.handle_event(proxy_index, Event::Start);
@@ -251,7 +255,8 @@
     }
 }
 
-/// Creates very many proxies that all detect at the same time that their watches are lost.
+/// Creates `MANY_BALANCERS` proxies that all detect at `loss_noticed_at` that their watches are
+/// lost. With `Micros::MAX` they keep their watches.
 pub(crate) fn fleet_losing_watches_at(
     loss_noticed_at: Micros,
     capacity: u64,
--- a/balancer/tests/models/outage/attempts.rs
+++ b/balancer/tests/models/outage/attempts.rs
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Ends a client's attempt: unless it was served, the client may retry.
+    /// Ends a request to a balancer. Unless it was served, its client may send the user's request
+    /// again.
     pub(super) fn end_request(&mut self, balancer: usize, id: u64, served: bool) {
         let Some(request) = self.requests.remove(&(balancer, id)) else {
             return;
--- a/balancer/tests/models/outage/endpoint.rs
+++ b/balancer/tests/models/outage/endpoint.rs
@@ -1,5 +1,5 @@
-//! An endpoint of the model: it queues requests, and slows down after it was overloaded for some
-//! time.
+//! An endpoint of the model: it queues requests, and may slow down after it was overloaded for
+//! `OVERLOAD_DURATION`.
 
 use super::*;
 use std::collections::VecDeque;
@@ -30,7 +30,7 @@
         self.executing.len() + self.queued.len()
     }
 
-    /// Work that each attempt in execution gets done per microsecond.
+    /// Returns the work that the endpoint does per microsecond for each attempt that it executes.
     pub(super) fn rate(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.started_at);
         let warms_up = self.started_at != 0 && age < SLOW_START_DURATION;
--- a/balancer/tests/models/outage/mod.rs
+++ b/balancer/tests/models/outage/mod.rs
@@ -56,7 +56,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ModelEvent {
-    /// A client sends a request or retries.
+    /// A client sends a user's request, for the first time or again.
     ClientRequest(usize),
     /// An attempt reaches its endpoint.
     Arrival(AttemptKey),
@@ -64,9 +64,10 @@
     Response(AttemptKey, Outcome),
     /// The client of an attempt stops waiting.
     Deadline(AttemptKey),
-    /// Work may be done at an endpoint. Ignored unless it is the latest one scheduled there.
+    /// Attempts may have been completed at an endpoint. The event is ignored if a later one has
+    /// been scheduled for the endpoint.
     Work(usize, u64),
-    /// A balancer's timer fires. Ignored unless it is the latest one that the balancer set.
+    /// A balancer's timer fires. The event is ignored if the balancer has set its timer again.
     Timer(usize, u64),
     Partition(bool),
     LoseZone,
@@ -74,14 +75,18 @@
     ZoneReturns,
 }
 
+/// A request of a user. Its client sends it to the balancer again, as another `Request`, if it was
+/// not served.
 struct UserRequest {
     balancer: usize,
     class: usize,
     sent_at: Micros,
+    /// Number of its `Request`s that have ended.
     tries: u32,
     has_ended: bool,
 }
 
+/// A request as the balancer sees it: one try of a client to have a user's request served.
 struct Request {
     user_request: usize,
     /// When its client stops waiting.
--- a/balancer/tests/models/outage/setup.rs
+++ b/balancer/tests/models/outage/setup.rs
@@ -105,9 +105,9 @@
         }
     }
 
-    /// Schedules the client requests. Some balancers get several times the mean load; the load of
-    /// all falls by a third until the end. `capacity` is the part of the endpoints' capacity that
-    /// is used at the start.
+    /// Schedules the client requests. Some balancers get several times the mean load. The total
+    /// load is `initial_load` at the start, in work per microsecond, and falls by a third until the
+    /// end.
     fn add_load(&mut self, balancers: usize, initial_load: f64) {
         let shares: Vec<f64> = (0..balancers)
             .map(|_| 0.3 - self.random_unit().ln())
--- a/balancer/tests/models/slow_start_fleet/load.rs
+++ b/balancer/tests/models/slow_start_fleet/load.rs
@@ -27,7 +27,9 @@
                     window_work -= received[window_start].1;
                     window_start += 1;
                 }
-                // Its capacity at the start of the window, where it is lowest.
+                // The endpoint's capacity at the start of the window, where it is lowest. The
+                // tolerance in `peak_load` is for requests that balancers send independently of
+                // each other, whose number varies by about its square root.
                 let warm_up_fraction = warm_up(
                     process.started_at,
                     at.saturating_sub(OVERLOAD_WINDOW).max(process.started_at),
--- a/balancer/tests/models/slow_start_fleet/mod.rs
+++ b/balancer/tests/models/slow_start_fleet/mod.rs
@@ -28,8 +28,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Restart {
     No,
-    /// Each balancer is killed twice during slow start; its next process knows nothing but the
-    /// endpoint list.
+    /// Each balancer is killed twice during slow start; its next process starts with the endpoint
+    /// list and without any other state.
     Killed,
     /// The old process of each balancer takes requests together with the new one for two seconds.
     Upgraded,
@@ -119,6 +119,7 @@
     /// For each request: when it arrived, its work relative to the mean, and whether its sender had
     /// been notified of the new endpoints.
     received_requests: Vec<(Micros, f64, bool)>,
+    /// Work of the attempts that were started, relative to the mean. Nothing reads it.
     served_work: f64,
 }
 
--- a/balancer/tests/outage_recovery.rs
+++ b/balancer/tests/outage_recovery.rs
@@ -1,8 +1,9 @@
 //! Tests of the recovery from outages with a model of many balancers and endpoints in virtual time,
-//! reproducible by its seed. Endpoints queue requests, reject them when they are full, and stay
-//! slow for long after they were overloaded for some seconds. One zone is lost and its endpoints
-//! return with a slow start, while another zone is partitioned; clients retry requests that were
-//! not served. The tests measure the fraction of requests that are served within their objective.
+//! reproducible by its seed. Endpoints queue requests and reject them when they are full. After an
+//! overload of 1.7 s some endpoints are three times slower, until their load has been low for 4 s.
+//! One zone is lost and its endpoints return with a slow start, while another zone is partitioned;
+//! clients retry requests that were not served. The tests measure the fraction of requests that are
+//! served within their objective.
 
 #[path = "models/outage/mod.rs"]
 mod model;
--- a/balancer/tests/outlier_detection.rs
+++ b/balancer/tests/outlier_detection.rs
@@ -195,7 +195,8 @@
         }
         assert!(
             (min_malformed..=max_malformed).contains(&malformed_count),
-            "one in {malformed_interval}: {malformed_count} of {response_count} responses were malformed"
+            "one in {malformed_interval}: {malformed_count} of {response_count} responses were \
+             malformed"
         );
     }
 }
@@ -248,7 +249,7 @@
     }
     let mut attempts_at_rejecting = 0;
     for _ in 0..20 {
-        // 20 requests of 2 ms each take 40 ms, one typical latency.
+        // 20 requests of 2 ms each take 40 ms, as long as a typical response.
         let (request, actions) = proxy.request();
         proxy.now += 2 * MS;
         proxy.end_attempts(request, &actions, 2 * MS, 0, |endpoint| {
--- a/balancer/tests/poll_delays.rs
+++ b/balancer/tests/poll_delays.rs
@@ -79,6 +79,8 @@
         discovery: polled_discovery(),
         ..settings(Idempotency::Idempotent)
     };
+    // `Proxy::new` gives each balancer the same seed, with which all delays would be the same. The
+    // balancer needs no endpoint list to poll.
     let mut proxy = one_of_100_balancers();
     proxy.balancer = Balancer::new(u64::from(balancer_index), settings);
     let delays = (0..4).map(|_| {
@@ -92,9 +94,9 @@
     delays.collect()
 }
 
-/// Very many balancers must spread their polls over the available time. This is half of the
-/// notification deadline, as the other half is for detecting that a poll timed out and for a
-/// response. The load of discovery is modelled in `models/discovery.rs`.
+/// So that discovery is not overloaded, 100 balancers must spread their polls over the available
+/// time, which is half of the notification deadline. The other half is needed to detect that a poll
+/// has timed out and to receive a response. `models/discovery.rs` models the load of discovery.
 #[test]
 fn a_hundred_balancers_spread_their_polls_over_half_of_the_notification_deadline() {
     let discovery = settings(Idempotency::Idempotent).discovery;
@@ -149,7 +151,7 @@
     let delays_of_few = poll_delays(5, 0);
     assert!(
         delays_of_few[0] < discovery.max_poll_interval / 16,
-        "few balancers don't overload discovery and must poll again soon: {delays_of_few:?}"
+        "five balancers do not poll again within 1/16 of the interval: {delays_of_few:?}"
     );
     assert!(
         delays_of_few
@@ -159,8 +161,9 @@
     );
 }
 
-/// A balancer counts as notified of a change 6 s after it, of which 2.5 s pass before a silent
-/// watch is detected.
+/// A balancer counts as notified 6 s after a change. Detecting that a watch is silent takes 2.5 s
+/// of them, so the watch must be reopened within 1/32 of `max_poll_interval`. It must not be
+/// reopened immediately, as many balancers may lose their watches at the same time.
 #[test]
 fn a_lost_watch_is_reopened_within_a_32nd_of_the_poll_interval_but_not_immediately() {
     for balancer_count in [5, 100] {
@@ -185,7 +188,8 @@
             while !proxy.advance(10 * MS).contains(&Action::Subscribe) {
                 assert!(
                     proxy.now < lost_at + max_poll_interval / 32,
-                    "{balancer_count} balancers: the watch is not reopened soon"
+                    "{balancer_count} balancers: the watch is not reopened within {} us",
+                    max_poll_interval / 32
                 );
             }
             proxy.update_list(ListUpdate::Full, (1..=60).map(ready).collect());
--- a/balancer/tests/random_sequences.rs
+++ b/balancer/tests/random_sequences.rs
@@ -1,6 +1,6 @@
 //! Long random sequences of valid events. Every action is checked: requests are sent only to ready
-//! endpoints and no more often than allowed, may be executed twice only where that is harmless, and
-//! end exactly once.
+//! endpoints and no more often than allowed, are retried after they may have been executed only if
+//! their idempotency allows it, and end exactly once.
 
 mod common;
 use balancer::*;
@@ -37,6 +37,7 @@
 
 /// A random sequence of events, with the state that its actions are checked against.
 struct Sequence {
+    seed: u64,
     random: Pcg32,
     proxy: Proxy,
     classes: Vec<Class>,
@@ -83,6 +84,7 @@
             DiscoveryMode::Push
         };
         Sequence {
+            seed,
             random,
             classes: settings.classes.clone(),
             hedging: settings.limits.hedging,
@@ -250,14 +252,17 @@
                         .expect("a request that arrived");
                     assert!(
                         !std::mem::replace(&mut record.ended, true),
-                        "failed after its end"
+                        "seed {}: {request:?} failed after it had ended",
+                        self.seed
                     );
                 }
                 Action::CancelAttempt { request, attempt } => {
                     let count = self.requests[&request].attempts.len();
                     assert!(
                         (attempt as usize) < count,
-                        "cancelled an attempt that does not exist"
+                        "seed {}: attempt {attempt} of {request:?} was cancelled, but there are \
+                         only {count}",
+                        self.seed
                     );
                 }
                 _ => {}
@@ -267,19 +272,24 @@
 
     fn check_attempt(&mut self, id: RequestId, endpoint: EndpointId) {
         let request = self.requests.get_mut(&id).expect("a request that arrived");
-        assert!(!request.ended, "forwarded after its end");
+        let seed = self.seed;
+        assert!(
+            !request.ended,
+            "seed {seed}: {id:?} was forwarded after it had ended"
+        );
         assert!(
             self.ever_listed.contains(&endpoint) && self.list[&endpoint] == EndpointState::Ready,
-            "forwarded to an endpoint that is not ready"
+            "seed {seed}: {id:?} was forwarded to {endpoint:?}, which is not ready"
         );
         assert!(
             request.attempts.len() < MAX_ATTEMPTS as usize,
-            "more attempts than allowed"
+            "seed {seed}: {id:?} had more than {MAX_ATTEMPTS} attempts"
         );
         let in_flight = request.in_flight().len();
         assert!(
             in_flight == 0 || self.hedging && in_flight == 1,
-            "more attempts in flight than allowed: {in_flight}"
+            "seed {seed}: {id:?} was forwarded with {in_flight} attempts in flight, hedging: {}",
+            self.hedging
         );
         let may_have_been_executed = |attempt: &&AttemptRecord| {
             attempt
@@ -288,16 +298,21 @@
         };
         let first = request.attempts.iter().find(may_have_been_executed);
         match (self.classes[request.class].idempotency, first) {
-            (Idempotency::NonIdempotent, Some(_)) => panic!("a non-idempotent request was retried"),
+            (Idempotency::NonIdempotent, Some(_)) => panic!(
+                "seed {seed}: {id:?} is not idempotent and was retried although it may have been \
+                 executed"
+            ),
             (Idempotency::Keyed { scope, window }, Some(first)) => {
                 let is_same_cell = first.endpoint.0 % 2 == endpoint.0 % 2;
                 assert!(
                     scope == DeduplicationScope::All || is_same_cell,
-                    "retried outside its cell"
+                    "seed {seed}: {id:?} was retried outside its cell"
                 );
                 assert!(
                     self.proxy.now <= first.sent_at + window,
-                    "retried after its deduplication window"
+                    "seed {seed}: {id:?} was retried {} us after the first attempt that may have \
+                     been executed, allowed {window}",
+                    self.proxy.now - first.sent_at
                 );
             }
             _ => {}
@@ -313,7 +328,8 @@
         let request = self.requests.get_mut(&id).expect("a request that arrived");
         assert!(
             !std::mem::replace(&mut request.ended, true),
-            "rejected after its end"
+            "seed {}: {id:?} was rejected after it had ended",
+            self.seed
         );
         let mut attempts = request.attempts.iter();
         let never_executed =
@@ -328,7 +344,9 @@
         );
         assert!(
             never_executed || is_repeatable,
-            "rejected although it may have been executed and must not be repeated"
+            "seed {}: {id:?} was rejected although it may have been executed and must not be \
+             repeated",
+            self.seed
         );
     }
 }
--- a/balancer/tests/request_outcomes.rs
+++ b/balancer/tests/request_outcomes.rs
@@ -1,5 +1,6 @@
-//! Each request gets its reply in time, none is executed twice, none is sent to an endpoint that is
-//! draining or removed, and the time in the queue and the number of timers are bounded.
+//! Tests that each request gets its reply by its deadline, that none is executed twice, that none
+//! is sent to an endpoint that is draining or removed, and that the time in the queue and the
+//! number of timers are bounded.
 
 mod common;
 use balancer::*;
@@ -231,6 +232,7 @@
                 scope,
                 window: 100 * MS,
             },
+            // 30 ms of the window have passed, and the clock's resolution of 1 ms is subtracted.
             Some(70 * MS - 1_000),
         ),
     ];
--- a/balancer/tests/selection.rs
+++ b/balancer/tests/selection.rs
@@ -1,4 +1,5 @@
-//! Selection of the endpoint for a request, and of the subset of endpoints that a balancer uses.
+//! Tests of the selection of the endpoint for a request, and of the subset of endpoints that a
+//! balancer uses.
 
 mod common;
 use balancer::*;
@@ -23,8 +24,8 @@
     assert_eq!(load[&EndpointId(2)], 5);
 }
 
-/// Sends 400 requests one at a time, which `end` gives an outcome and a duration by their endpoint.
-/// Returns how many were forwarded to endpoint 2.
+/// Sends 400 requests one at a time. `outcome_at` returns the outcome and the duration of a request
+/// at an endpoint. Returns how many were forwarded to endpoint 2.
 fn requests_to_endpoint_2(
     entries: Vec<EndpointEntry>,
     outcome_at: impl Fn(EndpointId) -> (Outcome, Micros),
--- a/balancer/tests/shared_limit.rs
+++ b/balancer/tests/shared_limit.rs
@@ -1,5 +1,6 @@
-//! Tests of the concurrency limit that all endpoints share if there are very many balancers, most
-//! of which forward few requests and some many.
+//! Tests of the concurrency limit that all endpoints share if there are so many balancers that the
+//! part of an endpoint's limit for each would be below one request. The tests use 100 to 1000
+//! balancers.
 
 mod common;
 use balancer::*;
@@ -24,8 +25,8 @@
     );
 }
 
-/// Sends `steps` requests, one every 5 ms, and serves each after the `time` for its id. Returns how
-/// many were forwarded.
+/// Sends `steps` requests, one every 5 ms, and serves each after `response_time` of its id. Returns
+/// how many were forwarded.
 fn serve_stream(proxy: &mut Proxy, steps: u64, response_time: impl Fn(u64) -> Micros) -> usize {
     let mut responses_due = std::collections::BTreeMap::new();
     let mut forwarded_count = 0;
@@ -154,8 +155,9 @@
     );
 }
 
-/// Most balancers cause such an overload together, and each receives few responses. Waiting for
-/// thirty of them would take this balancer four seconds, which is too slow.
+/// An overload is caused by all balancers together, and most of them receive few responses. If this
+/// balancer cut its limit only after thirty responses, that would take four seconds, in which the
+/// overload would last.
 #[test]
 fn a_balancer_with_few_requests_cuts_its_limit_within_two_seconds_of_an_overload() {
     let mut proxy = one_of_300_balancers(500 * MS);
@@ -182,8 +184,8 @@
     );
 }
 
-/// Endpoints with two cores that are nearly 60 % busy take half as long again as idle ones. With a
-/// tight objective this must not count as an overload.
+/// The responses of endpoints whose two cores are nearly 60 % busy take up to 1.5 times as long as
+/// those of idle ones. With a tight objective this must not count as an overload.
 #[test]
 fn a_tight_latency_objective_does_not_make_busy_endpoints_look_overloaded() {
     let mut proxy = one_of_300_balancers(100 * MS);
@@ -197,7 +199,8 @@
     );
 }
 
-/// A few timeouts concern single endpoints that send no response, and not the load of the others.
+/// If only a few requests time out, single endpoints do not respond while the others are not
+/// overloaded, so the limit that all endpoints share must not be cut.
 #[test]
 fn four_timeouts_of_forty_requests_do_not_cut_the_shared_limit() {
     let mut proxy = one_of_100_balancers();
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -58,7 +58,7 @@
 }
 
 /// Returns how many of 200 requests are sent to a new endpoint, next to one warm endpoint and
-/// `leaving` draining ones.
+/// `draining_count` draining ones.
 fn requests_to_new_endpoint_beside(draining_count: u32) -> usize {
     let mut proxy = Proxy::new(settings(Idempotency::Idempotent), 1 + draining_count);
     let in_flight: Vec<(RequestId, EndpointId)> = (0..=draining_count)
@@ -90,8 +90,10 @@
         .count()
 }
 
-/// Draining endpoints serve few requests and then none. If they counted as in service, new
-/// endpoints would stay idle while the warm ones are full.
+/// For each request that is served a new endpoint gets its capacity, as a fraction of the capacity
+/// of the endpoints in service, as credit. Draining endpoints serve few requests and then none. If
+/// they were counted as in service, new endpoints would get too little credit and stay idle while
+/// the warm ones are full.
 #[test]
 fn draining_endpoints_do_not_reduce_the_slow_start_credit_of_a_new_endpoint() {
     let (without_draining, with_draining) = (
--- a/balancer/tests/slow_start_fleet.rs
+++ b/balancer/tests/slow_start_fleet.rs
@@ -31,7 +31,8 @@
             .peak_load_and_utilization();
             println!(
                 "{balancer_count} balancers, seed {seed}: \
-                 load {peak_load:.2}, {utilization:.2} of capacity"
+                 peak load {peak_load:.2} of the load that overloads a new endpoint, \
+                 {utilization:.2} of the new endpoints' capacity used"
             );
             assert!(
                 peak_load <= 1.0,
@@ -176,7 +177,8 @@
             .peak_load_and_utilization();
         println!(
             "weight {warm_endpoint_weight}, queue of {max_queued}, seed {seed}: \
-             load {peak_load:.2}, {utilization:.2} of capacity"
+             peak load {peak_load:.2} of the load that overloads a new endpoint, \
+             {utilization:.2} of the new endpoints' capacity used"
         );
         assert!(
             peak_load <= 1.0,
--- a/balancer/tests/timeouts.rs
+++ b/balancer/tests/timeouts.rs
@@ -1,4 +1,5 @@
-//! When timeouts eject an endpoint.
+//! Tests of which timeouts eject an endpoint, and of how many requests are sent to endpoints that
+//! do not respond.
 
 mod common;
 use balancer::*;
@@ -38,15 +39,21 @@
         .iter()
         .filter(|action| matches!(action, Action::Fail { .. }))
         .count();
-    assert!(failures > 20, "too few timed out to tell: {failures}");
+    assert!(
+        failures > 20,
+        "only {failures} requests timed out, more than 20 are needed for a meaningful check"
+    );
     let ejections = timeout_actions
         .iter()
         .filter(|action| is_ejection(action))
         .count();
-    assert_eq!(ejections, 0, "ejected although it served other requests");
+    assert_eq!(
+        ejections, 0,
+        "endpoints were ejected for timeouts although they served other requests"
+    );
 }
 
-/// Clients may wait for less time than responses usually take. Their requests time out at healthy
+/// If clients wait for less time than responses usually take, their requests time out at healthy
 /// endpoints too.
 #[test]
 fn timeouts_of_clients_with_short_deadlines_eject_no_endpoint() {
@@ -80,7 +87,7 @@
 /// keep an overloaded endpoint overloaded.
 #[test]
 fn a_single_timeout_ejects_an_endpoint_under_a_shared_limit() {
-    // Once the client waits for less time than some responses take, once for long.
+    // The client waits for less than the latency objective of 500 ms, and for more.
     for timeout in [200 * MS, 600 * MS] {
         let settings = Settings {
             balancer_count: 100,
@@ -130,8 +137,8 @@
     }
 }
 
-/// A quarter of the endpoints do not respond. Of the requests of all balancers together, only a
-/// small part may be sent to them as trials.
+/// A quarter of the endpoints do not respond. Less than a twentieth of the requests of all
+/// balancers together may be sent to these endpoints, as trials.
 #[test]
 fn less_than_a_twentieth_of_all_requests_go_to_endpoints_that_do_not_respond() {
     let (mut timed_out, mut all) = (0, 0);
--- a/balancer/tests/zone_outages.rs
+++ b/balancer/tests/zone_outages.rs
@@ -45,8 +45,8 @@
     );
 }
 
-/// Returns one of 100 balancers, with a raised limit. Half of its sixty endpoints are in a zone
-/// whose connections have started to fail, and that is avoided after the first failures.
+/// Returns the proxy of one of 100 balancers, with a raised shared limit. Half of its 60 endpoints
+/// are in a zone to which connections have failed, and which the balancer already avoids.
 fn proxy_after_losing_a_zone() -> Proxy {
     let mut proxy = one_of_100_balancers();
     proxy.update_list(
