--- a/balancer/tests/models/outage/mod.rs
+++ b/balancer/tests/models/outage/mod.rs
@@ -33,7 +33,7 @@
 const DEADLINE: [Micros; 2] = [1_200 * MS, 5_000 * MS];
 /// Mean work of a request by class, in microseconds on a core of speed 1.
 const WORK: [f64; 2] = [80e3, 130e3];
-const MAX_CLIENT_ATTEMPTS: u32 = 4;
+const MAX_CLIENT_TRIES: u32 = 4;
 const CONNECT_TIMEOUT: Micros = 250 * MS;
 /// An endpoint becomes slower by `SLOWDOWN_FACTOR` after it had more than `OVERLOAD_PER_CORE`
 /// requests per core for `OVERLOAD_DURATION`, until it had fewer than `RECOVERY_PER_CORE` for
@@ -56,7 +56,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ModelEvent {
-    /// A client sends a request or retries.
+    /// A client sends a user's request, for the first time or again.
     ClientRequest(usize),
     /// An attempt reaches its endpoint.
     Arrival(AttemptKey),
@@ -64,9 +64,10 @@
     Response(AttemptKey, Outcome),
     /// The client of an attempt stops waiting.
     Deadline(AttemptKey),
-    /// Work may be done at an endpoint. Ignored unless it is the latest one scheduled there.
+    /// Attempts may have been completed at an endpoint. The event is ignored if a later one has
+    /// been scheduled for the endpoint.
     Work(usize, u64),
-    /// A balancer's timer fires. Ignored unless it is the latest one that the balancer set.
+    /// A balancer's timer fires. The event is ignored if the balancer has set its timer again.
     Timer(usize, u64),
     Partition(bool),
     LoseZone,
@@ -74,14 +75,18 @@
     ZoneReturns,
 }
 
+/// A request of a user. Its client sends it to the balancer again, as another `Request`, if it was
+/// not served.
 struct UserRequest {
     balancer: usize,
     class: usize,
     sent_at: Micros,
-    attempts: u32,
+    /// Number of its `Request`s that have ended.
+    tries: u32,
     has_ended: bool,
 }
 
+/// A request as the balancer sees it: one try of a client to have a user's request served.
 struct Request {
     user_request: usize,
     /// When its client stops waiting.
@@ -170,7 +175,7 @@
                     request, endpoint, ..
                 } => self.send_attempt(balancer, request.0, endpoint.0 as usize - 1),
                 Action::Reject { request, .. } | Action::Fail { request, .. } => {
-                    self.end_client_attempt(balancer, request.0, false)
+                    self.end_request(balancer, request.0, false)
                 }
                 Action::SetTimer { after } => {
                     self.timers[balancer] += 1;
@@ -193,12 +198,12 @@
             ModelEvent::Arrival(attempt) => self.arrive_at_endpoint(attempt),
             ModelEvent::Response(attempt, outcome) if self.is_in_flight(attempt) => {
                 if outcome == Outcome::Served {
-                    self.end_client_attempt(attempt.0, attempt.1, true);
+                    self.end_request(attempt.0, attempt.1, true);
                 }
                 self.report_outcome(attempt, outcome, outcome == Outcome::Served);
             }
             ModelEvent::Deadline(attempt) if self.is_in_flight(attempt) => {
-                self.end_client_attempt(attempt.0, attempt.1, false);
+                self.end_request(attempt.0, attempt.1, false);
                 self.report_outcome(attempt, Outcome::TimedOut, true);
             }
             ModelEvent::Response(..) | ModelEvent::Deadline(_) => {}
@@ -240,7 +245,7 @@
             endpoint.is_up = true;
             endpoint.started_at = self.now;
             endpoint.updated_at = self.now;
-            endpoint.is_slow = false;
+            endpoint.is_slowed_down = false;
         }
         self.notify_all_of_lost_zone(EndpointState::Ready);
     }
--- a/soak/src/config.rs
+++ b/soak/src/config.rs
@@ -7,7 +7,8 @@
 /// Combined with the seed so that the configuration and the run draw from different sequences.
 const CONFIG_SEED_MASK: u64 = 0x5e77;
 
-/// How proxies expect to learn of changes of the endpoint list.
+/// How the proxies are set to receive changes of the endpoint list. Their agents do the same in
+/// both modes, but the time from which a proxy counts as notified of a change differs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiscoveryMode {
     /// The proxy's agent pushes changes.
@@ -16,12 +17,13 @@
     Poll,
 }
 
-/// Parameters of a run, which the proxies' settings state and the endpoints act by.
+/// Parameters of a run. They determine the proxies' settings, the idle timeout of the endpoints,
+/// and the limits against which the proxies are checked.
 #[derive(Clone, Debug)]
-pub(crate) struct SimulationConfig {
+pub(crate) struct RunConfig {
     /// Number of proxies.
     pub(crate) proxy_count: usize,
-    /// How proxies expect the endpoint list to be delivered.
+    /// How the proxies are set to receive the endpoint list.
     pub(crate) discovery: DiscoveryMode,
     /// How long a draining endpoint may still be sent requests after the proxy was notified.
     pub(crate) drain_grace: Duration,
@@ -44,9 +46,9 @@
     pub(crate) capacity_per_s: f64,
 }
 
-impl SimulationConfig {
+impl RunConfig {
     /// Draws the parameters; the same seed gives the same ones.
-    pub(crate) fn draw(proxy_count: usize, seed: u64) -> SimulationConfig {
+    pub(crate) fn draw(proxy_count: usize, seed: u64) -> RunConfig {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ CONFIG_SEED_MASK);
         let pushed = random.gen_bool(0.5);
         let mut draw_either_ms = |first, second| {
@@ -56,7 +58,7 @@
         let deduplication_window = draw_either_ms(800, 300);
         let endpoint_idle_timeout = draw_either_ms(3_000, 400);
         let hedging = random.gen_bool(0.5);
-        SimulationConfig {
+        RunConfig {
             proxy_count,
             discovery: if pushed {
                 DiscoveryMode::Push
--- a/soak/src/ledger/mod.rs
+++ b/soak/src/ledger/mod.rs
@@ -10,7 +10,7 @@
 pub(crate) use records::{AttemptRecord, Completion, RequestClass, RequestRecord, Rule, Violation};
 pub(crate) use rules::response_body;
 
-use crate::config::SimulationConfig;
+use crate::config::RunConfig;
 use rules::AttemptArrival;
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -41,7 +41,7 @@
 
 impl Ledger {
     /// Creates an empty ledger for a run that begins at `start`.
-    pub(crate) fn new(start: Instant, config: &SimulationConfig) -> Ledger {
+    pub(crate) fn new(start: Instant, config: &RunConfig) -> Ledger {
         Ledger {
             start,
             deduplication_window: config.deduplication_window,
@@ -153,7 +153,7 @@
 
     /// Records how a request ended for its client: with a response of this status and body or, if
     /// the status is `None`, with a closed connection and no response. Checks the response against
-    /// the rules unless the request is exempt.
+    /// the rules unless none is required.
     pub(crate) fn record_completion(&mut self, id: u64, status: Option<u16>, body: &[u8]) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -162,7 +162,7 @@
             status,
             at: Instant::now(),
         });
-        if request.exempt {
+        if request.response_not_required {
             return;
         }
         if let Some(finding) = rules::completion_finding(id, request, body) {
@@ -185,18 +185,19 @@
         }
     }
 
-    /// Records a violation for each complete request that still lacks its response. To be called at
-    /// the end of a run.
+    /// Records a violation for each request that was written and still lacks its response. To be
+    /// called at the end of a run.
     pub(crate) fn record_unanswered_requests(&mut self) {
-        let unanswered =
-            |request: &RequestRecord| request.complete_at.is_some() && request.is_unanswered();
+        let unanswered = |request: &RequestRecord| {
+            request.timeout_starts_at.is_some() && request.is_unanswered()
+        };
         let requests = self
             .requests
             .iter()
             .filter(|(_, request)| unanswered(request));
         let lost: Vec<u64> = requests.map(|(id, _)| *id).collect();
         for id in lost {
-            self.record_request_violation(Rule::Lost, id, "no response");
+            self.record_request_violation(Rule::Lost, id, "no response by the end of the run");
         }
     }
 }
--- a/soak/src/proxy/process.rs
+++ b/soak/src/proxy/process.rs
@@ -2,18 +2,18 @@
 //! them signals.
 
 use super::configuration::proxy_configuration;
-use crate::environment::Environment;
+use crate::agent::{start_agent, Agent, AgentMode};
 use crate::error::SetupError;
 use crate::http::Reader;
 use crate::ledger::Rule;
-use crate::watch_delivery::{start_agent, Agent, AgentMode};
+use crate::shared_state::SharedState;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::cell::{Cell, RefCell};
 use std::fs::{self, File};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, Command, ExitStatus, Stdio};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
@@ -25,19 +25,20 @@
 const LISTEN_PORT: u16 = 3_000;
 /// Time within which a started proxy must be ready.
 pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time between SIGTERM and SIGKILL: the longest deadline of a class, and 0.7 s.
+/// Time between SIGTERM and SIGKILL: 2 s, the longest deadline of a class (`RequestClass::Keyed`),
+/// in which requests in flight can end, and 0.7 s more.
 pub(super) const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(2_000 + 700);
 /// How long clients still open connections after SIGTERM.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(300);
 /// How long the old agent continues after SIGHUP.
 const OLD_AGENT_DELAY: Duration = Duration::from_millis(1_500);
-/// Time after a pause, a SIGTERM or a handoff in which the timeout of invalid clients is not
-/// enforced.
+/// Time after a pause, a SIGTERM or a handoff in which a missing response to an invalid request is
+/// no violation.
 const DISTURBANCE_DURATION: Duration = Duration::from_secs(4);
 /// Interval at which the state of a process is polled.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The program that the proxies run, and its surroundings.
+/// The program that the proxies run, with the paths that its processes need.
 #[derive(Clone, Debug)]
 pub(crate) struct Program {
     /// Path of the executable.
@@ -55,7 +56,7 @@
     pub(crate) number: usize,
     /// Address to which its clients connect.
     pub(crate) address: SocketAddr,
-    pub(super) environment: Environment,
+    pub(super) shared: SharedState,
     program: Program,
     syscall_schedule: serde_json::Value,
     pub(super) child: RefCell<Option<Child>>,
@@ -63,7 +64,8 @@
     pub(super) previous: RefCell<Option<Child>>,
     /// Number of processes started so far, which is also the number of the present one.
     pub(super) process_count: Cell<u64>,
-    pub(super) killed_processes: RefCell<Vec<u64>>,
+    /// Numbers of the processes that may have ended with requests in flight.
+    pub(super) ended_processes: RefCell<Vec<u64>>,
     pub(super) accepts_connections: Cell<bool>,
     /// Times of pauses, SIGTERM and handoffs.
     pub(super) disturbances: RefCell<Vec<Instant>>,
@@ -75,7 +77,7 @@
 impl Proxy {
     /// Creates a proxy, which does not run yet, and starts its agent.
     pub(crate) async fn new(
-        environment: &Environment,
+        shared: &SharedState,
         program: &Program,
         number: usize,
         syscall_schedule: serde_json::Value,
@@ -83,25 +85,25 @@
         // If the system chose the port, another program could get it between two processes of the
         // proxy. Instead the address is derived from this program's process id, so that parallel
         // runs do not share addresses.
-        let run = std::process::id();
+        let program_id = std::process::id();
         let ip = [
             127,
-            10 + (run % 200) as u8,
-            (run / 200 % 250) as u8,
+            10 + (program_id % 200) as u8,
+            (program_id / 200 % 250) as u8,
             1 + number as u8,
         ];
         let (agent_mode, modes) = watch::channel(AgentMode::Responding);
-        let agent = start_agent(environment, number, modes).await?;
+        let agent = start_agent(shared, number, modes).await?;
         Ok(Rc::new(Proxy {
             number,
             address: SocketAddr::from((ip, LISTEN_PORT)),
-            environment: environment.clone(),
+            shared: shared.clone(),
             program: program.clone(),
             syscall_schedule,
             child: RefCell::default(),
             previous: RefCell::default(),
             process_count: Cell::new(0),
-            killed_processes: RefCell::default(),
+            ended_processes: RefCell::default(),
             accepts_connections: Cell::new(false),
             disturbances: RefCell::default(),
             agent_mode,
@@ -131,9 +133,10 @@
         self.process_count.get()
     }
 
-    /// Whether this process was killed, or its time for a graceful shutdown is over.
-    pub(crate) fn was_killed(&self, process: u64) -> bool {
-        self.killed_processes.borrow().contains(&process)
+    /// Whether this process may have ended with requests in flight: it was killed, or its time for
+    /// a graceful shutdown is over.
+    pub(crate) fn may_have_dropped_requests(&self, process: u64) -> bool {
+        self.ended_processes.borrow().contains(&process)
     }
 
     /// Whether a pause, SIGTERM or handoff may have delayed a client that connected at `since`.
@@ -154,8 +157,7 @@
 
     fn write_configuration(&self) -> Result<PathBuf, SetupError> {
         let discovery = self.agent.borrow().address;
-        let configuration =
-            proxy_configuration(&self.environment, self.number, self.address, discovery);
+        let configuration = proxy_configuration(&self.shared, self.number, self.address, discovery);
         let path = self.folder().join("config.json");
         fs::create_dir_all(self.folder())
             .and_then(|()| fs::write(&path, configuration.to_string()))
@@ -166,7 +168,7 @@
         Ok(path)
     }
 
-    /// Starts a process, whose admin interface listens at the given address, if there is one.
+    /// Starts a process. It has an admin interface only if `admin_address` is given.
     pub(super) fn spawn(&self, admin_address: Option<SocketAddr>) -> Result<Child, SetupError> {
         let configuration = self.write_configuration()?;
         let path = self.log_path();
@@ -197,7 +199,7 @@
     /// Starts a process and waits until it is ready; records a violation if it is not in time.
     pub(crate) async fn start(&self) -> Result<(), SetupError> {
         let started = Instant::now();
-        self.environment
+        self.shared
             .with_notifications(self.number, |notifications| {
                 notifications.record_process_start(started);
             });
@@ -206,17 +208,23 @@
         *self.child.borrow_mut() = Some(child);
         while !self.is_ready().await {
             if self.has_ended() {
-                self.record_violation(Rule::Crash, "ended before it was ready");
+                self.record_violation(
+                    Rule::Crash,
+                    &format!("ended with {} before it was ready", self.exit_status_text()),
+                );
                 return Ok(());
             }
             if started.elapsed() > READY_TIMEOUT {
-                self.record_violation(Rule::Readiness, "was not ready within 10 s");
+                self.record_violation(
+                    Rule::Readiness,
+                    &format!("was not ready within {READY_TIMEOUT:?}"),
+                );
                 return Ok(());
             }
             sleep(POLL_INTERVAL).await;
         }
         self.accepts_connections.set(true);
-        self.log_event(&format!("ready, process {}", self.process_number()));
+        self.log_process_event("is ready");
         Ok(())
     }
 
@@ -251,21 +259,42 @@
             .is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
+    /// Returns the exit status of its present process; `None` if it has not ended.
+    fn exit_status(&self) -> Option<ExitStatus> {
+        self.child
+            .borrow_mut()
+            .as_mut()
+            .and_then(|child| child.try_wait().ok().flatten())
+    }
+
+    /// Describes the exit status of its present process, which has ended.
+    pub(super) fn exit_status_text(&self) -> String {
+        self.exit_status().map_or_else(
+            || "an unknown status".to_owned(),
+            |status| status.to_string(),
+        )
+    }
+
     pub(super) fn log_event(&self, description: &str) {
-        self.environment
+        self.shared
             .log_event(format!("proxy {}: {description}", self.number));
     }
 
+    /// Logs an event of its present process.
+    fn log_process_event(&self, description: &str) {
+        self.log_event(&format!("process {} {description}", self.process_number()));
+    }
+
     pub(super) fn record_violation(&self, rule: Rule, description: &str) {
-        self.environment
+        self.shared
             .record_violation(rule, format!("proxy {} {description}", self.number));
     }
 
     /// Kills its present process.
     pub(crate) fn kill(&self) {
-        self.log_event("killed");
+        self.log_process_event("is killed if it still runs");
         self.accepts_connections.set(false);
-        self.killed_processes
+        self.ended_processes
             .borrow_mut()
             .push(self.process_number());
         if let Some(mut child) = self.child.borrow_mut().take() {
@@ -277,19 +306,14 @@
     pub(crate) async fn shut_down(&self) {
         let started = Instant::now();
         self.disturbances.borrow_mut().push(started);
-        self.log_event("SIGTERM");
+        self.log_process_event("is sent SIGTERM");
         self.signal(Signal::SIGTERM);
         sleep(ACCEPT_AFTER_SIGTERM).await;
         self.accepts_connections.set(false);
         while !self.has_ended() && started.elapsed() < SHUTDOWN_TIMEOUT {
             sleep(POLL_INTERVAL).await;
         }
-        let status = self
-            .child
-            .borrow_mut()
-            .as_mut()
-            .and_then(|child| child.try_wait().ok().flatten());
-        if let Some(status) = status.filter(|status| !status.success()) {
+        if let Some(status) = self.exit_status().filter(|status| !status.success()) {
             self.record_violation(Rule::Crash, &format!("ended with {status} after SIGTERM"));
         }
         self.kill();
@@ -298,7 +322,7 @@
     /// Pauses its process by SIGSTOP and SIGCONT.
     pub(crate) async fn pause(&self, duration: Duration) {
         self.disturbances.borrow_mut().push(Instant::now());
-        self.log_event("SIGSTOP");
+        self.log_process_event("is sent SIGSTOP");
         self.signal(Signal::SIGSTOP);
         sleep(duration).await;
         self.signal(Signal::SIGCONT);
@@ -306,13 +330,12 @@
 
     /// Reloads its configuration by SIGHUP, with a new agent in it. The old agent ends later.
     pub(crate) async fn reload(&self) -> Result<(), SetupError> {
-        let agent =
-            start_agent(&self.environment, self.number, self.agent_mode.subscribe()).await?;
+        let agent = start_agent(&self.shared, self.number, self.agent_mode.subscribe()).await?;
         let old = self.agent.replace(agent);
         self.write_configuration()?;
-        self.environment
+        self.shared
             .with_notifications(self.number, |notifications| notifications.record_reload());
-        self.log_event("SIGHUP");
+        self.log_process_event("is sent SIGHUP");
         self.signal(Signal::SIGHUP);
         sleep(OLD_AGENT_DELAY).await;
         old.task.abort();
@@ -321,7 +344,7 @@
 
     /// Sets how its agent behaves from now on.
     pub(crate) fn set_agent_mode(&self, mode: AgentMode) {
-        self.environment
+        self.shared
             .with_notifications(self.number, |notifications| {
                 if mode == AgentMode::Responding {
                     notifications.record_outage_end();
