--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -2,7 +2,7 @@
 //! waited, on the request's priority and on its tenant's quota.
 
 use crate::balancer::Balancer;
-use crate::latency::SLACK_TYPICAL_LATENCIES;
+use crate::latency::SLACK_MEAN_LATENCIES;
 use crate::request::Request;
 use crate::{Action, Class, ClassId, FailureReason, Micros, RequestId, TenantId};
 
@@ -74,17 +74,17 @@
     /// Without this bound, all requests would be served late under overload.
     fn max_queue_wait(&self, id: RequestId, is_over_quota: bool) -> Micros {
         let request = &self.requests[&id];
-        let typical_latency = self.typical_latency(request);
+        let mean_latency = self.mean_latency(request);
         let allowed_latency = request.response_due_at().saturating_sub(request.arrived_at) as f64;
         let default_wait = allowed_latency * QUEUE_WAIT_OBJECTIVE_FRACTION;
         let max_wait = if is_over_quota {
             default_wait * OVER_QUOTA_WAIT_FRACTION
         } else if self.is_high_priority(request) {
-            default_wait.max(allowed_latency - SLACK_TYPICAL_LATENCIES * typical_latency)
+            default_wait.max(allowed_latency - SLACK_MEAN_LATENCIES * mean_latency)
         } else {
             default_wait
         };
-        max_wait.min(allowed_latency - typical_latency).max(0.0) as Micros
+        max_wait.min(allowed_latency - mean_latency).max(0.0) as Micros
     }
 
     /// Whether the request's class has so much priority weight per unit of work, compared to all
@@ -110,8 +110,8 @@
     }
 
     /// Mean latency of a request's class, in microseconds.
-    pub(crate) fn typical_latency(&self, request: &Request) -> f64 {
+    pub(crate) fn mean_latency(&self, request: &Request) -> f64 {
         self.latencies
-            .typical(request.class_id, request.class.latency_objective)
+            .mean(request.class_id, request.class.latency_objective)
     }
 }
--- a/balancer/src/attempt.rs
+++ b/balancer/src/attempt.rs
@@ -19,7 +19,7 @@
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointId,
     /// When the endpoint's process that it was sent to started, by the clock of the endpoint list.
-    pub(crate) endpoint_started_at: Micros,
+    pub(crate) endpoint_listed_start: Micros,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) class_id: usize,
--- a/balancer/src/concurrency_limit.rs
+++ b/balancer/src/concurrency_limit.rs
@@ -15,14 +15,14 @@
 /// Minimum limit after a deep cut, as a fraction of the floor.
 const DEEP_CUT_FLOOR_FRACTION: f64 = 0.2;
 
-/// A limit of `steps * concurrency` requests in flight. A trial is a request that is sent although
-/// the limit is reached; if it is served, the limit grows by a step.
+/// A limit of `steps * requests_per_step` requests in flight. A trial is a request that is sent
+/// although the limit is reached; if it is served, the limit grows by a step.
 #[derive(Debug, Default)]
 pub(crate) struct ConcurrencyLimit {
     /// 0 means that the endpoint is ejected.
     pub(crate) steps: u32,
     /// Requests per step.
-    pub(crate) concurrency: f64,
+    pub(crate) requests_per_step: f64,
     /// Minimum limit after a cut, in requests.
     pub(crate) floor: f64,
     pub(crate) trial_in_flight: bool,
@@ -34,24 +34,24 @@
 impl ConcurrencyLimit {
     /// Creates the initial limit of an endpoint.
     pub(crate) fn new(balancer_count: u32) -> Self {
-        Self::with_concurrency(INITIAL_CONCURRENCY, CONCURRENCY_FLOOR, balancer_count)
+        Self::with_initial_limit(INITIAL_CONCURRENCY, CONCURRENCY_FLOOR, balancer_count)
     }
 
-    /// Creates a limit of one step. `concurrency` and `floor` are totals for all balancers, of
+    /// Creates a limit of one step. `initial_limit` and `floor` are totals for all balancers, of
     /// which this one gets an equal share.
-    pub(crate) fn with_concurrency(concurrency: f64, floor: f64, balancer_count: u32) -> Self {
+    pub(crate) fn with_initial_limit(initial_limit: f64, floor: f64, balancer_count: u32) -> Self {
         let balancers = f64::from(balancer_count.max(1));
         ConcurrencyLimit {
             steps: 1,
-            concurrency: concurrency / balancers,
+            requests_per_step: initial_limit / balancers,
             floor: floor / balancers,
             ..ConcurrencyLimit::default()
         }
     }
 
     /// The limit on requests in flight.
-    pub(crate) fn total(&self) -> f64 {
-        f64::from(self.steps) * self.concurrency
+    pub(crate) fn max_in_flight(&self) -> f64 {
+        f64::from(self.steps) * self.requests_per_step
     }
 
     pub(crate) fn is_trial_ready(&self, now: Micros) -> bool {
@@ -65,7 +65,7 @@
         if self.steps < MAX_STEPS {
             self.steps += 1;
         } else {
-            self.concurrency *= 1.0 + 1.0 / f64::from(MAX_STEPS);
+            self.requests_per_step *= 1.0 + 1.0 / f64::from(MAX_STEPS);
         }
     }
 
@@ -83,7 +83,8 @@
         } else {
             self.floor
         };
-        let min_concurrency = floor / f64::from(self.steps.max(1));
-        self.concurrency = (self.concurrency * factor.max(MIN_CUT_FACTOR)).max(min_concurrency);
+        let min_requests_per_step = floor / f64::from(self.steps.max(1));
+        self.requests_per_step =
+            (self.requests_per_step * factor.max(MIN_CUT_FACTOR)).max(min_requests_per_step);
     }
 }
--- a/balancer/src/ended_attempt.rs
+++ b/balancer/src/ended_attempt.rs
@@ -28,9 +28,9 @@
     pub(crate) initial_backoff: Micros,
     pub(crate) longest_latency_objective: f64,
     /// Mean latency of the slowest class.
-    pub(crate) longest_typical_latency: f64,
+    pub(crate) longest_mean_latency: f64,
     /// Mean latency of the attempt's class.
-    pub(crate) typical_latency: f64,
+    pub(crate) mean_latency: f64,
     pub(crate) subset_size: usize,
     /// Duration relative to what the class allows, for the endpoint's latency pressure.
     pub(crate) latency_pressure: f64,
--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -13,7 +13,7 @@
 const RECENT_LOAD_DECAY_REQUESTS: f64 = 16.0;
 /// Time after which the effect of a changed limit can be judged from few attempts, in typical
 /// latencies.
-const SETTLING_TYPICAL_LATENCIES: f64 = 2.0;
+const LIMIT_CHANGE_MEAN_LATENCIES: f64 = 2.0;
 /// A cool-down ends at the latest this long after the last attempt ended, however few requests have
 /// been served since.
 const MAX_COOL_DOWN_US: f64 = 3.0 * UTILIZATION_TIME_CONSTANT_US;
@@ -25,10 +25,10 @@
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     /// Whether it is in the endpoint list as ready.
-    pub(crate) is_listed: bool,
+    pub(crate) is_ready: bool,
     /// When its process started by the clock of the endpoint list, which distinguishes its process
     /// from earlier ones; 0 means long ago.
-    pub(crate) started_at: Micros,
+    pub(crate) listed_start: Micros,
     /// When its process started by this balancer's clock, as estimated.
     pub(crate) local_start: Micros,
     pub(crate) in_flight: u32,
@@ -68,7 +68,7 @@
             id: entry.endpoint,
             zone: entry.zone,
             cell: entry.cell,
-            started_at: entry.started_at,
+            listed_start: entry.started_at,
             local_start,
             weight: 1.0,
             limit: ConcurrencyLimit::new(settings.balancer_count),
@@ -102,7 +102,7 @@
     /// linearly to 1 during slow start.
     pub(crate) fn warm_up_fraction(&self, now: Micros, slow_start: &SlowStart) -> f64 {
         let age = now.saturating_sub(self.local_start);
-        if self.started_at == 0 || age >= slow_start.duration {
+        if self.listed_start == 0 || age >= slow_start.duration {
             return 1.0;
         }
         slow_start.initial_capacity
@@ -119,7 +119,7 @@
 
     /// Whether it has as many requests in flight as its limit, reduced during slow start, allows.
     pub(crate) fn is_full(&self, now: Micros, slow_start: &SlowStart) -> bool {
-        let limit = self.limit.total() * self.warm_up_fraction(now, slow_start);
+        let limit = self.limit.max_in_flight() * self.warm_up_fraction(now, slow_start);
         self.in_flight >= (limit + 0.5).max(1.0) as u32
     }
 
@@ -131,7 +131,7 @@
             || self.is_warm(now, slow_start);
         let has_cooled_down = served_count >= self.cool_down_until_served_count
             || now.saturating_sub(self.last_ended_at) as f64 >= MAX_COOL_DOWN_US;
-        self.is_listed && now >= self.paused_until && is_due && has_cooled_down
+        self.is_ready && now >= self.paused_until && is_due && has_cooled_down
     }
 
     /// Whether requests may be sent to it as long as its concurrency limit is not reached.
@@ -154,16 +154,16 @@
     /// Whether the effect of the last change of its limit can be judged: at least as many attempts
     /// as are in flight have ended since, and either these are enough for the moving average or
     /// enough time has passed.
-    pub(crate) fn is_limit_settled(&self, now: Micros, typical_latency: f64) -> bool {
+    pub(crate) fn can_judge_limit_change(&self, now: Micros, mean_latency: f64) -> bool {
         let samples = self.samples_since_limit_change;
         let since_change = now.saturating_sub(self.limit_changed_at) as f64;
         samples >= self.in_flight.max(1)
             && (f64::from(samples) * LATENCY_SMOOTHING >= 1.0
-                || since_change >= SETTLING_TYPICAL_LATENCIES * typical_latency)
+                || since_change >= LIMIT_CHANGE_MEAN_LATENCIES * mean_latency)
     }
 
-    /// Restarts the sample count and the clock for [`Endpoint::is_limit_settled`] after a change of
-    /// its limit.
+    /// Restarts the sample count and the clock for [`Endpoint::can_judge_limit_change`] after a
+    /// change of its limit.
     pub(crate) fn mark_limit_changed(&mut self, now: Micros) {
         self.samples_since_limit_change = 0;
         self.limit_changed_at = now;
--- a/balancer/src/endpoint_list.rs
+++ b/balancer/src/endpoint_list.rs
@@ -28,7 +28,7 @@
                 self.schedule_poll(now, kind);
                 return;
             }
-            ListUpdate::Full | ListUpdate::Cached => self.endpoints.unlist_all(),
+            ListUpdate::Full | ListUpdate::Cached => self.endpoints.mark_all_not_ready(),
             ListUpdate::Delta => {}
         }
         self.polling.record_update(kind);
@@ -45,7 +45,7 @@
 
     fn apply_entry(&mut self, now: Micros, entry: &EndpointEntry) {
         let is_same_process =
-            |known: &Endpoint| entry.started_at == 0 || entry.started_at == known.started_at;
+            |known: &Endpoint| entry.started_at == 0 || entry.started_at == known.listed_start;
         let known = self.endpoints.index_of(entry.endpoint);
         if !known.is_some_and(|index| is_same_process(&self.endpoints[index])) {
             let endpoint = self.new_endpoint(now, entry);
@@ -55,7 +55,7 @@
             return;
         };
         let endpoint = &mut self.endpoints[index];
-        endpoint.is_listed = entry.state == EndpointState::Ready;
+        endpoint.is_ready = entry.state == EndpointState::Ready;
         endpoint.zone = entry.zone;
         endpoint.cell = entry.cell;
         let is_valid_weight = entry.weight.is_finite() && entry.weight > 0.0;
@@ -65,7 +65,7 @@
     fn new_endpoint(&mut self, now: Micros, entry: &EndpointEntry) -> Endpoint {
         let local_start = self.endpoint_starts.local_start(entry.endpoint);
         let mut endpoint = Endpoint::new(entry, local_start, &self.settings);
-        endpoint.record_busy_time(self.latencies.longest_typical(), self.forwarded_count, 1.0);
+        endpoint.record_busy_time(self.latencies.longest_mean(), self.forwarded_count, 1.0);
         // All balancers learn of a new endpoint at about the same time. Random initial credit and a
         // random delay spread out their first requests to it.
         let credit = self.random_below(INITIAL_CREDIT_RESOLUTION);
--- a/balancer/src/endpoints.rs
+++ b/balancer/src/endpoints.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Endpoints {
     sorted: Vec<Endpoint>,
-    listed_count: usize,
+    ready_count: usize,
     ejected_count: usize,
 }
 
@@ -42,26 +42,26 @@
     }
 
     /// Marks all endpoints as not listed.
-    pub(crate) fn unlist_all(&mut self) {
+    pub(crate) fn mark_all_not_ready(&mut self) {
         for endpoint in &mut self.sorted {
-            endpoint.is_listed = false;
+            endpoint.is_ready = false;
         }
     }
 
     /// Removes endpoints that are not listed and have no requests in flight.
     pub(crate) fn remove_unused(&mut self) {
         self.sorted
-            .retain(|endpoint| endpoint.is_listed || endpoint.in_flight > 0);
+            .retain(|endpoint| endpoint.is_ready || endpoint.in_flight > 0);
     }
 
     /// Recounts the listed and the ejected endpoints. Returns the number of available endpoints:
     /// those listed, not ejected and not in a zone with an outage.
     pub(crate) fn refresh_counts(&mut self, zone_outages: &ZoneOutages) -> usize {
-        self.listed_count = 0;
+        self.ready_count = 0;
         self.ejected_count = 0;
         let mut available_count = 0;
-        for endpoint in self.sorted.iter().filter(|endpoint| endpoint.is_listed) {
-            self.listed_count += 1;
+        for endpoint in self.sorted.iter().filter(|endpoint| endpoint.is_ready) {
+            self.ready_count += 1;
             if endpoint.is_ejected() {
                 self.ejected_count += 1;
             } else if !zone_outages.has_outage(endpoint.zone) {
@@ -74,7 +74,7 @@
     /// Whether one more endpoint may be ejected. At most half of the listed endpoints are ever
     /// ejected: a fault that most endpoints show does not originate in the endpoints.
     pub(crate) fn has_ejection_capacity(&self) -> bool {
-        (self.ejected_count + 1) * 2 <= self.listed_count
+        (self.ejected_count + 1) * 2 <= self.ready_count
     }
 }
 
--- a/balancer/src/feedback.rs
+++ b/balancer/src/feedback.rs
@@ -65,7 +65,7 @@
         let Some(index) = self.endpoints.index_of(attempt.endpoint) else {
             return;
         };
-        if self.endpoints[index].started_at != attempt.endpoint_started_at {
+        if self.endpoints[index].listed_start != attempt.endpoint_listed_start {
             // Outcomes of an endpoint's previous process don't apply to its current one.
             return;
         }
@@ -105,7 +105,8 @@
             reported_elapsed.max(since_sent) as f64
         };
         let estimate = self.latencies.get(attempt.class_id);
-        let limit = estimate.map_or(f64::MAX, |estimate| estimate.limit());
+        let overload_threshold =
+            estimate.map_or(f64::MAX, |estimate| estimate.overload_threshold());
         EndedAttempt {
             now,
             attempt,
@@ -113,10 +114,10 @@
             elapsed,
             initial_backoff: self.initial_backoff(),
             longest_latency_objective: self.settings.longest_latency_objective(),
-            longest_typical_latency: self.latencies.longest_typical(),
-            typical_latency: self.typical_latency_of_attempt(&attempt),
+            longest_mean_latency: self.latencies.longest_mean(),
+            mean_latency: self.mean_latency_of_attempt(&attempt),
             subset_size: self.subset_size(),
-            latency_pressure: (elapsed / limit).min(MAX_LATENCY_PRESSURE),
+            latency_pressure: (elapsed / overload_threshold).min(MAX_LATENCY_PRESSURE),
             shared_latency_pressure: estimate
                 .map_or(0.0, |estimate| estimate.shared_latency_pressure(elapsed)),
             // Under a shared limit a balancer sends so few requests to an endpoint that no timeout
@@ -138,7 +139,7 @@
             elapsed,
             ..
         } = ended;
-        shared_limit.end_attempt(*now, *elapsed, ended.typical_latency);
+        shared_limit.end_attempt(*now, *elapsed, ended.mean_latency);
         // Attempts that were not executed are left out: a rejection concerns a single endpoint,
         // usually a draining one, and not the load of all.
         if !outcome.is_neutral() && !outcome.was_not_executed() {
@@ -162,11 +163,11 @@
         let endpoint = &mut self.endpoints[index];
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         // A minimum time keeps an endpoint with fast errors and rejections from looking idle.
-        let is_response = matches!(
+        let counts_actual_time = matches!(
             ended.outcome,
             Outcome::Served | Outcome::Stale | Outcome::Invalid
         );
-        let min_busy_time = if is_response {
+        let min_busy_time = if counts_actual_time {
             0.0
         } else {
             ended.longest_latency_objective
@@ -242,10 +243,10 @@
             endpoint.limit.cut(REJECTION_CUT_FACTOR, true);
             // Fast rejections make the endpoint look idle: without a pause it would attract one
             // request after another.
-            let pause_end = ended.now + ended.longest_typical_latency as Micros;
+            let pause_end = ended.now + ended.longest_mean_latency as Micros;
             endpoint.paused_until = endpoint.paused_until.max(pause_end);
         } else if endpoint.latency_pressure > 1.0
-            && endpoint.is_limit_settled(ended.now, ended.longest_typical_latency)
+            && endpoint.can_judge_limit_change(ended.now, ended.longest_mean_latency)
         {
             let is_deep = endpoint.latency_pressure > DEEP_CUT_LATENCY_PRESSURE;
             endpoint.limit.cut(1.0 / endpoint.latency_pressure, is_deep);
--- a/balancer/src/forwarding.rs
+++ b/balancer/src/forwarding.rs
@@ -9,7 +9,7 @@
 fn new_attempt(now: Micros, request: &Request, endpoint: &Endpoint, trial: Trial) -> Attempt {
     Attempt {
         endpoint: endpoint.id,
-        endpoint_started_at: endpoint.started_at,
+        endpoint_listed_start: endpoint.listed_start,
         zone: endpoint.zone,
         cell: endpoint.cell,
         class_id: request.class_id,
@@ -75,20 +75,20 @@
     pub(crate) fn count_in_flight(&mut self, now: Micros, attempt: &Attempt) {
         if let Some(index) = self.endpoints.index_of(attempt.endpoint) {
             let endpoint = &mut self.endpoints[index];
-            if endpoint.started_at == attempt.endpoint_started_at {
+            if endpoint.listed_start == attempt.endpoint_listed_start {
                 endpoint.in_flight += 1;
             }
         }
-        let typical_latency = self.typical_latency_of_attempt(attempt);
+        let mean_latency = self.mean_latency_of_attempt(attempt);
         if let Some(shared_limit) = &mut self.shared_limit {
-            shared_limit.begin_attempt(now, typical_latency);
+            shared_limit.begin_attempt(now, mean_latency);
         }
     }
 
     /// Mean latency of an attempt's class, in microseconds.
-    pub(crate) fn typical_latency_of_attempt(&self, attempt: &Attempt) -> f64 {
+    pub(crate) fn mean_latency_of_attempt(&self, attempt: &Attempt) -> f64 {
         let class = self.settings.classes.get(attempt.class_id);
         let latency_objective = class.map_or(0, |class| class.latency_objective);
-        self.latencies.typical(attempt.class_id, latency_objective)
+        self.latencies.mean(attempt.class_id, latency_objective)
     }
 }
--- a/balancer/src/hedging.rs
+++ b/balancer/src/hedging.rs
@@ -4,7 +4,7 @@
 use crate::attempt::Trial;
 use crate::balancer::Balancer;
 use crate::endpoint::Endpoint;
-use crate::latency::SLACK_TYPICAL_LATENCIES;
+use crate::latency::SLACK_MEAN_LATENCIES;
 use crate::request::Request;
 use crate::selection::Route;
 use crate::{Action, Micros, RequestId};
@@ -26,11 +26,11 @@
             .latencies
             .get(request.class_id)
             .map_or(f64::MAX, |estimate| estimate.tail);
-        let typical_latency = self.typical_latency(request);
+        let mean_latency = self.mean_latency(request);
         let response_due_at = request.response_due_at() as f64;
-        let hedge_at = (response_due_at - SLACK_TYPICAL_LATENCIES * typical_latency)
+        let hedge_at = (response_due_at - SLACK_MEAN_LATENCIES * mean_latency)
             .max(request.arrived_at as f64 + tail_latency);
-        (hedge_at + typical_latency <= response_due_at).then(|| (hedge_at as Micros).max(now + 1))
+        (hedge_at + mean_latency <= response_due_at).then(|| (hedge_at as Micros).max(now + 1))
     }
 
     /// Hedges a request if it has attempts left, nothing is queued, the retry budget allows it, and
--- a/balancer/src/latency.rs
+++ b/balancer/src/latency.rs
@@ -5,8 +5,8 @@
 /// Weight of a new sample in an exponential moving average of latencies.
 pub(crate) const LATENCY_SMOOTHING: f64 = 0.1;
 /// Time that must remain until the latency objective when a request is hedged, or when a
-/// high-priority request is queued, in typical latencies.
-pub(crate) const SLACK_TYPICAL_LATENCIES: f64 = 2.0;
+/// high-priority request is queued, in mean latencies.
+pub(crate) const SLACK_MEAN_LATENCIES: f64 = 2.0;
 /// Estimated mean before the first response, as a fraction of the class's latency objective.
 const INITIAL_MEAN_OBJECTIVE_FRACTION: f64 = 0.25;
 /// Estimated tail before the first response, as a fraction of the class's latency objective.
@@ -23,18 +23,18 @@
 
 /// A response shows latency pressure (a value above 1) if it takes longer than this multiple of its
 /// class's unloaded latency or this fraction of its latency objective, whichever is shorter.
-const LIMIT_UNLOADED_MULTIPLE: f64 = 3.0;
-const LIMIT_OBJECTIVE_FRACTION: f64 = 0.33;
-/// Replaces [`LIMIT_OBJECTIVE_FRACTION`] under a shared limit, as a fraction of the slack: the
+const THRESHOLD_UNLOADED_MULTIPLE: f64 = 3.0;
+const THRESHOLD_OBJECTIVE_FRACTION: f64 = 0.33;
+/// Replaces [`THRESHOLD_OBJECTIVE_FRACTION`] under a shared limit, as a fraction of the slack: the
 /// latency objective minus the unloaded latency. No balancer sends an endpoint enough requests to
 /// detect and avoid one that is overloaded, so all of them have to stay well below the load that
 /// overloads it.
-const SHARED_LIMIT_SLACK_FRACTION: f64 = 0.2;
+const SHARED_THRESHOLD_SLACK_FRACTION: f64 = 0.2;
 /// Minimum of the limit on response times under a shared limit: this multiple of the unloaded
 /// latency, but at most the unloaded latency plus this fraction of the slack. Without it, tight
 /// objectives would make idle endpoints look overloaded.
-const SHARED_MIN_LIMIT_UNLOADED_MULTIPLE: f64 = 1.5;
-const SHARED_MIN_LIMIT_SLACK_FRACTION: f64 = 0.5;
+const SHARED_MIN_THRESHOLD_UNLOADED_MULTIPLE: f64 = 1.5;
+const SHARED_MIN_THRESHOLD_SLACK_FRACTION: f64 = 0.5;
 /// Maximum latency pressure of one response under a shared limit: a few responses of slow endpoints
 /// must not count as an overload of all endpoints.
 const MAX_SHARED_LATENCY_PRESSURE: f64 = 2.0;
@@ -74,10 +74,10 @@
     }
 
     /// How long a response may take without showing latency pressure at its endpoint.
-    pub(crate) fn limit(&self) -> f64 {
-        let objective_limit = self.latency_objective as f64 * LIMIT_OBJECTIVE_FRACTION;
-        (self.unloaded * LIMIT_UNLOADED_MULTIPLE)
-            .min(objective_limit)
+    pub(crate) fn overload_threshold(&self) -> f64 {
+        let objective_threshold = self.latency_objective as f64 * THRESHOLD_OBJECTIVE_FRACTION;
+        (self.unloaded * THRESHOLD_UNLOADED_MULTIPLE)
+            .min(objective_threshold)
             .max(self.unloaded)
     }
 
@@ -85,12 +85,12 @@
     /// take.
     pub(crate) fn shared_latency_pressure(&self, elapsed: f64) -> f64 {
         let slack = (self.latency_objective as f64 - self.unloaded).max(0.0);
-        let min_limit = (self.unloaded * SHARED_MIN_LIMIT_UNLOADED_MULTIPLE)
-            .min(self.unloaded + slack * SHARED_MIN_LIMIT_SLACK_FRACTION);
-        let limit = (self.unloaded * LIMIT_UNLOADED_MULTIPLE)
-            .min(self.unloaded + slack * SHARED_LIMIT_SLACK_FRACTION)
-            .max(min_limit);
-        (elapsed / limit).min(MAX_SHARED_LATENCY_PRESSURE)
+        let min_threshold = (self.unloaded * SHARED_MIN_THRESHOLD_UNLOADED_MULTIPLE)
+            .min(self.unloaded + slack * SHARED_MIN_THRESHOLD_SLACK_FRACTION);
+        let threshold = (self.unloaded * THRESHOLD_UNLOADED_MULTIPLE)
+            .min(self.unloaded + slack * SHARED_THRESHOLD_SLACK_FRACTION)
+            .max(min_threshold);
+        (elapsed / threshold).min(MAX_SHARED_LATENCY_PRESSURE)
     }
 
     /// Adds the time of a response to the estimates.
@@ -151,13 +151,13 @@
 
     /// Mean latency of a class, or a fraction of `latency_objective` if the settings don't name the
     /// class.
-    pub(crate) fn typical(&self, class_id: usize, latency_objective: Micros) -> f64 {
+    pub(crate) fn mean(&self, class_id: usize, latency_objective: Micros) -> f64 {
         self.get(class_id)
             .map_or(default_latency(latency_objective), |estimate| estimate.mean)
     }
 
     /// The longest mean latency of all classes.
-    pub(crate) fn longest_typical(&self) -> f64 {
+    pub(crate) fn longest_mean(&self) -> f64 {
         self.iter()
             .map(|estimate| estimate.mean)
             .fold(1.0, f64::max)
--- a/balancer/src/list_polling.rs
+++ b/balancer/src/list_polling.rs
@@ -90,7 +90,7 @@
         let window = poll_window(discovery);
         self.set_last_poll_deadline(now, discovery, kind);
         let remaining = self.last_poll_deadline.saturating_sub(now);
-        let max = if remaining * MIN_SPREAD_DIVISOR < window {
+        let max_delay = if remaining * MIN_SPREAD_DIVISOR < window {
             window
         } else {
             remaining.min(window)
@@ -98,7 +98,7 @@
         let range = match (kind, has_many_peers) {
             (ListUpdate::WatchLost, _) => {
                 let mean = discovery.max_poll_interval / WATCH_RESUME_DIVISOR;
-                DelayRange::around(mean).capped(max / 16, max / 8)
+                DelayRange::around(mean).capped(max_delay / 16, max_delay / 8)
             }
             // At most half of the window, which leaves time for a poll that gets no response and
             // for another one.
@@ -111,9 +111,15 @@
             }
             // If very many balancers polled again soon, they would keep discovery busy with polls
             // that fail, so they spread their polls over all of the remaining time.
-            (_, true) if self.consecutive_failures == 0 => DelayRange { min: 0, max },
-            (_, true) => DelayRange { min: max / 2, max },
-            (_, false) => self.backoff(discovery).capped(max / 2, max),
+            (_, true) if self.consecutive_failures == 0 => DelayRange {
+                min: 0,
+                max: max_delay,
+            },
+            (_, true) => DelayRange {
+                min: max_delay / 2,
+                max: max_delay,
+            },
+            (_, false) => self.backoff(discovery).capped(max_delay / 2, max_delay),
         };
         if kind != ListUpdate::WatchLost {
             self.consecutive_failures += 1;
--- a/balancer/src/outcome.rs
+++ b/balancer/src/outcome.rs
@@ -55,7 +55,7 @@
 pub enum FailureReason {
     /// The pending queue is full.
     QueueFull,
-    /// It was queued until a response of typical latency would be late, or until no endpoint may be
+    /// It was queued until a response of mean latency would be late, or until no endpoint may be
     /// sent it any more.
     QueueTimeout,
     /// No endpoint is available.
--- a/balancer/src/outlier_detection.rs
+++ b/balancer/src/outlier_detection.rs
@@ -32,7 +32,7 @@
         let is_avoided = |endpoint: &&Endpoint| {
             let is_tried = endpoint.limit.trial_in_flight
                 || endpoint.is_awaiting_trial(now, self.served_count, &self.settings.slow_start);
-            endpoint.is_listed
+            endpoint.is_ready
                 && (endpoint.is_ejected() && !is_tried
                     || !self.zone_outages.accepts_requests(endpoint.zone, now))
         };
@@ -70,9 +70,11 @@
         let endpoint = &mut self.endpoints[index];
         let since_served = ended.now.saturating_sub(endpoint.last_served_at);
         let served_recently = endpoint.last_served_at > 0 && since_served <= ended.initial_backoff;
-        let fails_often =
+        let may_remove_step_for_failures =
             endpoint.failure_rate > EJECTION_FAILURE_RATE / 2.0 && endpoint.limit.steps > 1;
-        if ended.is_connection_lost() && !endpoint.is_ejected() && (fails_often || !served_recently)
+        if ended.is_connection_lost()
+            && !endpoint.is_ejected()
+            && (may_remove_step_for_failures || !served_recently)
         {
             endpoint.limit.steps -= 1;
         }
--- a/balancer/src/queue_dispatch.rs
+++ b/balancer/src/queue_dispatch.rs
@@ -31,7 +31,7 @@
     }
 
     /// Sets the timer at which a request leaves the queue without a further attempt: when a
-    /// response of typical latency would be late, but before its client stops waiting, and for a
+    /// response of mean latency would be late, but before its client stops waiting, and for a
     /// retry no later than the end of its deduplication window.
     pub(crate) fn set_queue_deadline(&mut self, now: Micros, id: RequestId) {
         let request = &self.requests[&id];
@@ -40,7 +40,7 @@
             .saturating_sub(self.settings.clock_resolution);
         let last_useful_start = request
             .response_due_at()
-            .saturating_sub(self.typical_latency(request) as Micros);
+            .saturating_sub(self.mean_latency(request) as Micros);
         let window_end = request.attempt_deadline().unwrap_or(Micros::MAX);
         let leave_at = last_useful_start
             .max(now + 1)
@@ -128,7 +128,7 @@
         let request = &self.requests[&id];
         request.first_possibly_executed().is_some()
             || self.endpoints.iter().any(|endpoint| {
-                endpoint.is_listed
+                endpoint.is_ready
                     && !endpoint
                         .class_rejections
                         .accepts_class(request.class_id, now)
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -48,13 +48,13 @@
     /// Until when a response counts with the priority weight of its class or a fraction of it: the
     /// latency objective or, if late responses count too, the deadline.
     pub(crate) fn response_due_at(&self) -> Micros {
-        let latency_objective = if self.class.late_weight_fraction > 0.0 {
+        let allowed_latency = if self.class.late_weight_fraction > 0.0 {
             self.class.deadline
         } else {
             self.class.latency_objective
         };
         self.deadline
-            .min(self.arrived_at.saturating_add(latency_objective))
+            .min(self.arrived_at.saturating_add(allowed_latency))
     }
 
     /// When the deduplication window ends, which begins with the first attempt that may have been
@@ -84,8 +84,8 @@
                     DeduplicationScope::Zone => first.zone == endpoint.zone,
                     DeduplicationScope::Cell => first.cell == endpoint.cell,
                 };
-                let earliest = now.saturating_add(clock_resolution);
-                is_deduplicated && self.attempt_deadline().is_none_or(|end| earliest < end)
+                let latest_now = now.saturating_add(clock_resolution);
+                is_deduplicated && self.attempt_deadline().is_none_or(|end| latest_now < end)
             }
         }
     }
--- a/balancer/src/retry.rs
+++ b/balancer/src/retry.rs
@@ -32,15 +32,14 @@
 
     /// Whether a retry is allowed, can be in time, and has an endpoint that it may be sent to.
     fn may_retry(&self, now: Micros, request: &Request, outcome: Outcome) -> bool {
-        let is_in_time =
-            now as f64 + self.typical_latency(request) < request.response_due_at() as f64;
+        let is_in_time = now as f64 + self.mean_latency(request) < request.response_due_at() as f64;
         let is_body_lost = request.is_non_replayable
             && !matches!(outcome, Outcome::ConnectFailed | Outcome::NeverSent);
         is_in_time
             && !is_body_lost
             && self.has_attempts_left(request)
             && self.endpoints.iter().any(|endpoint| {
-                endpoint.is_listed
+                endpoint.is_ready
                     && request.may_attempt(now, endpoint, self.settings.clock_resolution)
             })
     }
--- a/balancer/src/selection.rs
+++ b/balancer/src/selection.rs
@@ -20,11 +20,11 @@
     /// Selects an endpoint: the better of two random candidates or, if that is full, of two that
     /// have capacity or, if there are none, of two that may exceed their limit as a trial.
     pub(crate) fn route(&mut self, now: Micros, id: RequestId) -> Route {
-        let typical_latency = self.latencies.longest_typical();
+        let mean_latency = self.latencies.longest_mean();
         let reached_limit = self
             .shared_limit
             .as_ref()
-            .filter(|shared_limit| shared_limit.is_reached(now, typical_latency));
+            .filter(|shared_limit| shared_limit.is_reached(now, mean_latency));
         let needs_shared_trial = reached_limit.is_some();
         if reached_limit.is_some_and(|shared_limit| {
             shared_limit.latency_pressure > 1.0 || !shared_limit.limit.is_trial_ready(now)
@@ -45,7 +45,7 @@
             return Route::Forward { endpoint, trial };
         }
         let trial_candidates = self.filter_endpoints(&candidates, |endpoint| {
-            self.may_exceed_limit(now, endpoint, typical_latency)
+            self.may_exceed_limit(now, endpoint, mean_latency)
         });
         // Both are drawn even if one would do, so that runs with the same seed stay repeatable.
         let within_limit = self.pick_of_two(&with_capacity);
@@ -110,21 +110,22 @@
 
     /// Whether an endpoint may be sent a request beyond its limit, as the trial that raises the
     /// limit if it is served.
-    fn may_exceed_limit(&self, now: Micros, endpoint: &Endpoint, typical_latency: f64) -> bool {
+    fn may_exceed_limit(&self, now: Micros, endpoint: &Endpoint, mean_latency: f64) -> bool {
         endpoint.limit.is_trial_ready(now)
             && endpoint.latency_pressure <= 1.0
-            && (endpoint.limit_changed_at == 0 || endpoint.is_limit_settled(now, typical_latency))
+            && (endpoint.limit_changed_at == 0
+                || endpoint.can_judge_limit_change(now, mean_latency))
             && endpoint.is_warm(now, &self.settings.slow_start)
     }
 
     /// Queues a request that no endpoint can be sent. If all endpoints are ejected, rejects it
     /// until the first of them may be tried again.
     fn queue_or_reject(&self, now: Micros) -> Route {
-        let listed = self.endpoints.iter().filter(|endpoint| endpoint.is_listed);
-        if !listed.clone().all(Endpoint::is_ejected) {
+        let ready = self.endpoints.iter().filter(|endpoint| endpoint.is_ready);
+        if !ready.clone().all(Endpoint::is_ejected) {
             return Route::Queue;
         }
-        match listed.map(|endpoint| endpoint.limit.backoff_end).min() {
+        match ready.map(|endpoint| endpoint.limit.backoff_end).min() {
             None => Route::Queue,
             Some(first_trial) => Route::Reject {
                 retry_after: first_trial.saturating_sub(now).max(self.initial_backoff()),
--- a/balancer/src/shared_limit.rs
+++ b/balancer/src/shared_limit.rs
@@ -13,7 +13,7 @@
 const SHARED_INITIAL_CONCURRENCY: f64 = 3.0;
 /// Minimum limit per endpoint after a cut, in requests from all balancers together.
 const SHARED_CONCURRENCY_FLOOR: f64 = 0.35;
-/// Permitted burst above the limit, in requests of typical latency.
+/// Permitted burst above the limit, in requests of mean latency.
 const SHARED_BURST_REQUESTS: f64 = 2.0;
 /// Minimum weight of a new sample in the shared latency pressure. It is lower than for a single
 /// endpoint, as the samples come from fast and slow endpoints and from all classes.
@@ -50,10 +50,10 @@
 impl SharedLimit {
     /// Returns `None` if there are so few balancers that each endpoint has a limit of its own.
     pub(crate) fn new(balancer_count: u32) -> Option<Self> {
-        if ConcurrencyLimit::new(balancer_count).concurrency >= MIN_ENDPOINT_CONCURRENCY {
+        if ConcurrencyLimit::new(balancer_count).requests_per_step >= MIN_ENDPOINT_CONCURRENCY {
             return None;
         }
-        let limit = ConcurrencyLimit::with_concurrency(
+        let limit = ConcurrencyLimit::with_initial_limit(
             SHARED_INITIAL_CONCURRENCY,
             SHARED_CONCURRENCY_FLOOR,
             balancer_count,
@@ -65,28 +65,28 @@
     }
 
     /// The limit for all endpoints together, in requests.
-    fn total(&self) -> f64 {
-        self.limit.total() * self.available_endpoints
+    fn max_in_flight(&self) -> f64 {
+        self.limit.max_in_flight() * self.available_endpoints
     }
 
     /// Adds used request time to the debt, from which what has accrued since is deducted.
     fn charge_request_time(&mut self, now: Micros, request_time: f64) {
-        let accrued = self.total() * now.saturating_sub(self.debt_updated_at) as f64;
+        let accrued = self.max_in_flight() * now.saturating_sub(self.debt_updated_at) as f64;
         self.debt_us = (self.debt_us - accrued).max(0.0) + request_time;
         self.debt_updated_at = now;
     }
 
-    /// Counts an attempt that starts, and charges the typical latency of its class.
-    pub(crate) fn begin_attempt(&mut self, now: Micros, typical_latency: f64) {
+    /// Counts an attempt that starts, and charges the mean latency of its class.
+    pub(crate) fn begin_attempt(&mut self, now: Micros, mean_latency: f64) {
         self.in_flight += 1;
-        self.charge_request_time(now, typical_latency);
+        self.charge_request_time(now, mean_latency);
     }
 
     /// Counts an attempt that has ended, and charges its actual duration in place of the typical
     /// latency.
-    pub(crate) fn end_attempt(&mut self, now: Micros, elapsed: f64, typical_latency: f64) {
+    pub(crate) fn end_attempt(&mut self, now: Micros, elapsed: f64, mean_latency: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.charge_request_time(now, elapsed - typical_latency);
+        self.charge_request_time(now, elapsed - mean_latency);
     }
 
     /// If an attempt was a trial of the shared limit, raises the limit or backs off.
@@ -109,18 +109,18 @@
     }
 
     /// Whether another request would exceed the limit.
-    pub(crate) fn is_reached(&self, now: Micros, typical_latency: f64) -> bool {
-        self.available_endpoints > 0.0 && self.available_at(typical_latency) > now
+    pub(crate) fn is_reached(&self, now: Micros, mean_latency: f64) -> bool {
+        self.available_endpoints > 0.0 && self.available_at(mean_latency) > now
     }
 
     /// When the limit allows another request. If it has room for one more request in flight, that
     /// is now: request time that slow requests used earlier does not reflect the current load.
-    fn available_at(&self, typical_latency: f64) -> Micros {
-        if f64::from(self.in_flight) + 1.0 <= self.total() {
+    fn available_at(&self, mean_latency: f64) -> Micros {
+        if f64::from(self.in_flight) + 1.0 <= self.max_in_flight() {
             return self.debt_updated_at;
         }
-        let excess = (self.debt_us - SHARED_BURST_REQUESTS * typical_latency).max(0.0);
-        let wait = excess / self.total().max(f64::MIN_POSITIVE);
+        let excess = (self.debt_us - SHARED_BURST_REQUESTS * mean_latency).max(0.0);
+        let wait = excess / self.max_in_flight().max(f64::MIN_POSITIVE);
         self.debt_updated_at.saturating_add(wait as Micros)
     }
 
@@ -157,7 +157,7 @@
         // The mean lags behind the number in flight when the load has just started to rise.
         let used = self.mean_in_flight.max(f64::from(self.in_flight))
             / (f64::from(self.limit.steps) * self.available_endpoints.max(1.0));
-        self.limit.concurrency = self.limit.concurrency.min(used.max(self.limit.floor));
+        self.limit.requests_per_step = self.limit.requests_per_step.min(used.max(self.limit.floor));
         self.limit.cut(1.0 / self.latency_pressure, false);
         self.latency_pressure = self.latency_pressure.sqrt();
         self.sample_weight = 0.0;
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -36,7 +36,7 @@
         if self
             .endpoints
             .iter()
-            .all(|endpoint| !endpoint.is_listed || endpoint.is_warm(now, slow_start))
+            .all(|endpoint| !endpoint.is_ready || endpoint.is_warm(now, slow_start))
         {
             return;
         }
@@ -82,7 +82,7 @@
                 break;
             }
             let endpoint = &self.endpoints[index];
-            if !endpoint.is_listed {
+            if !endpoint.is_ready {
                 continue;
             }
             subset_range.indices.push(index);
--- a/balancer/src/tenant_usage.rs
+++ b/balancer/src/tenant_usage.rs
@@ -4,7 +4,7 @@
 use crate::{Tenant, TenantId};
 
 /// Memory of the usage average, as a multiple of that of the latency averages.
-const USAGE_MEMORY_MULTIPLE: f64 = 10.0;
+const USAGE_SAMPLES_MULTIPLE: f64 = 10.0;
 /// Multiple of the quota beyond which usage counts as over quota.
 const QUOTA_TOLERANCE: f64 = 1.1;
 
@@ -29,7 +29,7 @@
         };
         for (index, fraction) in self.fractions.iter_mut().enumerate() {
             let sample = if index == tenant.0 { 1.0 } else { 0.0 };
-            *fraction += (sample - *fraction) * LATENCY_SMOOTHING / USAGE_MEMORY_MULTIPLE;
+            *fraction += (sample - *fraction) * LATENCY_SMOOTHING / USAGE_SAMPLES_MULTIPLE;
         }
         let total: f64 = self.fractions.iter().sum();
         self.fractions[tenant.0] > total * quota * QUOTA_TOLERANCE
--- a/deploy/sites/generate/src/generator.rs
+++ b/deploy/sites/generate/src/generator.rs
@@ -60,12 +60,12 @@
 
     /// Replaces the randomized parts of a site by new values.
     pub(crate) fn randomize(&mut self, site: &mut Table) -> Result<(), MissingTable> {
-        self.network(site)?;
-        self.clients(site)?;
-        self.discovery(site)?;
-        self.limits(site)?;
-        self.rules(site)?;
-        self.endpoints(site)?;
+        self.randomize_network(site)?;
+        self.randomize_clients(site)?;
+        self.randomize_discovery(site)?;
+        self.randomize_limits(site)?;
+        self.randomize_rules(site)?;
+        self.randomize_endpoints(site)?;
         site.insert("class".into(), self.classes());
         site.remove("tenant");
         site.extend(self.tenants().map(|tenants| ("tenant".to_owned(), tenants)));
@@ -86,7 +86,7 @@
         self.log_uniform(bounds).round() as i64
     }
 
-    fn network(&mut self, site: &mut Table) -> Result<(), MissingTable> {
+    fn randomize_network(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         let zones = self.random.gen_range(1..=4);
         let names = (1..=zones)
             .map(|zone| Value::from(format!("zone-{zone}")))
@@ -95,7 +95,7 @@
         Ok(())
     }
 
-    fn clients(&mut self, site: &mut Table) -> Result<(), MissingTable> {
+    fn randomize_clients(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         let max_impatient = round_to(self.uniform((0.0, 0.3)), 2);
         let min_timeout_fraction = round_to(self.uniform((0.3, 0.9)), 2);
         let retries = self.random.gen_range(0..=3);
@@ -122,7 +122,7 @@
         Ok(())
     }
 
-    fn discovery(&mut self, site: &mut Table) -> Result<(), MissingTable> {
+    fn randomize_discovery(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         let mode = if self.random.gen_bool(0.7) {
             "push"
         } else {
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    fn limits(&mut self, site: &mut Table) -> Result<(), MissingTable> {
+    fn randomize_limits(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         let attempts = self.random.gen_range(1..=4);
         let flags = ["cancel", "second_copies", "retry_after"]
             .map(|name| (name, self.random.gen::<bool>()));
@@ -142,7 +142,7 @@
         Ok(())
     }
 
-    fn rules(&mut self, site: &mut Table) -> Result<(), MissingTable> {
+    fn randomize_rules(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         let drain_grace_ms = self.log_uniform_integer((200.0, 3_000.0));
         let overload_multiple = round_to(self.uniform((2.5, 4.0)), 1);
         let overload_ms = self.log_uniform_integer((1_000.0, 3_000.0));
@@ -153,7 +153,7 @@
         Ok(())
     }
 
-    fn endpoints(&mut self, site: &mut Table) -> Result<(), MissingTable> {
+    fn randomize_endpoints(&mut self, site: &mut Table) -> Result<(), MissingTable> {
         for tier in tables_in(site, "tier", "tier")? {
             let connections = table_in(tier, "conn").map_err(|_| MissingTable("tier.conn"))?;
             let handshake_us = self.log_uniform_integer((1_000.0, 9_000.0)) as f64;
