--- a/adapter/src/input.rs
+++ b/adapter/src/input.rs
@@ -74,7 +74,7 @@
         tenant: Option<Cow<'a, str>>,
         /// How long the client still waits.
         time_left: Micros,
-        /// The client says that this is a retry of its own.
+        /// Whether the client marked the request as a retry.
         client_retry: bool,
     },
     /// An attempt has ended.
--- a/adapter/src/message.rs
+++ b/adapter/src/message.rs
@@ -21,7 +21,7 @@
 }
 
 /// A message of any kind; its verb determines which fields are required. An enum tagged by the verb
-/// would make serde buffer each message once more, and this program is to use little CPU time.
+/// would make serde buffer each message once more, which costs CPU time.
 #[derive(Deserialize)]
 pub(crate) struct Message<'a> {
     #[serde(borrow)]
--- a/balancer/src/action.rs
+++ b/balancer/src/action.rs
@@ -41,7 +41,7 @@
         /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Send a health check.
+    /// Send a health check. Unused: the balancer requests none.
     CheckHealth {
         /// The endpoint to check.
         endpoint: EndpointId,
--- a/balancer/src/attempt.rs
+++ b/balancer/src/attempt.rs
@@ -2,11 +2,11 @@
 
 use crate::{CellId, EndpointId, Micros, Outcome, ZoneId};
 
-/// The concurrency limit that an attempt exceeds as a trial, which raises that limit if it is
-/// served.
+/// Which concurrency limit an attempt exceeds. An attempt that exceeds a limit is a trial: if it is
+/// served, the limit can be raised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Trial {
-    /// None: the attempt is within the limits.
+    /// The attempt is within the limits.
     None,
     /// The endpoint's own limit.
     Endpoint,
@@ -18,7 +18,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointId,
-    /// When the endpoint's process that it was sent to started, by the clock of the endpoint list.
+    /// Start time of the endpoint in the endpoint list when the attempt was sent. A different one
+    /// means that the endpoint has restarted since.
     pub(crate) endpoint_listed_start: Micros,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -17,8 +17,9 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 
-/// While requests are queued, the queue is inspected at least this many times per initial backoff:
-/// no event reports that a backoff or pause has ended or that a limit has capacity again.
+/// While requests are queued, a timer inspects the queue this many times per initial backoff, or
+/// once per clock tick if a tick is longer. The timer is needed because no event reports that a
+/// backoff or pause has ended or that the shared limit has capacity again.
 const QUEUE_INSPECTIONS_PER_BACKOFF: Micros = 8;
 
 /// Makes the load-balancing decisions of one client proxy.
@@ -137,11 +138,15 @@
                 self.remove_if_done(request);
             }
             Event::Timer => {
-                // A replaced timer that fires all the same is ignored: it would set a further one.
+                // A timer that was replaced may still fire, before the current one is due. It must
+                // not clear `proxy_timer_at`, because another timer would then be set although one
+                // is pending.
                 if now >= self.proxy_timer_at {
                     self.proxy_timer_at = Micros::MAX;
                 }
             }
+            // The balancer requests no health checks: it judges endpoints by the outcomes of
+            // attempts.
             Event::HealthChecked { .. } => {}
         }
     }
--- a/balancer/src/class_rejections.rs
+++ b/balancer/src/class_rejections.rs
@@ -12,7 +12,7 @@
     first_rejected_sent_at: Micros,
     /// When the request of the class that was served last was sent.
     last_served_sent_at: Micros,
-    /// Until this time, requests of the class prefer other endpoints.
+    /// Until this time, the endpoint counts as not accepting requests of the class.
     avoided_until: Micros,
 }
 
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Whether requests of a class may be sent to the endpoint; otherwise they prefer other
-    /// endpoints.
+    /// Whether the endpoint counts as accepting requests of a class. If not, they are sent to it
+    /// only if no other endpoint that may be sent them accepts the class either.
     pub(crate) fn accepts_class(&self, class_id: usize, now: Micros) -> bool {
         self.by_class
             .get(class_id)
@@ -39,8 +39,8 @@
 
     /// Records the outcome of an attempt. Returns true if the endpoint rejects only this class: it
     /// has rejected at least two consecutive requests of the class, and served a request of another
-    /// class that was sent after the first of them. Requests of the class then avoid the endpoint
-    /// for an exponential backoff.
+    /// class that was sent after the first of them. The endpoint then counts as not accepting the
+    /// class for an exponential backoff.
     pub(crate) fn record(
         &mut self,
         class_id: usize,
--- a/balancer/src/concurrency_limit.rs
+++ b/balancer/src/concurrency_limit.rs
@@ -8,7 +8,9 @@
 const MAX_STEPS: u32 = 10;
 /// Initial limit of an endpoint, in requests from all balancers together.
 const INITIAL_CONCURRENCY: f64 = 7.0;
-/// Minimum limit of an endpoint after a cut, in requests from all balancers together.
+/// Minimum limit of an endpoint after a cut, in requests from all balancers together. It is above
+/// [`INITIAL_CONCURRENCY`], so a cut raises a limit that is still below the floor, unless the cut
+/// is deep.
 const CONCURRENCY_FLOOR: f64 = 12.0;
 /// Minimum factor of a cut: like in TCP, one cut at most halves the limit.
 const MIN_CUT_FACTOR: f64 = 0.5;
@@ -49,7 +51,7 @@
         }
     }
 
-    /// The limit on requests in flight.
+    /// Maximum number of requests in flight, trials excluded.
     pub(crate) fn max_in_flight(&self) -> f64 {
         f64::from(self.steps) * self.requests_per_step
     }
@@ -58,8 +60,8 @@
         !self.trial_in_flight && now >= self.backoff_end
     }
 
-    /// Raises the limit after a served trial: by a step or, at the maximum number of steps, by as
-    /// many requests through larger steps.
+    /// Raises the limit after a served trial by the requests of one step: adds a step or, at the
+    /// maximum number of steps, enlarges all steps.
     pub(crate) fn raise(&mut self) {
         self.backoff_doublings = 0;
         if self.steps < MAX_STEPS {
@@ -76,7 +78,7 @@
     }
 
     /// Multiplies the limit by `factor`. The result is at least the floor or, if `is_deep`, a
-    /// fraction of the floor.
+    /// fraction of the floor, so a limit below that is raised to it.
     pub(crate) fn cut(&mut self, factor: f64, is_deep: bool) {
         let floor = if is_deep {
             self.floor * DEEP_CUT_FLOOR_FRACTION
--- a/balancer/src/ended_attempt.rs
+++ b/balancer/src/ended_attempt.rs
@@ -1,19 +1,21 @@
-//! An attempt that has ended, with the estimates from before its end that it is judged by.
+//! An attempt that has ended, with the estimates that its duration is compared with. They don't
+//! include the attempt itself.
 
 use crate::attempt::Attempt;
 use crate::{Micros, Outcome};
 
-/// Maximum latency pressure of one response or load report.
+/// Maximum latency pressure of one response or load report. The latency pressure of a response is
+/// its duration divided by the longest duration that does not indicate overload.
 pub(crate) const MAX_LATENCY_PRESSURE: f64 = 4.0;
 
-/// What an attempt's outcome says about its endpoint.
+/// Effect of an attempt's outcome on its endpoint's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptHealth {
     /// The endpoint works, though it may be slow.
     Healthy,
     /// The endpoint failed.
     Failed,
-    /// Nothing: the endpoint did not cause the outcome.
+    /// No effect: the outcome has another cause than the endpoint's health.
     Neutral,
 }
 
@@ -32,12 +34,14 @@
     /// Mean latency of the attempt's class.
     pub(crate) mean_latency: f64,
     pub(crate) subset_size: usize,
-    /// Duration relative to what the class allows, for the endpoint's latency pressure.
+    /// Duration relative to the longest one that does not indicate overload, for the endpoint's
+    /// latency pressure.
     pub(crate) latency_pressure: f64,
-    /// Duration relative to what the class allows, for the shared limit's latency pressure.
+    /// The same relative to the longest duration that applies under a shared limit, for the shared
+    /// limit's latency pressure.
     pub(crate) shared_latency_pressure: f64,
-    /// Whether it timed out before most responses of its class arrive, because its client allowed
-    /// too little time.
+    /// Whether it timed out earlier than the tail latency of its class, because its client allowed
+    /// too little time. Always false under a shared limit.
     pub(crate) has_short_deadline: bool,
 }
 
--- a/balancer/src/endpoint.rs
+++ b/balancer/src/endpoint.rs
@@ -11,23 +11,23 @@
 /// factor of e. It spans many requests because requests differ far more in work than endpoints do
 /// in speed.
 const RECENT_LOAD_DECAY_REQUESTS: f64 = 16.0;
-/// Time after which the effect of a changed limit can be judged from few attempts, in typical
-/// latencies.
+/// Time after which the effect of a changed limit can be judged even if fewer attempts than the
+/// moving average spans have ended since, in mean latencies.
 const LIMIT_CHANGE_MEAN_LATENCIES: f64 = 2.0;
 /// A cool-down ends at the latest this long after the last attempt ended, however few requests have
 /// been served since.
 const MAX_COOL_DOWN_US: f64 = 3.0 * UTILIZATION_TIME_CONSTANT_US;
 
-/// What this balancer knows of one endpoint.
+/// This balancer's state of one endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct Endpoint {
     pub(crate) id: EndpointId,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
-    /// Whether it is in the endpoint list as ready.
+    /// Whether the endpoint list contains it as ready.
     pub(crate) is_ready: bool,
     /// When its process started by the clock of the endpoint list, which distinguishes its process
-    /// from earlier ones; 0 means long ago.
+    /// from earlier ones; 0 if long ago or unknown.
     pub(crate) listed_start: Micros,
     /// When its process started by this balancer's clock, as estimated.
     pub(crate) local_start: Micros,
@@ -38,8 +38,7 @@
     recent_busy_us: f64,
     /// Value of the balancer's `forwarded_count` when `recent_busy_us` was last updated.
     recent_busy_updated_at_count: u64,
-    /// Moving average of response times relative to what their classes allow; above 1 its limit is
-    /// cut.
+    /// Moving average of the latency pressure of its responses; above 1 its limit is cut.
     pub(crate) latency_pressure: f64,
     /// Load that it last reported, converted to the scale of `latency_pressure`.
     pub(crate) reported_load: f64,
@@ -123,7 +122,7 @@
         self.in_flight >= (limit + 0.5).max(1.0) as u32
     }
 
-    /// Whether it is listed and not excluded at present by a pause, a cool-down or slow start.
+    /// Whether it is ready and not excluded at present by a pause, a cool-down or slow start.
     /// `served_count` is the number of attempts that this balancer has had served.
     fn accepts_requests(&self, now: Micros, served_count: u64, slow_start: &SlowStart) -> bool {
         let is_due = self.slow_start_credit >= 1.0
--- a/balancer/src/endpoint_list.rs
+++ b/balancer/src/endpoint_list.rs
@@ -88,10 +88,10 @@
         }
     }
 
-    /// Recounts the available endpoints after one was listed, unlisted, ejected or readmitted.
-    /// Endpoints of a zone with an outage don't count towards the shared limit: otherwise the limit
-    /// would drop when they leave the list, although the other endpoints have been shown to sustain
-    /// the load.
+    /// Recounts the available endpoints after an update of the endpoint list, an ejection or a
+    /// readmission. Endpoints of a zone with an outage don't count towards the shared limit:
+    /// otherwise the limit would drop when they leave the list, although the other endpoints have
+    /// been shown to sustain the load.
     pub(crate) fn refresh_endpoint_counts(&mut self) {
         let available_count = self.endpoints.refresh_counts(&self.zone_outages);
         if let Some(shared_limit) = &mut self.shared_limit {
--- a/balancer/src/endpoint_starts.rs
+++ b/balancer/src/endpoint_starts.rs
@@ -1,11 +1,11 @@
 //! Estimates when endpoints started, by this balancer's clock. The endpoint list gives start times
 //! by another machine's clock, and either clock may be wrong by seconds or by an hour. A listed
-//! start time distinguishes two processes of an endpoint; how long ago a process started is bounded
-//! by what this balancer knows for certain:
+//! start time distinguishes two processes of an endpoint; the age of a process is bounded by two
+//! facts that hold even if the clocks are wrong:
 //!
 //! - no process has started later than now;
-//! - a process that is new in the list, or has a changed start time in it, has started since the
-//!   list was last known to be current, or shortly before that, as lists arrive late.
+//! - a process that is new in the list, or has a changed start time in it, started at most
+//!   [`MAX_LIST_LAG_US`] before the list was last known to be current: lists arrive late.
 //!
 //! Within these bounds the listed start time is used. Start times in the first list may lie in the
 //! future: this balancer's clock is then behind by at least the largest such difference, which is
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Converts a listed start time to this balancer's clock, within the bounds that it knows.
+    /// Converts a listed start time to this balancer's clock: clamps it to the bounds described
+    /// above or, before a current list has arrived, subtracts `max_clock_lead`.
     fn bounded_start(&self, now: Micros, listed_start: Micros, max_clock_lead: Micros) -> Micros {
         match self.current_at {
             Some(current_at) => {
--- a/balancer/src/endpoints.rs
+++ b/balancer/src/endpoints.rs
@@ -1,12 +1,12 @@
-//! The endpoints that this balancer knows, sorted by id.
+//! The endpoints that are ready or have requests in flight, sorted by id.
 
 use crate::endpoint::Endpoint;
 use crate::zone_outages::ZoneOutages;
 use crate::EndpointId;
 use std::ops::{Index, IndexMut};
 
-/// Endpoints that are listed or have requests in flight. Updates of the endpoint list change their
-/// indices.
+/// Endpoints that were ready or had requests in flight at the last update of the endpoint list.
+/// Updates of the endpoint list change their indices.
 #[derive(Debug, Default)]
 pub(crate) struct Endpoints {
     sorted: Vec<Endpoint>,
@@ -23,7 +23,7 @@
         self.sorted.iter()
     }
 
-    /// Index of an endpoint, if it is known.
+    /// Index of an endpoint, or `None` if it is not kept here.
     pub(crate) fn index_of(&self, id: EndpointId) -> Option<usize> {
         self.sorted
             .binary_search_by_key(&id, |endpoint| endpoint.id)
@@ -41,21 +41,21 @@
         }
     }
 
-    /// Marks all endpoints as not listed.
+    /// Marks all endpoints as not ready, before a complete list is applied.
     pub(crate) fn mark_all_not_ready(&mut self) {
         for endpoint in &mut self.sorted {
             endpoint.is_ready = false;
         }
     }
 
-    /// Removes endpoints that are not listed and have no requests in flight.
+    /// Removes endpoints that are not ready and have no requests in flight.
     pub(crate) fn remove_unused(&mut self) {
         self.sorted
             .retain(|endpoint| endpoint.is_ready || endpoint.in_flight > 0);
     }
 
-    /// Recounts the listed and the ejected endpoints. Returns the number of available endpoints:
-    /// those listed, not ejected and not in a zone with an outage.
+    /// Recounts the ready endpoints and those of them that are ejected. Returns the number of
+    /// available endpoints: those that are ready, not ejected and not in a zone with an outage.
     pub(crate) fn refresh_counts(&mut self, zone_outages: &ZoneOutages) -> usize {
         self.ready_count = 0;
         self.ejected_count = 0;
@@ -71,8 +71,9 @@
         available_count
     }
 
-    /// Whether one more endpoint may be ejected. At most half of the listed endpoints are ever
-    /// ejected: a fault that most endpoints show does not originate in the endpoints.
+    /// Whether one more endpoint may be ejected for its failure rate or latency. At most half of
+    /// the ready endpoints may be, because a fault that most endpoints have does not originate in
+    /// the endpoints. Ejections for lost connections are not bounded.
     pub(crate) fn has_ejection_capacity(&self) -> bool {
         (self.ejected_count + 1) * 2 <= self.ready_count
     }
--- a/balancer/src/event.rs
+++ b/balancer/src/event.rs
@@ -27,7 +27,8 @@
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
-    /// When its process started, by the clock of the endpoint list; 0 if long ago.
+    /// When its process started, by the clock of the endpoint list. 0 if long ago or unknown: the
+    /// endpoint then counts as warm and as not restarted.
     pub started_at: Micros,
     /// Its capacity relative to the other endpoints'. A weight that is not positive or not finite
     /// counts as 1.
@@ -77,7 +78,7 @@
         tenant: Option<TenantId>,
         /// Time until its client stops waiting.
         time_left: Micros,
-        /// Whether the client marked the request as its own retry.
+        /// Whether the client marked the request as a retry. Unused by the balancer.
         client_retry: bool,
         /// Whether its body is still arriving and is not buffered, so that what was sent to one
         /// endpoint cannot be sent to another. The client's deadline and the endpoint's work then
@@ -119,7 +120,7 @@
         /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// A health check has ended.
+    /// A health check has ended. The balancer ignores this event.
     HealthChecked {
         /// The checked endpoint.
         endpoint: EndpointId,
--- a/balancer/src/feedback.rs
+++ b/balancer/src/feedback.rs
@@ -15,8 +15,9 @@
 const FULL_CPU_UTILIZATION: f64 = 0.9;
 
 impl Balancer {
-    /// Records an endpoint's load report. As many requests queued as executed, or nearly all cores
-    /// busy, count as a latency pressure of 1.
+    /// Records an endpoint's load report as a latency pressure: the number of queued requests per
+    /// executing request or, if these are not reported, the CPU utilization relative to
+    /// [`FULL_CPU_UTILIZATION`].
     pub(crate) fn record_load_report(&mut self, id: RequestId, attempt: u32, load: LoadReport) {
         let request = self.requests.get(&id);
         let Some(attempt) = request.and_then(|request| request.attempts.get(attempt as usize))
@@ -120,8 +121,8 @@
             latency_pressure: (elapsed / overload_threshold).min(MAX_LATENCY_PRESSURE),
             shared_latency_pressure: estimate
                 .map_or(0.0, |estimate| estimate.shared_latency_pressure(elapsed)),
-            // Under a shared limit a balancer sends so few requests to an endpoint that no timeout
-            // can be ignored.
+            // Under a shared limit a balancer usually has less than one request in flight per
+            // endpoint, so every timeout counts.
             has_short_deadline: outcome == Outcome::TimedOut
                 && self.shared_limit.is_none()
                 && estimate.is_some_and(|estimate| elapsed < estimate.tail),
@@ -192,8 +193,8 @@
             now,
             ended.initial_backoff,
         );
-        // The endpoint served another request since this attempt was sent: it is slow, and should
-        // get fewer requests rather than be ejected.
+        // The endpoint has served another request since this attempt was sent: it is slow, and
+        // should get fewer requests rather than be ejected.
         let is_only_slow = outcome == Outcome::TimedOut
             && endpoint.last_served_at > attempt.sent_at
             && self.shared_limit.is_none();
@@ -216,8 +217,9 @@
         let gap = ended.now.saturating_sub(endpoint.last_ended_at) as f64;
         endpoint.last_ended_at = ended.now;
         if health == AttemptHealth::Healthy {
-            // Where few samples arrive each gets more weight, as old ones would otherwise count for
-            // too long.
+            // A sample's weight grows with the time since the previous sample, with the longest
+            // latency objective as the time constant, so that old samples lose weight at endpoints
+            // that get few requests.
             let age = gap / ended.longest_latency_objective;
             let weight = LATENCY_SMOOTHING.max(1.0 - (-age).exp());
             let pressure = ended.latency_pressure.max(endpoint.reported_load);
--- a/balancer/src/hedging.rs
+++ b/balancer/src/hedging.rs
@@ -10,10 +10,11 @@
 use crate::{Action, Micros, RequestId};
 
 impl Balancer {
-    /// When to hedge a request that was forwarded for the first time: as late as a second attempt
-    /// can still be in time, but not before the first is late for its class. Under a shared limit
-    /// nothing is hedged: a balancer knows too little about each endpoint, so a second attempt
-    /// would only add load.
+    /// When to hedge a request that was forwarded for the first time: when [`SLACK_MEAN_LATENCIES`]
+    /// mean latencies remain until the response is due, but not before the tail latency of its
+    /// class has passed since its arrival. `None` if a second attempt would then be late. Also
+    /// `None` under a shared limit: a balancer sends too few requests to an endpoint there to
+    /// recognize that it is stalled, so hedging would only add load.
     pub(crate) fn hedge_at(&self, now: Micros, request: &Request) -> Option<Micros> {
         let is_allowed = request.attempts.len() == 1
             && !request.is_non_replayable
--- a/balancer/src/ids.rs
+++ b/balancer/src/ids.rs
@@ -19,7 +19,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// Number of an availability zone, assigned by the proxy.
+/// Number of an availability zone, such as a hash of the zone's name. The balancer only tells zones
+/// apart by it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
--- a/balancer/src/latency.rs
+++ b/balancer/src/latency.rs
@@ -11,29 +11,34 @@
 const INITIAL_MEAN_OBJECTIVE_FRACTION: f64 = 0.25;
 /// Estimated tail before the first response, as a fraction of the class's latency objective.
 const INITIAL_TAIL_OBJECTIVE_FRACTION: f64 = 0.5;
-/// Number of first samples that are not capped: fast responses arrive first, so the estimate that
-/// the cap is based on is still too low.
+/// Number of first samples that are not capped: fast responses arrive first, so the unloaded
+/// latency that the cap is based on is at first estimated too low.
 const BIASED_SAMPLES: u32 = 8;
 /// Cap on later samples, as a multiple of the unloaded latency.
 const MAX_SAMPLE_UNLOADED_MULTIPLE: f64 = 8.0;
-/// Time in which the estimate of the unloaded latency may rise to the current mean.
+/// Time constant with which the estimate of the unloaded latency rises towards the mean.
 const UNLOADED_DRIFT_US: f64 = 120e6;
-/// Quantile of a class's latencies above which a request counts as late.
+/// Quantile of a class's latencies that is estimated as its tail latency.
 const TAIL_QUANTILE: f64 = 0.95;
 
-/// A response shows latency pressure (a value above 1) if it takes longer than this multiple of its
-/// class's unloaded latency or this fraction of its latency objective, whichever is shorter.
+/// A response has a latency pressure above 1 if it takes longer than a threshold: the shorter of
+/// this multiple of the unloaded latency of its class and [`THRESHOLD_OBJECTIVE_FRACTION`] of its
+/// latency objective, but at least the unloaded latency.
 const THRESHOLD_UNLOADED_MULTIPLE: f64 = 3.0;
+/// See [`THRESHOLD_UNLOADED_MULTIPLE`].
 const THRESHOLD_OBJECTIVE_FRACTION: f64 = 0.33;
-/// Replaces [`THRESHOLD_OBJECTIVE_FRACTION`] under a shared limit, as a fraction of the slack: the
-/// latency objective minus the unloaded latency. No balancer sends an endpoint enough requests to
-/// detect and avoid one that is overloaded, so all of them have to stay well below the load that
-/// overloads it.
+/// Replaces [`THRESHOLD_OBJECTIVE_FRACTION`] under a shared limit: there the threshold is the
+/// shorter of [`THRESHOLD_UNLOADED_MULTIPLE`] times the unloaded latency and the unloaded latency
+/// plus this fraction of the slack, but at least the minimum below. The slack is the latency
+/// objective minus the unloaded latency. The fraction is low because a single balancer sends too
+/// few requests to an endpoint to detect that the endpoint is overloaded, so the load of every
+/// endpoint has to stay well below overload.
 const SHARED_THRESHOLD_SLACK_FRACTION: f64 = 0.2;
-/// Minimum of the limit on response times under a shared limit: this multiple of the unloaded
-/// latency, but at most the unloaded latency plus this fraction of the slack. Without it, tight
-/// objectives would make idle endpoints look overloaded.
+/// Minimum of the threshold under a shared limit: this multiple of the unloaded latency, but at
+/// most the unloaded latency plus [`SHARED_MIN_THRESHOLD_SLACK_FRACTION`] of the slack. Without it,
+/// tight objectives would make idle endpoints look overloaded.
 const SHARED_MIN_THRESHOLD_UNLOADED_MULTIPLE: f64 = 1.5;
+/// See [`SHARED_MIN_THRESHOLD_UNLOADED_MULTIPLE`].
 const SHARED_MIN_THRESHOLD_SLACK_FRACTION: f64 = 0.5;
 /// Maximum latency pressure of one response under a shared limit: a few responses of slow endpoints
 /// must not count as an overload of all endpoints.
@@ -48,7 +53,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct LatencyEstimate {
     pub(crate) mean: f64,
-    /// Latency without load: the lowest recent value of the mean.
+    /// Latency without load: the lowest value of the mean. This estimate rises towards the current
+    /// mean with the time constant [`UNLOADED_DRIFT_US`].
     pub(crate) unloaded: f64,
     /// Estimate of the quantile [`TAIL_QUANTILE`].
     pub(crate) tail: f64,
@@ -73,7 +79,7 @@
         }
     }
 
-    /// How long a response may take without showing latency pressure at its endpoint.
+    /// The duration above which a response indicates that its endpoint is overloaded.
     pub(crate) fn overload_threshold(&self) -> f64 {
         let objective_threshold = self.latency_objective as f64 * THRESHOLD_OBJECTIVE_FRACTION;
         (self.unloaded * THRESHOLD_UNLOADED_MULTIPLE)
@@ -81,8 +87,8 @@
             .max(self.unloaded)
     }
 
-    /// Latency pressure of a response under a shared limit: its time relative to how long it may
-    /// take.
+    /// Latency pressure of a response under a shared limit: its duration divided by the threshold
+    /// that applies there.
     pub(crate) fn shared_latency_pressure(&self, elapsed: f64) -> f64 {
         let slack = (self.latency_objective as f64 - self.unloaded).max(0.0);
         let min_threshold = (self.unloaded * SHARED_MIN_THRESHOLD_UNLOADED_MULTIPLE)
--- a/balancer/src/list_polling.rs
+++ b/balancer/src/list_polling.rs
@@ -4,14 +4,16 @@
 
 /// The mean delay before a lost watch is reopened is the maximum poll interval divided by this.
 const WATCH_RESUME_DIVISOR: Micros = 64;
-/// The next poll starts within the notification deadline divided by this. The rest of the time is
-/// for detecting that the watch was lost or that a poll failed, and for one response.
+/// The next poll starts within the notification deadline or the maximum poll interval, whichever is
+/// shorter, divided by this. The rest of the time is for detecting that the watch was lost or that
+/// a poll failed, and for one response.
 const POLL_WINDOW_DIVISOR: Micros = 2;
 /// The notification deadline divided by this is reserved for the response to the last poll.
 const RESPONSE_TIME_DIVISOR: Micros = 12;
 /// A remaining time below the poll window divided by this is too short to spread polls over.
 const MIN_SPREAD_DIVISOR: Micros = 12;
-/// With few balancers the initial backoff is the maximum poll interval divided by this.
+/// If the endpoints don't share a limit, the initial backoff is the maximum poll interval divided
+/// by this.
 const INITIAL_POLL_BACKOFF_DIVISOR: Micros = 32;
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 3;
 
@@ -31,6 +33,7 @@
         }
     }
 
+    /// Reduces the ends of the range to at most `min` and `max`.
     fn capped(self, min: Micros, max: Micros) -> Self {
         DelayRange {
             min: self.min.min(min),
@@ -52,8 +55,8 @@
 pub(crate) struct ListPolling {
     /// When the next poll is due; `Micros::MAX` if none is scheduled.
     pub(crate) due_at: Micros,
-    /// Latest start of a poll that still delivers in time what has changed since the watch was
-    /// lost.
+    /// Latest time at which a poll may start so that changes since the loss of the watch arrive
+    /// within the notification deadline.
     last_poll_deadline: Micros,
     /// Number of consecutive failures of polls, or of watches right after they were opened.
     consecutive_failures: u32,
@@ -70,7 +73,8 @@
 }
 
 impl ListPolling {
-    /// Records that an update arrived. Unless it is cached, it shows that polls succeed again.
+    /// Records that an update arrived: no poll is scheduled any more. An update that is not cached
+    /// also resets the number of consecutive failures.
     pub(crate) fn record_update(&mut self, kind: ListUpdate) {
         if kind != ListUpdate::Cached {
             self.consecutive_failures = 0;
@@ -79,7 +83,8 @@
     }
 
     /// Returns the range of the delay before the next poll after a failed poll or a lost watch.
-    /// `has_many_peers` is true if very many balancers poll the same discovery.
+    /// `has_many_peers` is true if there are so many balancers that the endpoints share a limit
+    /// (see [`SharedLimit::new`](crate::shared_limit::SharedLimit::new)).
     pub(crate) fn next_delay(
         &mut self,
         now: Micros,
@@ -97,6 +102,8 @@
         };
         let range = match (kind, has_many_peers) {
             (ListUpdate::WatchLost, _) => {
+                // At most an eighth of the maximum delay, which leaves most of the time for polls
+                // after a failure.
                 let mean = discovery.max_poll_interval / WATCH_RESUME_DIVISOR;
                 DelayRange::around(mean).capped(max_delay / 16, max_delay / 8)
             }
@@ -109,8 +116,9 @@
             (ListUpdate::WatchFlapping, false) => {
                 self.backoff(discovery).capped(window / 4, window / 2)
             }
-            // If very many balancers polled again soon, they would keep discovery busy with polls
-            // that fail, so they spread their polls over all of the remaining time.
+            // If many balancers polled again soon, they would keep discovery busy with polls that
+            // fail. After a first failure they spread their polls over the whole maximum delay,
+            // after further ones over its second half.
             (_, true) if self.consecutive_failures == 0 => DelayRange {
                 min: 0,
                 max: max_delay,
--- a/balancer/src/outcome.rs
+++ b/balancer/src/outcome.rs
@@ -32,7 +32,7 @@
 }
 
 impl Outcome {
-    /// Whether this proves that the attempt was not executed.
+    /// Whether an attempt with this outcome was certainly not executed.
     pub fn was_not_executed(self) -> bool {
         matches!(
             self,
@@ -40,8 +40,8 @@
         )
     }
 
-    /// Whether this says nothing about the endpoint's health, because the proxy, the request or a
-    /// single connection caused it.
+    /// Whether this outcome does not count towards the endpoint's health, because the proxy, the
+    /// request or a single connection caused it.
     pub(crate) fn is_neutral(self) -> bool {
         matches!(
             self,
@@ -53,10 +53,11 @@
 /// Why a request is not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FailureReason {
-    /// The pending queue is full.
+    /// The pending queue is full: its first request has waited for too long.
     QueueFull,
-    /// It was queued until a response of mean latency would be late, or until no endpoint may be
-    /// sent it any more.
+    /// It was queued until a response of mean latency would be late, until shortly before its
+    /// client stops waiting, or until the end of its deduplication window, after which it must not
+    /// be sent again.
     QueueTimeout,
     /// No endpoint is available.
     NoEndpoint,
--- a/balancer/src/outlier_detection.rs
+++ b/balancer/src/outlier_detection.rs
@@ -11,8 +11,8 @@
 /// Failure rate above which an endpoint is ejected.
 pub(crate) const EJECTION_FAILURE_RATE: f64 = 0.3;
 /// Weight of a timeout in the failure rate under a shared limit. A single timeout is enough for an
-/// ejection: if very many balancers each waited for several, an overloaded endpoint would stay
-/// overloaded.
+/// ejection: the number of timeouts until all balancers have ejected an overloaded endpoint grows
+/// with the number of balancers, and meanwhile the endpoint would stay overloaded.
 const SHARED_TIMEOUT_SMOOTHING: f64 = 1.2 * EJECTION_FAILURE_RATE;
 /// Latency pressure above which an endpoint is ejected under a shared limit: this value or
 /// [`EJECTION_SHARED_PRESSURE_MULTIPLE`] times the shared latency pressure, whichever is higher.
@@ -26,7 +26,7 @@
 const COOL_DOWN_DOUBLINGS: u32 = 2;
 
 impl Balancer {
-    /// Number of listed endpoints that get no requests at present: those that are ejected and
+    /// Number of ready endpoints that get no requests at present: those that are ejected and
     /// neither have a trial in flight nor may be sent one, and those in a zone that is avoided.
     pub fn unavailable_count(&self, now: Micros) -> usize {
         let is_avoided = |endpoint: &&Endpoint| {
@@ -39,7 +39,7 @@
         self.endpoints.iter().filter(is_avoided).count()
     }
 
-    /// Updates the endpoint's failure rate with what an attempt shows about its health.
+    /// Updates the endpoint's failure rate after an attempt that affects its health.
     pub(crate) fn update_failure_rate(
         &mut self,
         ended: &EndedAttempt,
@@ -147,8 +147,8 @@
     }
 
     /// Under a shared limit, excludes an endpoint that rejected a request or is ejected until a
-    /// number of other requests have been served. With a fixed duration instead, very many
-    /// balancers together would send it too many trials.
+    /// number of other requests have been served. With a fixed duration instead, the rate of trials
+    /// at the endpoint would grow with the number of balancers.
     pub(crate) fn start_cool_down(&mut self, ended: &EndedAttempt, index: usize) {
         let endpoint = &mut self.endpoints[index];
         let needs_cool_down = ended.outcome == Outcome::Rejected || endpoint.is_ejected();
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -18,7 +18,8 @@
     pub(crate) is_non_replayable: bool,
     /// Whether the request is still arriving.
     pub(crate) is_uploading: bool,
-    /// Whether no further attempt is needed: its client has a reply, or waits for none.
+    /// Whether no further attempt is needed: its client has a reply, is being sent a response, or
+    /// has cancelled the request.
     pub(crate) is_finished: bool,
     pub(crate) timer_at: Option<Micros>,
 }
@@ -58,7 +59,7 @@
     }
 
     /// When the deduplication window ends, which begins with the first attempt that may have been
-    /// executed. Further attempts must begin before. `None` if there is no such limit.
+    /// executed. Further attempts must start before then. `None` if there is no window.
     pub(crate) fn attempt_deadline(&self) -> Option<Micros> {
         match (self.first_possibly_executed(), self.class.idempotency) {
             (Some(first), Idempotency::Keyed { window, .. }) => {
@@ -84,6 +85,7 @@
                     DeduplicationScope::Zone => first.zone == endpoint.zone,
                     DeduplicationScope::Cell => first.cell == endpoint.cell,
                 };
+                // The clock may lag by up to its resolution.
                 let latest_now = now.saturating_add(clock_resolution);
                 is_deduplicated && self.attempt_deadline().is_none_or(|end| latest_now < end)
             }
--- a/balancer/src/request_lifecycle.rs
+++ b/balancer/src/request_lifecycle.rs
@@ -6,8 +6,8 @@
 use crate::{Action, FailureReason, Micros, Outcome, RequestId};
 
 impl Balancer {
-    /// Handles the last byte of a non-replayable request: only now its client's deadline is set and
-    /// the endpoint that it was sent to begins to work on it.
+    /// Handles the last byte of a non-replayable request. The client's deadline and the endpoint's
+    /// work on the request count from now on.
     pub(crate) fn complete_upload(&mut self, now: Micros, id: RequestId, time_left: Micros) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -78,7 +78,8 @@
             self.finish_request(id);
             self.cancel_attempts(id, None, actions);
         } else if is_undecided && outcome == Outcome::Invalid {
-            // Any endpoint would find it invalid, so nobody should retry it.
+            // Any endpoint would find the request invalid, so neither this balancer nor the client
+            // should retry it.
             actions.push(Action::Fail {
                 request: id,
                 reason: FailureReason::Invalid,
--- a/balancer/src/selection.rs
+++ b/balancer/src/selection.rs
@@ -10,7 +10,7 @@
 pub(crate) enum Route {
     /// To an endpoint, given by its index.
     Forward { endpoint: usize, trial: Trial },
-    /// It waits in the queue, as no endpoint has capacity for it.
+    /// It waits in the queue: no endpoint can be sent it now, or the shared limit is reached.
     Queue,
     /// It is rejected, as all endpoints are ejected.
     Reject { retry_after: Micros },
@@ -47,7 +47,8 @@
         let trial_candidates = self.filter_endpoints(&candidates, |endpoint| {
             self.may_exceed_limit(now, endpoint, mean_latency)
         });
-        // Both are drawn even if one would do, so that runs with the same seed stay repeatable.
+        // Both are drawn even if the first is enough: drawing fewer random numbers would change the
+        // decisions that a seed gives.
         let within_limit = self.pick_of_two(&with_capacity);
         let beyond_limit = self.pick_of_two(&trial_candidates);
         match (within_limit, beyond_limit) {
@@ -61,10 +62,11 @@
         }
     }
 
-    /// Indices of the endpoints to choose from: the first ones on the ring, as many as the subset
-    /// has, that may be sent the request. Endpoints that accept its class, and then those that it
-    /// has not been sent to, are preferred. Under a shared limit full endpoints are skipped while
-    /// others have capacity, so a burst spills over to further endpoints, one request to each.
+    /// Indices of the endpoints to choose from: the first ones on the ring that may be sent the
+    /// request, at most as many as the subset has. Endpoints that accept its class, and then those
+    /// that it has not been sent to, are preferred. Under a shared limit full endpoints are skipped
+    /// while others have capacity, so a burst spills over to further endpoints, one request to
+    /// each.
     fn candidates(&self, now: Micros, id: RequestId) -> Vec<usize> {
         let request = &self.requests[&id];
         let slow_start = &self.settings.slow_start;
@@ -118,8 +120,9 @@
             && endpoint.is_warm(now, &self.settings.slow_start)
     }
 
-    /// Queues a request that no endpoint can be sent. If all endpoints are ejected, rejects it
-    /// until the first of them may be tried again.
+    /// Queues a request that cannot be sent to any endpoint now. If there are ready endpoints and
+    /// all are ejected, rejects it; `retry_after` is the time until the first trial, but at least
+    /// the initial backoff.
     fn queue_or_reject(&self, now: Micros) -> Route {
         let ready = self.endpoints.iter().filter(|endpoint| endpoint.is_ready);
         if !ready.clone().all(Endpoint::is_ejected) {
@@ -134,10 +137,11 @@
     }
 
     /// The better of two random endpoints: the one with fewer requests in flight, then the one in
-    /// this balancer's zone, then the one with less latency pressure. Under a shared limit nearly
-    /// every choice is a tie, and preferring the own zone would overload a zone that has more
-    /// balancers than endpoints. There, ties go to the one whose latency pressure is within the
-    /// limit, then to the one with less recent load.
+    /// this balancer's zone, then the one with less latency pressure. Under a shared limit most
+    /// choices are ties, because a balancer usually has less than one request in flight per
+    /// endpoint; preferring its own zone would overload a zone that has more balancers than
+    /// endpoints. There, ties go to the one whose latency pressure is at most 1, then to the one
+    /// with less recent load.
     fn pick_of_two(&mut self, candidates: &[usize]) -> Option<usize> {
         let len = candidates.len() as u64;
         let offset = self.random_below(len);
--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -35,12 +35,12 @@
 pub struct Class {
     /// Time within which a response counts with the full priority weight.
     pub latency_objective: Micros,
-    /// How long a client waits for a request altogether.
+    /// How long a client waits for the response, all attempts included, from the request's arrival.
     pub deadline: Micros,
     /// Value of a response within the latency objective.
     pub priority_weight: f64,
-    /// Fraction of the priority weight, 0 to 1, that a response counts between the latency
-    /// objective and the deadline.
+    /// Value of a response that arrives after the latency objective but before the deadline, as a
+    /// fraction of the priority weight. The balancer only distinguishes 0 from more.
     pub late_weight_fraction: f64,
     /// Whether a request may be executed again.
     pub idempotency: Idempotency,
@@ -71,13 +71,13 @@
 pub struct Limits {
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Whether endpoints may be sent health checks.
+    /// Whether endpoints may be sent health checks. Unused: the balancer requests none.
     pub health_checks: bool,
     /// Whether a request may have two attempts in flight at once.
     pub hedging: bool,
     /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Longest `Retry-After` that clients respect; 0 if they ignore it.
+    /// Longest `Retry-After` that a rejection may carry.
     pub max_retry_after: Micros,
 }
 
@@ -88,7 +88,7 @@
     pub initial_capacity: f64,
     /// Time after its start by which it has its full capacity at the latest.
     pub duration: Micros,
-    /// Multiple of its present capacity beyond which an endpoint fails under load.
+    /// Load above which an endpoint fails, as a multiple of its present capacity.
     pub overload_multiple: f64,
 }
 
@@ -108,26 +108,26 @@
     pub mode: DiscoveryMode,
     /// Longest time that a balancer may go without polling.
     pub max_poll_interval: Micros,
-    /// Time after which a balancer is expected to know of a change, counted from when discovery
-    /// knew of it and could be reached.
+    /// Time within which a change of the list is expected to reach each balancer, counted from when
+    /// the discovery service has the change and is reachable.
     pub notification_deadline: Micros,
 }
 
-/// Weights of the parts of the score that the service is rated by.
+/// Weights of the two parts of the score by which the service is rated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScoreWeights {
-    /// All requests together.
+    /// Weight of the results of all requests together.
     pub overall: f64,
-    /// The class with the worst results.
+    /// Weight of the results of the class with the worst results.
     pub worst_class: f64,
 }
 
 /// Settings of a balancer, which stay the same for its lifetime.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of balancers that send to these endpoints, this one included.
+    /// Number of balancers that send requests to the same endpoints, this one included.
     pub balancer_count: u32,
-    /// Index of this balancer among those, from 0.
+    /// Index of this balancer among them, from 0.
     pub balancer_index: u32,
     /// Resolution of the proxy's clock.
     pub clock_resolution: Micros,
--- a/balancer/src/shared_limit.rs
+++ b/balancer/src/shared_limit.rs
@@ -1,13 +1,14 @@
-//! One concurrency limit for all endpoints together. It is used where a limit per endpoint would be
-//! far below one request: each of very many balancers sends too few requests to an endpoint to
-//! learn its capacity.
+//! One concurrency limit for all endpoints together. It is used where a balancer's part of an
+//! endpoint's initial limit would be below [`MIN_ENDPOINT_CONCURRENCY`]: a balancer then sends too
+//! few requests to an endpoint to estimate its capacity.
 
 use crate::attempt::{Attempt, Trial};
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::latency::LATENCY_SMOOTHING;
 use crate::{Micros, Outcome};
 
-/// Endpoints share a limit if the initial limit of each would be below this many requests.
+/// Endpoints share a limit if this balancer's part of the initial limit of each would be below this
+/// many requests.
 const MIN_ENDPOINT_CONCURRENCY: f64 = 0.5;
 /// Initial limit per endpoint, in requests from all balancers together.
 const SHARED_INITIAL_CONCURRENCY: f64 = 3.0;
@@ -18,13 +19,16 @@
 /// Minimum weight of a new sample in the shared latency pressure. It is lower than for a single
 /// endpoint, as the samples come from fast and slow endpoints and from all classes.
 const MIN_SHARED_PRESSURE_SMOOTHING: f64 = LATENCY_SMOOTHING / 3.0;
-/// Time constant of the shared latency pressure where samples are few.
+/// Time constant of the shared latency pressure, while the bounds on the weight of a sample allow
+/// it.
 const SHARED_PRESSURE_TIME_CONSTANT_US: f64 = 1e6;
-/// Time constant of the mean number of requests in flight.
+/// Time constant of the mean number of requests in flight, and of the shared latency pressure after
+/// a longer time without samples.
 pub(crate) const UTILIZATION_TIME_CONSTANT_US: f64 = 3e6;
 
-/// The shared concurrency limit. It bounds the mean number of requests in flight: each request uses
-/// up request time, its duration, and request time accrues at the rate of the limit.
+/// The shared concurrency limit. It is a token bucket that bounds the mean number of requests in
+/// flight. Tokens are microseconds of request duration: a request takes as many as it lasts, and a
+/// limit of `n` requests adds `n` per microsecond.
 #[derive(Debug, Default)]
 pub(crate) struct SharedLimit {
     /// Limit per available endpoint. Its trial and its backoff apply to all endpoints together.
@@ -32,13 +36,12 @@
     pub(crate) available_endpoints: f64,
     /// Number of requests in flight at all endpoints.
     pub(crate) in_flight: u32,
-    /// Request time used before it accrued, in microseconds.
+    /// Tokens that were taken before they were added, in microseconds of request duration.
     debt_us: f64,
     debt_updated_at: Micros,
     /// Mean number of requests in flight.
     pub(crate) mean_in_flight: f64,
-    /// Moving average of response times relative to what their classes allow; above 1 the limit is
-    /// cut.
+    /// Moving average of the latency pressure of responses; above 1 the limit is cut.
     pub(crate) latency_pressure: f64,
     /// Sum of the samples' weights since the last cut. From 1 on, the latency pressure reflects the
     /// current limit.
@@ -48,7 +51,8 @@
 }
 
 impl SharedLimit {
-    /// Returns `None` if there are so few balancers that each endpoint has a limit of its own.
+    /// Returns `None` if there are so few balancers that each endpoint has a limit of its own: the
+    /// initial limit would be at least [`MIN_ENDPOINT_CONCURRENCY`].
     pub(crate) fn new(balancer_count: u32) -> Option<Self> {
         if ConcurrencyLimit::new(balancer_count).requests_per_step >= MIN_ENDPOINT_CONCURRENCY {
             return None;
@@ -69,7 +73,8 @@
         self.limit.max_in_flight() * self.available_endpoints
     }
 
-    /// Adds used request time to the debt, from which what has accrued since is deducted.
+    /// Deducts the tokens added since the last call from the debt, then adds `request_time` to it,
+    /// which may be negative.
     fn charge_request_time(&mut self, now: Micros, request_time: f64) {
         let accrued = self.max_in_flight() * now.saturating_sub(self.debt_updated_at) as f64;
         self.debt_us = (self.debt_us - accrued).max(0.0) + request_time;
@@ -113,8 +118,9 @@
         self.available_endpoints > 0.0 && self.available_at(mean_latency) > now
     }
 
-    /// When the limit allows another request. If it has room for one more request in flight, that
-    /// is now: request time that slow requests used earlier does not reflect the current load.
+    /// When the limit allows another request; not later than now if it does so already. The debt is
+    /// ignored while one more request in flight would be within the limit, because it may stem from
+    /// slow requests that have ended.
     fn available_at(&self, mean_latency: f64) -> Micros {
         if f64::from(self.in_flight) + 1.0 <= self.max_in_flight() {
             return self.debt_updated_at;
@@ -141,6 +147,9 @@
         if sent_at < self.cut_at {
             return;
         }
+        // The weight grows with the time since the last sample, within bounds. After about 0.3 s
+        // without a sample the second time constant gives a weight above these bounds, so that an
+        // old average does not last.
         let weight_of_gap = |time_constant: f64| 1.0 - (-gap / time_constant).exp();
         let weight = weight_of_gap(SHARED_PRESSURE_TIME_CONSTANT_US)
             .clamp(MIN_SHARED_PRESSURE_SMOOTHING, LATENCY_SMOOTHING)
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -8,12 +8,12 @@
 use crate::Micros;
 
 /// Load that endpoints are sent during slow start under a shared limit, as a fraction of the
-/// overload multiple. It is low because requests and endpoints are uneven, and each endpoint is in
-/// the subsets of only a few balancers.
+/// overload multiple. It is low because requests differ in work and endpoints in capacity, and the
+/// few balancers whose subsets contain an endpoint don't average this out.
 const SLOW_START_OVERLOAD_FRACTION: f64 = 0.24;
 
-/// The endpoints up to the last one of this balancer's subset, and the capacity of those of them
-/// that are in service.
+/// The ready endpoints from this balancer's position on the ring up to the last one of its subset,
+/// and the capacity of those in service.
 #[derive(Debug, Default)]
 struct SubsetRange {
     indices: Vec<usize>,
@@ -59,8 +59,8 @@
             let endpoint = &mut self.endpoints[index];
             let weight = endpoint.weight.min(max_weight);
             let share = (fraction * weight).min(1.0) * endpoint.warm_up_fraction(now, slow_start);
-            // With few balancers the share is rounded up to one over a whole number: if all
-            // endpoints warm up, shares that add up to less than one request would let none
+            // Without a shared limit the credit is the share rounded up to one over a whole number:
+            // if all endpoints warm up, shares that add up to less than one request would let none
             // through.
             let credit = if self.shared_limit.is_some() {
                 share
@@ -71,8 +71,8 @@
         }
     }
 
-    /// The listed endpoints from this balancer's position on the ring up to the last endpoint of
-    /// its subset.
+    /// The ready endpoints from this balancer's position on the ring up to the last endpoint of its
+    /// subset.
     fn subset_range(&self, now: Micros) -> SubsetRange {
         let slow_start = &self.settings.slow_start;
         let mut subset_range = SubsetRange::default();
@@ -99,9 +99,9 @@
         subset_range
     }
 
-    /// Whether an endpoint takes its part of the requests. Under a shared limit an endpoint that
-    /// was ejected for being slow counts too, as it is ejected only for a while, in which the
-    /// others serve more.
+    /// Whether an endpoint counts towards the capacity of the range. Under a shared limit this
+    /// includes an ejected endpoint whose failure rate is low: it was ejected for being slow and is
+    /// expected to be readmitted, and the other endpoints serve its requests meanwhile.
     fn is_in_service(&self, endpoint: &Endpoint) -> bool {
         !endpoint.is_ejected()
             || self.shared_limit.is_some() && endpoint.failure_rate < EJECTION_FAILURE_RATE / 2.0
@@ -116,8 +116,9 @@
         endpoint.slow_start_due_at = now.saturating_add(interval);
     }
 
-    /// Interval between requests without credit that keeps less than one of them in flight from all
-    /// balancers together.
+    /// Interval between requests that this balancer sends to an endpoint without credit. It is so
+    /// long that all balancers together have on average less than one such request in flight at the
+    /// endpoint, as long as responses arrive within the longest latency objective.
     pub(crate) fn slow_start_interval(&self, now: Micros, endpoint: &Endpoint) -> Micros {
         let warm_up_fraction = endpoint.warm_up_fraction(now, &self.settings.slow_start);
         let balancers = f64::from(self.settings.balancer_count);
--- a/balancer/src/subset.rs
+++ b/balancer/src/subset.rs
@@ -1,6 +1,7 @@
-//! The subset of the endpoints that this balancer sends to under a shared limit. If each of very
-//! many balancers sent to all endpoints, it would open a connection for nearly every request and
-//! learn nothing about each endpoint.
+//! The subset of the endpoints that this balancer sends to under a shared limit. The number of
+//! requests that a balancer sends to each endpoint falls with the number of balancers and of
+//! endpoints. If it sent to all, most requests would need a new connection, and there would be too
+//! few outcomes per endpoint to judge it by.
 
 use crate::balancer::Balancer;
 
--- a/balancer/src/tenant_usage.rs
+++ b/balancer/src/tenant_usage.rs
@@ -3,7 +3,8 @@
 use crate::latency::LATENCY_SMOOTHING;
 use crate::{Tenant, TenantId};
 
-/// Memory of the usage average, as a multiple of that of the latency averages.
+/// Number of samples that the usage average spans, as a multiple of the number that the latency
+/// averages span.
 const USAGE_SAMPLES_MULTIPLE: f64 = 10.0;
 /// Multiple of the quota beyond which usage counts as over quota.
 const QUOTA_TOLERANCE: f64 = 1.1;
@@ -22,7 +23,8 @@
     }
 
     /// Counts a request and returns whether its tenant is over its quota. A tenant that is not in
-    /// the settings always is.
+    /// the settings has no quota: its requests are not counted, and it always counts as over its
+    /// quota.
     pub(crate) fn record(&mut self, tenant: TenantId, tenants: &[Tenant]) -> bool {
         let Some(quota) = tenants.get(tenant.0).map(|tenant| tenant.quota) else {
             return true;
--- a/balancer/src/zone_outages.rs
+++ b/balancer/src/zone_outages.rs
@@ -1,5 +1,6 @@
 //! Detects outages of whole zones. An unreachable zone shows as connection failures at each of its
-//! endpoints; after a few consecutive failures the whole zone is avoided.
+//! endpoints; each consecutive failure doubles the time for which the whole zone is avoided, up to
+//! a maximum, and after more than [`ZONE_BACKOFF_DOUBLINGS`] the zone counts as having an outage.
 
 use crate::backoff::MAX_BACKOFF_DOUBLINGS;
 use crate::{Micros, ZoneId};
--- a/deploy/sites/generate/src/main.rs
+++ b/deploy/sites/generate/src/main.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Files that have to be in the same folder as a site file.
+/// Files that belong to a site file and have to be in its folder.
 const COMPANION_FILES: [&str; 3] = ["wire.json", "real.json", "unlock.txt"];
 
 /// Generates a random deployment from existing site files.
--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -1,7 +1,7 @@
 //! Injects faults into system calls of a process under test. The library is preloaded with
-//! `LD_PRELOAD`, replaces functions of the C library and makes their calls fail as the JSON
-//! schedule in the environment variable `SYSCALL_FAULTS` says. Without a schedule no call fails. No
-//! crate depends on it.
+//! `LD_PRELOAD`, replaces functions of the C library and makes calls fail according to the JSON
+//! schedule in the environment variable `SYSCALL_FAULTS`. Without a schedule no call fails. The
+//! library is only loaded at run time; no crate links it.
 
 #[macro_use]
 mod next_symbol;
--- a/faults/src/schedule.rs
+++ b/faults/src/schedule.rs
@@ -9,11 +9,11 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Call {
-    /// `socket(2)`.
+    /// `socket(2)` for internet sockets.
     Socket,
     /// `accept4(2)`.
     Accept,
-    /// `connect(2)`.
+    /// `connect(2)` on internet sockets.
     Connect,
     /// `recv(2)` on internet sockets.
     Receive,
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,5 +1,6 @@
-//! Reads and validates a site's settings. The simulator sends them when it creates a balancer, and
-//! a proxy's configuration contains them in the same form.
+//! Reads and validates the settings of a site, which is one deployment of the load-balanced
+//! service. The simulator sends them when it creates a balancer, and a proxy's configuration
+//! contains them in the same form.
 #![forbid(unsafe_code)]
 
 mod error;
@@ -16,7 +17,8 @@
 use message::SettingsMessage;
 use serde_json::Value;
 
-/// Settings for a balancer, and the names of the classes and tenants that it knows by index only.
+/// Settings for a balancer, and the names of the classes and tenants, which the balancer identifies
+/// by their indices.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteSettings {
     /// Settings that a balancer is created with.
--- a/settings/src/message.rs
+++ b/settings/src/message.rs
@@ -192,8 +192,8 @@
                 health_checks: self.limits.health_checks,
                 hedging: self.limits.hedging,
                 max_attempts: self.limits.max_attempts,
-                // Applies even if clients are declared not to respect `Retry-After`, because
-                // every HTTP rejection carries the header.
+                // The key that tells whether clients respect `Retry-After` is not read: every HTTP
+                // rejection carries the header, so its maximum always applies.
                 max_retry_after: self.limits.max_retry_after_us,
             },
             slow_start: SlowStart {
--- a/settings/src/validation.rs
+++ b/settings/src/validation.rs
@@ -1,5 +1,5 @@
-//! Range checks of settings, made before a program starts so that an invalid value is reported then
-//! and not first noticed under load.
+//! Range checks of settings. A proxy makes them when it reads its configuration, so that an invalid
+//! value is reported before it takes effect.
 
 use crate::error::{AllowedRange, SettingsError, MAX_DURATION_US};
 use balancer::{Class, Settings};
