--- a/balancer/src/action.rs
+++ b/balancer/src/action.rs
@@ -71,10 +71,18 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LogEvent::EndpointEjected(endpoint) => {
-                write!(formatter, "endpoint {} ejected", endpoint.0)
+                write!(
+                    formatter,
+                    "endpoint {} ejected: it gets only trial requests until it recovers",
+                    endpoint.0
+                )
             }
             LogEvent::EndpointReadmitted(endpoint) => {
-                write!(formatter, "endpoint {} readmitted", endpoint.0)
+                write!(
+                    formatter,
+                    "endpoint {} readmitted after a served trial request",
+                    endpoint.0
+                )
             }
         }
     }
--- a/deploy/sites/generate/src/error.rs
+++ b/deploy/sites/generate/src/error.rs
@@ -17,12 +17,16 @@
         /// Where the text is not TOML, and why.
         error: toml::de::Error,
     },
-    /// A base lacks a table that every site file has.
-    #[error("base {} is not a site file: the table '{table}' is missing", base_index + 1)]
+    /// A base lacks a table or an array of tables that every site file has, or has a value of
+    /// another type in its place.
+    #[error(
+        "base {} is not a site file: '{table}' is missing or has the wrong type",
+        base_index + 1
+    )]
     MissingTable {
         /// Index of the base, from 0.
         base_index: usize,
-        /// Path of the table.
+        /// Path of the table or array.
         table: &'static str,
     },
     /// The generated deployment cannot be written as TOML.
@@ -30,6 +34,7 @@
     Output(toml::ser::Error),
 }
 
-/// A table that every site file has is missing; the field is the table's path.
+/// A table or an array of tables that every site file has is missing or has another type; the field
+/// is its path.
 #[derive(Debug)]
 pub(crate) struct MissingTable(pub(crate) &'static str);
--- a/deploy/sites/generate/tests/generate.rs
+++ b/deploy/sites/generate/tests/generate.rs
@@ -90,6 +90,6 @@
     );
     assert_eq!(
         message(&["[net]".to_owned()]),
-        "base 1 is not a site file: the table 'clients' is missing"
+        "base 1 is not a site file: 'clients' is missing or has the wrong type"
     );
 }
