--- a/balancer/src/hedging.rs
+++ b/balancer/src/hedging.rs
@@ -4,16 +4,17 @@
 use crate::attempt::Trial;
 use crate::balancer::Balancer;
 use crate::endpoint::Endpoint;
-use crate::latency::SLACK_TYPICAL_LATENCIES;
+use crate::latency::SLACK_MEAN_LATENCIES;
 use crate::request::Request;
 use crate::selection::Route;
 use crate::{Action, Micros, RequestId};
 
 impl Balancer {
-    /// When to hedge a request that was forwarded for the first time: as late as a second attempt
-    /// can still be in time, but not before the first is late for its class. Under a shared limit
-    /// nothing is hedged: a balancer knows too little about each endpoint, so a second attempt
-    /// would only add load.
+    /// When to hedge a request that was forwarded for the first time: when [`SLACK_MEAN_LATENCIES`]
+    /// mean latencies remain until the response is due, but not before the tail latency of its
+    /// class has passed since its arrival. `None` if a second attempt would then be late. Also
+    /// `None` under a shared limit: a balancer sends too few requests to an endpoint there to
+    /// recognize that it is stalled, so hedging would only add load.
     pub(crate) fn hedge_at(&self, now: Micros, request: &Request) -> Option<Micros> {
         let is_allowed = request.attempts.len() == 1
             && !request.is_non_replayable
@@ -26,11 +27,11 @@
             .latencies
             .get(request.class_id)
             .map_or(f64::MAX, |estimate| estimate.tail);
-        let typical_latency = self.typical_latency(request);
+        let mean_latency = self.mean_latency(request);
         let response_due_at = request.response_due_at() as f64;
-        let hedge_at = (response_due_at - SLACK_TYPICAL_LATENCIES * typical_latency)
+        let hedge_at = (response_due_at - SLACK_MEAN_LATENCIES * mean_latency)
             .max(request.arrived_at as f64 + tail_latency);
-        (hedge_at + typical_latency <= response_due_at).then(|| (hedge_at as Micros).max(now + 1))
+        (hedge_at + mean_latency <= response_due_at).then(|| (hedge_at as Micros).max(now + 1))
     }
 
     /// Hedges a request if it has attempts left, nothing is queued, the retry budget allows it, and
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -18,7 +18,8 @@
     pub(crate) is_non_replayable: bool,
     /// Whether the request is still arriving.
     pub(crate) is_uploading: bool,
-    /// Whether no further attempt is needed: its client has a reply, or waits for none.
+    /// Whether no further attempt is needed: its client has a reply, is being sent a response, or
+    /// has cancelled the request.
     pub(crate) is_finished: bool,
     pub(crate) timer_at: Option<Micros>,
 }
@@ -48,17 +49,17 @@
     /// Until when a response counts with the priority weight of its class or a fraction of it: the
     /// latency objective or, if late responses count too, the deadline.
     pub(crate) fn response_due_at(&self) -> Micros {
-        let latency_objective = if self.class.late_weight_fraction > 0.0 {
+        let allowed_latency = if self.class.late_weight_fraction > 0.0 {
             self.class.deadline
         } else {
             self.class.latency_objective
         };
         self.deadline
-            .min(self.arrived_at.saturating_add(latency_objective))
+            .min(self.arrived_at.saturating_add(allowed_latency))
     }
 
     /// When the deduplication window ends, which begins with the first attempt that may have been
-    /// executed. Further attempts must begin before. `None` if there is no such limit.
+    /// executed. Further attempts must start before then. `None` if there is no window.
     pub(crate) fn attempt_deadline(&self) -> Option<Micros> {
         match (self.first_possibly_executed(), self.class.idempotency) {
             (Some(first), Idempotency::Keyed { window, .. }) => {
@@ -84,8 +85,9 @@
                     DeduplicationScope::Zone => first.zone == endpoint.zone,
                     DeduplicationScope::Cell => first.cell == endpoint.cell,
                 };
-                let earliest = now.saturating_add(clock_resolution);
-                is_deduplicated && self.attempt_deadline().is_none_or(|end| earliest < end)
+                // The clock may lag by up to its resolution.
+                let latest_now = now.saturating_add(clock_resolution);
+                is_deduplicated && self.attempt_deadline().is_none_or(|end| latest_now < end)
             }
         }
     }
--- a/balancer/src/tenant_usage.rs
+++ b/balancer/src/tenant_usage.rs
@@ -3,8 +3,9 @@
 use crate::latency::LATENCY_SMOOTHING;
 use crate::{Tenant, TenantId};
 
-/// Memory of the usage average, as a multiple of that of the latency averages.
-const USAGE_MEMORY_MULTIPLE: f64 = 10.0;
+/// Number of samples that the usage average spans, as a multiple of the number that the latency
+/// averages span.
+const USAGE_SAMPLES_MULTIPLE: f64 = 10.0;
 /// Multiple of the quota beyond which usage counts as over quota.
 const QUOTA_TOLERANCE: f64 = 1.1;
 
@@ -22,14 +23,15 @@
     }
 
     /// Counts a request and returns whether its tenant is over its quota. A tenant that is not in
-    /// the settings always is.
+    /// the settings has no quota: its requests are not counted, and it always counts as over its
+    /// quota.
     pub(crate) fn record(&mut self, tenant: TenantId, tenants: &[Tenant]) -> bool {
         let Some(quota) = tenants.get(tenant.0).map(|tenant| tenant.quota) else {
             return true;
         };
         for (index, fraction) in self.fractions.iter_mut().enumerate() {
             let sample = if index == tenant.0 { 1.0 } else { 0.0 };
-            *fraction += (sample - *fraction) * LATENCY_SMOOTHING / USAGE_MEMORY_MULTIPLE;
+            *fraction += (sample - *fraction) * LATENCY_SMOOTHING / USAGE_SAMPLES_MULTIPLE;
         }
         let total: f64 = self.fractions.iter().sum();
         self.fractions[tenant.0] > total * quota * QUOTA_TOLERANCE
