--- a/proxy/src/body/response_body.rs
+++ b/proxy/src/body/response_body.rs
@@ -133,7 +133,8 @@
         match &data {
             Some(Err(error)) => {
                 log::line(&format!(
-                    "an endpoint's response failed after {} bytes: {error}",
+                    "an endpoint's response failed after {} bytes of its body: {error}; the \
+                     client's response is truncated",
                     self.read_bytes
                 ));
                 self.finish(RequestEnd::Failed);
--- a/proxy/src/config/error.rs
+++ b/proxy/src/config/error.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Error)]
 pub enum LoadError {
     /// The file could not be read.
-    #[error("{}: {error}", path.display())]
+    #[error("cannot read {}: {error}", path.display())]
     Unreadable {
         /// Path of the file.
         path: PathBuf,
@@ -61,13 +61,13 @@
     #[error("settings: {0}")]
     ConnectionSettings(serde_path_to_error::Error<serde_json::Error>),
     /// A limit or timeout is too low or too high.
-    #[error("{key}: {value} is out of range; allowed: {allowed}")]
+    #[error("{key} is {value}; it must be {allowed}")]
     OutOfRange {
         /// Key of the value.
         key: &'static str,
         /// The configured value, with its unit if it has one.
         value: String,
-        /// The allowed range.
+        /// The values that are allowed.
         allowed: String,
     },
 }
--- a/proxy/src/config/message.rs
+++ b/proxy/src/config/message.rs
@@ -165,7 +165,11 @@
         return Err(ConfigError::OutOfRange {
             key,
             value: format!("{value_us} us"),
-            allowed: format!("{min_us} us to {} h", MAX_TIMEOUT.as_secs() / 3_600),
+            allowed: format!(
+                "from {min_us} to {} us ({} hours)",
+                MAX_TIMEOUT.as_micros(),
+                MAX_TIMEOUT.as_secs() / 3_600
+            ),
         });
     }
     Ok(timeout)
--- a/proxy/src/control/endpoint_list.rs
+++ b/proxy/src/control/endpoint_list.rs
@@ -101,7 +101,7 @@
         if !self.state().watch.is_current(generation) {
             return;
         }
-        let kind = self.state_mut().watch.record_end(&end);
+        let kind = self.state_mut().watch.record_end(discovery, &end);
         self.dispatch([Event::EndpointList {
             kind,
             entries: Vec::new(),
--- a/proxy/src/control/watch.rs
+++ b/proxy/src/control/watch.rs
@@ -4,6 +4,7 @@
 use crate::log;
 use crate::task::ScopedTask;
 use balancer::ListUpdate;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
@@ -51,14 +52,22 @@
         self.task = None;
     }
 
-    /// Records that the watch has ended and logs the reason; of consecutive failures to open a
-    /// watch, only the first is logged. Returns the update that the balancer is notified of. The
-    /// balancer opens the next watch soon after a lost one, and backs off if watches repeatedly end
-    /// soon after they are opened.
-    pub(super) fn record_end(&mut self, end: &WatchEnd) -> ListUpdate {
+    /// Records that the watch at `discovery` has ended and logs the reason; of consecutive failures
+    /// to open a watch, only the first is logged. Returns the update that the balancer is notified
+    /// of. The balancer opens the next watch soon after a lost one, and backs off if watches
+    /// repeatedly end soon after they are opened.
+    pub(super) fn record_end(&mut self, discovery: SocketAddr, end: &WatchEnd) -> ListUpdate {
         let was_open = end.open_for.is_some();
         if was_open || !self.last_open_failed {
-            log::line(&format!("discovery: {}", end.reason));
+            let (event, next) = if was_open {
+                ("ended", "it will be opened again")
+            } else {
+                ("could not be opened", "opening it will be retried")
+            };
+            log::line(&format!(
+                "discovery: the watch at {discovery} {event}: {}; {next}",
+                end.reason
+            ));
         }
         self.last_open_failed = !was_open;
         let is_flapping = end.was_brief() && self.last_watch_was_brief;
--- a/proxy/src/discovery/parser.rs
+++ b/proxy/src/discovery/parser.rs
@@ -17,7 +17,7 @@
     #[error("an endpoint list is longer than {MAX_OBJECT_BYTES} bytes")]
     TooLong,
     /// An object is not an endpoint list.
-    #[error(transparent)]
+    #[error("an endpoint list is malformed: {0}")]
     Json(#[from] serde_json::Error),
 }
 
--- a/proxy/src/discovery/watch.rs
+++ b/proxy/src/discovery/watch.rs
@@ -83,16 +83,16 @@
     #[error(transparent)]
     Http(#[from] hyper::Error),
     /// The response had a status other than 200.
-    #[error("discovery responded with status {0}")]
+    #[error("the response has status {0} instead of 200 OK")]
     Status(StatusCode),
     /// The head of the response did not arrive in time.
-    #[error("discovery did not respond within {0:?}")]
+    #[error("no response arrived within {0:?}")]
     NoResponse(Duration),
     /// Nothing arrived for too long, not even a heartbeat.
-    #[error("discovery sent nothing on the watch for {0:?}")]
+    #[error("nothing arrived for {0:?}, not even a heartbeat")]
     Silent(Duration),
     /// The response body ended.
-    #[error("discovery ended the watch")]
+    #[error("discovery ended the response")]
     Ended,
     /// The response body contains something other than endpoint lists.
     #[error(transparent)]
--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -52,7 +52,9 @@
     /// Spawns a task that serves the requests on this stream.
     pub(super) fn start(stream: TcpStream, shared: &SharedState) -> ClientConnection {
         if let Err(error) = stream.set_nodelay(true) {
-            log::line(&format!("cannot set TCP_NODELAY for a client: {error}"));
+            log::line(&format!(
+                "cannot set TCP_NODELAY for a client connection: {error}; it is served without it"
+            ));
         }
         let socket = Socket::for_client(stream);
         let phase = Rc::new(Cell::new(Phase::AwaitingFirst(Instant::now())));
@@ -84,7 +86,7 @@
     pub(super) fn close(&self, reason: ClientCloseReason) {
         self.metrics.counters_mut().client_connection_closed(reason);
         let phase = self.phase.get();
-        tracing::debug!(socket = ?self.socket, ?phase, ?reason, "closed");
+        tracing::debug!(socket = ?self.socket, ?phase, ?reason, "client connection closed");
         let is_unanswered =
             matches!(self.phase.get(), Phase::Open) && reason != ClientCloseReason::ResponseStalled;
         if is_unanswered && !self.socket.has_disconnected() {
--- a/proxy/src/downstream/listener.rs
+++ b/proxy/src/downstream/listener.rs
@@ -88,6 +88,8 @@
         }
         ErrorClass::Peer | ErrorClass::Permanent => {}
     }
-    log::line(&format!("cannot accept a client connection: {error}"));
+    log::line(&format!(
+        "cannot accept a client connection: {error}; retrying after {ACCEPT_RETRY_DELAY:?}"
+    ));
     Instant::now() + ACCEPT_RETRY_DELAY
 }
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -39,7 +39,8 @@
     connections.begin_shutdown(shutdown::schedule(longest_deadline));
     if let Err(error) = attach_newer_listener_filter(&listener) {
         log::line(&format!(
-            "cannot lead new connections to the next process: {error}"
+            "cannot lead new connections to the next process: {error}; this process accepts some \
+             of them until it closes its listener"
         ));
     }
     accept_until(
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -24,6 +24,7 @@
 use control::Control;
 use std::future::{pending, Future};
 use std::io;
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::pin::pin;
 use std::rc::Rc;
@@ -57,8 +58,13 @@
 #[derive(Debug, Error)]
 pub enum RunError {
     /// Listening on the clients' address failed.
-    #[error("cannot listen for clients: {0}")]
-    Listen(io::Error),
+    #[error("cannot listen on the \"listen\" address {address}: {error}")]
+    Listen {
+        /// The clients' address.
+        address: SocketAddr,
+        /// Error returned by the system call.
+        error: io::Error,
+    },
 }
 
 /// Serves until `shutdown` completes and every accepted request has its reply. `reload` returns
@@ -105,7 +111,10 @@
     }
     let listener = socket
         .listen(downstream::LISTEN_BACKLOG)
-        .map_err(RunError::Listen)?;
+        .map_err(|error| RunError::Listen {
+            address: control.config().listen,
+            error,
+        })?;
     downstream::serve(listener, control.clone(), shutdown).await;
     control.log_metrics();
     Ok(())
@@ -163,16 +172,16 @@
 async fn share_limits_with_other_process(folder: PathBuf, control: Control) {
     let on_change = |is_shared| {
         if is_shared {
-            log::line("another process serves too");
+            log::line("another process serves too; each uses half of the file descriptors");
             control.set_process_count(2);
         } else {
-            log::line("no other process serves any more");
+            log::line("no other process serves any more; this one uses all file descriptors");
             control.set_process_count(1);
         }
     };
     let Err(error) = process_handoff::maintain_presence(&folder, on_change).await;
     log::line(&format!(
-        "cannot use the lock file in {}: {error}",
+        "cannot use the lock file in {}: {error}; other processes are not detected any more",
         folder.display()
     ));
 }
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -43,7 +43,8 @@
     if env::var_os("ROUTER_TRACE").is_some_and(|value| value == "1") {
         log::enable_request_trace();
     }
-    let path = env::var_os("ROUTER_CONFIG").context("ROUTER_CONFIG is not set")?;
+    let path = env::var_os("ROUTER_CONFIG")
+        .context("ROUTER_CONFIG is not set; it must be the path of the configuration file")?;
     let runtime = build_runtime().context("cannot start the async runtime")?;
     LocalSet::new().block_on(&runtime, serve(Path::new(&path)))
 }
@@ -55,10 +56,10 @@
     // program.
     let mut terminate = signal_handler(SignalKind::terminate())
         .await
-        .context("cannot handle SIGTERM")?;
+        .context("cannot install the handler for SIGTERM")?;
     let hangup = signal_handler(SignalKind::hangup())
         .await
-        .context("cannot handle SIGHUP")?;
+        .context("cannot install the handler for SIGHUP")?;
     let config = load_at_start(path).await?;
     let listeners = Listeners {
         clients: bind_for_clients(&config).await?,
@@ -117,9 +118,9 @@
 fn operators_address(config: &Config) -> anyhow::Result<Option<SocketAddr>> {
     match env::var("ROUTER_ADMIN") {
         Ok(value) => {
-            let address = value
-                .parse()
-                .with_context(|| format!("ROUTER_ADMIN: invalid address {value:?}"))?;
+            let address = value.parse().with_context(|| {
+                format!("ROUTER_ADMIN: {value:?} is not an address of the form \"127.0.0.1:8080\"")
+            })?;
             Ok(Some(address))
         }
         Err(_) => Ok(config.admin),
--- a/proxy/src/operators.rs
+++ b/proxy/src/operators.rs
@@ -31,14 +31,14 @@
 /// Why a command failed. The message is sent to the operator.
 #[derive(Debug, Error)]
 enum CommandError {
-    #[error("no complete command was received in time")]
+    #[error("the command did not end within {COMMAND_TIMEOUT:?}")]
     TimedOut,
     #[error("the command is longer than {MAX_COMMAND_BYTES} bytes")]
     TooLong,
     #[error("the command is not valid UTF-8")]
     InvalidUtf8,
-    #[error("unknown command; available commands: health, counters")]
-    Unknown,
+    #[error("unknown command {0:?}; available commands: health, counters")]
+    Unknown(String),
     #[error("no: this process is not serving clients")]
     Unhealthy,
     /// The connection broke, so no response is sent.
@@ -73,7 +73,10 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::line(&format!("admin: cannot accept a connection: {error}"));
+                log::line(&format!(
+                    "admin: cannot accept a connection: {error}; retrying after \
+                     {ACCEPT_RETRY_DELAY:?}"
+                ));
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -180,6 +183,6 @@
         // No `SUCCESS` in front: operators' tools parse everything before the last line as the
         // metrics.
         "counters" => Ok(format!("{}\nEOT\n", control.metrics_json())),
-        _ => Err(CommandError::Unknown),
+        unknown => Err(CommandError::Unknown(unknown.to_owned())),
     }
 }
--- a/proxy/tests/program.rs
+++ b/proxy/tests/program.rs
@@ -146,10 +146,16 @@
     });
     let cases = [
         ("{", "EOF"),
-        (&good.replace("127.0.0.1:0", "nowhere"), "address"),
+        (
+            &good.replace("127.0.0.1:0", "nowhere"),
+            "listen: \"nowhere\" is not an address",
+        ),
         (&good.replace("8c1f", "seed"), "seed"),
         (&good.replace("1024", "12"), "sockets"),
-        (&good.replacen('{', "{\"admin\":\"nowhere\",", 1), "address"),
+        (
+            &good.replacen('{', "{\"admin\":\"nowhere\",", 1),
+            "admin: \"nowhere\" is not an address",
+        ),
         (
             &good.replacen('{', "{\"admin\":\"192.0.2.1:9600\",", 1),
             "192.0.2.1:9600",
--- a/soak/src/ledger/rules.rs
+++ b/soak/src/ledger/rules.rs
@@ -74,7 +74,10 @@
 
     fn too_many_attempts(&self) -> Option<Finding> {
         let exceeded = self.request.attempts.len() >= MAX_ATTEMPTS;
-        exceeded.then(|| Finding::new(Rule::Duplicate, "too many attempts"))
+        exceeded.then(|| {
+            let reason = format!("more than {MAX_ATTEMPTS} attempts");
+            Finding::new(Rule::Duplicate, reason)
+        })
     }
 
     fn after_disconnect(&self) -> Option<Finding> {
@@ -137,8 +140,8 @@
         return lost("its connection ended without a response".to_owned());
     };
     let deadline = request.complete_at.map(|at| at + request.client_timeout);
-    let late =
-        deadline.is_some_and(|at| completion.at > at + RESPONSE_SLACK + TIME_LIMIT_TOLERANCE);
+    let tolerance = RESPONSE_SLACK + TIME_LIMIT_TOLERANCE;
+    let late = deadline.is_some_and(|at| completion.at > at + tolerance);
     let executed = request
         .attempts
         .iter()
@@ -156,7 +159,9 @@
             "rejected after it may have been executed",
         )),
         400..=428 => lost(format!("a valid request was answered with {status}")),
-        _ if late => lost("a late response".to_owned()),
+        _ if late => lost(format!(
+            "a response more than {tolerance:?} after its client's timeout"
+        )),
         _ => None,
     }
 }
--- a/soak/src/verdict.rs
+++ b/soak/src/verdict.rs
@@ -51,9 +51,11 @@
     let judged = scheduling_delay <= MAX_SCHEDULING_DELAY;
     let passed = judged && violations.is_empty() && failures.is_empty();
     let result = match (judged, passed) {
-        (false, _) => "NOT JUDGED, this program's scheduling delay was too long",
-        (true, true) => "passed",
-        (true, false) => "FAILED",
+        (false, _) => {
+            format!("NOT JUDGED, this program's scheduling delay exceeded {MAX_SCHEDULING_DELAY:?}")
+        }
+        (true, true) => "passed".to_owned(),
+        (true, false) => "FAILED".to_owned(),
     };
     println!("seed {seed}: {result} {violations:?}");
     passed
