--- a/proxy/tests/bodies.rs
+++ b/proxy/tests/bodies.rs
@@ -80,7 +80,7 @@
             .write_all(response.as_bytes())
             .await
             .expect("write failed");
-        assert_eq!(client.message().await.expect("no response").body, b"got it");
+        assert_eq!(client.receive().await.expect("no response").body, b"got it");
     });
 }
 
@@ -103,15 +103,12 @@
             ))
             .await;
         client.send(&request("unsafe", "", "behind")).await;
-        assert_eq!(client.message().await.expect("no response").body, b"small");
-        assert_eq!(client.message().await.expect("no response").body, b"next");
-        let bodies: Vec<Vec<u8>> = endpoint
-            .requests
-            .borrow()
-            .iter()
-            .map(|message| message.body.clone())
-            .collect();
-        assert_eq!(bodies, [b"abcde".to_vec(), b"behind".to_vec()]);
+        assert_eq!(client.receive().await.expect("no response").body, b"small");
+        assert_eq!(client.receive().await.expect("no response").body, b"next");
+        assert_eq!(
+            endpoint.request_bodies(),
+            [b"abcde".to_vec(), b"behind".to_vec()]
+        );
 
         let manual = ManualEndpoint::start().await;
         let proxy = Proxy::start(from_ref(&manual.endpoint)).await;
@@ -147,14 +144,14 @@
             .await;
         assert_eq!(
             client
-                .message()
+                .receive()
                 .await
                 .expect("no interim response")
                 .status(),
             100
         );
         client.send("body").await;
-        assert_eq!(client.message().await.expect("no response").body, b"served");
+        assert_eq!(client.receive().await.expect("no response").body, b"served");
         assert_eq!(endpoint.requests.borrow()[0].header("expect"), None);
     });
 }
@@ -175,7 +172,7 @@
             .await
             .expect("cannot read a part of the body");
         drop(endpoint);
-        assert_eq!(client.message().await.expect("no response").status(), 503);
+        assert_eq!(client.receive().await.expect("no response").status(), 503);
         let again = tokio::time::timeout(Duration::from_millis(100), manual.accept()).await;
         assert!(again.is_err(), "the request must not be retried");
     });
@@ -191,9 +188,9 @@
         let mut client = proxy.client().await;
         client.send(&upload("unsafe", LARGE_BYTES)).await;
         client.send(&"a".repeat(1_000)).await;
-        assert_eq!(client.message().await.expect("no response").status(), 408);
+        assert_eq!(client.receive().await.expect("no response").status(), 408);
         wait_until("the connection to the endpoint is closed", || {
-            endpoint.open_connections.get() == 0
+            endpoint.open_connection_count.get() == 0
         })
         .await;
         assert_eq!(
@@ -221,7 +218,7 @@
             sleep(Duration::from_millis(250)).await;
             client.send(&piece).await;
         }
-        assert_eq!(client.message().await.expect("no response").body, b"served");
+        assert_eq!(client.receive().await.expect("no response").body, b"served");
     });
 }
 
@@ -265,7 +262,7 @@
             .await
             .expect("cannot read the second half");
         client.send("\r\n").await;
-        assert_eq!(client.message().await.expect("no response").status(), 200);
+        assert_eq!(client.receive().await.expect("no response").status(), 200);
     });
 }
 
@@ -348,7 +345,8 @@
 fn a_queued_request_with_a_large_body_advertises_the_remaining_time() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
-        let draining = list(42, true, &[entry("s-0", endpoint.address, "Terminating")]);
+        let draining = endpoint_entry("s-0", endpoint.address, "Terminating");
+        let draining = endpoint_list(42, true, &[draining]);
         let discovery = TestDiscovery::start([format!("{WATCH_HEAD}{}", chunk(&draining))]).await;
         let proxy = Proxy::start_with(&discovery, &[], |_| ()).await;
         let mut client = proxy.client().await;
@@ -358,22 +356,23 @@
         let sent_at = Instant::now();
         sleep(Duration::from_millis(400)).await;
         assert_eq!(endpoint.request_count(), 0, "the request must be queued");
-        let ready = list(43, false, &[entry("s-0", endpoint.address, "Ready")]);
+        let ready = endpoint_entry("s-0", endpoint.address, "Ready");
+        let ready = endpoint_list(43, false, &[ready]);
         discovery.push(&chunk(&ready)).await;
         wait_until("the endpoint has the request", || {
             endpoint.request_count() == 1
         })
         .await;
-        let left = Duration::from_millis(8_000).saturating_sub(sent_at.elapsed());
+        let remaining_time = Duration::from_millis(8_000).saturating_sub(sent_at.elapsed());
         let advertised = endpoint.requests.borrow()[0]
             .header("x-budget-ms")
             .and_then(|ms| ms.parse().ok());
         let advertised = Duration::from_millis(advertised.expect("no valid X-Budget-Ms"));
         assert!(
-            advertised <= left + Duration::from_millis(150),
-            "advertised {advertised:?}, but only {left:?} remain"
+            advertised <= remaining_time + Duration::from_millis(150),
+            "advertised {advertised:?}, but only {remaining_time:?} remain"
         );
-        assert_eq!(client.message().await.expect("no response").status(), 200);
+        assert_eq!(client.receive().await.expect("no response").status(), 200);
     });
 }
 
@@ -388,7 +387,7 @@
         let mut client = proxy.client().await;
         let text = request("unsafe", "", &"b".repeat(60_000));
         client.send(&text[..text.len() - 100]).await;
-        let response = client.message().await.expect("no response");
+        let response = client.receive().await.expect("no response");
         assert_eq!(response.status(), 408);
         assert!(
             started.elapsed() < Duration::from_secs(3),
--- a/proxy/tests/client_connections.rs
+++ b/proxy/tests/client_connections.rs
@@ -13,14 +13,14 @@
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
-        let head = request("unsafe", "", "the body");
+        let text = request("unsafe", "", "the body");
         let (mut silent, mut partial_head, mut partial_body) = (
             proxy.client().await,
             proxy.client().await,
             proxy.client().await,
         );
-        partial_head.send(&head[..30]).await;
-        partial_body.send(&head[..head.len() - 2]).await;
+        partial_head.send(&text[..30]).await;
+        partial_body.send(&text[..text.len() - 2]).await;
         // This client sends its second request one byte at a time; a byte must not restart the
         // timeout.
         let mut slow = proxy.client().await;
@@ -29,7 +29,7 @@
             200
         );
         let send_slowly = async {
-            for byte in head.as_bytes().chunks(1).cycle() {
+            for byte in text.as_bytes().chunks(1).cycle() {
                 if slow.stream.write_all(byte).await.is_err() {
                     break;
                 }
@@ -37,11 +37,11 @@
             }
         };
         let rest = async {
-            assert!(silent.message().await.is_none());
-            assert!(partial_head.message().await.is_none());
+            assert!(silent.receive().await.is_none());
+            assert!(partial_head.receive().await.is_none());
             assert_eq!(
                 partial_body
-                    .message()
+                    .receive()
                     .await
                     .map(|response| response.status()),
                 Some(408)
@@ -82,7 +82,7 @@
             (1..=6).contains(&closed),
             "{closed} connections were closed"
         );
-        let is_closed = |client: &Client| {
+        let is_closed = |client: &TestConnection| {
             client
                 .stream
                 .try_read(&mut [0])
--- a/proxy/tests/client_disconnect.rs
+++ b/proxy/tests/client_disconnect.rs
@@ -13,7 +13,10 @@
 use tokio::time::sleep;
 
 /// Sends two requests that are in flight until the test releases them at the endpoint.
-async fn start_two_requests(proxy: &Proxy, endpoint: &TestEndpoint) -> (Client, Client) {
+async fn start_two_requests(
+    proxy: &Proxy,
+    endpoint: &TestEndpoint,
+) -> (TestConnection, TestConnection) {
     let (mut first, mut second) = (proxy.client().await, proxy.client().await);
     first.send(&request("free", "", "")).await;
     wait_until("the first request is in flight", || {
@@ -46,8 +49,8 @@
                 wait_for_pending(admin, 2).await;
                 endpoint.release.notify_one();
                 endpoint.release.notify_one();
-                assert_eq!(first.message().await.expect("no response").status(), 200);
-                assert_eq!(second.message().await.expect("no response").status(), 200);
+                assert_eq!(first.receive().await.expect("no response").status(), 200);
+                assert_eq!(second.receive().await.expect("no response").status(), 200);
                 endpoint.script.borrow_mut().push_front(ok("later"));
                 assert_eq!(
                     proxy.client().await.exchange(&text).await.body,
@@ -96,7 +99,7 @@
     wait_for_pending(admin, 1).await;
     let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
     drop(backlog);
-    assert_eq!(client.message().await.expect("no response").status(), 200);
+    assert_eq!(client.receive().await.expect("no response").status(), 200);
     let bodies: Vec<_> = endpoint
         .requests
         .borrow()
@@ -151,7 +154,7 @@
 }
 
 /// Sends pieces of a body until the proxy stops reading them: a piece stays unread for 30 ms.
-async fn send_until_unread(client: &mut Client, proxy: SocketAddr) {
+async fn send_until_unread(client: &mut TestConnection, proxy: SocketAddr) {
     let from = client.stream.local_addr().expect("no local address");
     loop {
         client.send(&"x".repeat(32 << 10)).await;
@@ -271,7 +274,7 @@
             let last = TcpStream::connect(proxy.address)
                 .await
                 .expect("cannot connect to the proxy");
-            let mut last = Client::new(last);
+            let mut last = TestConnection::new(last);
             last.send(&request("unsafe", "", "new body")).await;
             clients.clear();
             endpoint.script.borrow_mut().push_front(ok("served"));
@@ -284,7 +287,7 @@
                 endpoint.release.notify_one();
                 yield_now().await;
             }
-            assert_eq!(last.message().await.expect("no response").status(), 200);
+            assert_eq!(last.receive().await.expect("no response").status(), 200);
             let received = endpoint.requests.borrow();
             let bodies: Vec<_> = received
                 .iter()
@@ -312,7 +315,7 @@
             .shutdown(std::net::Shutdown::Write)
             .expect("cannot shut down the sending side");
         assert!(
-            client.message().await.is_none(),
+            client.receive().await.is_none(),
             "the connection must be closed without a response"
         );
         wait_for_pending(admin, 2).await;
--- a/proxy/tests/client_disconnect_under_load.rs
+++ b/proxy/tests/client_disconnect_under_load.rs
@@ -20,7 +20,7 @@
 
 /// Connects the background clients, each of which gets one response. They disconnect by resets: an
 /// orderly close would leave connections in TIME_WAIT in the kernel's table.
-async fn connect_background_clients(proxy: &Proxy) -> Vec<Client> {
+async fn connect_background_clients(proxy: &Proxy) -> Vec<TestConnection> {
     let mut clients = Vec::new();
     for _ in 0..BACKGROUND_CLIENTS {
         let client = proxy.client().await;
@@ -34,7 +34,7 @@
 }
 
 /// Connects the background clients if the proxy is to be busy, and none otherwise.
-async fn connect_background_clients_if(busy: bool, proxy: &Proxy) -> Vec<Client> {
+async fn connect_background_clients_if(busy: bool, proxy: &Proxy) -> Vec<TestConnection> {
     if busy {
         connect_background_clients(proxy).await
     } else {
@@ -43,14 +43,14 @@
 }
 
 /// Sends a health check from every background client without yielding.
-fn request_health_on_all(background: &[Client]) {
+fn request_health_on_all(background: &[TestConnection]) {
     for client in background {
         write_now(client, HEALTH_REQUEST);
     }
 }
 
 /// Disconnects, and blocks the thread until the kernel has delivered that to the proxy's end.
-fn disconnect_and_await_delivery(client: Client, kind: Disconnect, proxy: &Proxy) {
+fn disconnect_and_await_delivery(client: TestConnection, kind: Disconnect, proxy: &Proxy) {
     let from = client.stream.local_addr().expect("no local address");
     disconnect(client, kind);
     while is_established(proxy.address, from) {}
@@ -59,17 +59,20 @@
 const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 /// Accepts the next connection to an endpoint, and reads the body of the request on it.
-async fn accept_request(listener: &TcpListener) -> (Client, Vec<u8>) {
-    let mut connection = Client::new(listener.accept().await.expect("accept failed").0);
-    let body = connection.message().await.expect("no request").body;
+async fn accept_request(listener: &TcpListener) -> (TestConnection, Vec<u8>) {
+    let mut connection = TestConnection::new(listener.accept().await.expect("accept failed").0);
+    let body = connection.receive().await.expect("no request").body;
     (connection, body)
 }
 
 /// The body of the next request that reaches an endpoint, on this open connection or on a new one
 /// to either listener.
-async fn next_request_body(connection: &mut Client, listeners: [&TcpListener; 2]) -> Vec<u8> {
+async fn next_request_body(
+    connection: &mut TestConnection,
+    listeners: [&TcpListener; 2],
+) -> Vec<u8> {
     tokio::select! {
-        message = connection.message() => message.expect("no request").body,
+        message = connection.receive() => message.expect("no request").body,
         (_, body) = accept_request(listeners[0]) => body,
         (_, body) = accept_request(listeners[1]) => body,
     }
@@ -93,15 +96,15 @@
 
 /// The headers of a request with a large body, and the part of the body that is sent.
 fn large_body(sent: usize) -> (String, String) {
-    let head = format!("Content-Length: {}\r\n", 30 << 20);
-    (head, "x".repeat(sent))
+    let headers = format!("Content-Length: {}\r\n", 30 << 20);
+    (headers, "x".repeat(sent))
 }
 
 /// Two requests are in flight, and a third with these headers is queued, with these bytes behind
 /// it. Asserts that the third is not sent when its client disconnects as the other two end.
 async fn assert_queued_request_is_not_sent(
-    head: &str,
-    pipelined: &str,
+    headers: &str,
+    following_bytes: &str,
     kind: Disconnect,
     busy: bool,
 ) {
@@ -119,10 +122,10 @@
     write_now(&second, &request("free", "", ""));
     let (mut other, _) = accept_request(&listener).await;
     let mut client = proxy.client().await;
-    client.send(&request("unsafe", head, "")).await;
-    client.send(pipelined).await;
+    client.send(&request("unsafe", headers, "")).await;
+    client.send(following_bytes).await;
     // Waits until it is queued; with its body unread it does not count as pending.
-    if head.is_empty() {
+    if headers.is_empty() {
         wait_for_pending(admin, 3).await;
     } else {
         let health = proxy.client().await.exchange(HEALTH_REQUEST).await;
@@ -133,15 +136,15 @@
         write_now(connection, OK_RESPONSE);
     }
     disconnect_and_await_delivery(client, kind, &proxy);
-    assert_eq!(first.message().await.expect("no response").status(), 200);
-    assert_eq!(second.message().await.expect("no response").status(), 200);
+    assert_eq!(first.receive().await.expect("no response").status(), 200);
+    assert_eq!(second.receive().await.expect("no response").status(), 200);
     first.send(&request("unsafe", "", "the next")).await;
     let next = tokio::select! {
         next = next_request_body(&mut connection, [&listener, &listener]) => next,
-        message = other.message() => message.expect("no request").body,
+        message = other.receive() => message.expect("no request").body,
     };
-    let shown = &pipelined[..pipelined.len().min(20)];
-    assert_eq!(next, b"the next", "{kind:?}, {head}{shown}");
+    let shown = &following_bytes[..following_bytes.len().min(20)];
+    assert_eq!(next, b"the next", "{kind:?}, {headers}{shown}");
     assert_eq!(upstream_requests(admin).await, 3);
 }
 
@@ -151,11 +154,14 @@
 fn a_queued_request_is_not_sent_when_its_client_disconnects_as_capacity_becomes_free() {
     let bodies = pipelined_bytes().map(|pipelined| (String::new(), pipelined));
     let large_bodies = [large_body(0), large_body(100 << 10)];
-    for (head, pipelined) in bodies.into_iter().chain(large_bodies) {
+    for (headers, following_bytes) in bodies.into_iter().chain(large_bodies) {
         for kind in DISCONNECT_KINDS {
             for busy in [true, false] {
                 run_test(assert_queued_request_is_not_sent(
-                    &head, &pipelined, kind, busy,
+                    &headers,
+                    &following_bytes,
+                    kind,
+                    busy,
                 ));
             }
         }
@@ -246,20 +252,18 @@
             let text = request("unsafe", "", "the next");
             let next = proxy.client().await.exchange(&text).await;
             assert_eq!(next.status(), 200);
-            let bodies: Vec<_> = endpoint
-                .requests
-                .borrow()
-                .iter()
-                .map(|received| received.body.clone())
-                .collect();
-            assert_eq!(bodies, [b"the next"], "{kind:?}, {pipelined}");
+            assert_eq!(
+                endpoint.request_bodies(),
+                [b"the next"],
+                "{kind:?}, {pipelined}"
+            );
         });
     }
 }
 
 /// The request is pipelined behind another one, whose response arrives as the client disconnects.
 #[test]
-fn a_pipelined_request_is_not_sent_when_its_client_disconnects_as_the_one_before_ends() {
+fn a_pipelined_request_is_not_sent_when_its_client_disconnects_as_the_previous_request_ends() {
     for pipelined in pipelined_bytes() {
         for (kind, busy) in DISCONNECT_KINDS
             .into_iter()
@@ -313,7 +317,7 @@
                 let (connection, body) = accept_request(&listener).await;
                 assert_eq!(body, b"the next", "{kind:?}, {pipelined}");
                 write_now(&connection, OK_RESPONSE);
-                assert_eq!(next.message().await.expect("no response").status(), 200);
+                assert_eq!(next.receive().await.expect("no response").status(), 200);
                 assert_eq!(
                     (
                         ended_requests(admin).await[0],
@@ -340,7 +344,7 @@
 }
 
 /// Sends this many requests one after the other, all of which must be served.
-async fn exchange_requests(client: &mut Client, count: usize) {
+async fn exchange_requests(client: &mut TestConnection, count: usize) {
     for _ in 0..count {
         let response = client.exchange(&request("free", "", "")).await;
         assert_eq!(response.status(), 200);
--- a/proxy/tests/common/client.rs
+++ b/proxy/tests/common/client.rs
@@ -10,9 +10,9 @@
 
 /// A connection whose messages a test reads and writes itself: from a client to the proxy, or from
 /// the proxy to an endpoint.
-pub(crate) type Client = MessageReader<TcpStream>;
+pub(crate) type TestConnection = MessageReader<TcpStream>;
 
-impl Client {
+impl TestConnection {
     pub(crate) async fn send(&mut self, text: &str) {
         self.stream
             .write_all(text.as_bytes())
@@ -23,12 +23,12 @@
     /// Sends a request and reads its response.
     pub(crate) async fn exchange(&mut self, text: &str) -> Message {
         self.send(text).await;
-        self.message().await.expect("no response")
+        self.receive().await.expect("no response")
     }
 }
 
 /// Connects to an address, and retries until something listens there.
-pub(crate) async fn connect_when_listening(address: SocketAddr) -> Client {
+pub(crate) async fn connect_when_listening(address: SocketAddr) -> TestConnection {
     loop {
         match TcpStream::connect(address).await {
             Ok(stream) => return MessageReader::new(stream),
@@ -38,7 +38,7 @@
 }
 
 /// Connects to an address; panics if nothing listens there.
-pub(crate) async fn connect(address: SocketAddr) -> Client {
+pub(crate) async fn connect(address: SocketAddr) -> TestConnection {
     MessageReader::new(
         TcpStream::connect(address)
             .await
@@ -55,7 +55,7 @@
 
 pub(crate) const DISCONNECT_KINDS: [Disconnect; 2] = [Disconnect::Close, Disconnect::Reset];
 
-pub(crate) fn disconnect(client: Client, kind: Disconnect) {
+pub(crate) fn disconnect(client: TestConnection, kind: Disconnect) {
     if kind == Disconnect::Reset {
         let socket = socket2::SockRef::from(&client.stream);
         socket
@@ -78,17 +78,17 @@
 }
 
 /// Accepts the next connection to a listener.
-pub(crate) async fn accept(listener: &TcpListener) -> Client {
+pub(crate) async fn accept(listener: &TcpListener) -> TestConnection {
     MessageReader::new(listener.accept().await.expect("accept failed").0)
 }
 
 /// Writes a response with status 200 and this body.
-pub(crate) async fn respond_ok(connection: &mut Client, body: &str) {
+pub(crate) async fn respond_ok(connection: &mut TestConnection, body: &str) {
     connection.send(&ok_response(body)).await;
 }
 
 /// Writes without yielding: the proxy, which runs on the same thread, does not run in between.
-pub(crate) fn write_now(connection: &Client, text: &str) {
+pub(crate) fn write_now(connection: &TestConnection, text: &str) {
     let written = connection
         .stream
         .try_write(text.as_bytes())
@@ -97,7 +97,7 @@
 }
 
 /// Waits until the connection is writable, and then writes without yielding.
-pub(crate) async fn write_once_writable(connection: &Client, text: &str) {
+pub(crate) async fn write_once_writable(connection: &TestConnection, text: &str) {
     connection.stream.writable().await.expect("not writable");
     write_now(connection, text);
 }
--- a/proxy/tests/common/discovery.rs
+++ b/proxy/tests/common/discovery.rs
@@ -56,7 +56,7 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let (read, mut write) = stream.into_split();
                 let mut reader = MessageReader::new(read);
-                let Some(message) = reader.message().await else {
+                let Some(message) = reader.receive().await else {
                     continue;
                 };
                 let response = responses
@@ -101,12 +101,12 @@
 }
 
 /// An entry of an endpoint list, with this name, address and health.
-pub(crate) fn entry(name: &str, address: SocketAddr, health: &str) -> serde_json::Value {
+pub(crate) fn endpoint_entry(name: &str, address: SocketAddr, health: &str) -> serde_json::Value {
     json!({"host": name, "dial": address.to_string(), "site": "a", "class": "m2", "block": 3,
            "health": health, "share": 1.0, "born_ms": 0})
 }
 
 /// An endpoint list of this version as JSON, either full or with changes only.
-pub(crate) fn list(version: u64, is_full: bool, entries: &[serde_json::Value]) -> String {
+pub(crate) fn endpoint_list(version: u64, is_full: bool, entries: &[serde_json::Value]) -> String {
     json!({"seq": version, "whole": is_full, "hosts": entries}).to_string()
 }
--- a/proxy/tests/common/endpoint.rs
+++ b/proxy/tests/common/endpoint.rs
@@ -44,9 +44,9 @@
     /// Requests that were read completely.
     pub(crate) requests: Rc<RefCell<Vec<Message>>>,
     /// Number of connections that were accepted.
-    pub(crate) opened_connections: Rc<Cell<usize>>,
+    pub(crate) accepted_connection_count: Rc<Cell<usize>>,
     /// Number of connections that are open now.
-    pub(crate) open_connections: Rc<Cell<usize>>,
+    pub(crate) open_connection_count: Rc<Cell<usize>>,
     pub(crate) script: Rc<RefCell<VecDeque<ScriptedResponse>>>,
     /// When notified, one stalled request gets a response.
     pub(crate) release: Rc<Notify>,
@@ -71,8 +71,8 @@
         let endpoint = TestEndpoint {
             address: listener.local_addr().expect("no local address"),
             requests: Rc::default(),
-            opened_connections: Rc::default(),
-            open_connections: Rc::default(),
+            accepted_connection_count: Rc::default(),
+            open_connection_count: Rc::default(),
             script: Rc::new(RefCell::new(script.into_iter().collect())),
             release: Rc::default(),
             resets: Rc::default(),
@@ -82,16 +82,16 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let endpoint = accepting.clone();
                 endpoint
-                    .opened_connections
-                    .set(endpoint.opened_connections.get() + 1);
+                    .accepted_connection_count
+                    .set(endpoint.accepted_connection_count.get() + 1);
                 endpoint
-                    .open_connections
-                    .set(endpoint.open_connections.get() + 1);
+                    .open_connection_count
+                    .set(endpoint.open_connection_count.get() + 1);
                 spawn_local(async move {
                     endpoint.serve(stream).await;
                     endpoint
-                        .open_connections
-                        .set(endpoint.open_connections.get() - 1);
+                        .open_connection_count
+                        .set(endpoint.open_connection_count.get() - 1);
                 });
             }
         });
@@ -101,7 +101,7 @@
     async fn serve(&self, stream: TcpStream) {
         let (read, mut write) = stream.into_split();
         let mut reader = MessageReader::new(read);
-        while let Some(message) = reader.message().await {
+        while let Some(message) = reader.receive().await {
             self.requests.borrow_mut().push(message);
             match self.next_response() {
                 // The proxy may have closed the connection because it no longer needs the response.
--- a/proxy/tests/common/http.rs
+++ b/proxy/tests/common/http.rs
@@ -52,7 +52,7 @@
 
     /// Reads the next message, whose body is as long as its `Content-Length` says. `None` if the
     /// stream ends before the message is complete.
-    pub(crate) async fn message(&mut self) -> Option<Message> {
+    pub(crate) async fn receive(&mut self) -> Option<Message> {
         let end = loop {
             match self.buffer.windows(4).position(|w| w == b"\r\n\r\n") {
                 Some(end) => break end,
@@ -88,8 +88,8 @@
 
     /// Reads the next response, whose body may also be chunked. `None` if the stream ends before
     /// the response is complete.
-    pub(crate) async fn response(&mut self) -> Option<Message> {
-        let mut response = self.message().await?;
+    pub(crate) async fn receive_response(&mut self) -> Option<Message> {
+        let mut response = self.receive().await?;
         if response.header("transfer-encoding") != Some("chunked") {
             return Some(response);
         }
--- a/proxy/tests/common/paused_time.rs
+++ b/proxy/tests/common/paused_time.rs
@@ -26,7 +26,7 @@
 }
 
 /// Lets all tasks run that can proceed without the clock advancing.
-pub(crate) async fn settle() {
+pub(crate) async fn run_ready_tasks() {
     for _ in 0..20 {
         yield_now().await;
     }
@@ -40,26 +40,26 @@
 /// Advances the clock until the condition is met. Returns the time advanced.
 pub(crate) async fn advance_until(what: &str, condition: impl Fn() -> bool) -> Duration {
     let start = Instant::now();
-    settle().await;
+    run_ready_tasks().await;
     while !condition() {
         assert!(
             start.elapsed() < Duration::from_secs(30),
             "condition not met in time: {what}"
         );
         advance(STEP).await;
-        settle().await;
+        run_ready_tasks().await;
     }
     start.elapsed()
 }
 
 /// Waits until the condition is met, without advancing the clock.
-pub(crate) async fn wait_without_time(what: &str, condition: impl Fn() -> bool) {
+pub(crate) async fn wait_without_advancing(what: &str, condition: impl Fn() -> bool) {
     let begun = std::time::Instant::now();
     while !condition() {
         assert!(
             begun.elapsed() < Duration::from_secs(15),
             "condition not met in time: {what}"
         );
-        settle().await;
+        run_ready_tasks().await;
     }
 }
--- a/proxy/tests/common/paused_proxy.rs
+++ b/proxy/tests/common/paused_time_proxy.rs
@@ -1,10 +1,10 @@
 //! A proxy that runs on a paused clock, and the time that it takes to apply a change of the
 //! endpoint list.
 
-use super::discovery::{entry, list, WATCH_HEAD};
+use super::discovery::{endpoint_entry, endpoint_list, WATCH_HEAD};
 use super::endpoint::TestEndpoint;
 use super::http::{chunk, request, MessageReader};
-use super::paused_time::{advance_until, settle, wait_without_time};
+use super::paused_time::{advance_until, run_ready_tasks, wait_without_advancing};
 use super::proxy::configuration;
 use super::scripted_discovery::WatchResponse::{Reset, Respond};
 use super::scripted_discovery::*;
@@ -18,10 +18,10 @@
 
 /// Time that applying a change may take after it counts as notified. It is a part of the drain
 /// grace, and includes the steps in which the test advances the clock.
-pub(crate) const MARGIN: Duration = Duration::from_millis(200);
+pub(crate) const NOTIFICATION_MARGIN: Duration = Duration::from_millis(200);
 
 /// The response to a watch request, with a full list in which this endpoint is draining.
-pub(crate) fn notify_draining(endpoint: &TestEndpoint) -> WatchResponse {
+pub(crate) fn draining_response(endpoint: &TestEndpoint) -> WatchResponse {
     Respond(draining_list(endpoint))
 }
 
@@ -29,42 +29,42 @@
 pub(crate) fn draining_list(endpoint: &TestEndpoint) -> String {
     format!(
         "{WATCH_HEAD}{}",
-        chunk(&list(
+        chunk(&endpoint_list(
             42,
             true,
-            &[entry("s-0", endpoint.address, "Terminating")]
+            &[endpoint_entry("s-0", endpoint.address, "Terminating")]
         ))
     )
 }
 
 /// A proxy on a paused clock with a single endpoint. Its connection to the endpoint is idle until
 /// the proxy is notified that the endpoint is draining, and is then closed.
-pub(crate) struct PausedProxy {
+pub(crate) struct PausedTimeProxy {
     pub(crate) endpoint: TestEndpoint,
     pub(crate) address: SocketAddr,
     reload: mpsc::UnboundedSender<Config>,
     config: String,
 }
 
-impl PausedProxy {
+impl PausedTimeProxy {
     /// Starts a proxy with seed 1.
     pub(crate) async fn start(
         mode: &str,
         balancer_count: u32,
         discovery: &ScriptedDiscovery,
         endpoint: TestEndpoint,
-    ) -> PausedProxy {
-        PausedProxy::with_seed(1, mode, balancer_count, discovery, endpoint).await
+    ) -> PausedTimeProxy {
+        PausedTimeProxy::start_with_seed(1, mode, balancer_count, discovery, endpoint).await
     }
 
     /// Starts a proxy and sends one request, which leaves an idle connection to the endpoint.
-    pub(crate) async fn with_seed(
+    pub(crate) async fn start_with_seed(
         seed: u64,
         mode: &str,
         balancer_count: u32,
         discovery: &ScriptedDiscovery,
         endpoint: TestEndpoint,
-    ) -> PausedProxy {
+    ) -> PausedTimeProxy {
         let config = configuration(discovery.address, from_ref(&endpoint), |config| {
             config["seed"] = format!("{seed:x}").into();
             config["settings"]["discovery"] = mode.into();
@@ -88,7 +88,7 @@
             next,
             std::future::pending(),
         ));
-        settle().await;
+        run_ready_tasks().await;
         let mut client = MessageReader::new(
             TcpStream::connect(address)
                 .await
@@ -98,8 +98,8 @@
             client.exchange(&request("free", "", "")).await.status(),
             200
         );
-        wait_without_time("a connection is idle", || {
-            endpoint.open_connections.get() == 1
+        wait_without_advancing("a connection is idle", || {
+            endpoint.open_connection_count.get() == 1
         })
         .await;
         // The client stays connected until the test ends.
@@ -107,7 +107,7 @@
             std::future::pending::<()>().await;
             drop(client)
         });
-        PausedProxy {
+        PausedTimeProxy {
             endpoint,
             address,
             reload,
@@ -127,8 +127,8 @@
 
     /// Advances the clock until the proxy has closed its idle connection. Returns the time
     /// advanced.
-    pub(crate) async fn until_draining(&self, what: &str) -> Duration {
-        advance_until(what, || self.endpoint.open_connections.get() == 0).await
+    pub(crate) async fn advance_until_drained(&self, what: &str) -> Duration {
+        advance_until(what, || self.endpoint.open_connection_count.get() == 0).await
     }
 }
 
@@ -142,7 +142,7 @@
 pub(crate) fn failure_sequences() -> Vec<Vec<WatchResponse>> {
     let failure_kinds = [
         REJECTED,
-        LATE_REJECTED,
+        REJECTED_LATE,
         NO_RESPONSE,
         PARTIAL_HEAD,
         NO_UPDATES,
--- a/proxy/tests/common/program.rs
+++ b/proxy/tests/common/program.rs
@@ -44,7 +44,7 @@
 
 impl RunningProgram {
     /// Orders the process to shut down.
-    pub(crate) fn stop(&self) {
+    pub(crate) fn terminate(&self) {
         self.signal("TERM");
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Waits for the process to end, and returns whether its exit status was a success.
-    pub(crate) async fn ends(&mut self) -> bool {
+    pub(crate) async fn wait_for_success(&mut self) -> bool {
         loop {
             match self.0.try_wait().expect("cannot wait for the process") {
                 Some(status) => return status.success(),
--- a/proxy/tests/common/proxy.rs
+++ b/proxy/tests/common/proxy.rs
@@ -1,7 +1,7 @@
 //! A proxy that runs inside the test process, its configuration, and its interface for operators.
 
-use super::client::{connect_when_listening, Client};
-use super::discovery::{entry, TestDiscovery};
+use super::client::{connect_when_listening, TestConnection};
+use super::discovery::{endpoint_entry, TestDiscovery};
 use super::endpoint::TestEndpoint;
 use client_proxy::config::Config;
 use serde_json::json;
@@ -20,7 +20,7 @@
 ) -> String {
     let entries = endpoints.iter().enumerate();
     let entries: Vec<_> = entries
-        .map(|(n, endpoint)| entry(&format!("s-{n}"), endpoint.address, "Ready"))
+        .map(|(n, endpoint)| endpoint_entry(&format!("s-{n}"), endpoint.address, "Ready"))
         .collect();
     let class = |name: &str, idempotency: &str| {
         json!({"name": name, "objective_us": 5_000_000, "deadline_us": 9_000_000, "worth": 1.0,
@@ -43,7 +43,7 @@
 }
 
 /// Adds an address for operators to a configuration.
-pub(crate) fn with_admin(config: &mut serde_json::Value) {
+pub(crate) fn set_admin(config: &mut serde_json::Value) {
     config["admin"] = "127.0.0.1:0".into();
 }
 
@@ -108,7 +108,7 @@
 
     /// Connects a client once the proxy listens, which it does as soon as it has an endpoint list,
     /// or has waited for one.
-    pub(crate) async fn client(&self) -> Client {
+    pub(crate) async fn client(&self) -> TestConnection {
         connect_when_listening(self.address).await
     }
 }
@@ -122,7 +122,7 @@
         &TestDiscovery::without_updates().await,
         endpoints,
         |config| {
-            with_admin(config);
+            set_admin(config);
             change(config);
         },
     )
--- a/proxy/tests/common/scripted_discovery.rs
+++ b/proxy/tests/common/scripted_discovery.rs
@@ -31,7 +31,7 @@
 pub(crate) const NO_UPDATES: fn() -> WatchResponse = || Respond(WATCH_HEAD.to_owned());
 pub(crate) const NO_RESPONSE: fn() -> WatchResponse = || Respond(String::new());
 pub(crate) const REJECTED: fn() -> WatchResponse = || Respond(UNAVAILABLE.to_owned());
-pub(crate) const LATE_REJECTED: fn() -> WatchResponse =
+pub(crate) const REJECTED_LATE: fn() -> WatchResponse =
     || RespondAfter(Duration::from_secs(2), UNAVAILABLE.to_owned());
 pub(crate) const PARTIAL_HEAD: fn() -> WatchResponse =
     || Respond("HTTP/1.1 200 OK\r\nTransfer-Enc".to_owned());
@@ -80,7 +80,7 @@
                 }
                 let (mut stream, _) = listener.accept().await.expect("accept failed");
                 let mut reader = MessageReader::new(&mut stream);
-                if reader.message().await.is_none() {
+                if reader.receive().await.is_none() {
                     continue;
                 }
                 serving.request_count.set(serving.request_count.get() + 1);
--- a/proxy/tests/discovery.rs
+++ b/proxy/tests/discovery.rs
@@ -23,7 +23,11 @@
         })
         .await;
         // A watch may deliver a list in several chunks, with empty lines before it.
-        let line = list(42, true, &[entry("s-9", endpoint.address, "Ready")]);
+        let line = endpoint_list(
+            42,
+            true,
+            &[endpoint_entry("s-9", endpoint.address, "Ready")],
+        );
         let (first, second) = line.split_at(20);
         discovery.push(&chunk("")).await;
         discovery
@@ -47,15 +51,19 @@
         let rejection = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned();
         let full = format!(
             "{WATCH_HEAD}{}",
-            chunk(&list(50, true, &[entry("s-9", endpoint.address, "Ready")]))
+            chunk(&endpoint_list(
+                50,
+                true,
+                &[endpoint_entry("s-9", endpoint.address, "Ready")]
+            ))
         );
         let bad = format!("{WATCH_HEAD}{}", chunk("{\"seq\":"));
         let unknown_state = format!(
             "{WATCH_HEAD}{}",
-            chunk(&list(
+            chunk(&endpoint_list(
                 51,
                 false,
-                &[entry("s-9", endpoint.address, "Dancing")]
+                &[endpoint_entry("s-9", endpoint.address, "Dancing")]
             ))
         );
         let ended = format!("{WATCH_HEAD}0\r\n\r\n");
@@ -101,17 +109,19 @@
 #[test]
 fn a_silent_watch_is_replaced_before_a_missed_change_counts_as_notified() {
     run_test(async {
-        let beginnings = [
+        let partial_responses = [
             "",
             "HTTP/1.1 200 OK\r\nTransfer-Enc",
             WATCH_HEAD,
             &format!("{WATCH_HEAD}9\r\n{{\"seq\":1"),
         ];
-        let cases = ["ask", "push"]
-            .into_iter()
-            .flat_map(|mode| beginnings.map(|beginning| (mode, beginning.to_owned())));
+        let cases = ["ask", "push"].into_iter().flat_map(|mode| {
+            partial_responses.map(|partial_response| (mode, partial_response.to_owned()))
+        });
         let cases: Vec<_> = cases
-            .map(|(mode, beginning)| spawn_local(silent_watch_is_replaced(mode, beginning)))
+            .map(|(mode, partial_response)| {
+                spawn_local(silent_watch_is_replaced(mode, partial_response))
+            })
             .collect();
         for case in cases {
             case.await.expect("the case failed");
@@ -119,10 +129,10 @@
     });
 }
 
-async fn silent_watch_is_replaced(mode: &str, beginning: String) {
+async fn silent_watch_is_replaced(mode: &str, partial_response: String) {
     let rejection = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_owned();
     let responses = [
-        beginning.clone(),
+        partial_response.clone(),
         rejection.clone(),
         rejection,
         WATCH_HEAD.to_owned(),
@@ -144,7 +154,7 @@
     .await;
     assert!(
         silent_since.elapsed() < Duration::from_millis(4_500),
-        "{mode}, {beginning:?}"
+        "{mode}, {partial_response:?}"
     );
 }
 
@@ -166,10 +176,10 @@
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let draining = format!(
             "{WATCH_HEAD}{}",
-            chunk(&list(
+            chunk(&endpoint_list(
                 42,
                 false,
-                &[entry("s-0", endpoint.address, "Terminating")]
+                &[endpoint_entry("s-0", endpoint.address, "Terminating")]
             ))
         );
         let no_response = String::new();
@@ -184,7 +194,7 @@
         discovery.reset();
         wait_until(
             "the idle connection to the draining endpoint is closed",
-            || endpoint.open_connections.get() == 0,
+            || endpoint.open_connection_count.get() == 0,
         )
         .await;
         assert!(
@@ -192,7 +202,11 @@
             "the watch must be reopened at once"
         );
 
-        let draining = list(42, true, &[entry("s-0", endpoint.address, "Terminating")]);
+        let draining = endpoint_list(
+            42,
+            true,
+            &[endpoint_entry("s-0", endpoint.address, "Terminating")],
+        );
         let responses = [
             no_response.clone(),
             no_response.clone(),
@@ -243,7 +257,11 @@
 fn a_watch_is_opened_in_push_mode_too() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
-        let list = list(42, true, &[entry("s-9", endpoint.address, "Ready")]);
+        let list = endpoint_list(
+            42,
+            true,
+            &[endpoint_entry("s-9", endpoint.address, "Ready")],
+        );
         let discovery = TestDiscovery::start([
             "HTTP/1.1 503 No\r\n\r\n".to_owned(),
             format!("{WATCH_HEAD}{}", chunk(&list)),
--- a/proxy/tests/endpoint_connections.rs
+++ b/proxy/tests/endpoint_connections.rs
@@ -18,7 +18,7 @@
         for _ in 0..20 {
             client.exchange(&request("keyed", "", "body")).await;
         }
-        assert_eq!(endpoint.opened_connections.get(), 1);
+        assert_eq!(endpoint.accepted_connection_count.get(), 1);
     });
 }
 
@@ -38,7 +38,7 @@
                 200
             );
             wait_until("the endpoint has closed the connection", || {
-                endpoint.open_connections.get() == 0
+                endpoint.open_connection_count.get() == 0
             })
             .await;
             assert_eq!(endpoint.request_count(), count);
@@ -68,7 +68,10 @@
             b"three"
         );
         assert_eq!(
-            (endpoint.request_count(), endpoint.opened_connections.get()),
+            (
+                endpoint.request_count(),
+                endpoint.accepted_connection_count.get()
+            ),
             (3, 2)
         );
     });
@@ -92,7 +95,7 @@
             b"first"
         );
         wait_until("the connection is closed", || {
-            endpoint.open_connections.get() == 0
+            endpoint.open_connection_count.get() == 0
         })
         .await;
         assert_eq!(
@@ -105,21 +108,21 @@
 /// An endpoint may send a second response some milliseconds after the first one. The connection is
 /// not reused before that, as the next request would get the second response.
 #[test]
-fn a_connection_is_not_reused_immediately_after_a_response() {
+fn a_connection_is_not_reused_within_10_ms_of_a_response() {
     run_test(async {
         let (endpoint, listener) = manual_endpoint().await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
         let mut connection = MessageReader::new(listener.accept().await.expect("accept failed").0);
-        connection.message().await.expect("no request");
+        connection.receive().await.expect("no request");
         let first = ok_response("first");
         let responded = Instant::now();
         connection.send(&first).await;
-        assert_eq!(client.message().await.expect("no response").body, b"first");
+        assert_eq!(client.receive().await.expect("no response").body, b"first");
         client.send(&request("unsafe", "", "")).await;
         connection
-            .message()
+            .receive()
             .await
             .expect("no second request on the same connection");
         assert!(responded.elapsed() >= Duration::from_millis(10));
@@ -145,7 +148,7 @@
                 b"served"
             );
         }
-        assert_eq!(endpoint.opened_connections.get(), 1);
+        assert_eq!(endpoint.accepted_connection_count.get(), 1);
     });
 }
 
@@ -173,7 +176,7 @@
             200
         );
         wait_until("the idle connection is closed", || {
-            endpoint.open_connections.get() == 0
+            endpoint.open_connection_count.get() == 0
         })
         .await;
     });
@@ -200,7 +203,7 @@
                 200
             );
         }
-        assert_eq!(endpoint.opened_connections.get(), 3);
+        assert_eq!(endpoint.accepted_connection_count.get(), 3);
     });
 }
 
@@ -255,7 +258,7 @@
             );
             let open: usize = endpoints
                 .iter()
-                .map(|endpoint| endpoint.open_connections.get())
+                .map(|endpoint| endpoint.open_connection_count.get())
                 .sum();
             assert!(
                 open <= 13,
--- a/proxy/tests/endpoint_drain_and_restart.rs
+++ b/proxy/tests/endpoint_drain_and_restart.rs
@@ -16,7 +16,7 @@
 fn a_retry_whose_connection_opens_after_its_retry_window_is_not_written() {
     run_test(async {
         let first = TestEndpoint::start([ScriptedResponse::Stall]).await;
-        let (full_endpoint, fillers, listener) = endpoint_with_full_backlog().await;
+        let (full_endpoint, backlog, listener) = endpoint_with_full_backlog().await;
         let discovery = TestDiscovery::without_updates().await;
         let proxy = Proxy::start_with(&discovery, from_ref(&first), |config| {
             config["settings"]["classes"][1]["repeat_window_us"] = 500_000.into();
@@ -34,22 +34,23 @@
         })
         .await;
         let endpoints = [
-            entry("s-0", first.address, "Terminating"),
-            entry("s-1", full_endpoint.address, "Ready"),
+            endpoint_entry("s-0", first.address, "Terminating"),
+            endpoint_entry("s-1", full_endpoint.address, "Ready"),
         ];
-        discovery.push(&chunk(&list(42, false, &endpoints))).await;
+        let update = endpoint_list(42, false, &endpoints);
+        discovery.push(&chunk(&update)).await;
         assert_eq!(
             proxy.client().await.exchange(HEALTH_REQUEST).await.status(),
             200
         );
         first.reset();
         // The retry window is 0.5 s, the connect timeout 20 s.
-        let early_response = timeout(Duration::from_secs(2), client.message()).await;
+        let early_response = timeout(Duration::from_secs(2), client.receive()).await;
         let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
-        drop(fillers);
+        drop(backlog);
         let response = match early_response {
             Ok(response) => response,
-            Err(_) => client.message().await,
+            Err(_) => client.receive().await,
         };
         assert_eq!(response.expect("a response").status(), 502);
         let mut client = proxy.client().await;
@@ -99,13 +100,13 @@
             address: listener.local_addr().expect("an address"),
             ..other.clone()
         };
-        let proxy = Proxy::start_with(&discovery, from_ref(&draining_endpoint), with_admin).await;
+        let proxy = Proxy::start_with(&discovery, from_ref(&draining_endpoint), set_admin).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
         let mut partly_written = accept(&listener).await;
-        partly_written.message().await.expect("a request");
+        partly_written.receive().await.expect("a request");
         respond_ok(&mut partly_written, "first").await;
-        assert_eq!(client.message().await.expect("a response").body, b"first");
+        assert_eq!(client.receive().await.expect("a response").body, b"first");
         client
             .send(&request("unsafe", "", &"x".repeat(60_000)))
             .await;
@@ -115,16 +116,17 @@
             .await
             .expect("the request begins to arrive");
         let endpoints = [
-            entry("s-0", draining_endpoint.address, "Terminating"),
-            entry("s-1", other.address, "Ready"),
+            endpoint_entry("s-0", draining_endpoint.address, "Terminating"),
+            endpoint_entry("s-1", other.address, "Ready"),
         ];
-        discovery.push(&chunk(&list(42, false, &endpoints))).await;
+        let update = endpoint_list(42, false, &endpoints);
+        discovery.push(&chunk(&update)).await;
         wait_for_members(&proxy, 2).await;
         disconnect(partly_written, Disconnect::Reset);
-        let response_body = async { client.message().await.expect("a response").body };
+        let response_body = async { client.receive().await.expect("a response").body };
         tokio::select! {
             body = response_body => assert_eq!(body, b"other"),
-            mut reopened = accept(&listener) => panic!("the request is sent to the draining endpoint again: {:?}", reopened.message().await.map(|m| m.start_line)),
+            mut reopened = accept(&listener) => panic!("the request is sent to the draining endpoint again: {:?}", reopened.receive().await.map(|m| m.start_line)),
         }
         assert_eq!(other.request_count(), 1);
     });
@@ -133,7 +135,7 @@
 /// The list entry of an endpoint whose process has been replaced by a new one, which started long
 /// enough ago that its slow start is over.
 fn restarted_entry(name: &str, endpoint: &TestEndpoint) -> serde_json::Value {
-    let mut entry = entry(name, endpoint.address, "Ready");
+    let mut entry = endpoint_entry(name, endpoint.address, "Ready");
     entry["born_ms"] = 1.into();
     entry
 }
@@ -145,7 +147,7 @@
 fn an_unwritten_attempt_is_withdrawn_when_its_endpoint_restarts() {
     for has_new_address in [false, true] {
         run_test(async {
-            let (full_endpoint, _fillers, _listener) = endpoint_with_full_backlog().await;
+            let (full_endpoint, _backlog, _listener) = endpoint_with_full_backlog().await;
             let other = TestEndpoint::start([ok("other")]).await;
             let discovery = TestDiscovery::without_updates().await;
             let proxy = Proxy::start_with(&discovery, from_ref(&full_endpoint), |config| {
@@ -167,12 +169,13 @@
                 true => vec![restarted_entry("s-0", &other)],
                 false => vec![
                     restarted_entry("s-0", &full_endpoint),
-                    entry("s-1", other.address, "Ready"),
+                    endpoint_entry("s-1", other.address, "Ready"),
                 ],
             };
-            discovery.push(&chunk(&list(42, false, &endpoints))).await;
+            let update = endpoint_list(42, false, &endpoints);
+            discovery.push(&chunk(&update)).await;
             assert_eq!(
-                client.message().await.expect("a response").body,
+                client.receive().await.expect("a response").body,
                 b"other",
                 "the endpoint has a new address: {has_new_address}"
             );
@@ -188,7 +191,7 @@
     run_test(async {
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall, ok("next")]).await;
         let discovery = TestDiscovery::without_updates().await;
-        let proxy = Proxy::start_with(&discovery, from_ref(&endpoint), with_admin).await;
+        let proxy = Proxy::start_with(&discovery, from_ref(&endpoint), set_admin).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
         wait_until("the endpoint has the request", || {
@@ -197,20 +200,21 @@
         .await;
         let endpoints = [
             restarted_entry("s-0", &endpoint),
-            entry("s-1", endpoint.address, "Terminating"),
+            endpoint_entry("s-1", endpoint.address, "Terminating"),
         ];
-        discovery.push(&chunk(&list(42, false, &endpoints))).await;
+        let update = endpoint_list(42, false, &endpoints);
+        discovery.push(&chunk(&update)).await;
         wait_for_members(&proxy, 2).await;
         endpoint.release.notify_one();
         assert_eq!(
-            client.message().await.expect("a response").body,
+            client.receive().await.expect("a response").body,
             b"released"
         );
         assert_eq!(
             client.exchange(&request("unsafe", "", "")).await.body,
             b"next"
         );
-        assert_eq!(endpoint.opened_connections.get(), 2);
+        assert_eq!(endpoint.accepted_connection_count.get(), 2);
     });
 }
 
@@ -220,14 +224,14 @@
 #[test]
 fn a_request_is_retried_at_a_restarted_endpoint_only_if_its_class_allows() {
     for list_first in [false, true] {
-        for (class, status, sent) in [("free", 200, 2), ("keyed", 200, 2), ("unsafe", 502, 1)] {
+        for (class, status, attempts) in [("free", 200, 2), ("keyed", 200, 2), ("unsafe", 502, 1)] {
             run_test(async {
                 // After a successful response a single reset does not eject the endpoint.
                 let endpoint =
                     TestEndpoint::start([ok("before"), ScriptedResponse::Stall, ok("retried")])
                         .await;
                 let discovery = TestDiscovery::without_updates().await;
-                let proxy = Proxy::start_with(&discovery, from_ref(&endpoint), with_admin).await;
+                let proxy = Proxy::start_with(&discovery, from_ref(&endpoint), set_admin).await;
                 let mut client = proxy.client().await;
                 assert_eq!(
                     client.exchange(&request(class, "", "")).await.body,
@@ -240,29 +244,34 @@
                 .await;
                 let endpoints = [
                     restarted_entry("s-0", &endpoint),
-                    entry("s-1", endpoint.address, "Terminating"),
+                    endpoint_entry("s-1", endpoint.address, "Terminating"),
                 ];
-                let list = chunk(&list(42, false, &endpoints));
+                let list = chunk(&endpoint_list(42, false, &endpoints));
                 if list_first {
                     discovery.push(&list).await;
                     wait_for_members(&proxy, 2).await;
                 }
                 endpoint.reset();
                 wait_until("the endpoint's first connection is closed", || {
-                    endpoint.open_connections.get() == 0 || endpoint.opened_connections.get() == 2
+                    endpoint.open_connection_count.get() == 0
+                        || endpoint.accepted_connection_count.get() == 2
                 })
                 .await;
                 if !list_first {
                     discovery.push(&list).await;
                 }
-                let response = client.message().await.expect("a response");
+                let response = client.receive().await.expect("a response");
                 assert_eq!(
                     response.status(),
                     status,
                     "{class}, list first: {list_first}"
                 );
                 let received = endpoint.requests.borrow()[1..].to_vec();
-                assert_eq!(received.len(), sent, "{class}, list first: {list_first}");
+                assert_eq!(
+                    received.len(),
+                    attempts,
+                    "{class}, list first: {list_first}"
+                );
                 for name in ["x-call-id", "idempotency-key"] {
                     assert!(received
                         .iter()
@@ -287,16 +296,16 @@
 /// order. Returns the client's response if it had to be read in between.
 async fn send_last_byte_and_update(
     order: ArrivalOrder,
-    endpoint: &Client,
+    endpoint: &TestConnection,
     discovery: &TestDiscovery,
     update: &str,
     proxy: &Proxy,
-    client: &mut Client,
+    client: &mut TestConnection,
 ) -> Option<Message> {
     match order {
         ArrivalOrder::ResponseFirst => {
             write_once_writable(endpoint, "x").await;
-            let response = client.message().await;
+            let response = client.receive().await;
             discovery.push(update).await;
             response
         }
@@ -327,7 +336,7 @@
         ..other.clone()
     };
     let discovery = TestDiscovery::without_updates().await;
-    let proxy = Proxy::start_with(&discovery, from_ref(&draining_endpoint), with_admin).await;
+    let proxy = Proxy::start_with(&discovery, from_ref(&draining_endpoint), set_admin).await;
     wait_until("the watch is open", || {
         discovery.watch_requests.borrow().len() == 1
     })
@@ -335,17 +344,17 @@
     let mut client = proxy.client().await;
     client.send(&request("unsafe", "", "")).await;
     let mut endpoint = accept(&listener).await;
-    endpoint.message().await.expect("a request");
+    endpoint.receive().await.expect("a request");
     // All but the last byte. The proxy forwards a large response before it is complete.
     let size = if large { 100_000 } else { 10 };
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n");
     endpoint.send(&head).await;
     endpoint.send(&"x".repeat(size - 1)).await;
     let endpoints = [
-        entry("s-0", address, "Terminating"),
-        entry("s-1", other.address, "Ready"),
+        endpoint_entry("s-0", address, "Terminating"),
+        endpoint_entry("s-1", other.address, "Ready"),
     ];
-    let update = chunk(&list(42, false, &endpoints));
+    let update = chunk(&endpoint_list(42, false, &endpoints));
     if large {
         client
             .stream
@@ -357,7 +366,7 @@
         send_last_byte_and_update(order, &endpoint, &discovery, &update, &proxy, &mut client).await;
     let response = match early_response {
         Some(response) => Some(response),
-        None => client.message().await,
+        None => client.receive().await,
     };
     let response = response.expect("a response");
     assert_eq!(
@@ -366,7 +375,7 @@
         "large: {large}, order: {order:?}"
     );
     assert!(
-        endpoint.message().await.is_none(),
+        endpoint.receive().await.is_none(),
         "large: {large}, order: {order:?}: the connection is closed without another request"
     );
     wait_for_members(&proxy, 2).await;
--- a/proxy/tests/endpoint_list_propagation.rs
+++ b/proxy/tests/endpoint_list_propagation.rs
@@ -4,8 +4,8 @@
 
 mod common;
 
-use common::paused_proxy::*;
 use common::paused_time::*;
+use common::paused_time_proxy::*;
 use common::scripted_discovery::WatchResponse::{Reset, Respond, Unreachable};
 use common::scripted_discovery::*;
 use common::*;
@@ -29,19 +29,24 @@
                 let script = [NO_UPDATES()]
                     .into_iter()
                     .chain(failures)
-                    .chain([notify_draining(&endpoint)]);
+                    .chain([draining_response(&endpoint)]);
                 let discovery = ScriptedDiscovery::start(script).await;
-                let proxy = PausedProxy::start("ask", balancer_count, &discovery, endpoint).await;
-                wait_without_time("the watch is open", || discovery.request_count.get() == 1).await;
+                let proxy =
+                    PausedTimeProxy::start("ask", balancer_count, &discovery, endpoint).await;
+                wait_without_advancing("the watch is open", || discovery.request_count.get() == 1)
+                    .await;
                 if let Some(after) = reset {
                     advance(after).await;
-                    settle().await;
+                    run_ready_tasks().await;
                     discovery.reset();
                 }
                 let elapsed = proxy
-                    .until_draining("the proxy applies the draining state")
+                    .advance_until_drained("the proxy applies the draining state")
                     .await;
-                assert!(elapsed <= 6_000 * MS + MARGIN, "{elapsed:?}: {case}");
+                assert!(
+                    elapsed <= 6_000 * MS + NOTIFICATION_MARGIN,
+                    "{elapsed:?}: {case}"
+                );
             });
         }
     }
@@ -59,12 +64,13 @@
                 let discovery = ScriptedDiscovery::start([
                     NO_UPDATES(),
                     unreachable,
-                    notify_draining(&endpoint),
+                    draining_response(&endpoint),
                 ])
                 .await;
-                let proxy = PausedProxy::start("ask", balancer_count, &discovery, endpoint).await;
+                let proxy =
+                    PausedTimeProxy::start("ask", balancer_count, &discovery, endpoint).await;
                 proxy
-                    .until_draining("the proxy applies the draining state")
+                    .advance_until_drained("the proxy applies the draining state")
                     .await;
                 let reachable_since = discovery
                     .reachable_since
@@ -72,7 +78,7 @@
                     .expect("discovery was never unreachable");
                 let elapsed = reachable_since.elapsed();
                 assert!(
-                    elapsed <= 6_000 * MS + MARGIN,
+                    elapsed <= 6_000 * MS + NOTIFICATION_MARGIN,
                     "{elapsed:?}: unreachable for {seconds} s, {balancer_count} balancers"
                 );
             });
@@ -83,19 +89,20 @@
                 let script = [NO_UPDATES()]
                     .into_iter()
                     .chain(repeat_response(NO_RESPONSE, unanswered))
-                    .chain([notify_draining(&endpoint)]);
+                    .chain([draining_response(&endpoint)]);
                 let discovery = ScriptedDiscovery::start(script).await;
-                let proxy = PausedProxy::start("ask", balancer_count, &discovery, endpoint).await;
+                let proxy =
+                    PausedTimeProxy::start("ask", balancer_count, &discovery, endpoint).await;
                 advance_until(
                     "discovery has the last request that gets no response",
                     || discovery.request_count.get() > unanswered,
                 )
                 .await;
                 let elapsed = proxy
-                    .until_draining("the proxy applies the draining state")
+                    .advance_until_drained("the proxy applies the draining state")
                     .await;
                 assert!(
-                    elapsed <= 6_000 * MS + MARGIN,
+                    elapsed <= 6_000 * MS + NOTIFICATION_MARGIN,
                     "{elapsed:?} after {unanswered} requests without a response, {balancer_count} balancers"
                 );
             });
@@ -105,7 +112,7 @@
 
 /// Time limit for applying a change that the agent has: the drain grace of 0.4 s and its slack of
 /// 50 ms.
-const DRAIN_GRACE: Duration = Duration::from_millis(450);
+const DRAIN_GRACE_AND_SLACK: Duration = Duration::from_millis(450);
 
 /// In push mode the watch is reset, and requests for the next one fail in this way before one
 /// succeeds.
@@ -119,12 +126,12 @@
     let script = [NO_UPDATES()]
         .into_iter()
         .chain(failures)
-        .chain([notify_draining(&endpoint)]);
+        .chain([draining_response(&endpoint)]);
     let discovery = ScriptedDiscovery::start(script).await;
-    let proxy = PausedProxy::start("push", 5, &discovery, endpoint).await;
-    wait_without_time("the watch is open", || discovery.request_count.get() == 1).await;
+    let proxy = PausedTimeProxy::start("push", 5, &discovery, endpoint).await;
+    wait_without_advancing("the watch is open", || discovery.request_count.get() == 1).await;
     advance(Duration::from_secs(1)).await;
-    settle().await;
+    run_ready_tasks().await;
     discovery.reset();
     advance_until(
         "discovery has the last request that fails, or was unreachable",
@@ -132,13 +139,13 @@
     )
     .await;
     let elapsed = proxy
-        .until_draining("the proxy applies the draining state")
+        .advance_until_drained("the proxy applies the draining state")
         .await;
     let elapsed = discovery
         .reachable_since
         .get()
         .map_or(elapsed, |reachable_since| reachable_since.elapsed());
-    assert!(elapsed <= DRAIN_GRACE, "{elapsed:?}: {case}");
+    assert!(elapsed <= DRAIN_GRACE_AND_SLACK, "{elapsed:?}: {case}");
 }
 
 /// In push mode the watch is silent from the beginning, and requests for the next one fail in this
@@ -149,14 +156,14 @@
     let script = [NO_UPDATES()]
         .into_iter()
         .chain(failures)
-        .chain([notify_draining(&endpoint)]);
+        .chain([draining_response(&endpoint)]);
     let discovery = ScriptedDiscovery::start(script).await;
-    let proxy = PausedProxy::start("push", 5, &discovery, endpoint).await;
+    let proxy = PausedTimeProxy::start("push", 5, &discovery, endpoint).await;
     let elapsed = proxy
-        .until_draining("the proxy applies the draining state")
+        .advance_until_drained("the proxy applies the draining state")
         .await;
     assert!(
-        elapsed <= 6_000 * MS + MARGIN,
+        elapsed <= 6_000 * MS + NOTIFICATION_MARGIN,
         "applied {elapsed:?} after the watch fell silent: {case}"
     );
 }
@@ -207,13 +214,13 @@
             let count = failures.len();
             // The full list omits the old endpoint, which is thereby removed although it still
             // responds.
-            let full = list(42, true, &[entry("s-1", new.address, "Ready")]);
+            let full = endpoint_list(42, true, &[endpoint_entry("s-1", new.address, "Ready")]);
             let script = failures
                 .into_iter()
                 .chain([Respond(format!("{WATCH_HEAD}{}", chunk(&full)))]);
             let discovery = ScriptedDiscovery::start(script).await;
             // `start` sends one request, which goes to the endpoint in the configured list.
-            let proxy = PausedProxy::start("push", 5, &discovery, old.clone()).await;
+            let proxy = PausedTimeProxy::start("push", 5, &discovery, old.clone()).await;
             advance_until(
                 "discovery has the last request that fails, or was unreachable",
                 || is_unreachable || discovery.request_count.get() >= count,
@@ -221,13 +228,13 @@
             .await;
             assert_eq!(old.request_count(), 1, "{case}");
             let elapsed = proxy
-                .until_draining("the proxy applies the removal of the endpoint")
+                .advance_until_drained("the proxy applies the removal of the endpoint")
                 .await;
             let elapsed = discovery
                 .reachable_since
                 .get()
                 .map_or(elapsed, |reachable_since| reachable_since.elapsed());
-            assert!(elapsed <= DRAIN_GRACE, "{elapsed:?}: {case}");
+            assert!(elapsed <= DRAIN_GRACE_AND_SLACK, "{elapsed:?}: {case}");
             let mut client = MessageReader::new(
                 TcpStream::connect(proxy.address)
                     .await
@@ -239,7 +246,7 @@
                 "{case}"
             );
             assert_eq!(
-                (old.request_count(), old.opened_connections.get()),
+                (old.request_count(), old.accepted_connection_count.get()),
                 (1, 1),
                 "the old endpoint must get no more requests: {case}"
             );
--- a/proxy/tests/endpoint_list_updates.rs
+++ b/proxy/tests/endpoint_list_updates.rs
@@ -13,7 +13,11 @@
 fn an_indented_list_is_parsed() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
-        let flat = list(42, true, &[entry("s-9", endpoint.address, "Ready")]);
+        let flat = endpoint_list(
+            42,
+            true,
+            &[endpoint_entry("s-9", endpoint.address, "Ready")],
+        );
         let value: serde_json::Value = serde_json::from_str(&flat).expect("the list is not JSON");
         let indented = serde_json::to_string_pretty(&value).expect("cannot serialize the list");
         let discovery = TestDiscovery::without_updates().await;
@@ -50,12 +54,14 @@
             b"old"
         );
         let endpoints = [
-            entry("s-0", old.address, "Gone"),
-            entry("s-1", new.address, "Ready"),
+            endpoint_entry("s-0", old.address, "Gone"),
+            endpoint_entry("s-1", new.address, "Ready"),
         ];
-        discovery.push(&chunk(&list(42, false, &endpoints))).await;
+        discovery
+            .push(&chunk(&endpoint_list(42, false, &endpoints)))
+            .await;
         wait_until("the idle connection to the endpoint is closed", || {
-            old.open_connections.get() == 0
+            old.open_connection_count.get() == 0
         })
         .await;
         for _ in 0..5 {
@@ -65,14 +71,14 @@
             );
         }
         discovery
-            .push(&chunk(&list(
+            .push(&chunk(&endpoint_list(
                 43,
                 true,
-                &[entry("s-2", old.address, "Ready")],
+                &[endpoint_entry("s-2", old.address, "Ready")],
             )))
             .await;
         wait_until("the full list has replaced the previous one", || {
-            new.open_connections.get() == 0
+            new.open_connection_count.get() == 0
         })
         .await;
         assert_eq!(
@@ -98,7 +104,7 @@
         let entries = |states: &[&str]| -> Vec<_> {
             states
                 .iter()
-                .map(|state| entry("s-0", endpoint.address, state))
+                .map(|state| endpoint_entry("s-0", endpoint.address, state))
                 .collect()
         };
         let drained = "the idle connection to the endpoint is closed";
@@ -107,18 +113,22 @@
             200
         );
         discovery
-            .push(&chunk(&list(42, false, &entries(&["Terminating"]))))
+            .push(&chunk(&endpoint_list(
+                42,
+                false,
+                &entries(&["Terminating"]),
+            )))
             .await;
-        wait_until(drained, || endpoint.open_connections.get() == 0).await;
+        wait_until(drained, || endpoint.open_connection_count.get() == 0).await;
         discovery
-            .push(&chunk(&list(43, false, &entries(&["Ready"]))))
+            .push(&chunk(&endpoint_list(43, false, &entries(&["Ready"]))))
             .await;
         assert_eq!(
             client.exchange(&request("unsafe", "", "")).await.status(),
             200
         );
         discovery
-            .push(&chunk(&list(
+            .push(&chunk(&endpoint_list(
                 44,
                 false,
                 &entries(&["Terminating", "Ready"]),
@@ -129,13 +139,13 @@
             200
         );
         discovery
-            .push(&chunk(&list(
+            .push(&chunk(&endpoint_list(
                 45,
                 false,
                 &entries(&["Ready", "Terminating"]),
             )))
             .await;
-        wait_until(drained, || endpoint.open_connections.get() == 0).await;
+        wait_until(drained, || endpoint.open_connection_count.get() == 0).await;
     });
 }
 
@@ -156,13 +166,15 @@
         })
         .await;
         let entries: Vec<_> = (0..2_000)
-            .map(|number| entry(&format!("s-{number}"), endpoint.address, "Ready"))
+            .map(|number| endpoint_entry(&format!("s-{number}"), endpoint.address, "Ready"))
             .collect();
         wait_until("the watch is open", || {
             discovery.watch_requests.borrow().len() == 1
         })
         .await;
-        discovery.push(&chunk(&list(42, true, &entries))).await;
+        discovery
+            .push(&chunk(&endpoint_list(42, true, &entries)))
+            .await;
         let mut client = proxy.client().await;
         while client.exchange(HEALTH_REQUEST).await.status() != 200 {}
         for _ in 0..20 {
@@ -173,9 +185,11 @@
         }
         // The list removes all endpoints but the last at once.
         let removed: Vec<_> = (0..1_999)
-            .map(|number| entry(&format!("s-{number}"), endpoint.address, "Gone"))
+            .map(|number| endpoint_entry(&format!("s-{number}"), endpoint.address, "Gone"))
             .collect();
-        discovery.push(&chunk(&list(43, false, &removed))).await;
+        discovery
+            .push(&chunk(&endpoint_list(43, false, &removed)))
+            .await;
         for _ in 0..20 {
             assert_eq!(
                 client.exchange(&request("unsafe", "", "")).await.status(),
--- a/proxy/tests/graceful_shutdown.rs
+++ b/proxy/tests/graceful_shutdown.rs
@@ -43,13 +43,13 @@
             late.exchange(&request("unsafe", "", "")).await.body,
             b"after"
         );
-        assert_eq!(busy.message().await.expect("a response").status(), 502);
+        assert_eq!(busy.receive().await.expect("a response").status(), 502);
         (&mut proxy.task)
             .await
             .expect("the proxy task ends without a panic")
             .expect("the proxy listens for clients");
         assert!(
-            idle.message().await.is_none(),
+            idle.receive().await.is_none(),
             "the idle connection is closed"
         );
         assert!(
@@ -91,7 +91,7 @@
         drop(proxy.stop.take());
         sleep(Duration::from_millis(900)).await;
         late.send("y").await;
-        let response = late.message().await.expect("a response");
+        let response = late.receive().await.expect("a response");
         assert_eq!(
             (response.status(), response.header("retry-after").is_some()),
             (503, true)
@@ -102,7 +102,7 @@
             .write_all(&[b'b'; HALF_BYTES])
             .await
             .expect("written");
-        let response = client.message().await.expect("a response");
+        let response = client.receive().await.expect("a response");
         assert_eq!(
             (response.body.len(), response.body.last()),
             (2 * HALF_BYTES, Some(&b'b'))
@@ -121,7 +121,11 @@
 fn a_shutdown_rejects_queued_requests_before_the_process_is_killed() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
-        let draining = list(42, true, &[entry("s-0", endpoint.address, "Terminating")]);
+        let draining = endpoint_list(
+            42,
+            true,
+            &[endpoint_entry("s-0", endpoint.address, "Terminating")],
+        );
         let discovery = TestDiscovery::start([format!("{WATCH_HEAD}{}", chunk(&draining))]).await;
         let mut proxy = Proxy::start_with(&discovery, &[], |config| {
             config["settings"]["classes"][2]["deadline_us"] = 20_000_000.into();
@@ -136,7 +140,7 @@
         while proxy.client().await.exchange(HEALTH_REQUEST).await.status() != 200 {}
         let stopped_at = Instant::now();
         drop(proxy.stop.take());
-        let response = queued.message().await.expect("a response");
+        let response = queued.receive().await.expect("a response");
         assert_eq!(
             (response.status(), response.header("connection")),
             (503, Some("close"))
@@ -176,7 +180,7 @@
         let mut waiting = proxy.client().await;
         waiting.send(&request("free", "", "")).await;
         drop(proxy.stop.take());
-        assert_eq!(waiting.message().await.expect("a response").status(), 503);
+        assert_eq!(waiting.receive().await.expect("a response").status(), 503);
         (&mut proxy.task)
             .await
             .expect("the proxy task ends without a panic")
@@ -226,7 +230,7 @@
                     .is_none(),
                 "the connection is not reset"
             );
-            assert_eq!(client.message().await.expect("a response").status(), 400);
+            assert_eq!(client.receive().await.expect("a response").status(), 400);
             assert_eq!(
                 client
                     .stream
@@ -295,7 +299,7 @@
 /// response by the request's id. With `waits_for_response` it sends each request once the one
 /// before has its response, otherwise without waiting.
 fn spawn_client(
-    client: Client,
+    client: TestConnection,
     waits_for_response: bool,
     statuses: ResponseStatuses,
 ) -> JoinHandle<()> {
@@ -321,7 +325,7 @@
     });
     spawn_local(async move {
         let mut reader = MessageReader::new(read);
-        while let Some(response) = reader.message().await {
+        while let Some(response) = reader.receive().await {
             let id: Option<String> = sent_ids.borrow_mut().pop_front();
             let id = id.expect("a request for the response");
             statuses.borrow_mut().insert(id, response.status());
--- a/proxy/tests/invalid_requests.rs
+++ b/proxy/tests/invalid_requests.rs
@@ -91,7 +91,7 @@
     // The proxy discards the rest of a rejected request only for a limited time, so the connection
     // may be closed before the end of a large request is written.
     let _ = client.stream.write_all(text.as_bytes()).await;
-    let response = client.message().await.expect("no response");
+    let response = client.receive().await.expect("no response");
     assert_eq!(
         response.status(),
         status,
@@ -105,7 +105,7 @@
         &text[..text.len().min(300)]
     );
     assert!(
-        client.message().await.is_none(),
+        client.receive().await.is_none(),
         "the request that follows must not be read"
     );
 }
--- a/proxy/tests/operators.rs
+++ b/proxy/tests/operators.rs
@@ -95,7 +95,7 @@
         ];
         let discovery = TestDiscovery::without_updates().await;
         let proxy = Proxy::start_with(&discovery, &endpoints, |config| {
-            with_admin(config);
+            set_admin(config);
             config["known"]["hosts"][0]["health"] = "Terminating".into();
         })
         .await;
--- a/proxy/tests/process_handoff.rs
+++ b/proxy/tests/process_handoff.rs
@@ -60,7 +60,7 @@
         (process, admin)
     }
 
-    async fn client(&self) -> std::io::Result<Client> {
+    async fn client(&self) -> std::io::Result<TestConnection> {
         Ok(MessageReader::new(TcpStream::connect(self.address).await?))
     }
 
@@ -90,12 +90,12 @@
             assert!(fixture.is_new_connection_served().await);
         }
         let (_next, _) = fixture.start().await;
-        old.stop();
+        old.terminate();
         while is_ready(old_admin).await {}
         for _ in 0..16 {
             assert!(fixture.is_new_connection_served().await);
         }
-        assert!(old.ends().await);
+        assert!(old.wait_for_success().await);
         assert!(fixture.is_new_connection_served().await);
     });
 }
@@ -123,7 +123,7 @@
         })
         .await;
         let (mut new, _) = fixture.start().await;
-        old.stop();
+        old.terminate();
         while is_ready(old_admin).await {}
         new.kill();
         for _ in 0..16 {
@@ -146,8 +146,8 @@
             );
         }
         fixture.endpoint.release.notify_one();
-        assert_eq!(busy.message().await.expect("a response").body, b"released");
-        assert!(old.ends().await);
+        assert_eq!(busy.receive().await.expect("a response").body, b"released");
+        assert!(old.wait_for_success().await);
         assert!(fixture.is_new_connection_served().await);
     });
 }
@@ -176,8 +176,8 @@
             client.exchange(&request("unsafe", "", "")).await.body,
             b"served"
         );
-        process.stop();
-        assert!(process.ends().await);
+        process.terminate();
+        assert!(process.wait_for_success().await);
         let mut log = String::new();
         process
             .0
@@ -209,7 +209,7 @@
 
 /// A client whose request the endpoint has received but not responded to. It must be the second
 /// request that the endpoint receives.
-async fn client_with_stalled_request(fixture: &HandoffFixture) -> Client {
+async fn client_with_stalled_request(fixture: &HandoffFixture) -> TestConnection {
     let mut client = connect(fixture.address).await;
     client.send(&request("unsafe", "", "")).await;
     wait_until("the endpoint has the request", || {
@@ -255,17 +255,17 @@
         while health_response(old_admin).await == "SUCCESS yes\n" {}
         assert_new_connections_are_served(fixture.address).await;
         assert!(
-            client.message().await.is_none(),
+            client.receive().await.is_none(),
             "the idle connection is closed"
         );
         fixture.endpoint.release.notify_one();
-        let last = busy.message().await.expect("a response");
+        let last = busy.receive().await.expect("a response");
         assert_eq!(
             (last.status(), last.header("connection")),
             (200, Some("close")),
             "the old process responds and closes the connection"
         );
-        assert!(old.ends().await);
+        assert!(old.wait_for_success().await);
         assert_eq!(health_response(new_admin).await, "SUCCESS yes\n");
         assert!(
             new.0
--- a/proxy/tests/program.rs
+++ b/proxy/tests/program.rs
@@ -53,11 +53,8 @@
         })
         .await;
         // The signals after the first must not affect the shutdown.
-        for signal in ["-TERM", "-HUP", "-TERM"] {
-            let sent = Command::new("kill")
-                .args([signal, &child.id().to_string()])
-                .status();
-            assert!(sent.expect("kill runs").success());
+        for signal in ["TERM", "HUP", "TERM"] {
+            send_signal(child.id(), signal);
         }
         let code = loop {
             match child.try_wait().expect("the process can be waited for") {
@@ -67,7 +64,7 @@
         };
         assert_eq!(code, Some(0));
         assert_eq!(
-            stalled_client.message().await.expect("a response").status(),
+            stalled_client.receive().await.expect("a response").status(),
             502
         );
         let mut log = String::new();
@@ -79,7 +76,7 @@
             .expect("UTF-8");
         assert!(!log.contains("panicked"), "{log}");
         assert!(
-            client.message().await.is_none(),
+            client.receive().await.is_none(),
             "the idle connection is closed"
         );
     });
@@ -87,10 +84,7 @@
 
 /// Sends a process SIGHUP, on which it reloads its configuration.
 fn send_sighup(process: &Child) {
-    let sent = Command::new("kill")
-        .args(["-HUP", &process.id().to_string()])
-        .status();
-    assert!(sent.expect("kill runs").success());
+    send_signal(process.id(), "HUP");
 }
 
 /// Reads a log up to and including the first line that contains this text.
@@ -137,7 +131,7 @@
             b"first"
         );
         wait_until("the old watch is closed", || old.is_disconnected()).await;
-        let update = list(42, true, &[entry("s-9", other.address, "Ready")]);
+        let update = endpoint_list(42, true, &[endpoint_entry("s-9", other.address, "Ready")]);
         new.push(&chunk(&update)).await;
         while client.exchange(&request("unsafe", "", "")).await.body != b"second" {}
         child.kill().expect("the program still runs");
@@ -230,7 +224,7 @@
 }
 
 /// Connects this many clients and sends a request on each.
-async fn clients_with_requests(address: SocketAddr, count: usize) -> Vec<Client> {
+async fn clients_with_requests(address: SocketAddr, count: usize) -> Vec<TestConnection> {
     let mut clients = Vec::new();
     for _ in 0..count {
         let mut client = connect_when_listening(address).await;
@@ -245,9 +239,13 @@
     let mut entries = Vec::new();
     for (number, endpoint) in endpoints.iter().enumerate() {
         let health = if number == 0 { "Terminating" } else { "Ready" };
-        entries.push(entry(&format!("s-{number}"), endpoint.address, health));
+        entries.push(endpoint_entry(
+            &format!("s-{number}"),
+            endpoint.address,
+            health,
+        ));
     }
-    list(42, true, &entries)
+    endpoint_list(42, true, &entries)
 }
 
 /// While discovery is down, clients that send nothing, stalled requests and operators that send
@@ -272,7 +270,7 @@
 }
 
 /// Connects this many clients, which send nothing.
-async fn connect_idle_clients(address: SocketAddr, count: usize) -> Vec<Client> {
+async fn connect_idle_clients(address: SocketAddr, count: usize) -> Vec<TestConnection> {
     let mut clients = Vec::new();
     for _ in 0..count {
         clients.push(connect_when_listening(address).await);
@@ -315,7 +313,7 @@
 /// of new clients.
 async fn assert_requests_are_served(
     endpoints: &[TestEndpoint],
-    stalled: &mut [Client],
+    stalled: &mut [TestConnection],
     address: SocketAddr,
 ) {
     for endpoint in endpoints {
@@ -324,7 +322,7 @@
     }
     for client in stalled {
         assert_eq!(
-            client.message().await.expect("a response").status(),
+            client.receive().await.expect("a response").status(),
             200,
             "a stalled request is served"
         );
@@ -379,7 +377,7 @@
 
 /// If nobody reads the log and its pipe is full, requests must still be served.
 #[test]
-fn a_log_that_nobody_reads_does_not_block_requests() {
+fn a_full_log_pipe_does_not_block_requests() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let discovery = TestDiscovery::without_updates().await;
--- a/proxy/tests/races.rs
+++ b/proxy/tests/races.rs
@@ -13,9 +13,9 @@
 use tokio::task::spawn_local;
 
 /// Responds to every further request on a connection.
-fn keep_responding(mut endpoint: Client) {
+fn keep_responding(mut endpoint: TestConnection) {
     spawn_local(async move {
-        while endpoint.message().await.is_some() {
+        while endpoint.receive().await.is_some() {
             respond_ok(&mut endpoint, "next").await;
         }
     });
@@ -31,18 +31,20 @@
 
 /// Starts a proxy and a client whose request is in flight. Returns them with the listener of the
 /// endpoint and its connection on which the request was read.
-async fn start_request_in_flight(text: &str) -> (Proxy, Client, TcpListener, Client) {
+async fn start_request_in_flight(
+    text: &str,
+) -> (Proxy, TestConnection, TcpListener, TestConnection) {
     let (endpoint, listener) = manual_endpoint().await;
     let proxy = Proxy::start_with(
         &TestDiscovery::without_updates().await,
         from_ref(&endpoint),
-        with_admin,
+        set_admin,
     )
     .await;
     let mut client = proxy.client().await;
     client.send(text).await;
     let mut endpoint = accept(&listener).await;
-    endpoint.message().await.expect("no request");
+    endpoint.receive().await.expect("no request");
     (proxy, client, listener, endpoint)
 }
 
@@ -64,7 +66,7 @@
             write_once_writable(&endpoint, &late).await;
             keep_responding(endpoint);
             let others = TestEndpoint::on_listener(listener, [ok("next")]);
-            let response = client.message().await.expect("no response");
+            let response = client.receive().await.expect("no response");
             let is_forwarded = response.status() == 200 && response.body == b"late";
             assert!(
                 is_forwarded || response.status() == status_if_dropped,
@@ -162,12 +164,12 @@
             sent_at.elapsed() > Duration::from_millis(600),
             "the connection must open late"
         );
-        assert_eq!(client.message().await.expect("no response").body, b"served");
+        assert_eq!(client.receive().await.expect("no response").body, b"served");
         let advertised = endpoint.requests.borrow()[0]
             .header("x-budget-ms")
-            .map(|left| left.parse::<u64>().expect("not a number"));
+            .map(|remaining_ms| remaining_ms.parse::<u64>().expect("not a number"));
         assert!(
-            advertised.is_some_and(|left| left < 7_500),
+            advertised.is_some_and(|remaining_ms| remaining_ms < 7_500),
             "advertised {advertised:?} ms of a timeout of 8000 ms"
         );
         assert_eq!(endpoint.request_count(), 1);
--- a/proxy/tests/readiness.rs
+++ b/proxy/tests/readiness.rs
@@ -53,7 +53,11 @@
     let endpoint = TestEndpoint::start([ok("served")]).await;
     let list_response = format!(
         "{WATCH_HEAD}{}",
-        chunk(&list(42, true, &[entry("s-0", endpoint.address, "Ready")]))
+        chunk(&endpoint_list(
+            42,
+            true,
+            &[endpoint_entry("s-0", endpoint.address, "Ready")]
+        ))
     );
     let discovery =
         ScriptedDiscovery::start(script.into_iter().chain(vec![Respond(list_response); 3])).await;
@@ -97,7 +101,7 @@
     let discoveries: [fn() -> Vec<WatchResponse>; 5] = [
         Vec::new,
         || vec![REJECTED(); 1_000],
-        || vec![LATE_REJECTED(); 200],
+        || vec![REJECTED_LATE(); 200],
         || vec![NO_RESPONSE(); 200],
         || vec![Unreachable(Duration::from_secs(60))],
     ];
--- a/proxy/tests/reload_propagation.rs
+++ b/proxy/tests/reload_propagation.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use common::paused_proxy::*;
 use common::paused_time::*;
+use common::paused_time_proxy::*;
 use common::scripted_discovery::WatchResponse::{RespondAfter, Unreachable};
 use common::scripted_discovery::*;
 use common::*;
@@ -13,7 +13,7 @@
 
 /// What the watch is doing when a new configuration arrives.
 #[derive(Clone, Copy, Debug)]
-enum WatchPhase {
+enum WatchState {
     /// It is open.
     Open,
     /// It is requested, and the old discovery has not responded.
@@ -34,39 +34,43 @@
         ("ask", 5, 1),
         ("push", 5, 1),
     ];
-    for ((mode, balancer_count, seed), phase) in modes.into_iter().flat_map(|m| {
-        [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff].map(|phase| (m, phase))
+    for ((mode, balancer_count, seed), state) in modes.into_iter().flat_map(|m| {
+        [WatchState::Open, WatchState::Opening, WatchState::Backoff].map(|state| (m, state))
     }) {
         for failures in failure_sequences() {
             let name =
-                format!("{mode}, {balancer_count} balancers, seed {seed}, {phase:?}, {failures:?}");
+                format!("{mode}, {balancer_count} balancers, seed {seed}, {state:?}, {failures:?}");
             run_with_paused_time(async {
                 let endpoint = TestEndpoint::start([ok("served")]).await;
-                let old = match phase {
-                    WatchPhase::Open => vec![NO_UPDATES()],
-                    WatchPhase::Opening => vec![NO_RESPONSE()],
-                    WatchPhase::Backoff => vec![REJECTED(), Unreachable(Duration::from_secs(100))],
+                let old = match state {
+                    WatchState::Open => vec![NO_UPDATES()],
+                    WatchState::Opening => vec![NO_RESPONSE()],
+                    WatchState::Backoff => vec![REJECTED(), Unreachable(Duration::from_secs(100))],
                 };
                 let (old, new) = (
                     ScriptedDiscovery::start(old).await,
                     ScriptedDiscovery::start(
-                        failures.into_iter().chain([notify_draining(&endpoint)]),
+                        failures.into_iter().chain([draining_response(&endpoint)]),
                     )
                     .await,
                 );
                 let proxy =
-                    PausedProxy::with_seed(seed, mode, balancer_count, &old, endpoint).await;
-                wait_without_time("the old discovery has a request", || {
+                    PausedTimeProxy::start_with_seed(seed, mode, balancer_count, &old, endpoint)
+                        .await;
+                wait_without_advancing("the old discovery has a request", || {
                     old.request_count.get() == 1
                 })
                 .await;
                 advance(50 * MS).await;
-                settle().await;
+                run_ready_tasks().await;
                 proxy.reload_with_discovery(&old, &new);
                 let elapsed = proxy
-                    .until_draining("the connection to the draining endpoint is closed")
+                    .advance_until_drained("the connection to the draining endpoint is closed")
                     .await;
-                assert!(elapsed <= 4_000 * MS + MARGIN, "{elapsed:?}: {name}");
+                assert!(
+                    elapsed <= 4_000 * MS + NOTIFICATION_MARGIN,
+                    "{elapsed:?}: {name}"
+                );
             });
         }
     }
@@ -78,38 +82,38 @@
 #[test]
 fn a_watch_request_that_waits_for_a_new_discovery_is_not_abandoned() {
     for balancer_count in [5, 300] {
-        for phase in [WatchPhase::Open, WatchPhase::Opening, WatchPhase::Backoff] {
+        for state in [WatchState::Open, WatchState::Opening, WatchState::Backoff] {
             run_with_paused_time(async {
                 let endpoint = TestEndpoint::start([ok("served")]).await;
-                let old = match phase {
-                    WatchPhase::Open => vec![NO_UPDATES()],
-                    WatchPhase::Opening => vec![RespondAfter(500 * MS, draining_list(&endpoint))],
-                    WatchPhase::Backoff => vec![REJECTED(), Unreachable(Duration::from_secs(100))],
+                let old = match state {
+                    WatchState::Open => vec![NO_UPDATES()],
+                    WatchState::Opening => vec![RespondAfter(500 * MS, draining_list(&endpoint))],
+                    WatchState::Backoff => vec![REJECTED(), Unreachable(Duration::from_secs(100))],
                 };
                 let delayed_list = RespondAfter(Duration::from_secs(2), draining_list(&endpoint));
                 let (old, new) = (
                     ScriptedDiscovery::start(old).await,
                     ScriptedDiscovery::start([delayed_list]).await,
                 );
-                let proxy = PausedProxy::start("ask", balancer_count, &old, endpoint).await;
-                wait_without_time("the old discovery has a request", || {
+                let proxy = PausedTimeProxy::start("ask", balancer_count, &old, endpoint).await;
+                wait_without_advancing("the old discovery has a request", || {
                     old.request_count.get() == 1
                 })
                 .await;
                 advance(50 * MS).await;
-                settle().await;
+                run_ready_tasks().await;
                 proxy.reload_with_discovery(&old, &new);
                 let elapsed = proxy
-                    .until_draining("the connection to the draining endpoint is closed")
+                    .advance_until_drained("the connection to the draining endpoint is closed")
                     .await;
                 assert!(
                     elapsed >= Duration::from_secs(2),
-                    "{balancer_count} balancers, {phase:?}: the old discovery was not ignored, {elapsed:?}"
+                    "{balancer_count} balancers, {state:?}: the old discovery was not ignored, {elapsed:?}"
                 );
                 assert_eq!(
                     new.request_count.get(),
                     1,
-                    "{balancer_count} balancers, {phase:?}"
+                    "{balancer_count} balancers, {state:?}"
                 );
             });
         }
@@ -126,15 +130,15 @@
             let old =
                 ScriptedDiscovery::start([RespondAfter(delay, draining_list(&endpoint))]).await;
             let new = ScriptedDiscovery::start([NO_UPDATES()]).await;
-            let proxy = PausedProxy::start("push", 5, &old, endpoint).await;
-            wait_without_time("the old discovery has a request", || {
+            let proxy = PausedTimeProxy::start("push", 5, &old, endpoint).await;
+            wait_without_advancing("the old discovery has a request", || {
                 old.request_count.get() == 1
             })
             .await;
             advance(50 * MS).await;
-            settle().await;
+            run_ready_tasks().await;
             proxy.reload_with_discovery(&old, &new);
-            wait_without_time("the new discovery has a request", || {
+            wait_without_advancing("the new discovery has a request", || {
                 new.request_count.get() == 1
             })
             .await;
@@ -142,9 +146,9 @@
                 !old.open_connections.borrow().is_empty()
             })
             .await;
-            settle().await;
+            run_ready_tasks().await;
             assert_eq!(
-                proxy.endpoint.open_connections.get(),
+                proxy.endpoint.open_connection_count.get(),
                 1,
                 "the old discovery's list, sent after {delay:?}, is ignored"
             );
--- a/proxy/tests/requests.rs
+++ b/proxy/tests/requests.rs
@@ -65,7 +65,7 @@
         assert_eq!(proxy.client().await.exchange(&text).await.status(), 409);
         endpoint.release.notify_one();
         assert_eq!(
-            first.message().await.expect("no response").body,
+            first.receive().await.expect("no response").body,
             b"released"
         );
         assert_eq!(first.exchange(&text).await.body, b"again");
@@ -240,7 +240,7 @@
         .await;
         drop(client);
         wait_until("the attempt's connection closes", || {
-            endpoint.open_connections.get() == 0
+            endpoint.open_connection_count.get() == 0
         })
         .await;
     });
@@ -248,7 +248,7 @@
 
 /// A timeout closes the attempt's connection and fails the request within the client's timeout.
 #[test]
-fn an_attempt_without_a_response_times_out_within_the_clients_time() {
+fn an_attempt_without_a_response_times_out_and_its_connection_is_closed() {
     run_test(async {
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
@@ -260,7 +260,7 @@
             "the request must not fail before its timeout"
         );
         wait_until("the attempt's connection closes", || {
-            endpoint.open_connections.get() == 0
+            endpoint.open_connection_count.get() == 0
         })
         .await;
     });
@@ -269,7 +269,7 @@
 /// The time reserved for returning the response to the client must leave a request with a short
 /// deadline nearly all of its time.
 #[test]
-fn a_request_with_a_short_deadline_gets_nearly_all_of_its_time() {
+fn a_request_with_a_deadline_of_32_ms_does_not_fail_before_30_ms() {
     run_test(async {
         let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
         let proxy = Proxy::start(from_ref(&endpoint)).await;
@@ -312,12 +312,12 @@
         })
         .await;
         let early =
-            tokio::time::timeout(std::time::Duration::from_millis(200), client.message()).await;
+            tokio::time::timeout(std::time::Duration::from_millis(200), client.receive()).await;
         assert!(
             early.is_err(),
             "got {early:?} before the endpoint responded"
         );
         endpoint.release.notify_one();
-        assert_eq!(client.message().await.expect("no response").status(), 200);
+        assert_eq!(client.receive().await.expect("no response").status(), 200);
     });
 }
--- a/proxy/tests/response_integrity.rs
+++ b/proxy/tests/response_integrity.rs
@@ -27,13 +27,13 @@
 
 /// Starts a proxy and a client with a non-idempotent request. Returns them with the connection on
 /// which the endpoint has read the request.
-async fn start_non_idempotent_request() -> (Proxy, Client, Client) {
+async fn start_non_idempotent_request() -> (Proxy, TestConnection, TestConnection) {
     let (endpoint, listener) = manual_endpoint().await;
     let proxy = Proxy::start(from_ref(&endpoint)).await;
     let mut client = proxy.client().await;
     client.send(&request("unsafe", "", "")).await;
     let mut endpoint = accept(&listener).await;
-    endpoint.message().await.expect("no request");
+    endpoint.receive().await.expect("no request");
     (proxy, client, endpoint)
 }
 
@@ -95,7 +95,7 @@
                     TestEndpoint::start([ok("good")]).await,
                 );
                 let discovery = TestDiscovery::without_updates().await;
-                let proxy = Proxy::start_with(&discovery, from_ref(&truncating), with_admin).await;
+                let proxy = Proxy::start_with(&discovery, from_ref(&truncating), set_admin).await;
                 wait_until("the watch is open", || {
                     discovery.watch_requests.borrow().len() == 1
                 })
@@ -103,12 +103,14 @@
                 let mut client = proxy.client().await;
                 client.send(&request(class, "", "")).await;
                 let mut endpoint = accept(&listener).await;
-                endpoint.message().await.expect("no request");
+                endpoint.receive().await.expect("no request");
                 let endpoints = [
-                    entry("s-0", address, "Terminating"),
-                    entry("s-1", good.address, "Ready"),
+                    endpoint_entry("s-0", address, "Terminating"),
+                    endpoint_entry("s-1", good.address, "Ready"),
                 ];
-                discovery.push(&chunk(&list(42, false, &endpoints))).await;
+                discovery
+                    .push(&chunk(&endpoint_list(42, false, &endpoints)))
+                    .await;
                 wait_for_members(&proxy, 2).await;
                 write_once_writable(
                     &endpoint,
@@ -119,7 +121,7 @@
                     true => disconnect(endpoint, Disconnect::Reset),
                     false => drop(endpoint),
                 }
-                let response = client.message().await.expect("no response");
+                let response = client.receive().await.expect("no response");
                 let case = format!("{framing:?}, {part:?}, {is_reset}, {class}");
                 assert_eq!(response.status(), status, "{case}");
                 assert!(
@@ -153,7 +155,10 @@
             let proxy = Proxy::start(from_ref(&endpoint)).await;
             let mut client = proxy.client().await;
             client.send(&request(class, "", "")).await;
-            let response = client.response().await.expect("no complete response");
+            let response = client
+                .receive_response()
+                .await
+                .expect("no complete response");
             assert_eq!(
                 (response.status(), response.body.len()),
                 (200, size),
@@ -182,7 +187,7 @@
             .expect("cannot read the first byte");
         disconnect(endpoint, Disconnect::Reset);
         assert!(
-            client.response().await.is_none(),
+            client.receive_response().await.is_none(),
             "the truncated response must not look complete"
         );
     });
--- a/proxy/tests/shared_address.rs
+++ b/proxy/tests/shared_address.rs
@@ -105,11 +105,13 @@
             .expect("announced");
         let notifications = std::cell::RefCell::new(Vec::new());
         let mut first = Some(first);
-        let shared = |shared: bool| {
-            notifications.borrow_mut().push(shared);
+        let on_notification = |is_shared: bool| {
+            notifications.borrow_mut().push(is_shared);
             first.take();
         };
-        let _second = announce_presence(&folder, shared).await.expect("announced");
+        let _second = announce_presence(&folder, on_notification)
+            .await
+            .expect("announced");
         assert_eq!(*notifications.borrow(), [true, false]);
     });
 }
--- a/proxy/tests/shutdown_during_retry.rs
+++ b/proxy/tests/shutdown_during_retry.rs
@@ -13,17 +13,17 @@
 /// open.
 struct ConnectingRetry {
     proxy: Proxy,
-    client: Client,
+    client: TestConnection,
     /// The endpoint's side of the first attempt's connection.
-    first_connection: Client,
+    first_connection: TestConnection,
     /// The listener of the second attempt's endpoint, and the connections that fill its backlog.
     listener: TcpListener,
-    fillers: Vec<TcpStream>,
+    backlog: Vec<TcpStream>,
     discovery: TestDiscovery,
 }
 
 async fn start_connecting_retry() -> ConnectingRetry {
-    let (full_endpoint, fillers, listener) = endpoint_with_full_backlog().await;
+    let (full_endpoint, backlog, listener) = endpoint_with_full_backlog().await;
     let first = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = first.local_addr().expect("an address");
     let discovery = TestDiscovery::without_updates().await;
@@ -41,8 +41,12 @@
     client.send(&request("unsafe", "", "the body")).await;
     let mut first_connection =
         MessageReader::new(first.accept().await.expect("the proxy connects").0);
-    first_connection.message().await.expect("the first attempt");
-    let update = list(42, false, &[entry("s-1", full_endpoint.address, "Ready")]);
+    first_connection.receive().await.expect("the first attempt");
+    let update = endpoint_list(
+        42,
+        false,
+        &[endpoint_entry("s-1", full_endpoint.address, "Ready")],
+    );
     discovery.push(&chunk(&update)).await;
     while metrics(admin).await["members"] != 2 {}
     let written = first_connection
@@ -59,7 +63,7 @@
         client,
         first_connection,
         listener,
-        fillers,
+        backlog,
         discovery,
     }
 }
@@ -71,7 +75,7 @@
         mut client,
         first_connection,
         listener,
-        fillers,
+        backlog,
         discovery: _discovery,
     } = start_connecting_retry().await;
     let admin = proxy.admin.expect("an address for operators");
@@ -81,13 +85,13 @@
         .await
         .starts_with("SUCCESS")
     {}
-    let mut fillers = Some(fillers);
+    let mut backlog = Some(backlog);
     let mut listener = Some(listener);
     let endpoint = listener.take_if(|_| opens_in_time).map(|listener| {
-        fillers.take();
+        backlog.take();
         TestEndpoint::on_listener(listener, [ok("served")])
     });
-    let response = client.message().await.expect("a response");
+    let response = client.receive().await.expect("a response");
     assert_eq!(response.header("connection"), Some("close"));
     match &endpoint {
         Some(endpoint) => {
--- a/proxy/tests/system_call_faults.rs
+++ b/proxy/tests/system_call_faults.rs
@@ -23,7 +23,7 @@
 }
 
 /// Connects the program's first client once it listens; `None` if the program ends before.
-async fn first_client(program: &mut RunningProgram, address: SocketAddr) -> Option<Client> {
+async fn first_client(program: &mut RunningProgram, address: SocketAddr) -> Option<TestConnection> {
     loop {
         if let Ok(stream) = TcpStream::connect(address).await {
             return Some(MessageReader::new(stream));
@@ -101,8 +101,10 @@
         }
         assert_eq!(endpoint.requests.borrow()[0].body.len(), 3_000);
         // The name alone is longer than one read.
-        let long_name = entry(&"n".repeat(2_000), other.address, "Ready");
-        discovery.push(&chunk(&list(42, false, &[long_name]))).await;
+        let long_name = endpoint_entry(&"n".repeat(2_000), other.address, "Ready");
+        discovery
+            .push(&chunk(&endpoint_list(42, false, &[long_name])))
+            .await;
         while metrics(admin).await["members"] != 2 {}
     });
 }
@@ -144,14 +146,14 @@
                 client.send(&request("free", "", "")).await;
             }
             wait_for_pending(admin, max_clients as u64).await;
-            program.stop();
+            program.terminate();
             for client in &mut clients {
                 assert!(
-                    client.message().await.is_some(),
+                    client.receive().await.is_some(),
                     "{failure}: every client gets a response"
                 );
             }
-            assert!(program.ends().await);
+            assert!(program.wait_for_success().await);
         });
     }
 }
--- a/proxy/tests/withdrawn_attempts.rs
+++ b/proxy/tests/withdrawn_attempts.rs
@@ -12,7 +12,7 @@
 #[test]
 fn an_unwritten_attempt_is_withdrawn_when_its_endpoint_drains() {
     run_test(async {
-        let (full_endpoint, _fillers, listener) = endpoint_with_full_backlog().await;
+        let (full_endpoint, _backlog, listener) = endpoint_with_full_backlog().await;
         let other = TestEndpoint::start([ok("served")]).await;
         let discovery = TestDiscovery::without_updates().await;
         let proxy = Proxy::start_with(&discovery, from_ref(&full_endpoint), |config| {
@@ -31,11 +31,13 @@
             200
         );
         let endpoints = [
-            entry("s-0", full_endpoint.address, "Terminating"),
-            entry("s-1", other.address, "Ready"),
+            endpoint_entry("s-0", full_endpoint.address, "Terminating"),
+            endpoint_entry("s-1", other.address, "Ready"),
         ];
-        discovery.push(&chunk(&list(42, false, &endpoints))).await;
-        assert_eq!(client.message().await.expect("a response").status(), 200);
+        discovery
+            .push(&chunk(&endpoint_list(42, false, &endpoints)))
+            .await;
+        assert_eq!(client.receive().await.expect("a response").status(), 200);
         assert_eq!(other.request_count(), 1);
         drop(listener);
     });
@@ -62,15 +64,15 @@
         })
         .await;
         let endpoints = [
-            entry("s-0", draining_endpoint.address, "Terminating"),
-            entry("s-1", other.address, "Ready"),
+            endpoint_entry("s-0", draining_endpoint.address, "Terminating"),
+            endpoint_entry("s-1", other.address, "Ready"),
         ];
-        let list = chunk(&list(42, false, &endpoints));
+        let list = chunk(&endpoint_list(42, false, &endpoints));
         // Both arrive before the proxy runs again, the request first. Its attempt is handed to the
         // connection's task, which runs only after the list has been applied.
         client.send(&request("unsafe", "", "")).await;
         discovery.push(&list).await;
-        assert_eq!(client.message().await.expect("a response").body, b"other");
+        assert_eq!(client.receive().await.expect("a response").body, b"other");
         assert_eq!(
             (draining_endpoint.request_count(), other.request_count()),
             (1, 1)
@@ -124,9 +126,9 @@
 /// An attempt that still waits for its connection when its client disconnects must not be written
 /// once the connection opens, even if the settings do not allow attempts to be cancelled.
 #[test]
-fn an_unwritten_attempt_is_withdrawn_when_its_request_ends() {
+fn an_unwritten_attempt_is_withdrawn_when_its_client_disconnects() {
     run_test(async {
-        let (full_endpoint, fillers, listener) = endpoint_with_full_backlog().await;
+        let (full_endpoint, backlog, listener) = endpoint_with_full_backlog().await;
         let proxy = Proxy::start_with(
             &TestDiscovery::without_updates().await,
             from_ref(&full_endpoint),
@@ -151,8 +153,8 @@
         );
         // Both connections open now, that of the first request before that of the second.
         let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
-        drop(fillers);
-        assert_eq!(client.message().await.expect("a response").status(), 200);
+        drop(backlog);
+        assert_eq!(client.receive().await.expect("a response").status(), 200);
         let bodies: Vec<_> = endpoint
             .requests
             .borrow()
@@ -182,14 +184,14 @@
             b"old"
         );
         discovery
-            .push(&chunk(&list(
+            .push(&chunk(&endpoint_list(
                 42,
                 false,
-                &[entry("s-0", new.address, "Ready")],
+                &[endpoint_entry("s-0", new.address, "Ready")],
             )))
             .await;
         wait_until("the idle connection to the old address is closed", || {
-            old.open_connections.get() == 1
+            old.open_connection_count.get() == 1
         })
         .await;
         assert_eq!(
@@ -197,9 +199,9 @@
             b"new"
         );
         old.release.notify_one();
-        assert_eq!(busy.message().await.expect("a response").body, b"released");
+        assert_eq!(busy.receive().await.expect("a response").body, b"released");
         wait_until("the last connection to the old address is closed", || {
-            old.open_connections.get() == 0
+            old.open_connection_count.get() == 0
         })
         .await;
         assert_eq!(
