--- a/proxy/tests/bodies.rs
+++ b/proxy/tests/bodies.rs
@@ -301,8 +301,8 @@
     }
 }
 
-/// The proxy reads a large response from the endpoint no faster than the client reads it from the
-/// proxy, so that the proxy buffers only a small part of it.
+/// The proxy reads a large response no faster than its client does: if the client reads nothing,
+/// the endpoint can send less than half of a response of 64 MiB.
 #[test]
 fn a_large_response_is_read_from_its_endpoint_only_as_fast_as_its_client_reads_it() {
     run_test(async {
@@ -339,8 +339,9 @@
     });
 }
 
-/// The rest of a large body is not read while its request is queued. Its client may have sent all
-/// of it long before: the proxy advertises no more than what remains of the client's timeout.
+/// While a request with a large body is queued, the rest of its body stays unread, although its
+/// client may have sent all of it. The client's timeout has begun then, so the proxy subtracts the
+/// time in the queue from the timeout that it forwards in `X-Budget-Ms`.
 #[test]
 fn a_queued_request_with_a_large_body_advertises_the_remaining_time() {
     run_test(async {
--- a/proxy/tests/client_disconnect.rs
+++ b/proxy/tests/client_disconnect.rs
@@ -245,8 +245,8 @@
     }
 }
 
-/// The request has not been read: its connection waits to be accepted, because as many client
-/// connections as the proxy may have are in use.
+/// The request has not been read: its connection waits to be accepted, because the limit on client
+/// connections is reached.
 #[test]
 fn a_request_is_not_sent_if_its_client_disconnected_before_it_was_accepted() {
     for kind in DISCONNECT_KINDS {
--- a/proxy/tests/client_disconnect_under_load.rs
+++ b/proxy/tests/client_disconnect_under_load.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect while the proxy is busy: what would start an attempt and the disconnect
-//! arrive in the same turn of the proxy's thread, so nothing checks for the disconnect in between.
+//! Clients that disconnect while the proxy is busy. The event that would start an attempt and the
+//! disconnect arrive in the same turn of its event loop, so it can't check for one between the two.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
-/// Number of clients that are connected besides the one under test.
+/// Number of clients whose health checks keep the proxy busy for a turn of its event loop.
 const BACKGROUND_CLIENTS: usize = 500;
 
 /// Sets the limit on sockets so high that no background client is evicted.
@@ -49,7 +49,7 @@
     }
 }
 
-/// Disconnects, and blocks the thread until the kernel has delivered that to the proxy's end.
+/// Disconnects, and blocks the thread until the close or reset has arrived at the proxy's socket.
 fn disconnect_and_await_delivery(client: TestConnection, kind: Disconnect, proxy: &Proxy) {
     let from = client.stream.local_addr().expect("no local address");
     disconnect(client, kind);
@@ -67,10 +67,7 @@
 
 /// The body of the next request that reaches an endpoint, on this open connection or on a new one
 /// to either listener.
-async fn next_request_body(
-    connection: &mut TestConnection,
-    listeners: [&TcpListener; 2],
-) -> Vec<u8> {
+async fn next_body(connection: &mut TestConnection, listeners: [&TcpListener; 2]) -> Vec<u8> {
     tokio::select! {
         message = connection.receive() => message.expect("no request").body,
         (_, body) = accept_request(listeners[0]) => body,
@@ -82,16 +79,12 @@
 async fn upstream_requests(admin: SocketAddr) -> u64 {
     metrics(admin).await["upstream_requests"]
         .as_u64()
-        .expect("not a number")
+        .expect("upstream_requests is not a number")
 }
 
 /// The bytes that are pipelined behind a request: none, a part of the next request, or all of it.
 fn pipelined_bytes() -> [String; 3] {
-    [
-        "".to_owned(),
-        "GET /api HT".to_owned(),
-        request("free", "", ""),
-    ]
+    ["", "GET /api HT", &request("free", "", "")].map(str::to_owned)
 }
 
 /// The headers of a request with a large body, and the part of the body that is sent.
@@ -100,8 +93,9 @@
     (headers, "x".repeat(sent))
 }
 
-/// Two requests are in flight, and a third with these headers is queued, with these bytes behind
-/// it. Asserts that the third is not sent when its client disconnects as the other two end.
+/// Two requests are in flight. A third with these headers is queued, followed by these bytes of its
+/// body or of a pipelined request. Asserts that it is not sent if its client disconnects as they
+/// end.
 async fn assert_queued_request_is_not_sent(
     headers: &str,
     following_bytes: &str,
@@ -124,7 +118,8 @@
     let mut client = proxy.client().await;
     client.send(&request("unsafe", headers, "")).await;
     client.send(following_bytes).await;
-    // Waits until it is queued; with its body unread it does not count as pending.
+    // Waits until the third request is queued. It counts as pending only once its body is read; the
+    // response to a later health check shows that its head has been read.
     if headers.is_empty() {
         wait_for_pending(admin, 3).await;
     } else {
@@ -140,7 +135,7 @@
     assert_eq!(second.receive().await.expect("no response").status(), 200);
     first.send(&request("unsafe", "", "the next")).await;
     let next = tokio::select! {
-        next = next_request_body(&mut connection, [&listener, &listener]) => next,
+        next = next_body(&mut connection, [&listener, &listener]) => next,
         message = other.receive() => message.expect("no request").body,
     };
     let shown = &following_bytes[..following_bytes.len().min(20)];
@@ -205,7 +200,7 @@
                     let mut next = proxy.client().await;
                     next.send(&request("unsafe", "", "the next")).await;
                     assert_eq!(
-                        next_request_body(&mut connection, [one, other]).await,
+                        next_body(&mut connection, [one, other]).await,
                         b"the next",
                         "{kind:?}, {pipelined}"
                     );
@@ -216,8 +211,8 @@
     }
 }
 
-/// The connection to the endpoint opens after the client has disconnected, and the proxy learns of
-/// both in the same turn.
+/// The connection to the endpoint opens after the client has disconnected, and both events reach
+/// the proxy in the same turn.
 #[test]
 fn a_request_is_not_written_when_its_client_disconnects_before_its_connection_opens() {
     for (kind, pipelined) in DISCONNECT_KINDS
@@ -286,7 +281,7 @@
                 wait_for_pending(admin, 0).await;
                 let mut next = proxy.client().await;
                 next.send(&request("unsafe", "", "the next")).await;
-                let next = next_request_body(&mut connection, [&listener, &listener]).await;
+                let next = next_body(&mut connection, [&listener, &listener]).await;
                 assert_eq!(next, b"the next", "{kind:?}, {pipelined}");
                 assert_eq!(upstream_requests(admin).await, 2);
             });
@@ -294,7 +289,7 @@
     }
 }
 
-/// Many connections wait to be accepted, each with a complete request and its client's disconnect.
+/// 100 connections wait to be accepted, each with a complete request and its client's disconnect.
 #[test]
 fn requests_are_not_sent_if_their_clients_disconnected_before_they_were_accepted() {
     for pipelined in pipelined_bytes() {
@@ -351,7 +346,7 @@
     }
 }
 
-/// A hedged request becomes due in the turn in which the proxy learns of its client's disconnect.
+/// A hedged request becomes due in the turn in which its client's disconnect reaches the proxy.
 #[test]
 fn no_hedged_request_is_sent_after_its_client_disconnects() {
     const OBJECTIVE: Duration = Duration::from_secs(1);
@@ -371,7 +366,8 @@
                 .await;
                 let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
                 let background = connect_background_clients(&proxy).await;
-                // The responses set the typical latency and earn the credit for a hedged request.
+                // The responses provide the latency samples and the budget that a hedged request
+                // needs.
                 let mut earlier = proxy.client().await;
                 tokio::select! {
                     () = respond_to_all(one) => {}
@@ -392,7 +388,7 @@
                 wait_for_pending(admin, 0).await;
                 earlier.send(&request("unsafe", "", "the next")).await;
                 assert_eq!(
-                    next_request_body(&mut connection, [one, other]).await,
+                    next_body(&mut connection, [one, other]).await,
                     b"the next",
                     "{kind:?}, {pipelined}"
                 );
--- a/proxy/tests/common/client.rs
+++ b/proxy/tests/common/client.rs
@@ -1,4 +1,5 @@
-//! Test clients of the proxy, and the ways in which they disconnect.
+//! Connections whose messages a test reads and writes itself, and the ways in which a client
+//! disconnects.
 
 use super::http::{ok_response, Message, MessageReader};
 use std::io::Write;
@@ -39,10 +40,9 @@
 
 /// Connects to an address; panics if nothing listens there.
 pub(crate) async fn connect(address: SocketAddr) -> TestConnection {
+    let stream = TcpStream::connect(address).await;
     MessageReader::new(
-        TcpStream::connect(address)
-            .await
-            .expect("cannot connect to the program"),
+        stream.unwrap_or_else(|error| panic!("cannot connect to {address}: {error}")),
     )
 }
 
@@ -65,8 +65,8 @@
     drop(client);
 }
 
-/// Connects, writes and disconnects by blocking calls: the proxy, which runs on the same thread,
-/// does not run in between.
+/// Connects, writes and disconnects by blocking calls, so that the proxy, which runs on the same
+/// thread, does not run before the client has disconnected.
 pub(crate) fn send_and_disconnect(address: SocketAddr, text: &str, kind: Disconnect) {
     let mut stream = std::net::TcpStream::connect(address).expect("cannot connect to the proxy");
     stream.write_all(text.as_bytes()).expect("write failed");
@@ -87,7 +87,8 @@
     connection.send(&ok_response(body)).await;
 }
 
-/// Writes without yielding: the proxy, which runs on the same thread, does not run in between.
+/// Writes without yielding, so that the proxy, which runs on the same thread, does not run between
+/// this write and the caller's next step. Panics if the socket's buffer can't take the whole text.
 pub(crate) fn write_now(connection: &TestConnection, text: &str) {
     let written = connection
         .stream
--- a/proxy/tests/common/connections.rs
+++ b/proxy/tests/common/connections.rs
@@ -11,7 +11,8 @@
 }
 
 /// An address in the notation of the table: hexadecimal, with the bytes of the IPv4 address in
-/// reverse order. Empty for IPv6.
+/// reverse order. Empty for IPv6, which the tests don't use:
+/// `/proc/net/tcp` lists IPv4 connections only.
 fn table_address(address: SocketAddr) -> String {
     match address {
         SocketAddr::V4(v4) => format!(
--- a/proxy/tests/common/discovery.rs
+++ b/proxy/tests/common/discovery.rs
@@ -15,12 +15,13 @@
 /// Head of the response to a watch request; its chunked body carries the endpoint lists.
 pub(crate) const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A discovery service that gives each watch request the next of its responses, and afterwards
-/// sends what the test pushes. When the responses are used up, a request gets `WATCH_HEAD`.
+/// A discovery service that responds to each watch request with the next of its responses, or with
+/// `WATCH_HEAD` once they are used up. `push` sends further text on the last watch. For delayed
+/// responses, resets before a response and an unreachable service, use `ScriptedDiscovery`.
 #[derive(Clone)]
 pub(crate) struct TestDiscovery {
     pub(crate) address: SocketAddr,
-    /// Start lines of the watch requests that were received.
+    /// Start lines of the watch requests that a response has been written to.
     pub(crate) watch_requests: Rc<RefCell<Vec<String>>>,
     watch: Rc<RefCell<Option<OwnedWriteHalf>>>,
 }
--- a/proxy/tests/common/endpoint.rs
+++ b/proxy/tests/common/endpoint.rs
@@ -18,11 +18,12 @@
 /// How an endpoint responds to a request that it has read completely.
 #[derive(Clone, Debug)]
 pub(crate) enum ScriptedResponse {
-    /// Writes this and keeps the connection open.
+    /// Writes this text and keeps the connection open.
     Write(String),
-    /// Writes this and closes the connection.
+    /// Writes this text and closes the connection.
     WriteAndClose(String),
-    /// Writes nothing until the proxy closes the connection, or the test releases the request or
+    /// Writes nothing until the test releases the request, and then a response with the body
+    /// `released`. Ends if the proxy closes the connection or sends more bytes, or if the test
     /// resets the connection.
     Stall,
 }
@@ -32,7 +33,7 @@
     ScriptedResponse::Write(ok_response(body))
 }
 
-/// A scripted rejection, which proves that the request has not run.
+/// A scripted rejection: its header `X-Rejected` means that the endpoint has not run the request.
 pub(crate) fn reject() -> ScriptedResponse {
     ScriptedResponse::Write(REJECTION.to_owned())
 }
@@ -142,7 +143,7 @@
         response
     }
 
-    /// Resets the connections of all stalled requests, as happens when an endpoint's process ends.
+    /// Resets the connections of all stalled requests.
     pub(crate) fn reset(&self) {
         self.resets.notify_waiters();
     }
@@ -162,7 +163,8 @@
     }
 }
 
-/// An endpoint whose connections the test accepts from the returned listener and serves itself.
+/// An endpoint whose connections the test accepts from the returned listener and serves itself. Of
+/// the `TestEndpoint` only the address is valid: its counts stay 0.
 pub(crate) async fn manual_endpoint() -> (TestEndpoint, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
@@ -177,8 +179,9 @@
     )
 }
 
-/// An endpoint to which no connection opens: the returned connections fill the backlog of its
-/// listener.
+/// An endpoint to which no connection opens until the test accepts connections from the returned
+/// listener, whose backlog the returned connections fill, or drops those. Of the `TestEndpoint`
+/// only the address is valid.
 pub(crate) async fn endpoint_with_full_backlog() -> (TestEndpoint, Vec<TcpStream>, TcpListener) {
     let socket = TcpSocket::new_v4().expect("cannot create a socket");
     socket
--- a/proxy/tests/common/http.rs
+++ b/proxy/tests/common/http.rs
@@ -50,8 +50,8 @@
             .is_ok_and(|count| count > 0)
     }
 
-    /// Reads the next message, whose body is as long as its `Content-Length` says. `None` if the
-    /// stream ends before the message is complete.
+    /// Reads the next message. Its body has the length in `Content-Length`, or is empty without
+    /// this header. `None` if the stream ends before the message is complete.
     pub(crate) async fn receive(&mut self) -> Option<Message> {
         let end = loop {
             match self.buffer.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -162,11 +162,11 @@
     )
 }
 
-/// A rejection, which proves that the request has not run.
+/// A rejection: its header `X-Rejected` means that the endpoint has not run the request.
 pub(crate) const REJECTION: &str =
     "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// A chunk of a chunked body that contains this line.
+/// A chunk of a chunked body. The chunk consists of this line and a line feed.
 pub(crate) fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
--- a/proxy/tests/common/mod.rs
+++ b/proxy/tests/common/mod.rs
@@ -1,5 +1,6 @@
 //! Test doubles for endpoints, discovery and clients on loopback sockets. Each test runs on a
 //! single thread and waits for conditions; `run_test` fails a test that does not end in time.
+// Each test file compiles this module separately and uses only a part of it.
 #![allow(dead_code, unused_imports)]
 
 mod client;
@@ -26,7 +27,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout};
 
-/// Limit for a whole test, far longer than any test takes.
+/// Limit for one call of `run_test`.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Runs a test on its own single-threaded runtime, and fails it after the test timeout.
@@ -38,7 +39,7 @@
     let test = async {
         timeout(TEST_TIMEOUT, test)
             .await
-            .expect("the test timed out")
+            .expect("the test did not end within 30 s")
     };
     LocalSet::new().block_on(&runtime, test)
 }
@@ -53,5 +54,5 @@
     };
     timeout(TEST_TIMEOUT / 2, met)
         .await
-        .unwrap_or_else(|_| panic!("condition not met in time: {what}"));
+        .unwrap_or_else(|_| panic!("condition not met within 15 s: {what}"));
 }
--- a/proxy/tests/common/paused_time.rs
+++ b/proxy/tests/common/paused_time.rs
@@ -25,7 +25,7 @@
     result
 }
 
-/// Lets all tasks run that can proceed without the clock advancing.
+/// Lets tasks run that can proceed without the clock advancing, for 40 turns of the runtime.
 pub(crate) async fn run_ready_tasks() {
     for _ in 0..20 {
         yield_now().await;
@@ -37,14 +37,15 @@
     }
 }
 
-/// Advances the clock until the condition is met. Returns the time advanced.
+/// Advances the clock until the condition is met, and returns the time advanced. Panics with
+/// `what`, which describes the condition, after 30 s of test time.
 pub(crate) async fn advance_until(what: &str, condition: impl Fn() -> bool) -> Duration {
     let start = Instant::now();
     run_ready_tasks().await;
     while !condition() {
         assert!(
             start.elapsed() < Duration::from_secs(30),
-            "condition not met in time: {what}"
+            "condition not met within 30 s of test time: {what}"
         );
         advance(STEP).await;
         run_ready_tasks().await;
@@ -52,13 +53,14 @@
     start.elapsed()
 }
 
-/// Waits until the condition is met, without advancing the clock.
+/// Waits until the condition is met, without advancing the clock. Panics with `what`, which
+/// describes the condition, after 15 s of real time.
 pub(crate) async fn wait_without_advancing(what: &str, condition: impl Fn() -> bool) {
     let begun = std::time::Instant::now();
     while !condition() {
         assert!(
             begun.elapsed() < Duration::from_secs(15),
-            "condition not met in time: {what}"
+            "condition not met within 15 s of real time: {what}"
         );
         run_ready_tasks().await;
     }
--- a/proxy/tests/common/paused_time_proxy.rs
+++ b/proxy/tests/common/paused_time_proxy.rs
@@ -16,8 +16,8 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Time that applying a change may take after it counts as notified. It is a part of the drain
-/// grace, and includes the steps in which the test advances the clock.
+/// Time that the tests allow for applying a change once it counts as notified. It is shorter than
+/// the drain grace of 0.4 s, and includes the steps of 10 ms in which a test advances the clock.
 pub(crate) const NOTIFICATION_MARGIN: Duration = Duration::from_millis(200);
 
 /// The response to a watch request, with a full list in which this endpoint is draining.
@@ -47,7 +47,9 @@
 }
 
 impl PausedTimeProxy {
-    /// Starts a proxy with seed 1.
+    /// Starts a proxy as `start_with_seed` does, with seed 1. `mode` is the value of
+    /// `settings.discovery`: with `ask` the proxy polls a discovery service, with `push` an agent
+    /// on the same machine sends it the lists.
     pub(crate) async fn start(
         mode: &str,
         balancer_count: u32,
@@ -125,8 +127,8 @@
             .expect("the proxy has ended");
     }
 
-    /// Advances the clock until the proxy has closed its idle connection. Returns the time
-    /// advanced.
+    /// Advances the clock until the proxy has closed its idle connection to the draining endpoint.
+    /// Returns the time advanced.
     pub(crate) async fn advance_until_drained(&self, what: &str) -> Duration {
         advance_until(what, || self.endpoint.open_connection_count.get() == 0).await
     }
@@ -137,8 +139,8 @@
     std::iter::repeat_with(response).take(count).collect()
 }
 
-/// Responses that watch requests may get from a reachable discovery service before a request
-/// succeeds: one failure of each kind, or none.
+/// Sequences of failures that watch requests may get from a reachable discovery service before one
+/// succeeds: for each kind of failure a sequence with that failure only, and an empty sequence.
 pub(crate) fn failure_sequences() -> Vec<Vec<WatchResponse>> {
     let failure_kinds = [
         REJECTED,
--- a/proxy/tests/common/program.rs
+++ b/proxy/tests/common/program.rs
@@ -43,7 +43,7 @@
 }
 
 impl RunningProgram {
-    /// Orders the process to shut down.
+    /// Sends SIGTERM, on which the program shuts down gracefully.
     pub(crate) fn terminate(&self) {
         self.signal("TERM");
     }
@@ -75,7 +75,10 @@
     let sent = Command::new("kill")
         .args(["-s", name, &process.to_string()])
         .status();
-    assert!(sent.expect("cannot run kill").success());
+    assert!(
+        sent.expect("cannot run kill").success(),
+        "cannot send SIG{name} to process {process}"
+    );
 }
 
 /// The library that injects faults into system calls, built once per test process.
@@ -88,7 +91,7 @@
         let built = built.expect("cannot run cargo");
         assert!(
             built.status.success(),
-            "{}",
+            "cannot build syscall-faults: {}",
             String::from_utf8_lossy(&built.stderr)
         );
         let target = Path::new(env!("CARGO_BIN_EXE_client-proxy"))
--- a/proxy/tests/common/proxy.rs
+++ b/proxy/tests/common/proxy.rs
@@ -42,13 +42,14 @@
     config.to_string()
 }
 
-/// Adds an address for operators to a configuration.
+/// Sets `admin`, the address for operators, in a configuration.
 pub(crate) fn set_admin(config: &mut serde_json::Value) {
     config["admin"] = "127.0.0.1:0".into();
 }
 
-/// Changes a configuration so that two requests can be in flight, one of them as the trial that may
-/// raise the concurrency limit, and a third waits in the pending queue.
+/// Sets the number of balancers so high that this proxy's share of an endpoint's concurrency is
+/// small: two requests can be in flight, one of them as the trial that may raise the concurrency
+/// limit, and a third waits in the pending queue.
 pub(crate) fn limit_to_two_in_flight(config: &mut serde_json::Value) {
     config["settings"]["balancers"] = 7.into();
 }
@@ -57,7 +58,7 @@
 pub(crate) struct Proxy {
     pub(crate) address: SocketAddr,
     pub(crate) admin: Option<SocketAddr>,
-    /// Orders the proxy to shut down when it is dropped.
+    /// Dropping this sender shuts the proxy down.
     pub(crate) stop: Option<oneshot::Sender<()>>,
     pub(crate) task: JoinHandle<Result<(), client_proxy::RunError>>,
 }
@@ -106,8 +107,8 @@
         }
     }
 
-    /// Connects a client once the proxy listens, which it does as soon as it has an endpoint list,
-    /// or has waited for one.
+    /// Connects a client once the proxy listens: as soon as it has an endpoint list, or without one
+    /// 2 s after its start.
     pub(crate) async fn client(&self) -> TestConnection {
         connect_when_listening(self.address).await
     }
@@ -131,7 +132,7 @@
     (proxy, admin)
 }
 
-/// Starts a proxy with an address for operators that may not cancel attempts that have begun.
+/// Starts a proxy that has an address for operators and may not cancel attempts that have begun.
 pub(crate) async fn start_without_cancellation(
     endpoints: &[TestEndpoint],
     change: impl FnOnce(&mut serde_json::Value),
@@ -148,8 +149,8 @@
     let mut stream = TcpStream::connect(admin)
         .await
         .expect("cannot connect as an operator");
-    // Some tests send very many commands: after an orderly close each connection would stay in the
-    // kernel's table in the state TIME_WAIT and make the table long.
+    // Tests that poll the metrics open a connection for each poll. After an orderly close each of
+    // them would stay in TIME_WAIT, in the kernel's table that `connections.rs` reads as a whole.
     stream.set_zero_linger().expect("SO_LINGER not set");
     stream
         .write_all(line.as_bytes())
@@ -205,7 +206,11 @@
     ["completed", "rejected", "failed"].map(|outcome| {
         classes
             .values()
-            .map(|class| class[outcome].as_u64().expect("not a number"))
+            .map(|class| {
+                class[outcome]
+                    .as_u64()
+                    .expect("a count in downstream_requests is not a number")
+            })
             .sum()
     })
 }
--- a/proxy/tests/common/scripted_discovery.rs
+++ b/proxy/tests/common/scripted_discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service that responds to watch requests by a script.
+//! A discovery service that responds to watch requests according to a script.
 
 use super::discovery::WATCH_HEAD;
 use super::http::MessageReader;
@@ -13,21 +13,23 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// What the discovery service does with one watch request.
+/// A step of the script: the response to one watch request, or a time without a listener.
 #[derive(Clone, Debug)]
 pub(crate) enum WatchResponse {
-    /// Writes this and keeps the connection open.
+    /// Writes this text and keeps the connection open.
     Respond(String),
-    /// Writes this after a delay and keeps the connection open.
+    /// Writes this text after a delay and keeps the connection open.
     RespondAfter(Duration, String),
     /// Resets the connection.
     Reset,
-    /// Nothing listens at its address for this time.
+    /// Stops listening at the service's address for this time, in which it gets no watch request.
     Unreachable(Duration),
 }
 use WatchResponse::{Reset, Respond, RespondAfter, Unreachable};
 
-pub(crate) const UNAVAILABLE: &str = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
+pub(crate) const UNAVAILABLE: &str =
+    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+// Functions, because a constant can't hold a `String` that is not empty.
 pub(crate) const NO_UPDATES: fn() -> WatchResponse = || Respond(WATCH_HEAD.to_owned());
 pub(crate) const NO_RESPONSE: fn() -> WatchResponse = || Respond(String::new());
 pub(crate) const REJECTED: fn() -> WatchResponse = || Respond(UNAVAILABLE.to_owned());
@@ -44,6 +46,8 @@
     pub(crate) request_count: Rc<Cell<usize>>,
     /// When its address last became reachable again.
     pub(crate) reachable_since: Rc<Cell<Option<Instant>>>,
+    /// Connections on which a response, which may be empty, has been written. They stay open until
+    /// `reset`.
     pub(crate) open_connections: Rc<RefCell<Vec<TcpStream>>>,
 }
 
--- a/proxy/tests/discovery.rs
+++ b/proxy/tests/discovery.rs
@@ -103,9 +103,10 @@
     });
 }
 
-/// A watch whose server has vanished stays silent, and has failed when heartbeats are missing. A
-/// change that it misses counts as notified 6 s after it fell silent. The next watch must deliver
-/// the change by then, even if two requests for a watch fail before.
+/// A watch whose server no longer responds gets no heartbeats, and has failed after 2.5 s without
+/// data. A change that it misses counts as notified 6 s after the last data. The next watch must
+/// deliver the change by then, even if two requests for a watch fail before: its request must be
+/// sent within 4.5 s, so that 1.5 s remain for the response.
 #[test]
 fn a_silent_watch_is_replaced_before_a_missed_change_counts_as_notified() {
     run_test(async {
@@ -130,7 +131,7 @@
 }
 
 async fn silent_watch_is_replaced(mode: &str, partial_response: String) {
-    let rejection = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_owned();
+    let rejection = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned();
     let responses = [
         partial_response.clone(),
         rejection.clone(),
@@ -167,7 +168,8 @@
     .await
 }
 
-/// In push mode a change counts as notified when the agent has it, whether or not a watch is open.
+/// In push mode an agent on the same machine sends the endpoint lists, and a change counts as
+/// notified when the agent has it, whether or not a watch is open.
 /// A watch that was reset is reopened at once, and retried while the agent is unreachable, each
 /// time in less than the drain grace.
 #[test]
@@ -263,7 +265,7 @@
             &[endpoint_entry("s-9", endpoint.address, "Ready")],
         );
         let discovery = TestDiscovery::start([
-            "HTTP/1.1 503 No\r\n\r\n".to_owned(),
+            "HTTP/1.1 503 Service Unavailable\r\n\r\n".to_owned(),
             format!("{WATCH_HEAD}{}", chunk(&list)),
         ])
         .await;
--- a/proxy/tests/endpoint_connections.rs
+++ b/proxy/tests/endpoint_connections.rs
@@ -6,9 +6,9 @@
 use std::slice::from_ref;
 use std::time::{Duration, Instant};
 
-/// Opening a connection costs an endpoint many times the overhead of a request. A connection must
-/// be idle again before the outcome of its request is reported: otherwise the request that this
-/// outcome admits opens another one.
+/// A connection must be idle again before the outcome of its request is reported. The outcome may
+/// let a queued request start, which would otherwise open a second connection; that costs an
+/// endpoint many times the overhead of a request.
 #[test]
 fn sequential_requests_share_one_connection() {
     run_test(async {
@@ -105,8 +105,9 @@
     });
 }
 
-/// An endpoint may send a second response some milliseconds after the first one. The connection is
-/// not reused before that, as the next request would get the second response.
+/// An endpoint may wrongly send a second response some milliseconds after the first one. The proxy
+/// does not reuse a connection within 10 ms of a response, as the next request could otherwise get
+/// the second response.
 #[test]
 fn a_connection_is_not_reused_within_10_ms_of_a_response() {
     run_test(async {
@@ -182,8 +183,8 @@
     });
 }
 
-/// A connection past its idle timeout is not reused even if it is still open: closing expired
-/// connections by a periodic check alone would leave a gap.
+/// A connection past its idle timeout is not reused even if it is still open, as it is between its
+/// expiry and the next periodic check that closes it.
 #[test]
 fn a_connection_past_its_idle_timeout_is_not_reused() {
     run_test(async {
@@ -207,8 +208,8 @@
     });
 }
 
-/// A connection that does not open in time proves that the request never ran, so even a
-/// non-idempotent request may go to another endpoint.
+/// If a connection does not open in time, the request can't have run, so even a non-idempotent
+/// request may go to another endpoint.
 #[test]
 fn a_request_goes_to_another_endpoint_when_a_connection_does_not_open_in_time() {
     run_test(async {
--- a/proxy/tests/endpoint_drain_and_restart.rs
+++ b/proxy/tests/endpoint_drain_and_restart.rs
@@ -1,5 +1,6 @@
 //! Endpoints that begin to drain, or whose process is replaced by a new one, while attempts are in
-//! flight to them. The tests play the endpoints, and so determine the order of events.
+//! flight to them. The tests read and write the endpoints' connections themselves, and so
+//! determine the order of events.
 
 mod common;
 
@@ -52,7 +53,7 @@
             Ok(response) => response,
             Err(_) => client.receive().await,
         };
-        assert_eq!(response.expect("a response").status(), 502);
+        assert_eq!(response.expect("no response").status(), 502);
         let mut client = proxy.client().await;
         assert_eq!(
             client
@@ -74,15 +75,15 @@
 /// A listener whose connections have a small receive buffer, so that a large request can be written
 /// only partly until it is read.
 fn listen_with_small_buffer() -> TcpListener {
-    let socket = TcpSocket::new_v4().expect("a socket");
-    socket.set_recv_buffer_size(1_024).expect("a small buffer");
+    let socket = TcpSocket::new_v4().expect("cannot create a socket");
+    socket.set_recv_buffer_size(1_024).expect("buffer not set");
     // With the default segment size on loopback, a single segment could carry the whole body.
     nix::sys::socket::setsockopt(&socket, nix::sys::socket::sockopt::TcpMaxSeg, &536)
-        .expect("small segments");
+        .expect("segment size not set");
     socket
-        .bind("127.0.0.1:0".parse().expect("an address"))
-        .expect("a port");
-    socket.listen(16).expect("listening")
+        .bind("127.0.0.1:0".parse().expect("invalid address"))
+        .expect("cannot bind a port");
+    socket.listen(16).expect("cannot listen")
 }
 
 /// An endpoint begins to drain while a request to it is partly written, and the connection breaks.
@@ -97,16 +98,16 @@
         );
         let discovery = TestDiscovery::without_updates().await;
         let draining_endpoint = TestEndpoint {
-            address: listener.local_addr().expect("an address"),
+            address: listener.local_addr().expect("no local address"),
             ..other.clone()
         };
         let proxy = Proxy::start_with(&discovery, from_ref(&draining_endpoint), set_admin).await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
         let mut partly_written = accept(&listener).await;
-        partly_written.receive().await.expect("a request");
+        partly_written.receive().await.expect("no request");
         respond_ok(&mut partly_written, "first").await;
-        assert_eq!(client.receive().await.expect("a response").body, b"first");
+        assert_eq!(client.receive().await.expect("no response").body, b"first");
         client
             .send(&request("unsafe", "", &"x".repeat(60_000)))
             .await;
@@ -114,7 +115,7 @@
             .stream
             .readable()
             .await
-            .expect("the request begins to arrive");
+            .expect("the request did not begin to arrive");
         let endpoints = [
             endpoint_entry("s-0", draining_endpoint.address, "Terminating"),
             endpoint_entry("s-1", other.address, "Ready"),
@@ -123,7 +124,7 @@
         discovery.push(&chunk(&update)).await;
         wait_for_members(&proxy, 2).await;
         disconnect(partly_written, Disconnect::Reset);
-        let response_body = async { client.receive().await.expect("a response").body };
+        let response_body = async { client.receive().await.expect("no response").body };
         tokio::select! {
             body = response_body => assert_eq!(body, b"other"),
             mut reopened = accept(&listener) => panic!("the request is sent to the draining endpoint again: {:?}", reopened.receive().await.map(|m| m.start_line)),
@@ -175,7 +176,7 @@
             let update = endpoint_list(42, false, &endpoints);
             discovery.push(&chunk(&update)).await;
             assert_eq!(
-                client.receive().await.expect("a response").body,
+                client.receive().await.expect("no response").body,
                 b"other",
                 "the endpoint has a new address: {has_new_address}"
             );
@@ -207,7 +208,7 @@
         wait_for_members(&proxy, 2).await;
         endpoint.release.notify_one();
         assert_eq!(
-            client.receive().await.expect("a response").body,
+            client.receive().await.expect("no response").body,
             b"released"
         );
         assert_eq!(
@@ -224,7 +225,7 @@
 #[test]
 fn a_request_is_retried_at_a_restarted_endpoint_only_if_its_class_allows() {
     for list_first in [false, true] {
-        for (class, status, attempts) in [("free", 200, 2), ("keyed", 200, 2), ("unsafe", 502, 1)] {
+        for (class, status, copies) in [("free", 200, 2), ("keyed", 200, 2), ("unsafe", 502, 1)] {
             run_test(async {
                 // After a successful response a single reset does not eject the endpoint.
                 let endpoint =
@@ -260,18 +261,14 @@
                 if !list_first {
                     discovery.push(&list).await;
                 }
-                let response = client.receive().await.expect("a response");
+                let response = client.receive().await.expect("no response");
                 assert_eq!(
                     response.status(),
                     status,
                     "{class}, list first: {list_first}"
                 );
                 let received = endpoint.requests.borrow()[1..].to_vec();
-                assert_eq!(
-                    received.len(),
-                    attempts,
-                    "{class}, list first: {list_first}"
-                );
+                assert_eq!(received.len(), copies, "{class}, list first: {list_first}");
                 for name in ["x-call-id", "idempotency-key"] {
                     assert!(received
                         .iter()
@@ -317,7 +314,7 @@
         }
         ArrivalOrder::Together => {
             let writable = endpoint.stream.writable().await;
-            writable.expect("the connection is writable");
+            writable.expect("the connection is not writable");
             discovery.push(update).await;
             write_once_writable(endpoint, "x").await;
             None
@@ -328,9 +325,11 @@
 /// Lets an endpoint begin to drain as the last byte of its response arrives, and asserts that its
 /// connection is closed and the next request goes to another endpoint.
 async fn drain_at_the_end_of_a_response(large: bool, order: ArrivalOrder) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("cannot bind a port");
     let other = TestEndpoint::start([ok("other")]).await;
-    let address = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("no local address");
     let draining_endpoint = TestEndpoint {
         address,
         ..other.clone()
@@ -344,7 +343,7 @@
     let mut client = proxy.client().await;
     client.send(&request("unsafe", "", "")).await;
     let mut endpoint = accept(&listener).await;
-    endpoint.receive().await.expect("a request");
+    endpoint.receive().await.expect("no request");
     // All but the last byte. The proxy forwards a large response before it is complete.
     let size = if large { 100_000 } else { 10 };
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n");
@@ -360,7 +359,7 @@
             .stream
             .readable()
             .await
-            .expect("the response begins to arrive");
+            .expect("the response did not begin to arrive");
     }
     let early_response =
         send_last_byte_and_update(order, &endpoint, &discovery, &update, &proxy, &mut client).await;
@@ -368,7 +367,7 @@
         Some(response) => Some(response),
         None => client.receive().await,
     };
-    let response = response.expect("a response");
+    let response = response.expect("no response");
     assert_eq!(
         response.body.len(),
         size,
@@ -376,7 +375,7 @@
     );
     assert!(
         endpoint.receive().await.is_none(),
-        "large: {large}, order: {order:?}: the connection is closed without another request"
+        "large: {large}, order: {order:?}: the connection must be closed without another request"
     );
     wait_for_members(&proxy, 2).await;
     let next = client.exchange(&request("unsafe", "", "")).await;
--- a/proxy/tests/endpoint_ids.rs
+++ b/proxy/tests/endpoint_ids.rs
@@ -1,4 +1,5 @@
-//! Endpoint ids, by which the ring that all proxies share is ordered.
+//! Endpoint ids. Every proxy orders the ring of endpoints by them, so all proxies must assign the
+//! same ids.
 
 use balancer::EndpointId;
 use client_proxy::control::endpoint_ids::EndpointIds;
@@ -26,7 +27,7 @@
 }
 
 /// Endpoints that join together are in slow start together. If they were neighbours on the ring,
-/// the requests meant for them would all go to the few endpoints that follow them.
+/// the requests that they don't take would all go to the few endpoints that follow on the ring.
 #[test]
 fn endpoints_that_join_together_are_spread_over_the_ring() {
     let has_joined = |number: u32| number >= 100;
@@ -34,12 +35,18 @@
     ring.sort();
     let is_new: Vec<bool> = ring
         .iter()
-        .map(|(_, name)| has_joined(name[2..].parse().expect("not a number")))
+        .map(|(_, name)| {
+            has_joined(
+                name[2..]
+                    .parse()
+                    .expect("the endpoint's name has no number"),
+            )
+        })
         .collect();
     let longest = is_new.chunk_by(|a, b| a == b).map(<[bool]>::len).max();
     assert!(
         longest < Some(16),
-        "{longest:?} endpoints in a row are all new or all old"
+        "{longest:?} endpoints in a row are all new or all old; at most 15 may be"
     );
 }
 
--- a/proxy/tests/endpoint_list_propagation.rs
+++ b/proxy/tests/endpoint_list_propagation.rs
@@ -1,6 +1,7 @@
-//! How long a change of the endpoint list takes to be applied, with every wait on the way added up,
-//! on a clock that only the test advances. A change counts as notified 6 s after discovery had it
-//! and was reachable, and in push mode as soon as the agent on the same machine has it.
+//! The time from a change of the endpoint list until the proxy applies it, including all timeouts
+//! and backoffs, on a clock that only the test advances. With a polled discovery service a change
+//! counts as notified 6 s after the service both has the change and is reachable; in push mode, as
+//! soon as the agent on the same machine has it.
 
 mod common;
 
@@ -13,8 +14,8 @@
 use tokio::net::TcpStream;
 use tokio::time::advance;
 
-/// The watch is silent from the beginning, or is reset after a short or a longer time; requests for
-/// the next one may fail first.
+/// The watch is silent from the beginning, or is reset after 0.5 s or 1.5 s; requests for the next
+/// one may fail first.
 #[test]
 fn a_change_missed_by_a_lost_polled_watch_is_applied_within_6_s() {
     let reset_times = [None, Some(500 * MS), Some(1_500 * MS)];
@@ -52,8 +53,9 @@
     }
 }
 
-/// Discovery is unreachable or sends no responses for so long that all backoffs have grown. The
-/// time counts from its return, or from the start of the last request that gets no response.
+/// Discovery is unreachable for 1 to 20 s, or leaves up to six requests without a response, so that
+/// the backoffs grow. The 6 s begin when discovery is reachable again, or when the last request
+/// that gets no response is sent.
 #[test]
 fn a_change_is_applied_within_6_s_once_a_polled_discovery_is_reachable_again() {
     for balancer_count in [5, 300] {
--- a/proxy/tests/endpoint_list_updates.rs
+++ b/proxy/tests/endpoint_list_updates.rs
@@ -149,8 +149,7 @@
     });
 }
 
-/// The lists of proxies and endpoints are as long as the fleet is large, and must not be limited to
-/// fewer than 2,000 entries.
+/// The numbers of proxies and endpoints grow with the fleet; 2,000 of each must be supported.
 #[test]
 fn two_thousand_proxies_and_endpoints_are_supported() {
     run_test(async {
--- a/proxy/tests/external_names.rs
+++ b/proxy/tests/external_names.rs
@@ -1,6 +1,6 @@
 //! Names that operators and other programs depend on, and that must not change: the keys of the
 //! configuration and of the endpoint list, headers and paths. Operators' commands are checked in
-//! `operators.rs`, and the name of the lock file, which processes of other versions read, in
+//! `operators.rs`, and the name of the lock file, which processes of other versions lock too, in
 //! `process_presence.rs`.
 
 mod common;
@@ -28,10 +28,10 @@
             "invariants": {"cold_from": 0.5, "cold_us": 1, "drain_grace_us": 9_000},
         },
     });
-    let config = Config::parse(&config.to_string()).expect("a valid configuration");
+    let config = Config::parse(&config.to_string()).expect("invalid configuration");
     assert_eq!(config.listen.port(), 1);
     assert_eq!(config.discovery.port(), 2);
-    assert_eq!(config.admin.expect("an address").port(), 3);
+    assert_eq!(config.admin.expect("no address for operators").port(), 3);
     assert_eq!(
         (
             config.seed,
@@ -47,7 +47,7 @@
     assert_eq!(config.connect_timeout, Duration::from_millis(7));
     assert_eq!(config.connection_idle_timeout, Duration::from_millis(8));
     assert_eq!(config.drain_grace, Duration::from_millis(9));
-    let list = config.cached_list.expect("a list");
+    let list = config.cached_list.expect("no list");
     assert_eq!((list.version, list.is_full), (6, true));
     let endpoint = &list.endpoints[0];
     assert_eq!(
@@ -105,10 +105,10 @@
     });
 }
 
-/// `README.md` shows how to run the program with this file.
+/// `README.md` shows how to run the program with `deploy/example.json`.
 #[test]
 fn the_example_configuration_is_valid() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/example.json");
-    let config = Config::load(&path).expect("a valid configuration");
+    let config = Config::load(&path).expect("invalid configuration");
     assert_eq!(config.classes, ["read", "write"]);
 }
--- a/proxy/tests/graceful_shutdown.rs
+++ b/proxy/tests/graceful_shutdown.rs
@@ -15,8 +15,8 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
-/// A shutdown must respond to every accepted request, accept connections that arrive shortly after
-/// it has begun, and close connections that have no request.
+/// A shutdown must respond to every accepted request, accept connections that arrive within 0.5 s
+/// after it has begun, and close connections that have no request.
 #[test]
 fn a_shutdown_responds_to_every_accepted_request() {
     run_test(async {
@@ -43,18 +43,18 @@
             late.exchange(&request("unsafe", "", "")).await.body,
             b"after"
         );
-        assert_eq!(busy.receive().await.expect("a response").status(), 502);
+        assert_eq!(busy.receive().await.expect("no response").status(), 502);
         (&mut proxy.task)
             .await
-            .expect("the proxy task ends without a panic")
-            .expect("the proxy listens for clients");
+            .expect("the proxy task panicked")
+            .expect("the proxy returned an error");
         assert!(
             idle.receive().await.is_none(),
-            "the idle connection is closed"
+            "the idle connection must be closed"
         );
         assert!(
             TcpStream::connect(proxy.address).await.is_err(),
-            "the proxy no longer listens"
+            "the proxy must no longer listen"
         );
     });
 }
@@ -71,52 +71,55 @@
         let mut client = proxy.client().await;
         let mut late = proxy.client().await;
         client.send(&request("free", "", "")).await;
-        let mut stream = listener.accept().await.expect("the proxy connects").0;
+        let mut stream = listener.accept().await.expect("accept failed").0;
         let head = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
             2 * HALF_BYTES
         );
-        stream.write_all(head.as_bytes()).await.expect("written");
+        stream
+            .write_all(head.as_bytes())
+            .await
+            .expect("write failed");
         stream
             .write_all(&[b'a'; HALF_BYTES])
             .await
-            .expect("written");
+            .expect("write failed");
         let text = request("unsafe", "", "body");
         late.send(&text[..text.len() - 1]).await;
         client
             .stream
             .readable()
             .await
-            .expect("the response begins to arrive");
+            .expect("the response did not begin to arrive");
         drop(proxy.stop.take());
         sleep(Duration::from_millis(900)).await;
         late.send("y").await;
-        let response = late.receive().await.expect("a response");
+        let response = late.receive().await.expect("no response");
         assert_eq!(
             (response.status(), response.header("retry-after").is_some()),
             (503, true)
         );
-        // Longer than the shutdown waits for responses that have not begun.
+        // The shutdown waits 3.6 s for responses that have not begun; 3.9 s have passed after this.
         sleep(Duration::from_secs(3)).await;
         stream
             .write_all(&[b'b'; HALF_BYTES])
             .await
-            .expect("written");
-        let response = client.receive().await.expect("a response");
+            .expect("write failed");
+        let response = client.receive().await.expect("no response");
         assert_eq!(
             (response.body.len(), response.body.last()),
             (2 * HALF_BYTES, Some(&b'b'))
         );
         (&mut proxy.task)
             .await
-            .expect("the proxy task ends without a panic")
-            .expect("the proxy listens for clients");
+            .expect("the proxy task panicked")
+            .expect("the proxy returned an error");
     });
 }
 
 /// A queued request waits until its own deadline, but must be rejected before the process is
-/// killed. The kill follows 0.7 s after the longest deadline of a class, which counts as 3 s at
-/// most; the shutdown ends 0.6 s after that deadline.
+/// killed. If D is the longest deadline of all classes or 3 s, whichever is shorter, the shutdown
+/// ends D + 0.6 s after it has begun, and the process is killed at D + 0.7 s.
 #[test]
 fn a_shutdown_rejects_queued_requests_before_the_process_is_killed() {
     run_test(async {
@@ -140,7 +143,7 @@
         while proxy.client().await.exchange(HEALTH_REQUEST).await.status() != 200 {}
         let stopped_at = Instant::now();
         drop(proxy.stop.take());
-        let response = queued.receive().await.expect("a response");
+        let response = queued.receive().await.expect("no response");
         assert_eq!(
             (response.status(), response.header("connection")),
             (503, Some("close"))
@@ -149,8 +152,8 @@
         assert_eq!(endpoint.request_count(), 0);
         (&mut proxy.task)
             .await
-            .expect("the proxy task ends without a panic")
-            .expect("the proxy listens for clients");
+            .expect("the proxy task panicked")
+            .expect("the proxy returned an error");
     });
 }
 
@@ -166,10 +169,10 @@
         };
         let discovery = TestDiscovery::without_updates().await;
         let mut proxy = Proxy::start_with(&discovery, from_ref(&endpoint), limit_descriptors).await;
-        let admin = proxy.admin.expect("an address for operators");
+        let admin = proxy.admin.expect("no address for operators");
         let text = configuration(discovery.address, &[], limit_descriptors);
         let max_clients = client_proxy::config::Config::parse(&text)
-            .expect("a valid configuration")
+            .expect("invalid configuration")
             .max_client_connections();
         let mut clients = Vec::new();
         for number in 1..=max_clients {
@@ -180,11 +183,11 @@
         let mut waiting = proxy.client().await;
         waiting.send(&request("free", "", "")).await;
         drop(proxy.stop.take());
-        assert_eq!(waiting.receive().await.expect("a response").status(), 503);
+        assert_eq!(waiting.receive().await.expect("no response").status(), 503);
         (&mut proxy.task)
             .await
-            .expect("the proxy task ends without a panic")
-            .expect("the proxy listens for clients");
+            .expect("the proxy task panicked")
+            .expect("the proxy returned an error");
     });
 }
 
@@ -205,38 +208,40 @@
             request("unheard-of", "", ""),
             "GET nowhere at all\r\n\r\n".to_owned(),
         ] {
-            let stream = std::net::TcpStream::connect(proxy.address).expect("connected");
+            let stream = std::net::TcpStream::connect(proxy.address).expect("cannot connect");
             std::io::Write::write_all(&mut &stream, format!("{text}{pipelined}").as_bytes())
-                .expect("written");
-            stream.set_nonblocking(true).expect("nonblocking");
+                .expect("write failed");
+            stream
+                .set_nonblocking(true)
+                .expect("cannot make the socket nonblocking");
             clients.push(MessageReader::new(
-                TcpStream::from_std(stream).expect("a stream"),
+                TcpStream::from_std(stream).expect("cannot convert the stream"),
             ));
         }
         for client in &clients {
-            client.stream.readable().await.expect("a response arrives");
+            client.stream.readable().await.expect("no response arrived");
         }
         drop(proxy.stop.take());
         (&mut proxy.task)
             .await
-            .expect("the proxy task ends without a panic")
-            .expect("the proxy listens for clients");
+            .expect("the proxy task panicked")
+            .expect("the proxy returned an error");
         for client in &mut clients {
             assert!(
                 client
                     .stream
                     .take_error()
-                    .expect("the socket reports its error")
+                    .expect("cannot read the socket's error")
                     .is_none(),
-                "the connection is not reset"
+                "the connection must not be reset"
             );
-            assert_eq!(client.receive().await.expect("a response").status(), 400);
+            assert_eq!(client.receive().await.expect("no response").status(), 400);
             assert_eq!(
                 client
                     .stream
                     .read(&mut [0])
                     .await
-                    .expect("the connection ends in order"),
+                    .expect("the connection was reset"),
                 0
             );
         }
@@ -251,20 +256,21 @@
         for has_other_process in [false, true] {
             let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
                 .join(format!("shutdown-without-list-{has_other_process}"));
-            std::fs::create_dir_all(&folder).expect("a folder");
+            std::fs::create_dir_all(&folder).expect("cannot create the folder");
             let other = match has_other_process {
                 true => Some(
                     client_proxy::process_handoff::announce_presence(&folder, |_| ())
                         .await
-                        .expect("announced"),
+                        .expect("cannot announce the process"),
                 ),
                 false => None,
             };
             let discovery = TestDiscovery::without_updates().await;
             let config = configuration(discovery.address, &[], |_| ());
             let config =
-                client_proxy::config::Config::parse(&config).expect("a valid configuration");
-            let clients = client_proxy::process_handoff::bind(config.listen).expect("bound");
+                client_proxy::config::Config::parse(&config).expect("invalid configuration");
+            let clients = client_proxy::process_handoff::bind(config.listen)
+                .expect("cannot bind the address");
             let listeners = client_proxy::Listeners {
                 clients,
                 operators: None,
@@ -282,11 +288,12 @@
             let stopped_at = Instant::now();
             drop(stop);
             task.await
-                .expect("the proxy task ends without a panic")
-                .expect("the proxy ends without an error");
+                .expect("the proxy task panicked")
+                .expect("the proxy returned an error");
             assert!(
                 stopped_at.elapsed() < Duration::from_secs(1),
-                "another process serves: {has_other_process}"
+                "the shutdown took {:?}; another process serves: {has_other_process}",
+                stopped_at.elapsed()
             );
             drop(other);
         }
@@ -296,8 +303,8 @@
 type ResponseStatuses = Rc<RefCell<HashMap<String, u16>>>;
 
 /// Spawns a client that sends requests until its connection ends, and records the status of each
-/// response by the request's id. With `waits_for_response` it sends each request once the one
-/// before has its response, otherwise without waiting.
+/// response by the request's id. With `waits_for_response` it sends a request only after the
+/// response to the previous one, otherwise without waiting.
 fn spawn_client(
     client: TestConnection,
     waits_for_response: bool,
@@ -313,7 +320,7 @@
             let text = request("unsafe", "", "");
             let mut lines = text.split("\r\n");
             let id = lines.find_map(|line| line.strip_prefix("X-Call-Id: "));
-            let id = id.expect("a request id").to_owned();
+            let id = id.expect("no request id").to_owned();
             ids.borrow_mut().push_back(id);
             if write.write_all(text.as_bytes()).await.is_err() {
                 return;
@@ -327,7 +334,7 @@
         let mut reader = MessageReader::new(read);
         while let Some(response) = reader.receive().await {
             let id: Option<String> = sent_ids.borrow_mut().pop_front();
-            let id = id.expect("a request for the response");
+            let id = id.expect("no request for the response");
             statuses.borrow_mut().insert(id, response.status());
             response_received.notify_one();
         }
@@ -354,15 +361,15 @@
         drop(proxy.stop.take());
         (&mut proxy.task)
             .await
-            .expect("the proxy task ends without a panic")
-            .expect("the proxy listens for clients");
+            .expect("the proxy task panicked")
+            .expect("the proxy returned an error");
         for client in clients {
-            client.await.expect("the client task ends without a panic");
+            client.await.expect("the client task panicked");
         }
         for seen in endpoint.requests.borrow().iter() {
             let status = statuses
                 .borrow()
-                .get(seen.header("x-call-id").expect("a request id"))
+                .get(seen.header("x-call-id").expect("no request id"))
                 .copied();
             // On a busy machine the endpoint's response may arrive too late, which is a 502.
             assert!(
--- a/proxy/tests/invalid_requests.rs
+++ b/proxy/tests/invalid_requests.rs
@@ -46,8 +46,8 @@
     ]
 }
 
-/// Requests with invalid framing. Whatever their headers say, the second request must neither be
-/// read nor be forwarded in the body of the first.
+/// Requests with invalid framing, most of them followed by a smuggled request. The proxy must
+/// neither read the smuggled request nor forward it in the body of the first.
 fn requests_with_invalid_framing(valid_post: &str) -> Vec<InvalidRequest> {
     let smuggled = format!("0\r\n\r\n{}", request("unsafe", "", ""));
     let chunked = "Transfer-Encoding: chunked\r\n";
--- a/proxy/tests/operators.rs
+++ b/proxy/tests/operators.rs
@@ -99,7 +99,7 @@
             config["known"]["hosts"][0]["health"] = "Terminating".into();
         })
         .await;
-        let admin = proxy.admin.expect("an address for operators");
+        let admin = proxy.admin.expect("no address for operators");
         let initial = metrics(admin).await;
         assert_eq!(
             (&initial["members"], &initial["members_unavailable"]),
@@ -113,8 +113,8 @@
     });
 }
 
-/// Connections with an incomplete command, more of them than may be open at once, must not block
-/// operators that connect later.
+/// Connections with an incomplete command must not block operators that connect later. The test
+/// opens 100, which is more than `MAX_OPERATOR_CONNECTIONS`.
 #[test]
 fn incomplete_operator_commands_do_not_block_other_operators() {
     run_test(async {
@@ -122,8 +122,8 @@
         let (_proxy, admin) = start_with_admin(from_ref(&endpoint), |_| ()).await;
         let mut connections = Vec::new();
         for _ in 0..100 {
-            let mut stream = TcpStream::connect(admin).await.expect("connected");
-            stream.write_all(b"heal").await.expect("written");
+            let mut stream = TcpStream::connect(admin).await.expect("cannot connect");
+            stream.write_all(b"heal").await.expect("write failed");
             connections.push(stream);
             assert!(admin_command(admin, "counters\n")
                 .await
--- a/proxy/tests/process_handoff.rs
+++ b/proxy/tests/process_handoff.rs
@@ -31,7 +31,7 @@
         let endpoint = TestEndpoint::start(script).await;
         let discovery = TestDiscovery::without_updates().await;
         let port = reserve_port();
-        let address = port.local_addr().expect("an address");
+        let address = port.local_addr().expect("no local address");
         let config = configuration(discovery.address, from_ref(&endpoint), |config| {
             config["listen"] = address.to_string().into();
         });
@@ -48,14 +48,14 @@
     /// Starts a process and waits until it is ready. Returns it and its address for operators.
     async fn start(&self) -> (RunningProgram, SocketAddr) {
         let admin_port = reserve_port();
-        let admin = admin_port.local_addr().expect("an address");
+        let admin = admin_port.local_addr().expect("no local address");
         let config_path = self.folder.join("config.json");
-        let mut command = program_command(&self.config, config_path.to_str().expect("UTF-8")).0;
+        let mut command = program_command(&self.config, config_path.to_str().expect("not UTF-8")).0;
         command
             .env("TMPDIR", &self.folder)
             .env("ROUTER_ADMIN", admin.to_string())
             .stderr(Stdio::null());
-        let process = RunningProgram(command.spawn().expect("the program starts"));
+        let process = RunningProgram(command.spawn().expect("cannot start the program"));
         while !is_ready(admin).await {}
         (process, admin)
     }
@@ -70,7 +70,7 @@
         let mut client = self
             .client()
             .await
-            .expect("the program accepts connections");
+            .expect("the program accepts no connections");
         let response = client.exchange(&request("unsafe", "", "")).await;
         response.status() == 200 && response.header("connection").is_none()
     }
@@ -116,7 +116,7 @@
         let mut busy = fixture
             .client()
             .await
-            .expect("the program accepts connections");
+            .expect("the program accepts no connections");
         busy.send(&request("unsafe", "", "")).await;
         wait_until("the endpoint has the request", || {
             fixture.endpoint.request_count() == 2
@@ -135,7 +135,7 @@
             assert_eq!(
                 (response.status(), response.header("connection")),
                 (200, Some("close")),
-                "the old process serves the connection and closes it"
+                "the old process must serve the connection and close it"
             );
         }
         let (_next, _) = fixture.start().await;
@@ -146,7 +146,7 @@
             );
         }
         fixture.endpoint.release.notify_one();
-        assert_eq!(busy.receive().await.expect("a response").body, b"released");
+        assert_eq!(busy.receive().await.expect("no response").body, b"released");
         assert!(old.wait_for_success().await);
         assert!(fixture.is_new_connection_served().await);
     });
@@ -159,12 +159,13 @@
         let mut fixture = HandoffFixture::new("no-lock-file", [ok("served")]).await;
         let config_path = fixture.folder.join("config.json");
         fixture.folder = fixture.folder.join("missing");
-        let mut command = program_command(&fixture.config, config_path.to_str().expect("UTF-8")).0;
+        let mut command =
+            program_command(&fixture.config, config_path.to_str().expect("not UTF-8")).0;
         let mut process = RunningProgram(
             command
                 .env("TMPDIR", &fixture.folder)
                 .spawn()
-                .expect("the program starts"),
+                .expect("cannot start the program"),
         );
         let mut client = loop {
             match fixture.client().await {
@@ -183,11 +184,12 @@
             .0
             .stderr
             .take()
-            .expect("piped")
+            .expect("stderr is not piped")
             .read_to_string(&mut log)
-            .expect("UTF-8");
+            .expect("not UTF-8");
         assert_eq!(
-            log.matches(fixture.folder.to_str().expect("UTF-8")).count(),
+            log.matches(fixture.folder.to_str().expect("not UTF-8"))
+                .count(),
             1,
             "{log}"
         );
@@ -198,11 +200,11 @@
 async fn health_response(admin: SocketAddr) -> String {
     let mut response = String::new();
     if let Ok(mut stream) = TcpStream::connect(admin).await {
-        stream.write_all(b"health\n").await.expect("written");
+        stream.write_all(b"health\n").await.expect("write failed");
         stream
             .read_to_string(&mut response)
             .await
-            .expect("a response");
+            .expect("no response");
     }
     response
 }
@@ -227,7 +229,7 @@
         assert_eq!(
             (response.status(), response.header("connection")),
             (200, None),
-            "the new process serves the connection and keeps it open"
+            "the new process must serve the connection and keep it open"
         );
     }
 }
@@ -250,29 +252,29 @@
         assert!(Command::new("kill")
             .arg(old.0.id().to_string())
             .status()
-            .expect("kill runs")
+            .expect("cannot run kill")
             .success());
         while health_response(old_admin).await == "SUCCESS yes\n" {}
         assert_new_connections_are_served(fixture.address).await;
         assert!(
             client.receive().await.is_none(),
-            "the idle connection is closed"
+            "the idle connection must be closed"
         );
         fixture.endpoint.release.notify_one();
-        let last = busy.receive().await.expect("a response");
+        let last = busy.receive().await.expect("no response");
         assert_eq!(
             (last.status(), last.header("connection")),
             (200, Some("close")),
-            "the old process responds and closes the connection"
+            "the old process must respond and close the connection"
         );
         assert!(old.wait_for_success().await);
         assert_eq!(health_response(new_admin).await, "SUCCESS yes\n");
         assert!(
             new.0
                 .try_wait()
-                .expect("the process can be waited for")
+                .expect("cannot wait for the process")
                 .is_none(),
-            "the new process still runs"
+            "the new process must still run"
         );
     });
 }
--- a/proxy/tests/process_presence.rs
+++ b/proxy/tests/process_presence.rs
@@ -1,5 +1,5 @@
-//! How a process announces itself to other processes by locking a file, and learns whether another
-//! one shares the limits.
+//! The lock file by which a process detects whether another process runs, with which it then shares
+//! the limits.
 
 mod common;
 
@@ -96,7 +96,7 @@
             || waiting.notifications() == [true],
         )
         .await;
-        fs::remove_file(folder.join(LOCK_FILE_NAME)).expect("removed");
+        fs::remove_file(folder.join(LOCK_FILE_NAME)).expect("cannot remove the file");
         wait_until("the lock file exists again", || {
             folder.join(LOCK_FILE_NAME).exists()
         })
@@ -126,7 +126,7 @@
         .await;
         assert!(
             !(ended(&waiting) && ended(&third)),
-            "only one of the waiting processes locks the file"
+            "only one of the waiting processes may lock the file"
         );
     });
 }
@@ -142,9 +142,10 @@
             folder.join(LOCK_FILE_NAME).exists()
         })
         .await;
-        let new = File::create(folder.join("new")).expect("a file");
-        new.try_lock().expect("locked");
-        fs::rename(folder.join("new"), folder.join(LOCK_FILE_NAME)).expect("replaced");
+        let new = File::create(folder.join("new")).expect("cannot create the file");
+        new.try_lock().expect("cannot lock the file");
+        fs::rename(folder.join("new"), folder.join(LOCK_FILE_NAME))
+            .expect("cannot replace the file");
         wait_until(
             "the old process is notified that the limits are shared",
             || old.notifications() == [true],
@@ -166,8 +167,9 @@
     run_test(async {
         let folder = empty_folder("unusable");
         fs::create_dir_all(folder.join("lock-file-is-a-folder").join(LOCK_FILE_NAME))
-            .expect("a folder in the place of the file");
-        fs::write(folder.join("folder-is-a-file"), "").expect("a file in the place of the folder");
+            .expect("cannot create the folder in the place of the file");
+        fs::write(folder.join("folder-is-a-file"), "")
+            .expect("cannot create the file in the place of the folder");
         for unusable in ["missing", "lock-file-is-a-folder", "folder-is-a-file"] {
             let mut is_notified = false;
             let result = maintain_presence(&folder.join(unusable), |_| is_notified = true).await;
--- a/proxy/tests/program.rs
+++ b/proxy/tests/program.rs
@@ -6,7 +6,7 @@
 use std::io::{BufRead, BufReader, Read as _};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::process::{Command, Stdio};
 use std::slice::from_ref;
 use std::time::Duration;
 use tokio::net::{TcpSocket, TcpStream};
@@ -23,7 +23,7 @@
     })
 }
 
-/// Waits until discovery has its first watch request; `what` describes that in a failure's message.
+/// Waits until discovery has responded to its first watch request, or fails with `what`.
 async fn wait_for_watch(what: &str, discovery: &TestDiscovery) {
     wait_until(what, || discovery.watch_requests.borrow().len() == 1).await;
 }
@@ -34,20 +34,20 @@
         let endpoint = TestEndpoint::start([ok("served"), ScriptedResponse::Stall]).await;
         let discovery = TestDiscovery::without_updates().await;
         let port = reserve_port();
-        let address = port.local_addr().expect("an address");
+        let address = port.local_addr().expect("no local address");
         let config = configuration_at(address, &discovery, &endpoint);
         let mut child = program_command(&config, "sigterm.json")
             .0
             .spawn()
-            .expect("the program starts");
+            .expect("cannot start the program");
         let mut client = connect_when_listening(address).await;
         assert_eq!(
             client.exchange(&request("unsafe", "", "")).await.body,
             b"served"
         );
-        // Its deadline is after the end of the shutdown, so its reply is sent before the deadline.
-        let mut stalled_client = connect(address).await;
-        stalled_client.send(&request("unsafe", "", "")).await;
+        // The deadline of this request is after the end of the shutdown, which fails it with a 502.
+        let mut stalled = connect(address).await;
+        stalled.send(&request("unsafe", "", "")).await;
         wait_until("the endpoint has the request", || {
             endpoint.request_count() == 2
         })
@@ -57,39 +57,36 @@
             send_signal(child.id(), signal);
         }
         let code = loop {
-            match child.try_wait().expect("the process can be waited for") {
+            match child.try_wait().expect("cannot wait for the process") {
                 Some(status) => break status.code(),
                 None => sleep(Duration::from_millis(5)).await,
             }
         };
         assert_eq!(code, Some(0));
-        assert_eq!(
-            stalled_client.receive().await.expect("a response").status(),
-            502
-        );
+        assert_eq!(stalled.receive().await.expect("no response").status(), 502);
         let mut log = String::new();
         child
             .stderr
             .take()
-            .expect("piped")
+            .expect("stderr is not piped")
             .read_to_string(&mut log)
-            .expect("UTF-8");
+            .expect("not UTF-8");
         assert!(!log.contains("panicked"), "{log}");
         assert!(
             client.receive().await.is_none(),
-            "the idle connection is closed"
+            "the idle connection must be closed"
         );
     });
 }
 
-/// Sends a process SIGHUP, on which it reloads its configuration.
-fn send_sighup(process: &Child) {
-    send_signal(process.id(), "HUP");
-}
-
 /// Reads a log up to and including the first line that contains this text.
 fn read_until_line(log: &mut impl Iterator<Item = std::io::Result<String>>, text: &str) {
-    while !log.next().expect("a line").expect("UTF-8").contains(text) {}
+    while !log
+        .next()
+        .expect("no line")
+        .expect("not UTF-8")
+        .contains(text)
+    {}
 }
 
 /// SIGHUP must reload the configuration without ending the program. An invalid configuration must
@@ -104,23 +101,23 @@
         let old = TestDiscovery::without_updates().await;
         let new = TestDiscovery::without_updates().await;
         let port = reserve_port();
-        let address = port.local_addr().expect("an address");
+        let address = port.local_addr().expect("no local address");
         let config = configuration_at(address, &old, &endpoint);
         let (mut command, path) = program_command(&config, "reload.json");
-        let mut child = command.spawn().expect("the program starts");
+        let mut child = command.spawn().expect("cannot start the program");
         wait_for_watch("the old watch is open", &old).await;
         let mut client = connect(address).await;
         assert_eq!(
             client.exchange(&request("unsafe", "", "")).await.body,
             b"first"
         );
-        std::fs::write(&path, "{ broken").expect("written");
-        send_sighup(&child);
+        std::fs::write(&path, "{ broken").expect("write failed");
+        send_signal(child.id(), "HUP");
         // The broken file is replaced only after the log reports it, so it has been read.
-        let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
+        let mut log = BufReader::new(child.stderr.take().expect("stderr is not piped")).lines();
         read_until_line(&mut log, "configuration kept");
-        std::fs::write(&path, configuration_at(address, &new, &endpoint)).expect("written");
-        send_sighup(&child);
+        std::fs::write(&path, configuration_at(address, &new, &endpoint)).expect("write failed");
+        send_signal(child.id(), "HUP");
         wait_for_watch("the new watch is open", &new).await;
         assert_eq!(
             new.watch_requests.borrow()[0],
@@ -134,8 +131,8 @@
         let update = endpoint_list(42, true, &[endpoint_entry("s-9", other.address, "Ready")]);
         new.push(&chunk(&update)).await;
         while client.exchange(&request("unsafe", "", "")).await.body != b"second" {}
-        child.kill().expect("the program still runs");
-        child.wait().expect("the process can be waited for");
+        child.kill().expect("cannot kill the program");
+        child.wait().expect("cannot wait for the process");
     });
 }
 
@@ -183,7 +180,7 @@
         let output = program_command(config, &format!("broken-{number}.json"))
             .0
             .output()
-            .expect("the program runs");
+            .expect("cannot run the program");
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{config}");
         assert_eq!(text.lines().count(), 1, "{text}");
@@ -200,12 +197,11 @@
 /// The number of open descriptors of a process.
 fn open_descriptors(process: u32) -> usize {
     std::fs::read_dir(format!("/proc/{process}/fd"))
-        .expect("the process runs")
+        .expect("the process has ended")
         .count()
 }
 
-/// Starts the program with this configuration under the descriptor limit. Returns the path of its
-/// log too.
+/// Starts the program under the descriptor limit. Returns the path of its log too.
 fn start_with_descriptor_limit(config: &str, name: &str) -> (RunningProgram, PathBuf) {
     let path = program_command(config, &format!("{name}.json")).1;
     let log = path.with_extension("log");
@@ -213,14 +209,11 @@
     let mut command = Command::new("sh");
     command
         .args(["-c", &script, env!("CARGO_BIN_EXE_client-proxy")])
-        .env("ROUTER_CONFIG", &path);
-    command
+        .env("ROUTER_CONFIG", &path)
         .stdout(Stdio::null())
-        .stderr(std::fs::File::create(&log).expect("a log"));
-    (
-        RunningProgram(command.spawn().expect("the program starts")),
-        log,
-    )
+        .stderr(std::fs::File::create(&log).expect("cannot create the log"));
+    let process = RunningProgram(command.spawn().expect("cannot start the program"));
+    (process, log)
 }
 
 /// Connects this many clients and sends a request on each.
@@ -282,7 +275,7 @@
 async fn connect_idle_operators(address: SocketAddr) -> Vec<TcpStream> {
     let mut operators = Vec::new();
     for _ in 0..client_proxy::config::MAX_OPERATOR_CONNECTIONS {
-        operators.push(TcpStream::connect(address).await.expect("connected"));
+        operators.push(TcpStream::connect(address).await.expect("cannot connect"));
     }
     operators
 }
@@ -302,15 +295,14 @@
 /// Starts discovery at this port with this list, and waits until the watch is open.
 async fn start_discovery(port: TcpSocket, endpoint_list: &str) -> TestDiscovery {
     let discovery = TestDiscovery::on_listener(
-        port.listen(8).expect("listening"),
+        port.listen(8).expect("cannot listen"),
         [format!("{WATCH_HEAD}{}", chunk(endpoint_list))],
     );
     wait_for_watch("the watch is open", &discovery).await;
     discovery
 }
 
-/// Lets the endpoints respond, and asserts that the stalled requests are served, and so are those
-/// of new clients.
+/// Lets the endpoints respond, and asserts that stalled and new requests are served.
 async fn assert_requests_are_served(
     endpoints: &[TestEndpoint],
     stalled: &mut [TestConnection],
@@ -322,15 +314,15 @@
     }
     for client in stalled {
         assert_eq!(
-            client.receive().await.expect("a response").status(),
+            client.receive().await.expect("no response").status(),
             200,
-            "a stalled request is served"
+            "a stalled request must be served"
         );
     }
     for _ in 0..3 * endpoints.len() {
         let mut client = connect_when_listening(address).await;
         let response = client.exchange(&request("unsafe", "", "")).await;
-        assert_eq!(response.status(), 200, "a new client's request is served");
+        assert_eq!(response.status(), 200, "a new client must be served");
     }
 }
 
@@ -338,14 +330,14 @@
     let endpoints = stalling_endpoints(24).await;
     let [listen, admin, discovery] = [reserve_port(), reserve_port(), reserve_port()];
     let [address, operators, discovery_address] =
-        [&listen, &admin, &discovery].map(|port| port.local_addr().expect("an address"));
+        [&listen, &admin, &discovery].map(|port| port.local_addr().expect("no local address"));
     let config = configuration(discovery_address, &endpoints, |config| {
         config["listen"] = address.to_string().into();
         config["admin"] = operators.to_string().into();
         config["limits"]["sockets"] = MAX_DESCRIPTORS.into();
         config["settings"]["discovery"] = mode.into();
     });
-    let parsed = client_proxy::config::Config::parse(&config).expect("a valid configuration");
+    let parsed = client_proxy::config::Config::parse(&config).expect("invalid configuration");
     let max_clients = parsed.max_client_connections();
     let max_upstream = parsed.max_endpoint_connections();
     let (process, log) = start_with_descriptor_limit(&config, &format!("descriptors-{mode}"));
@@ -367,30 +359,30 @@
     assert_eq!(
         endpoints[0].request_count(),
         requests_before,
-        "a draining endpoint gets no new request"
+        "a draining endpoint must get no new request"
     );
-    let log = std::fs::read_to_string(&log).expect("a log");
-    // EMFILE.
+    let log = std::fs::read_to_string(&log).expect("cannot read the log");
+    // Error 24 is EMFILE: the process has no free descriptor.
     assert!(!log.contains("os error 24"), "{log}");
     drop((idle_clients, idle_operators, listen, admin));
 }
 
-/// If nobody reads the log and its pipe is full, requests must still be served.
+/// Requests must be served even while the pipe to which the program writes its log is full.
 #[test]
 fn a_full_log_pipe_does_not_block_requests() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let discovery = TestDiscovery::without_updates().await;
         let port = reserve_port();
-        let address = port.local_addr().expect("an address");
+        let address = port.local_addr().expect("no local address");
         let config = configuration_at(address, &discovery, &endpoint);
         let mut command = program_command(&config, "unread-log.json").0;
-        // The trace logs some hundred bytes for each request, and a pipe holds 64 KiB.
+        // The trace of 500 requests is longer than the 64 KiB that a pipe holds.
         let _program = RunningProgram(
             command
                 .env("ROUTER_TRACE", "1")
                 .spawn()
-                .expect("the program starts"),
+                .expect("cannot start the program"),
         );
         let mut client = connect_when_listening(address).await;
         for _ in 0..500 {
--- a/proxy/tests/races.rs
+++ b/proxy/tests/races.rs
@@ -48,10 +48,10 @@
     (proxy, client, listener, endpoint)
 }
 
-/// The response has arrived and its deadline has passed before the proxy checks for either. The
-/// response must be forwarded or dropped completely: the client gets one final response, which must
-/// not make a non-idempotent request look as if it had not run, and the next request on the same
-/// connection gets its own response.
+/// The response has arrived and the request's deadline has passed before the proxy handles either
+/// event. The response must be forwarded or dropped completely: the client gets one final response,
+/// which must not make a non-idempotent request look as if it had not run, and the next request on
+/// the same connection gets its own response.
 #[test]
 fn a_response_that_arrives_at_its_deadline_is_forwarded_or_dropped_completely() {
     for (class, status_if_dropped) in [("unsafe", 502), ("keyed", 502), ("free", 503)] {
@@ -167,7 +167,11 @@
         assert_eq!(client.receive().await.expect("no response").body, b"served");
         let advertised = endpoint.requests.borrow()[0]
             .header("x-budget-ms")
-            .map(|remaining_ms| remaining_ms.parse::<u64>().expect("not a number"));
+            .map(|remaining_ms| {
+                remaining_ms
+                    .parse::<u64>()
+                    .expect("X-Budget-Ms is not a number")
+            });
         assert!(
             advertised.is_some_and(|remaining_ms| remaining_ms < 7_500),
             "advertised {advertised:?} ms of a timeout of 8000 ms"
--- a/proxy/tests/readiness.rs
+++ b/proxy/tests/readiness.rs
@@ -17,8 +17,8 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Polls the health at an address until its status is 200, and records how long after the start a
-/// process first listened there and how long after it the status was 200.
+/// Polls the health at an address until its status is 200, and records the times from the
+/// start until a process first listened there and until the status was 200.
 async fn record_readiness(
     address: SocketAddr,
     started: Instant,
@@ -41,7 +41,7 @@
     }
 }
 
-/// How long after its start a process listens, and how long after it the process is ready. With
+/// The times from the start of a process until it listens and until it is ready. With
 /// `has_other_process` the lock file in its folder is locked, as by another process.
 async fn time_to_readiness(
     mode: &str,
@@ -69,14 +69,15 @@
     });
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("ready-{}", discovery.address.port()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let lock_file = File::create(folder.join("nettleworks.lock")).expect("a file");
+    std::fs::create_dir_all(&folder).expect("cannot create the folder");
+    let lock_file = File::create(folder.join("nettleworks.lock")).expect("cannot create the file");
     if has_other_process {
         lock_file.try_lock().expect("no other process serves");
     }
-    let parsed = Config::parse(&config).expect("a valid configuration");
-    let clients = client_proxy::process_handoff::bind(parsed.listen).expect("bound");
-    let address = clients.local_addr().expect("an address");
+    let parsed = Config::parse(&config).expect("invalid configuration");
+    let clients =
+        client_proxy::process_handoff::bind(parsed.listen).expect("cannot bind the address");
+    let address = clients.local_addr().expect("no local address");
     let listeners = client_proxy::Listeners {
         clients,
         operators: None,
@@ -91,22 +92,28 @@
     ));
     spawn_local(record_readiness(address, started, times.clone()));
     advance_until("the process is ready", || times.get()[1].is_some()).await;
-    times.get().map(|time| time.expect("a time was recorded"))
+    times.get().map(|time| time.expect("no time was recorded"))
 }
 
-/// Nine in ten restarted processes must be ready within 10 s, and within 6 s on short days. The
-/// limits here are below that: 9 s if another process serves, 5.5 s if the process is alone.
+/// Returns the script of a discovery service.
+type ScriptBuilder = fn() -> Vec<WatchResponse>;
+
+/// Nine in ten restarted processes must be ready within 10 s, and within 6 s in runs that end
+/// sooner than that. The limits here are lower: 9 s if another process serves, 5.5 s if the process
+/// is alone.
 #[test]
 fn a_process_is_ready_in_time_even_if_discovery_is_slow_or_fails() {
-    let discoveries: [fn() -> Vec<WatchResponse>; 5] = [
-        Vec::new,
-        || vec![REJECTED(); 1_000],
-        || vec![REJECTED_LATE(); 200],
-        || vec![NO_RESPONSE(); 200],
-        || vec![Unreachable(Duration::from_secs(60))],
+    let discoveries: [(&str, ScriptBuilder); 5] = [
+        ("responds", Vec::new),
+        ("rejects", || vec![REJECTED(); 1_000]),
+        ("rejects after 2 s", || vec![REJECTED_LATE(); 200]),
+        ("does not respond", || vec![NO_RESPONSE(); 200]),
+        ("is unreachable for 60 s", || {
+            vec![Unreachable(Duration::from_secs(60))]
+        }),
     ];
     for (mode, balancer_count) in [("ask", 5), ("ask", 300), ("push", 5)] {
-        for (number, script) in discoveries.into_iter().enumerate() {
+        for (number, (discovery, script)) in discoveries.into_iter().enumerate() {
             for (has_list, has_other_process) in
                 [(true, true), (true, false), (false, true), (false, false)]
             {
@@ -118,7 +125,7 @@
                     script(),
                 ));
                 let name = format!(
-                    "{mode}, {balancer_count} balancers, discovery {number}, list {has_list}, other process {has_other_process}: \
+                    "{mode}, {balancer_count} balancers, discovery {discovery}, list {has_list}, other process {has_other_process}: \
                      listens after {listening_after:?}, ready after {ready_after:?}"
                 );
                 let max_ready = match (has_list || number == 0, has_other_process) {
@@ -140,6 +147,7 @@
                         || (2_000 * MS..3_000 * MS).contains(&listening_after),
                     "{name}"
                 );
+                // It must not be reported ready before 4 s either, while it rejects requests.
                 assert!(
                     !waits_for_list || has_other_process || ready_after > 4_000 * MS,
                     "{name}"
--- a/proxy/tests/reload_propagation.rs
+++ b/proxy/tests/reload_propagation.rs
@@ -1,5 +1,6 @@
-//! After a reload, the proxy must apply the list of the new discovery within 4 s of the signal, as
-//! it counts as notified from then on. The tests measure that in time that only they advance.
+//! After a reload the proxy must apply the list of the new discovery within 4 s of the signal,
+//! because the list counts as notified 4 s after the signal. The tests run on a clock that only
+//! they advance.
 
 mod common;
 
@@ -11,7 +12,7 @@
 use std::time::Duration;
 use tokio::time::advance;
 
-/// What the watch is doing when a new configuration arrives.
+/// State of the watch when a new configuration arrives.
 #[derive(Clone, Copy, Debug)]
 enum WatchState {
     /// It is open.
@@ -22,8 +23,8 @@
     Backoff,
 }
 
-/// The time counts from the reload, whatever the watch was doing, and whatever failures come before
-/// the new discovery's first list. The old discovery sends nothing more.
+/// The 4 s begin at the reload, in each state of the old watch and with each failure of the new
+/// discovery before its first list. The old discovery sends no list after the reload.
 #[test]
 fn a_list_of_a_new_discovery_is_applied_within_4_s_of_the_reload() {
     let modes = [
@@ -150,12 +151,12 @@
             assert_eq!(
                 proxy.endpoint.open_connection_count.get(),
                 1,
-                "the old discovery's list, sent after {delay:?}, is ignored"
+                "the old discovery's list, sent after {delay:?}, must be ignored"
             );
             assert_eq!(
                 (old.request_count.get(), new.request_count.get()),
                 (1, 1),
-                "neither discovery gets another request"
+                "neither discovery may get another request"
             );
         });
     }
--- a/proxy/tests/requests.rs
+++ b/proxy/tests/requests.rs
@@ -48,8 +48,8 @@
     });
 }
 
-/// Endpoints treat two requests with the same id as one: the second is rejected while the first is
-/// open.
+/// Endpoints treat two requests with the same id as one, so the proxy rejects the second while the
+/// first is open.
 #[test]
 fn a_request_with_the_id_of_an_open_request_is_rejected() {
     run_test(async {
@@ -246,7 +246,8 @@
     });
 }
 
-/// A timeout closes the attempt's connection and fails the request within the client's timeout.
+/// At a client's timeout of 300 ms the request fails, not before 200 ms, and the attempt's
+/// connection is closed.
 #[test]
 fn an_attempt_without_a_response_times_out_and_its_connection_is_closed() {
     run_test(async {
@@ -266,8 +267,8 @@
     });
 }
 
-/// The time reserved for returning the response to the client must leave a request with a short
-/// deadline nearly all of its time.
+/// The time reserved for returning the response to the client must be small for a short deadline: a
+/// request with a deadline of 32 ms must not fail before 30 ms.
 #[test]
 fn a_request_with_a_deadline_of_32_ms_does_not_fail_before_30_ms() {
     run_test(async {
@@ -291,8 +292,8 @@
 }
 
 /// An endpoint continues to execute a request even if the proxy abandons the attempt. Abandoning it
-/// at its latency objective would waste work that no budget counts any more, and a client that
-/// retries would double that work.
+/// at its latency objective would waste that work, which would no longer be included in the
+/// requests in flight, and a client's retry would add the same work again.
 #[test]
 fn a_response_after_the_latency_objective_is_forwarded_while_its_client_waits() {
     run_test(async {
--- a/proxy/tests/response_integrity.rs
+++ b/proxy/tests/response_integrity.rs
@@ -9,9 +9,9 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// A response without a length may arrive in small pieces that never end, and its client would wait
-/// for ever. The proxy aborts it, and its client sees that it is truncated. A slow response is not
-/// aborted, even if it takes longer in total than an endpoint may be silent.
+/// The proxy aborts a response without a length whose rate is below 1,000 bytes a second, because
+/// its client could otherwise wait without a limit; the client sees that the response is truncated.
+/// Here one response of 10 bytes a second is aborted; one of 4,000 is not, though it takes 12 s.
 #[test]
 fn an_endless_response_in_small_pieces_is_aborted_and_a_slow_one_is_not() {
     run_test(async {
@@ -37,8 +37,8 @@
     (proxy, client, endpoint)
 }
 
-/// What a client receives of a response that its endpoint sends in 120 chunks of this size, ten per
-/// second.
+/// The text that a client receives of a response that its endpoint sends in 120 chunks of this
+/// size, ten per second.
 async fn stream_in_pieces(size: usize) -> String {
     let (_proxy, mut client, mut endpoint) = start_non_idempotent_request().await;
     let writing = async {
@@ -75,7 +75,8 @@
     ("", "half", true),
 ];
 
-/// A truncated response counts as none, whatever part of it has arrived and however it was cut off.
+/// A truncated response is treated as a missing one, whichever part of it has arrived and whether
+/// its connection was closed or reset.
 /// A response without a length ends with its connection, but only with a close, not with a reset.
 /// Nothing of a truncated response is forwarded; its request is retried if its class allows that.
 #[test]
@@ -170,8 +171,8 @@
     }
 }
 
-/// The beginning of a large response is forwarded before its connection is reset: the response to
-/// the client must not look complete either.
+/// The proxy forwards the beginning of a large response before its end arrives. If the endpoint
+/// then resets the connection, the forwarded response must not look complete.
 #[test]
 fn a_large_response_without_a_length_that_is_reset_does_not_look_complete() {
     run_test(async {
--- a/proxy/tests/shutdown_during_retry.rs
+++ b/proxy/tests/shutdown_during_retry.rs
@@ -24,8 +24,10 @@
 
 async fn start_connecting_retry() -> ConnectingRetry {
     let (full_endpoint, backlog, listener) = endpoint_with_full_backlog().await;
-    let first = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = first.local_addr().expect("an address");
+    let first = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("cannot bind a port");
+    let address = first.local_addr().expect("no local address");
     let discovery = TestDiscovery::without_updates().await;
     let known_endpoints = [TestEndpoint {
         address,
@@ -36,12 +38,11 @@
         config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
     })
     .await;
-    let admin = proxy.admin.expect("an address for operators");
+    let admin = proxy.admin.expect("no address for operators");
     let mut client = proxy.client().await;
     client.send(&request("unsafe", "", "the body")).await;
-    let mut first_connection =
-        MessageReader::new(first.accept().await.expect("the proxy connects").0);
-    first_connection.receive().await.expect("the first attempt");
+    let mut first_connection = MessageReader::new(first.accept().await.expect("accept failed").0);
+    first_connection.receive().await.expect("no first attempt");
     let update = endpoint_list(
         42,
         false,
@@ -53,7 +54,7 @@
         .stream
         .write_all(REJECTION.as_bytes())
         .await;
-    written.expect("written");
+    written.expect("write failed");
     wait_until("the second connection is being opened", || {
         is_connecting(full_endpoint.address)
     })
@@ -78,7 +79,7 @@
         backlog,
         discovery: _discovery,
     } = start_connecting_retry().await;
-    let admin = proxy.admin.expect("an address for operators");
+    let admin = proxy.admin.expect("no address for operators");
     let stopped_at = Instant::now();
     drop(proxy.stop.take());
     while admin_command(admin, "health\n")
@@ -91,7 +92,7 @@
         backlog.take();
         TestEndpoint::on_listener(listener, [ok("served")])
     });
-    let response = client.receive().await.expect("a response");
+    let response = client.receive().await.expect("no response");
     assert_eq!(response.header("connection"), Some("close"));
     match &endpoint {
         Some(endpoint) => {
@@ -106,13 +107,11 @@
     }
     // The shutdown waits 3.6 s for replies; the process is killed 0.1 s later.
     assert!(stopped_at.elapsed() < Duration::from_millis(3_700));
-    let ended = (&mut proxy.task)
-        .await
-        .expect("the proxy task ends without a panic");
-    ended.expect("the proxy listens for clients");
+    let ended = (&mut proxy.task).await.expect("the proxy task panicked");
+    ended.expect("the proxy returned an error");
     assert!(
         first_connection.stream.try_read(&mut [0]).is_err(),
-        "the first endpoint gets no further request"
+        "the first endpoint must get no further request"
     );
 }
 
--- a/proxy/tests/system_call_faults.rs
+++ b/proxy/tests/system_call_faults.rs
@@ -31,7 +31,7 @@
         if program
             .0
             .try_wait()
-            .expect("the process can be waited for")
+            .expect("cannot wait for the process")
             .is_some()
         {
             return None;
@@ -40,8 +40,8 @@
     }
 }
 
-/// The system may be out of buffers, memory or descriptors for a moment while the program starts.
-/// It must retry instead of ending.
+/// While the program starts, three calls of `socket` fail for lack of buffers, memory or
+/// descriptors. The program must retry instead of ending.
 #[test]
 fn a_temporary_socket_failure_does_not_end_the_program_at_startup() {
     run_test(async {
@@ -49,7 +49,7 @@
         let discovery = TestDiscovery::without_updates().await;
         for failure in ["ENOBUFS", "ENFILE", "EMFILE", "ENOMEM"] {
             let port = reserve_port();
-            let address = port.local_addr().expect("an address");
+            let address = port.local_addr().expect("no local address");
             let mut command = program_command(
                 &configuration_at(address, &discovery, from_ref(&endpoint)),
                 &format!("socket-{failure}.json"),
@@ -59,7 +59,7 @@
             let mut program = start_with_faults(&mut command, &failures);
             let mut client = first_client(&mut program, address)
                 .await
-                .expect("the program listens");
+                .expect("the program ended before it listened");
             assert_eq!(
                 client.exchange(&request("unsafe", "", "")).await.body,
                 b"served",
@@ -80,8 +80,8 @@
         );
         let discovery = TestDiscovery::without_updates().await;
         let (port, admin_port) = (reserve_port(), reserve_port());
-        let address = port.local_addr().expect("an address");
-        let admin = admin_port.local_addr().expect("an address");
+        let address = port.local_addr().expect("no local address");
+        let admin = admin_port.local_addr().expect("no local address");
         let mut command = program_command(
             &configuration_at(address, &discovery, from_ref(&endpoint)),
             "short.json",
@@ -92,7 +92,7 @@
         let mut program = start_with_faults(&mut command, &failures);
         let mut client = first_client(&mut program, address)
             .await
-            .expect("the program listens");
+            .expect("the program ended before it listened");
         for _ in 0..3 {
             let response = client
                 .exchange(&request("keyed", "", &"c".repeat(3_000)))
@@ -120,15 +120,15 @@
             let endpoint = TestEndpoint::start([ScriptedResponse::Stall]).await;
             let discovery = TestDiscovery::without_updates().await;
             let (port, admin_port) = (reserve_port(), reserve_port());
-            let address = port.local_addr().expect("an address");
-            let admin = admin_port.local_addr().expect("an address");
+            let address = port.local_addr().expect("no local address");
+            let admin = admin_port.local_addr().expect("no local address");
             let limit_descriptors = |config: &mut serde_json::Value| {
                 config["listen"] = address.to_string().into();
                 config["limits"]["sockets"] = 70.into();
             };
             let text = configuration(discovery.address, from_ref(&endpoint), limit_descriptors);
             let max_clients = client_proxy::config::Config::parse(&text)
-                .expect("a valid configuration")
+                .expect("invalid configuration")
                 .max_client_connections();
             let mut command = program_command(&text, &format!("accept-{failure}.json")).0;
             command.env("ROUTER_ADMIN", admin.to_string());
@@ -136,10 +136,10 @@
             let mut program = start_with_faults(&mut command, &failures);
             let mut clients = vec![first_client(&mut program, address)
                 .await
-                .expect("the program listens")];
+                .expect("the program ended before it listened")];
             while clients.len() < max_clients + BACKLOG_CLIENTS {
                 clients.push(MessageReader::new(
-                    TcpStream::connect(address).await.expect("connected"),
+                    TcpStream::connect(address).await.expect("cannot connect"),
                 ));
             }
             for client in &mut clients {
@@ -150,7 +150,7 @@
             for client in &mut clients {
                 assert!(
                     client.receive().await.is_some(),
-                    "{failure}: every client gets a response"
+                    "{failure}: every client must get a response"
                 );
             }
             assert!(program.wait_for_success().await);
@@ -158,7 +158,7 @@
     }
 }
 
-/// The configuration file may be unreadable for a moment when the signal arrives. The signal is not
+/// The first three attempts to open the configuration file after the signal fail. The signal is not
 /// sent again, so the proxy must retry the reload.
 #[test]
 fn a_reload_that_cannot_read_its_file_is_retried() {
@@ -170,7 +170,7 @@
                 TestDiscovery::without_updates().await,
             );
             let port = reserve_port();
-            let address = port.local_addr().expect("an address");
+            let address = port.local_addr().expect("no local address");
             let name = format!("reload-{failure}.json");
             let (mut command, path) =
                 program_command(&configuration_at(address, &old, from_ref(&endpoint)), &name);
@@ -178,9 +178,9 @@
             let mut program = start_with_faults(&mut command, &failures);
             first_client(&mut program, address)
                 .await
-                .expect("the program listens");
+                .expect("the program ended before it listened");
             std::fs::write(path, configuration_at(address, &new, from_ref(&endpoint)))
-                .expect("written");
+                .expect("write failed");
             program.signal("HUP");
             wait_until("the new discovery is watched", || {
                 new.watch_requests.borrow().len() == 1
@@ -199,7 +199,7 @@
             let endpoint = TestEndpoint::start([ok("served")]).await;
             let discovery = TestDiscovery::without_updates().await;
             let port = reserve_port();
-            let address = port.local_addr().expect("an address");
+            let address = port.local_addr().expect("no local address");
             let name = format!("connect-{failure}.json");
             let mut command = program_command(
                 &configuration_at(address, &discovery, from_ref(&endpoint)),
@@ -211,7 +211,7 @@
             let mut program = start_with_faults(&mut command, &json!({"rules": [rule]}));
             let mut client = first_client(&mut program, address)
                 .await
-                .expect("the program listens");
+                .expect("the program ended before it listened");
             wait_until("the watch is open", || {
                 discovery.watch_requests.borrow().len() == 1
             })
@@ -225,8 +225,8 @@
     });
 }
 
-/// The folder with the lock file may fail for a while. The program must create and lock the file
-/// once the folder works again, so that processes find each other.
+/// The first three attempts to open or lock the lock file fail. The program must create and lock
+/// the file once the folder works again, so that processes find each other.
 #[test]
 fn a_lock_file_that_fails_temporarily_is_locked_later() {
     run_test(async {
@@ -234,10 +234,10 @@
             let endpoint = TestEndpoint::start([ok("served")]).await;
             let discovery = TestDiscovery::without_updates().await;
             let port = reserve_port();
-            let address = port.local_addr().expect("an address");
+            let address = port.local_addr().expect("no local address");
             let name = format!("folder-{call}-{failure}");
             let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(&name);
-            std::fs::create_dir_all(&folder).expect("a folder");
+            std::fs::create_dir_all(&folder).expect("cannot create the folder");
             let mut command = program_command(
                 &configuration_at(address, &discovery, from_ref(&endpoint)),
                 &format!("{name}.json"),
@@ -253,11 +253,12 @@
             let mut program = start_with_faults(&mut command, &json!({"rules": [rule]}));
             first_client(&mut program, address)
                 .await
-                .expect("the program listens");
-            let file = std::fs::File::create(folder.join("nettleworks.lock")).expect("a file");
+                .expect("the program ended before it listened");
+            let file = std::fs::File::create(folder.join("nettleworks.lock"))
+                .expect("cannot create the file");
             wait_until("the program has locked the file", || {
                 let is_locked = file.try_lock().is_err();
-                file.unlock().expect("unlocked");
+                file.unlock().expect("cannot unlock the file");
                 is_locked
             })
             .await;
--- a/proxy/tests/withdrawn_attempts.rs
+++ b/proxy/tests/withdrawn_attempts.rs
@@ -37,7 +37,7 @@
         discovery
             .push(&chunk(&endpoint_list(42, false, &endpoints)))
             .await;
-        assert_eq!(client.receive().await.expect("a response").status(), 200);
+        assert_eq!(client.receive().await.expect("no response").status(), 200);
         assert_eq!(other.request_count(), 1);
         drop(listener);
     });
@@ -72,7 +72,7 @@
         // connection's task, which runs only after the list has been applied.
         client.send(&request("unsafe", "", "")).await;
         discovery.push(&list).await;
-        assert_eq!(client.receive().await.expect("a response").body, b"other");
+        assert_eq!(client.receive().await.expect("no response").body, b"other");
         assert_eq!(
             (draining_endpoint.request_count(), other.request_count()),
             (1, 1)
@@ -154,7 +154,7 @@
         // Both connections open now, that of the first request before that of the second.
         let endpoint = TestEndpoint::on_listener(listener, [ok("served")]);
         drop(backlog);
-        assert_eq!(client.receive().await.expect("a response").status(), 200);
+        assert_eq!(client.receive().await.expect("no response").status(), 200);
         let bodies: Vec<_> = endpoint
             .requests
             .borrow()
@@ -199,7 +199,7 @@
             b"new"
         );
         old.release.notify_one();
-        assert_eq!(busy.receive().await.expect("a response").body, b"released");
+        assert_eq!(busy.receive().await.expect("no response").body, b"released");
         wait_until("the last connection to the old address is closed", || {
             old.open_connection_count.get() == 0
         })
