--- a/proxy/tests/client_disconnect_under_load.rs
+++ b/proxy/tests/client_disconnect_under_load.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect while the proxy is busy: what would start an attempt and the disconnect
-//! arrive in the same turn of the proxy's thread, so nothing checks for the disconnect in between.
+//! Clients that disconnect while the proxy is busy. The event that would start an attempt and the
+//! disconnect arrive in the same turn of its event loop, so it can't check for one between the two.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
-/// Number of clients that are connected besides the one under test.
+/// Number of clients whose health checks keep the proxy busy for a turn of its event loop.
 const BACKGROUND_CLIENTS: usize = 500;
 
 /// Sets the limit on sockets so high that no background client is evicted.
@@ -20,7 +20,7 @@
 
 /// Connects the background clients, each of which gets one response. They disconnect by resets: an
 /// orderly close would leave connections in TIME_WAIT in the kernel's table.
-async fn connect_background_clients(proxy: &Proxy) -> Vec<Client> {
+async fn connect_background_clients(proxy: &Proxy) -> Vec<TestConnection> {
     let mut clients = Vec::new();
     for _ in 0..BACKGROUND_CLIENTS {
         let client = proxy.client().await;
@@ -34,7 +34,7 @@
 }
 
 /// Connects the background clients if the proxy is to be busy, and none otherwise.
-async fn connect_background_clients_if(busy: bool, proxy: &Proxy) -> Vec<Client> {
+async fn connect_background_clients_if(busy: bool, proxy: &Proxy) -> Vec<TestConnection> {
     if busy {
         connect_background_clients(proxy).await
     } else {
@@ -43,14 +43,14 @@
 }
 
 /// Sends a health check from every background client without yielding.
-fn request_health_on_all(background: &[Client]) {
+fn request_health_on_all(background: &[TestConnection]) {
     for client in background {
         write_now(client, HEALTH_REQUEST);
     }
 }
 
-/// Disconnects, and blocks the thread until the kernel has delivered that to the proxy's end.
-fn disconnect_and_await_delivery(client: Client, kind: Disconnect, proxy: &Proxy) {
+/// Disconnects, and blocks the thread until the close or reset has arrived at the proxy's socket.
+fn disconnect_and_await_delivery(client: TestConnection, kind: Disconnect, proxy: &Proxy) {
     let from = client.stream.local_addr().expect("no local address");
     disconnect(client, kind);
     while is_established(proxy.address, from) {}
@@ -59,17 +59,17 @@
 const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 /// Accepts the next connection to an endpoint, and reads the body of the request on it.
-async fn accept_request(listener: &TcpListener) -> (Client, Vec<u8>) {
-    let mut connection = Client::new(listener.accept().await.expect("accept failed").0);
-    let body = connection.message().await.expect("no request").body;
+async fn accept_request(listener: &TcpListener) -> (TestConnection, Vec<u8>) {
+    let mut connection = TestConnection::new(listener.accept().await.expect("accept failed").0);
+    let body = connection.receive().await.expect("no request").body;
     (connection, body)
 }
 
 /// The body of the next request that reaches an endpoint, on this open connection or on a new one
 /// to either listener.
-async fn next_request_body(connection: &mut Client, listeners: [&TcpListener; 2]) -> Vec<u8> {
+async fn next_body(connection: &mut TestConnection, listeners: [&TcpListener; 2]) -> Vec<u8> {
     tokio::select! {
-        message = connection.message() => message.expect("no request").body,
+        message = connection.receive() => message.expect("no request").body,
         (_, body) = accept_request(listeners[0]) => body,
         (_, body) = accept_request(listeners[1]) => body,
     }
@@ -79,29 +79,26 @@
 async fn upstream_requests(admin: SocketAddr) -> u64 {
     metrics(admin).await["upstream_requests"]
         .as_u64()
-        .expect("not a number")
+        .expect("upstream_requests is not a number")
 }
 
 /// The bytes that are pipelined behind a request: none, a part of the next request, or all of it.
 fn pipelined_bytes() -> [String; 3] {
-    [
-        "".to_owned(),
-        "GET /api HT".to_owned(),
-        request("free", "", ""),
-    ]
+    ["", "GET /api HT", &request("free", "", "")].map(str::to_owned)
 }
 
 /// The headers of a request with a large body, and the part of the body that is sent.
 fn large_body(sent: usize) -> (String, String) {
-    let head = format!("Content-Length: {}\r\n", 30 << 20);
-    (head, "x".repeat(sent))
+    let headers = format!("Content-Length: {}\r\n", 30 << 20);
+    (headers, "x".repeat(sent))
 }
 
-/// Two requests are in flight, and a third with these headers is queued, with these bytes behind
-/// it. Asserts that the third is not sent when its client disconnects as the other two end.
+/// Two requests are in flight. A third with these headers is queued, followed by these bytes of its
+/// body or of a pipelined request. Asserts that it is not sent if its client disconnects as they
+/// end.
 async fn assert_queued_request_is_not_sent(
-    head: &str,
-    pipelined: &str,
+    headers: &str,
+    following_bytes: &str,
     kind: Disconnect,
     busy: bool,
 ) {
@@ -119,10 +116,11 @@
     write_now(&second, &request("free", "", ""));
     let (mut other, _) = accept_request(&listener).await;
     let mut client = proxy.client().await;
-    client.send(&request("unsafe", head, "")).await;
-    client.send(pipelined).await;
-    // Waits until it is queued; with its body unread it does not count as pending.
-    if head.is_empty() {
+    client.send(&request("unsafe", headers, "")).await;
+    client.send(following_bytes).await;
+    // Waits until the third request is queued. It counts as pending only once its body is read; the
+    // response to a later health check shows that its head has been read.
+    if headers.is_empty() {
         wait_for_pending(admin, 3).await;
     } else {
         let health = proxy.client().await.exchange(HEALTH_REQUEST).await;
@@ -133,15 +131,15 @@
         write_now(connection, OK_RESPONSE);
     }
     disconnect_and_await_delivery(client, kind, &proxy);
-    assert_eq!(first.message().await.expect("no response").status(), 200);
-    assert_eq!(second.message().await.expect("no response").status(), 200);
+    assert_eq!(first.receive().await.expect("no response").status(), 200);
+    assert_eq!(second.receive().await.expect("no response").status(), 200);
     first.send(&request("unsafe", "", "the next")).await;
     let next = tokio::select! {
-        next = next_request_body(&mut connection, [&listener, &listener]) => next,
-        message = other.message() => message.expect("no request").body,
+        next = next_body(&mut connection, [&listener, &listener]) => next,
+        message = other.receive() => message.expect("no request").body,
     };
-    let shown = &pipelined[..pipelined.len().min(20)];
-    assert_eq!(next, b"the next", "{kind:?}, {head}{shown}");
+    let shown = &following_bytes[..following_bytes.len().min(20)];
+    assert_eq!(next, b"the next", "{kind:?}, {headers}{shown}");
     assert_eq!(upstream_requests(admin).await, 3);
 }
 
@@ -151,11 +149,14 @@
 fn a_queued_request_is_not_sent_when_its_client_disconnects_as_capacity_becomes_free() {
     let bodies = pipelined_bytes().map(|pipelined| (String::new(), pipelined));
     let large_bodies = [large_body(0), large_body(100 << 10)];
-    for (head, pipelined) in bodies.into_iter().chain(large_bodies) {
+    for (headers, following_bytes) in bodies.into_iter().chain(large_bodies) {
         for kind in DISCONNECT_KINDS {
             for busy in [true, false] {
                 run_test(assert_queued_request_is_not_sent(
-                    &head, &pipelined, kind, busy,
+                    &headers,
+                    &following_bytes,
+                    kind,
+                    busy,
                 ));
             }
         }
@@ -199,7 +200,7 @@
                     let mut next = proxy.client().await;
                     next.send(&request("unsafe", "", "the next")).await;
                     assert_eq!(
-                        next_request_body(&mut connection, [one, other]).await,
+                        next_body(&mut connection, [one, other]).await,
                         b"the next",
                         "{kind:?}, {pipelined}"
                     );
@@ -210,8 +211,8 @@
     }
 }
 
-/// The connection to the endpoint opens after the client has disconnected, and the proxy learns of
-/// both in the same turn.
+/// The connection to the endpoint opens after the client has disconnected, and both events reach
+/// the proxy in the same turn.
 #[test]
 fn a_request_is_not_written_when_its_client_disconnects_before_its_connection_opens() {
     for (kind, pipelined) in DISCONNECT_KINDS
@@ -246,20 +247,18 @@
             let text = request("unsafe", "", "the next");
             let next = proxy.client().await.exchange(&text).await;
             assert_eq!(next.status(), 200);
-            let bodies: Vec<_> = endpoint
-                .requests
-                .borrow()
-                .iter()
-                .map(|received| received.body.clone())
-                .collect();
-            assert_eq!(bodies, [b"the next"], "{kind:?}, {pipelined}");
+            assert_eq!(
+                endpoint.request_bodies(),
+                [b"the next"],
+                "{kind:?}, {pipelined}"
+            );
         });
     }
 }
 
 /// The request is pipelined behind another one, whose response arrives as the client disconnects.
 #[test]
-fn a_pipelined_request_is_not_sent_when_its_client_disconnects_as_the_one_before_ends() {
+fn a_pipelined_request_is_not_sent_when_its_client_disconnects_as_the_previous_request_ends() {
     for pipelined in pipelined_bytes() {
         for (kind, busy) in DISCONNECT_KINDS
             .into_iter()
@@ -282,7 +281,7 @@
                 wait_for_pending(admin, 0).await;
                 let mut next = proxy.client().await;
                 next.send(&request("unsafe", "", "the next")).await;
-                let next = next_request_body(&mut connection, [&listener, &listener]).await;
+                let next = next_body(&mut connection, [&listener, &listener]).await;
                 assert_eq!(next, b"the next", "{kind:?}, {pipelined}");
                 assert_eq!(upstream_requests(admin).await, 2);
             });
@@ -290,7 +289,7 @@
     }
 }
 
-/// Many connections wait to be accepted, each with a complete request and its client's disconnect.
+/// 100 connections wait to be accepted, each with a complete request and its client's disconnect.
 #[test]
 fn requests_are_not_sent_if_their_clients_disconnected_before_they_were_accepted() {
     for pipelined in pipelined_bytes() {
@@ -313,7 +312,7 @@
                 let (connection, body) = accept_request(&listener).await;
                 assert_eq!(body, b"the next", "{kind:?}, {pipelined}");
                 write_now(&connection, OK_RESPONSE);
-                assert_eq!(next.message().await.expect("no response").status(), 200);
+                assert_eq!(next.receive().await.expect("no response").status(), 200);
                 assert_eq!(
                     (
                         ended_requests(admin).await[0],
@@ -340,14 +339,14 @@
 }
 
 /// Sends this many requests one after the other, all of which must be served.
-async fn exchange_requests(client: &mut Client, count: usize) {
+async fn exchange_requests(client: &mut TestConnection, count: usize) {
     for _ in 0..count {
         let response = client.exchange(&request("free", "", "")).await;
         assert_eq!(response.status(), 200);
     }
 }
 
-/// A hedged request becomes due in the turn in which the proxy learns of its client's disconnect.
+/// A hedged request becomes due in the turn in which its client's disconnect reaches the proxy.
 #[test]
 fn no_hedged_request_is_sent_after_its_client_disconnects() {
     const OBJECTIVE: Duration = Duration::from_secs(1);
@@ -367,7 +366,8 @@
                 .await;
                 let [one, other] = endpoints.each_ref().map(|(_, listener)| listener);
                 let background = connect_background_clients(&proxy).await;
-                // The responses set the typical latency and earn the credit for a hedged request.
+                // The responses provide the latency samples and the budget that a hedged request
+                // needs.
                 let mut earlier = proxy.client().await;
                 tokio::select! {
                     () = respond_to_all(one) => {}
@@ -388,7 +388,7 @@
                 wait_for_pending(admin, 0).await;
                 earlier.send(&request("unsafe", "", "the next")).await;
                 assert_eq!(
-                    next_request_body(&mut connection, [one, other]).await,
+                    next_body(&mut connection, [one, other]).await,
                     b"the next",
                     "{kind:?}, {pipelined}"
                 );
--- a/proxy/tests/common/discovery.rs
+++ b/proxy/tests/common/discovery.rs
@@ -15,12 +15,13 @@
 /// Head of the response to a watch request; its chunked body carries the endpoint lists.
 pub(crate) const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A discovery service that gives each watch request the next of its responses, and afterwards
-/// sends what the test pushes. When the responses are used up, a request gets `WATCH_HEAD`.
+/// A discovery service that responds to each watch request with the next of its responses, or with
+/// `WATCH_HEAD` once they are used up. `push` sends further text on the last watch. For delayed
+/// responses, resets before a response and an unreachable service, use `ScriptedDiscovery`.
 #[derive(Clone)]
 pub(crate) struct TestDiscovery {
     pub(crate) address: SocketAddr,
-    /// Start lines of the watch requests that were received.
+    /// Start lines of the watch requests that a response has been written to.
     pub(crate) watch_requests: Rc<RefCell<Vec<String>>>,
     watch: Rc<RefCell<Option<OwnedWriteHalf>>>,
 }
@@ -56,7 +57,7 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let (read, mut write) = stream.into_split();
                 let mut reader = MessageReader::new(read);
-                let Some(message) = reader.message().await else {
+                let Some(message) = reader.receive().await else {
                     continue;
                 };
                 let response = responses
@@ -101,12 +102,12 @@
 }
 
 /// An entry of an endpoint list, with this name, address and health.
-pub(crate) fn entry(name: &str, address: SocketAddr, health: &str) -> serde_json::Value {
+pub(crate) fn endpoint_entry(name: &str, address: SocketAddr, health: &str) -> serde_json::Value {
     json!({"host": name, "dial": address.to_string(), "site": "a", "class": "m2", "block": 3,
            "health": health, "share": 1.0, "born_ms": 0})
 }
 
 /// An endpoint list of this version as JSON, either full or with changes only.
-pub(crate) fn list(version: u64, is_full: bool, entries: &[serde_json::Value]) -> String {
+pub(crate) fn endpoint_list(version: u64, is_full: bool, entries: &[serde_json::Value]) -> String {
     json!({"seq": version, "whole": is_full, "hosts": entries}).to_string()
 }
--- a/proxy/tests/common/endpoint.rs
+++ b/proxy/tests/common/endpoint.rs
@@ -18,11 +18,12 @@
 /// How an endpoint responds to a request that it has read completely.
 #[derive(Clone, Debug)]
 pub(crate) enum ScriptedResponse {
-    /// Writes this and keeps the connection open.
+    /// Writes this text and keeps the connection open.
     Write(String),
-    /// Writes this and closes the connection.
+    /// Writes this text and closes the connection.
     WriteAndClose(String),
-    /// Writes nothing until the proxy closes the connection, or the test releases the request or
+    /// Writes nothing until the test releases the request, and then a response with the body
+    /// `released`. Ends if the proxy closes the connection or sends more bytes, or if the test
     /// resets the connection.
     Stall,
 }
@@ -32,7 +33,7 @@
     ScriptedResponse::Write(ok_response(body))
 }
 
-/// A scripted rejection, which proves that the request has not run.
+/// A scripted rejection: its header `X-Rejected` means that the endpoint has not run the request.
 pub(crate) fn reject() -> ScriptedResponse {
     ScriptedResponse::Write(REJECTION.to_owned())
 }
@@ -44,9 +45,9 @@
     /// Requests that were read completely.
     pub(crate) requests: Rc<RefCell<Vec<Message>>>,
     /// Number of connections that were accepted.
-    pub(crate) opened_connections: Rc<Cell<usize>>,
+    pub(crate) accepted_connection_count: Rc<Cell<usize>>,
     /// Number of connections that are open now.
-    pub(crate) open_connections: Rc<Cell<usize>>,
+    pub(crate) open_connection_count: Rc<Cell<usize>>,
     pub(crate) script: Rc<RefCell<VecDeque<ScriptedResponse>>>,
     /// When notified, one stalled request gets a response.
     pub(crate) release: Rc<Notify>,
@@ -71,8 +72,8 @@
         let endpoint = TestEndpoint {
             address: listener.local_addr().expect("no local address"),
             requests: Rc::default(),
-            opened_connections: Rc::default(),
-            open_connections: Rc::default(),
+            accepted_connection_count: Rc::default(),
+            open_connection_count: Rc::default(),
             script: Rc::new(RefCell::new(script.into_iter().collect())),
             release: Rc::default(),
             resets: Rc::default(),
@@ -82,16 +83,16 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let endpoint = accepting.clone();
                 endpoint
-                    .opened_connections
-                    .set(endpoint.opened_connections.get() + 1);
+                    .accepted_connection_count
+                    .set(endpoint.accepted_connection_count.get() + 1);
                 endpoint
-                    .open_connections
-                    .set(endpoint.open_connections.get() + 1);
+                    .open_connection_count
+                    .set(endpoint.open_connection_count.get() + 1);
                 spawn_local(async move {
                     endpoint.serve(stream).await;
                     endpoint
-                        .open_connections
-                        .set(endpoint.open_connections.get() - 1);
+                        .open_connection_count
+                        .set(endpoint.open_connection_count.get() - 1);
                 });
             }
         });
@@ -101,7 +102,7 @@
     async fn serve(&self, stream: TcpStream) {
         let (read, mut write) = stream.into_split();
         let mut reader = MessageReader::new(read);
-        while let Some(message) = reader.message().await {
+        while let Some(message) = reader.receive().await {
             self.requests.borrow_mut().push(message);
             match self.next_response() {
                 // The proxy may have closed the connection because it no longer needs the response.
@@ -142,7 +143,7 @@
         response
     }
 
-    /// Resets the connections of all stalled requests, as happens when an endpoint's process ends.
+    /// Resets the connections of all stalled requests.
     pub(crate) fn reset(&self) {
         self.resets.notify_waiters();
     }
@@ -162,7 +163,8 @@
     }
 }
 
-/// An endpoint whose connections the test accepts from the returned listener and serves itself.
+/// An endpoint whose connections the test accepts from the returned listener and serves itself. Of
+/// the `TestEndpoint` only the address is valid: its counts stay 0.
 pub(crate) async fn manual_endpoint() -> (TestEndpoint, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
@@ -177,8 +179,9 @@
     )
 }
 
-/// An endpoint to which no connection opens: the returned connections fill the backlog of its
-/// listener.
+/// An endpoint to which no connection opens until the test accepts connections from the returned
+/// listener, whose backlog the returned connections fill, or drops those. Of the `TestEndpoint`
+/// only the address is valid.
 pub(crate) async fn endpoint_with_full_backlog() -> (TestEndpoint, Vec<TcpStream>, TcpListener) {
     let socket = TcpSocket::new_v4().expect("cannot create a socket");
     socket
--- a/proxy/tests/common/paused_time.rs
+++ b/proxy/tests/common/paused_time.rs
@@ -25,8 +25,8 @@
     result
 }
 
-/// Lets all tasks run that can proceed without the clock advancing.
-pub(crate) async fn settle() {
+/// Lets tasks run that can proceed without the clock advancing, for 40 turns of the runtime.
+pub(crate) async fn run_ready_tasks() {
     for _ in 0..20 {
         yield_now().await;
     }
@@ -37,29 +37,31 @@
     }
 }
 
-/// Advances the clock until the condition is met. Returns the time advanced.
+/// Advances the clock until the condition is met, and returns the time advanced. Panics with
+/// `what`, which describes the condition, after 30 s of test time.
 pub(crate) async fn advance_until(what: &str, condition: impl Fn() -> bool) -> Duration {
     let start = Instant::now();
-    settle().await;
+    run_ready_tasks().await;
     while !condition() {
         assert!(
             start.elapsed() < Duration::from_secs(30),
-            "condition not met in time: {what}"
+            "condition not met within 30 s of test time: {what}"
         );
         advance(STEP).await;
-        settle().await;
+        run_ready_tasks().await;
     }
     start.elapsed()
 }
 
-/// Waits until the condition is met, without advancing the clock.
-pub(crate) async fn wait_without_time(what: &str, condition: impl Fn() -> bool) {
+/// Waits until the condition is met, without advancing the clock. Panics with `what`, which
+/// describes the condition, after 15 s of real time.
+pub(crate) async fn wait_without_advancing(what: &str, condition: impl Fn() -> bool) {
     let begun = std::time::Instant::now();
     while !condition() {
         assert!(
             begun.elapsed() < Duration::from_secs(15),
-            "condition not met in time: {what}"
+            "condition not met within 15 s of real time: {what}"
         );
-        settle().await;
+        run_ready_tasks().await;
     }
 }
--- a/proxy/tests/discovery.rs
+++ b/proxy/tests/discovery.rs
@@ -23,7 +23,11 @@
         })
         .await;
         // A watch may deliver a list in several chunks, with empty lines before it.
-        let line = list(42, true, &[entry("s-9", endpoint.address, "Ready")]);
+        let line = endpoint_list(
+            42,
+            true,
+            &[endpoint_entry("s-9", endpoint.address, "Ready")],
+        );
         let (first, second) = line.split_at(20);
         discovery.push(&chunk("")).await;
         discovery
@@ -47,15 +51,19 @@
         let rejection = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned();
         let full = format!(
             "{WATCH_HEAD}{}",
-            chunk(&list(50, true, &[entry("s-9", endpoint.address, "Ready")]))
+            chunk(&endpoint_list(
+                50,
+                true,
+                &[endpoint_entry("s-9", endpoint.address, "Ready")]
+            ))
         );
         let bad = format!("{WATCH_HEAD}{}", chunk("{\"seq\":"));
         let unknown_state = format!(
             "{WATCH_HEAD}{}",
-            chunk(&list(
+            chunk(&endpoint_list(
                 51,
                 false,
-                &[entry("s-9", endpoint.address, "Dancing")]
+                &[endpoint_entry("s-9", endpoint.address, "Dancing")]
             ))
         );
         let ended = format!("{WATCH_HEAD}0\r\n\r\n");
@@ -95,23 +103,26 @@
     });
 }
 
-/// A watch whose server has vanished stays silent, and has failed when heartbeats are missing. A
-/// change that it misses counts as notified 6 s after it fell silent. The next watch must deliver
-/// the change by then, even if two requests for a watch fail before.
+/// A watch whose server no longer responds gets no heartbeats, and has failed after 2.5 s without
+/// data. A change that it misses counts as notified 6 s after the last data. The next watch must
+/// deliver the change by then, even if two requests for a watch fail before: its request must be
+/// sent within 4.5 s, so that 1.5 s remain for the response.
 #[test]
 fn a_silent_watch_is_replaced_before_a_missed_change_counts_as_notified() {
     run_test(async {
-        let beginnings = [
+        let partial_responses = [
             "",
             "HTTP/1.1 200 OK\r\nTransfer-Enc",
             WATCH_HEAD,
             &format!("{WATCH_HEAD}9\r\n{{\"seq\":1"),
         ];
-        let cases = ["ask", "push"]
-            .into_iter()
-            .flat_map(|mode| beginnings.map(|beginning| (mode, beginning.to_owned())));
+        let cases = ["ask", "push"].into_iter().flat_map(|mode| {
+            partial_responses.map(|partial_response| (mode, partial_response.to_owned()))
+        });
         let cases: Vec<_> = cases
-            .map(|(mode, beginning)| spawn_local(silent_watch_is_replaced(mode, beginning)))
+            .map(|(mode, partial_response)| {
+                spawn_local(silent_watch_is_replaced(mode, partial_response))
+            })
             .collect();
         for case in cases {
             case.await.expect("the case failed");
@@ -119,10 +130,10 @@
     });
 }
 
-async fn silent_watch_is_replaced(mode: &str, beginning: String) {
-    let rejection = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_owned();
+async fn silent_watch_is_replaced(mode: &str, partial_response: String) {
+    let rejection = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned();
     let responses = [
-        beginning.clone(),
+        partial_response.clone(),
         rejection.clone(),
         rejection,
         WATCH_HEAD.to_owned(),
@@ -144,7 +155,7 @@
     .await;
     assert!(
         silent_since.elapsed() < Duration::from_millis(4_500),
-        "{mode}, {beginning:?}"
+        "{mode}, {partial_response:?}"
     );
 }
 
@@ -157,7 +168,8 @@
     .await
 }
 
-/// In push mode a change counts as notified when the agent has it, whether or not a watch is open.
+/// In push mode an agent on the same machine sends the endpoint lists, and a change counts as
+/// notified when the agent has it, whether or not a watch is open.
 /// A watch that was reset is reopened at once, and retried while the agent is unreachable, each
 /// time in less than the drain grace.
 #[test]
@@ -166,10 +178,10 @@
         let endpoint = TestEndpoint::start([ok("served")]).await;
         let draining = format!(
             "{WATCH_HEAD}{}",
-            chunk(&list(
+            chunk(&endpoint_list(
                 42,
                 false,
-                &[entry("s-0", endpoint.address, "Terminating")]
+                &[endpoint_entry("s-0", endpoint.address, "Terminating")]
             ))
         );
         let no_response = String::new();
@@ -184,7 +196,7 @@
         discovery.reset();
         wait_until(
             "the idle connection to the draining endpoint is closed",
-            || endpoint.open_connections.get() == 0,
+            || endpoint.open_connection_count.get() == 0,
         )
         .await;
         assert!(
@@ -192,7 +204,11 @@
             "the watch must be reopened at once"
         );
 
-        let draining = list(42, true, &[entry("s-0", endpoint.address, "Terminating")]);
+        let draining = endpoint_list(
+            42,
+            true,
+            &[endpoint_entry("s-0", endpoint.address, "Terminating")],
+        );
         let responses = [
             no_response.clone(),
             no_response.clone(),
@@ -243,9 +259,13 @@
 fn a_watch_is_opened_in_push_mode_too() {
     run_test(async {
         let endpoint = TestEndpoint::start([ok("served")]).await;
-        let list = list(42, true, &[entry("s-9", endpoint.address, "Ready")]);
+        let list = endpoint_list(
+            42,
+            true,
+            &[endpoint_entry("s-9", endpoint.address, "Ready")],
+        );
         let discovery = TestDiscovery::start([
-            "HTTP/1.1 503 No\r\n\r\n".to_owned(),
+            "HTTP/1.1 503 Service Unavailable\r\n\r\n".to_owned(),
             format!("{WATCH_HEAD}{}", chunk(&list)),
         ])
         .await;
--- a/proxy/tests/response_integrity.rs
+++ b/proxy/tests/response_integrity.rs
@@ -9,9 +9,9 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// A response without a length may arrive in small pieces that never end, and its client would wait
-/// for ever. The proxy aborts it, and its client sees that it is truncated. A slow response is not
-/// aborted, even if it takes longer in total than an endpoint may be silent.
+/// The proxy aborts a response without a length whose rate is below 1,000 bytes a second, because
+/// its client could otherwise wait without a limit; the client sees that the response is truncated.
+/// Here one response of 10 bytes a second is aborted; one of 4,000 is not, though it takes 12 s.
 #[test]
 fn an_endless_response_in_small_pieces_is_aborted_and_a_slow_one_is_not() {
     run_test(async {
@@ -27,18 +27,18 @@
 
 /// Starts a proxy and a client with a non-idempotent request. Returns them with the connection on
 /// which the endpoint has read the request.
-async fn start_non_idempotent_request() -> (Proxy, Client, Client) {
+async fn start_non_idempotent_request() -> (Proxy, TestConnection, TestConnection) {
     let (endpoint, listener) = manual_endpoint().await;
     let proxy = Proxy::start(from_ref(&endpoint)).await;
     let mut client = proxy.client().await;
     client.send(&request("unsafe", "", "")).await;
     let mut endpoint = accept(&listener).await;
-    endpoint.message().await.expect("no request");
+    endpoint.receive().await.expect("no request");
     (proxy, client, endpoint)
 }
 
-/// What a client receives of a response that its endpoint sends in 120 chunks of this size, ten per
-/// second.
+/// The text that a client receives of a response that its endpoint sends in 120 chunks of this
+/// size, ten per second.
 async fn stream_in_pieces(size: usize) -> String {
     let (_proxy, mut client, mut endpoint) = start_non_idempotent_request().await;
     let writing = async {
@@ -75,7 +75,8 @@
     ("", "half", true),
 ];
 
-/// A truncated response counts as none, whatever part of it has arrived and however it was cut off.
+/// A truncated response is treated as a missing one, whichever part of it has arrived and whether
+/// its connection was closed or reset.
 /// A response without a length ends with its connection, but only with a close, not with a reset.
 /// Nothing of a truncated response is forwarded; its request is retried if its class allows that.
 #[test]
@@ -95,7 +96,7 @@
                     TestEndpoint::start([ok("good")]).await,
                 );
                 let discovery = TestDiscovery::without_updates().await;
-                let proxy = Proxy::start_with(&discovery, from_ref(&truncating), with_admin).await;
+                let proxy = Proxy::start_with(&discovery, from_ref(&truncating), set_admin).await;
                 wait_until("the watch is open", || {
                     discovery.watch_requests.borrow().len() == 1
                 })
@@ -103,12 +104,14 @@
                 let mut client = proxy.client().await;
                 client.send(&request(class, "", "")).await;
                 let mut endpoint = accept(&listener).await;
-                endpoint.message().await.expect("no request");
+                endpoint.receive().await.expect("no request");
                 let endpoints = [
-                    entry("s-0", address, "Terminating"),
-                    entry("s-1", good.address, "Ready"),
+                    endpoint_entry("s-0", address, "Terminating"),
+                    endpoint_entry("s-1", good.address, "Ready"),
                 ];
-                discovery.push(&chunk(&list(42, false, &endpoints))).await;
+                discovery
+                    .push(&chunk(&endpoint_list(42, false, &endpoints)))
+                    .await;
                 wait_for_members(&proxy, 2).await;
                 write_once_writable(
                     &endpoint,
@@ -119,7 +122,7 @@
                     true => disconnect(endpoint, Disconnect::Reset),
                     false => drop(endpoint),
                 }
-                let response = client.message().await.expect("no response");
+                let response = client.receive().await.expect("no response");
                 let case = format!("{framing:?}, {part:?}, {is_reset}, {class}");
                 assert_eq!(response.status(), status, "{case}");
                 assert!(
@@ -153,7 +156,10 @@
             let proxy = Proxy::start(from_ref(&endpoint)).await;
             let mut client = proxy.client().await;
             client.send(&request(class, "", "")).await;
-            let response = client.response().await.expect("no complete response");
+            let response = client
+                .receive_response()
+                .await
+                .expect("no complete response");
             assert_eq!(
                 (response.status(), response.body.len()),
                 (200, size),
@@ -165,8 +171,8 @@
     }
 }
 
-/// The beginning of a large response is forwarded before its connection is reset: the response to
-/// the client must not look complete either.
+/// The proxy forwards the beginning of a large response before its end arrives. If the endpoint
+/// then resets the connection, the forwarded response must not look complete.
 #[test]
 fn a_large_response_without_a_length_that_is_reset_does_not_look_complete() {
     run_test(async {
@@ -182,7 +188,7 @@
             .expect("cannot read the first byte");
         disconnect(endpoint, Disconnect::Reset);
         assert!(
-            client.response().await.is_none(),
+            client.receive_response().await.is_none(),
             "the truncated response must not look complete"
         );
     });
--- a/proxy/tests/shutdown_during_retry.rs
+++ b/proxy/tests/shutdown_during_retry.rs
@@ -13,19 +13,21 @@
 /// open.
 struct ConnectingRetry {
     proxy: Proxy,
-    client: Client,
+    client: TestConnection,
     /// The endpoint's side of the first attempt's connection.
-    first_connection: Client,
+    first_connection: TestConnection,
     /// The listener of the second attempt's endpoint, and the connections that fill its backlog.
     listener: TcpListener,
-    fillers: Vec<TcpStream>,
+    backlog: Vec<TcpStream>,
     discovery: TestDiscovery,
 }
 
 async fn start_connecting_retry() -> ConnectingRetry {
-    let (full_endpoint, fillers, listener) = endpoint_with_full_backlog().await;
-    let first = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = first.local_addr().expect("an address");
+    let (full_endpoint, backlog, listener) = endpoint_with_full_backlog().await;
+    let first = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("cannot bind a port");
+    let address = first.local_addr().expect("no local address");
     let discovery = TestDiscovery::without_updates().await;
     let known_endpoints = [TestEndpoint {
         address,
@@ -36,20 +38,23 @@
         config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
     })
     .await;
-    let admin = proxy.admin.expect("an address for operators");
+    let admin = proxy.admin.expect("no address for operators");
     let mut client = proxy.client().await;
     client.send(&request("unsafe", "", "the body")).await;
-    let mut first_connection =
-        MessageReader::new(first.accept().await.expect("the proxy connects").0);
-    first_connection.message().await.expect("the first attempt");
-    let update = list(42, false, &[entry("s-1", full_endpoint.address, "Ready")]);
+    let mut first_connection = MessageReader::new(first.accept().await.expect("accept failed").0);
+    first_connection.receive().await.expect("no first attempt");
+    let update = endpoint_list(
+        42,
+        false,
+        &[endpoint_entry("s-1", full_endpoint.address, "Ready")],
+    );
     discovery.push(&chunk(&update)).await;
     while metrics(admin).await["members"] != 2 {}
     let written = first_connection
         .stream
         .write_all(REJECTION.as_bytes())
         .await;
-    written.expect("written");
+    written.expect("write failed");
     wait_until("the second connection is being opened", || {
         is_connecting(full_endpoint.address)
     })
@@ -59,7 +64,7 @@
         client,
         first_connection,
         listener,
-        fillers,
+        backlog,
         discovery,
     }
 }
@@ -71,23 +76,23 @@
         mut client,
         first_connection,
         listener,
-        fillers,
+        backlog,
         discovery: _discovery,
     } = start_connecting_retry().await;
-    let admin = proxy.admin.expect("an address for operators");
+    let admin = proxy.admin.expect("no address for operators");
     let stopped_at = Instant::now();
     drop(proxy.stop.take());
     while admin_command(admin, "health\n")
         .await
         .starts_with("SUCCESS")
     {}
-    let mut fillers = Some(fillers);
+    let mut backlog = Some(backlog);
     let mut listener = Some(listener);
     let endpoint = listener.take_if(|_| opens_in_time).map(|listener| {
-        fillers.take();
+        backlog.take();
         TestEndpoint::on_listener(listener, [ok("served")])
     });
-    let response = client.message().await.expect("a response");
+    let response = client.receive().await.expect("no response");
     assert_eq!(response.header("connection"), Some("close"));
     match &endpoint {
         Some(endpoint) => {
@@ -102,13 +107,11 @@
     }
     // The shutdown waits 3.6 s for replies; the process is killed 0.1 s later.
     assert!(stopped_at.elapsed() < Duration::from_millis(3_700));
-    let ended = (&mut proxy.task)
-        .await
-        .expect("the proxy task ends without a panic");
-    ended.expect("the proxy listens for clients");
+    let ended = (&mut proxy.task).await.expect("the proxy task panicked");
+    ended.expect("the proxy returned an error");
     assert!(
         first_connection.stream.try_read(&mut [0]).is_err(),
-        "the first endpoint gets no further request"
+        "the first endpoint must get no further request"
     );
 }
 
