--- a/proxy/src/body/memory.rs
+++ b/proxy/src/body/memory.rs
@@ -17,7 +17,9 @@
         BodyMemory(Arc::new(AtomicUsize::new(bytes)))
     }
 
-    /// Reserves this many bytes; `None` if fewer are available.
+    /// Reserves this many bytes; `None` if fewer are available. The load and the store need not be
+    /// one atomic operation, because one thread makes and releases all reservations. The counter is
+    /// atomic only because [`Bytes::from_owner`] requires an owner that is `Send`.
     pub(crate) fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let available = self.0.load(Ordering::Relaxed).checked_sub(bytes)?;
         self.0.store(available, Ordering::Relaxed);
--- a/proxy/src/body/response_body.rs
+++ b/proxy/src/body/response_body.rs
@@ -14,8 +14,9 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Minimum rate at which an endpoint must send a response. A slower one would occupy the client and
-/// the connection indefinitely.
+/// Minimum rate at which an endpoint must send a streamed response, measured over the time in which
+/// the proxy waits for data. Without it, a slow response would keep the connections to the client
+/// and to the endpoint open for an unlimited time.
 const MIN_RESPONSE_BYTES_PER_SECOND: f64 = 1_000.0;
 /// Maximum time that the proxy waits for more data of a streamed response.
 const MAX_RESPONSE_WAIT: Duration = Duration::from_secs(10);
--- a/proxy/src/body/upload.rs
+++ b/proxy/src/body/upload.rs
@@ -15,10 +15,11 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-/// Minimum upload rate. It is somewhat below the lowest rate of a well-behaved client.
+/// Minimum upload rate, measured over the time in which the proxy waits for data. It is below the
+/// lowest rate of a client that does not stall.
 const MIN_UPLOAD_BYTES_PER_SECOND: f64 = 48_000.0;
-/// Maximum time that the proxy waits for more data of an upload. A client that stalls must get its
-/// error within 3 s, however much it has sent.
+/// Maximum time that the proxy waits for more data of an upload. It is below 3 s because a client
+/// that stalls must get its error response within 3 s, whatever part of the body it has sent.
 const MAX_UPLOAD_WAIT: Duration = Duration::from_millis(2_750);
 /// How long the rest of an upload that is no longer needed is read and discarded. Closing the
 /// connection while the client is sending would reset it, and the response could be lost.
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -20,7 +20,8 @@
 /// open: 3 standard streams, 3 for the event queue, 3 for signals, 1 for the runtime, 2 listeners
 /// and the lock file. Up to 4 more are open at times: the current watch and the one it replaces,
 /// the configuration file while it is read, and an operator connection that was accepted before
-/// another is closed to make room for it. Client and endpoint connections never use the reserve: at
+/// another is closed to make room for it. The remaining 3 have no planned use. The operator
+/// connections are reserved in addition. Client and endpoint connections never use the reserve: at
 /// their limit, one is closed before another is accepted or opened. While two processes run, each
 /// has half of all descriptors and reserves this many of its half.
 const RESERVED_DESCRIPTORS: usize = 20 + MAX_OPERATOR_CONNECTIONS;
@@ -39,7 +40,8 @@
     pub discovery: SocketAddr,
     /// Address at which operators connect; `None`: the configuration file names none.
     pub admin: Option<SocketAddr>,
-    /// Seed of the balancer's random numbers; differs from start to start.
+    /// Seed of the balancer's random number generator. The configuration file should contain a new
+    /// one for each start; a reload does not apply it.
     pub seed: u64,
     /// Maximum number of file descriptors that all processes of the program may have open together.
     pub max_descriptors: usize,
@@ -69,7 +71,10 @@
 pub struct ReloadedConfig {
     /// The configuration to use from now on.
     pub config: Config,
-    /// Whether the new configuration also changes values that take effect only at a restart.
+    /// Whether the new configuration also changes the clients' address, the balancer's settings,
+    /// the classes or the tenants, which take effect only at a restart. Changes of the operators'
+    /// address, the seed, the memory limit, the cached list and the drain grace need a restart as
+    /// well, but are not detected.
     pub needs_restart: bool,
 }
 
@@ -160,8 +165,9 @@
             .max(MIN_CONNECTIONS)
     }
 
-    /// Maximum number of connections to endpoints. Clients use at most a third of the descriptors
-    /// for connections with requests, and each request uses one connection to an endpoint.
+    /// Maximum number of connections to endpoints: two fifths of the connections to clients and
+    /// endpoints. Clients may hold at most a third of the descriptors for their requests, and each
+    /// attempt of a request uses one connection to an endpoint.
     pub fn max_endpoint_connections(&self) -> usize {
         self.max_connections() * 2 / 5
     }
@@ -172,8 +178,9 @@
         self.max_connections() - self.max_endpoint_connections()
     }
 
-    /// Number of client connections above which idle ones are closed early: half of the third of
-    /// the descriptors that clients use at most for connections with requests.
+    /// Number of client connections above which the process is busy and closes idle connections
+    /// earlier: a sixth of its descriptors, which is half of the third that clients may hold for
+    /// their requests.
     pub fn busy_connection_threshold(&self) -> usize {
         self.process_descriptors() / 6
     }
--- a/proxy/src/control/attempt.rs
+++ b/proxy/src/control/attempt.rs
@@ -43,7 +43,8 @@
             }
             () = self.timed_out() => AttemptEnd::without_response(self.timeout_outcome()),
         };
-        // The client's upload failed, which says nothing about the endpoint.
+        // A failed upload must not count against the endpoint, so the attempt is reported as
+        // cancelled.
         match self
             .forwarded
             .body
@@ -64,9 +65,9 @@
         }
     }
 
-    /// Completes when the client no longer waits for a response. During an upload this time is not
-    /// known yet; if the upload fails, this never completes, and the request is cancelled
-    /// elsewhere.
+    /// Completes at the attempt's deadline. During an upload the deadline is not known, because it
+    /// depends on when the last byte arrives. If the upload fails, this future never completes:
+    /// `downstream::forward` drops the request's `PendingReply`, which cancels the attempt.
     async fn deadline_passed(&self) {
         let deadline = match self.forwarded.body.upload() {
             None => self.deadline,
@@ -171,8 +172,9 @@
         upstream::exchange(connection, message, context).await
     }
 
-    /// The end of an attempt that was not written completely because its client has disconnected,
-    /// which says nothing about the endpoint. `None` if the client is still connected.
+    /// The end of an attempt that was not written completely because its client has disconnected.
+    /// It is reported as never sent or cancelled, so that it does not count against the endpoint.
+    /// `None` if the client is still connected.
     fn end_if_disconnected(&self) -> Option<AttemptEnd> {
         if !self.forwarded.client.has_disconnected() {
             return None;
--- a/proxy/src/control/connection_pool.rs
+++ b/proxy/src/control/connection_pool.rs
@@ -40,7 +40,8 @@
     idle: HashMap<EndpointId, Vec<IdleConnection>>,
     /// Estimates from the reuse of connections how long they survive while idle.
     idle_timeout_estimate: IdleTimeoutEstimate,
-    /// Cloned once for each open or reserved connection, which counts them.
+    /// One clone exists for each open or reserved connection, so the reference count gives their
+    /// number.
     permits: Rc<()>,
     metrics: Metrics,
 }
--- a/proxy/src/control/endpoint_list.rs
+++ b/proxy/src/control/endpoint_list.rs
@@ -30,8 +30,8 @@
     }
 
     /// Ends the unwritten attempts for endpoints that are not ready, and closes the idle
-    /// connections to them. Whether an attempt may start depends on when it is written, not on when
-    /// the balancer decided on it.
+    /// connections to them. The drain grace limits when an attempt's first byte may be written, so
+    /// attempts that the balancer started before it had this list are ended as well.
     fn withdraw_from_unready(&mut self) {
         for endpoint_id in self.endpoints.unready_ids() {
             self.pool.close_all(endpoint_id);
@@ -48,8 +48,8 @@
         let entries = self
             .endpoints
             .update(list, kind != ListUpdate::Delta, &mut self.pool);
-        // Queued first, so that the balancer knows the list before it handles the ends of the
-        // attempts that the list withdraws.
+        // Queued first: the balancer must apply the list before it handles the ends of the attempts
+        // that are withdrawn below, or it could retry them at the same endpoints.
         self.events.push_back(Event::EndpointList { kind, entries });
         self.withdraw_from_unready();
         self.endpoints.forget_removed();
@@ -64,8 +64,8 @@
     }
 
     fn apply_watched_list(&self, list: &EndpointList, generation: u64) {
-        // A replaced watch may still deliver lists. Their versions belong to another discovery
-        // service.
+        // A replaced watch may still deliver lists. If the discovery address has changed since it
+        // was opened, their versions belong to another discovery service.
         if !self.state().watch.is_current(generation) {
             return;
         }
--- a/proxy/src/control/metrics_report.rs
+++ b/proxy/src/control/metrics_report.rs
@@ -7,8 +7,8 @@
     /// The metrics since the start of the process, under the names that operators read.
     pub fn metrics_json(&self) -> serde_json::Value {
         let state = self.state();
-        // The balancer's count does not include draining endpoints, which the list makes
-        // unavailable whatever their health.
+        // Draining endpoints are unavailable whatever their health, but are not in the balancer's
+        // count.
         let draining = state.endpoints.count() - state.endpoints.ready_count();
         let unavailable = state.balancer.unavailable_count(state.clock.now()) + draining;
         let counters = state.metrics.counters();
--- a/proxy/src/control/mod.rs
+++ b/proxy/src/control/mod.rs
@@ -1,5 +1,6 @@
-//! The control plane: reports what happens on the sockets to the balancer as events, in one order
-//! and on one clock, and carries out the balancer's actions. All decisions are the balancer's.
+//! The control plane: passes events to the balancer one at a time, each with the time of the same
+//! clock, and carries out the balancer's actions. Only the balancer decides when an attempt starts
+//! and at which endpoint.
 //!
 //! This file has the state, the event loop and the dispatch of actions. Each part of the state is
 //! owned by a type in its own module, which does not depend on this file: `clock`,
--- a/proxy/src/control/request.rs
+++ b/proxy/src/control/request.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Header that tells endpoints how long the client still waits, in milliseconds.
+/// Header with the time in milliseconds for which the client still waits for the response.
 const TIMEOUT_MS_HEADER: &str = "x-budget-ms";
 
 /// The part of a client's request that is forwarded to endpoints.
@@ -23,7 +23,8 @@
     pub headers: HeaderMap,
     /// The body, buffered or streamed.
     pub body: RequestBody,
-    /// How long the client waits for the response after the request's last byte.
+    /// Time after the request's last byte within which the proxy must have the response: the
+    /// client's timeout less the time that is reserved for returning the response to the client.
     pub response_timeout: Duration,
     /// The client's connection.
     pub client: Socket,
@@ -41,8 +42,9 @@
         *message.method_mut() = self.method.clone();
         *message.uri_mut() = self.target.clone();
         *message.headers_mut() = self.headers.clone();
-        // The last byte of a streamed request may have arrived in the meantime, which starts the
-        // client's timeout.
+        // While the body is streamed, `deadline` is provisional. The client's timeout starts when
+        // the last byte arrives, which may have happened although the byte has not been read. So
+        // the advertised time is computed from the earliest time at which it can have arrived.
         let deadline = if self.is_complete() {
             deadline
         } else {
--- a/proxy/src/control/request_lifecycle.rs
+++ b/proxy/src/control/request_lifecycle.rs
@@ -147,6 +147,7 @@
                 request.record.abandoned(reason);
                 request.record.replied(match reply {
                     Reply::Failed => ReplyKind::Failed,
+                    // `Served` does not occur: the balancer only rejects or fails requests here.
                     Reply::Rejected(_) | Reply::Served(_) => ReplyKind::Rejected,
                 });
                 // Fails only if the client has just disconnected.
--- a/proxy/src/control/watch.rs
+++ b/proxy/src/control/watch.rs
@@ -24,7 +24,7 @@
     task: Option<ScopedTask>,
     /// Whether the last attempt to open a watch failed.
     last_open_failed: bool,
-    /// Whether the last watch that could be opened ended soon after it was opened.
+    /// Whether the last watch that could be opened was brief, see [`WatchEnd::was_brief`].
     last_watch_was_brief: bool,
 }
 
@@ -52,9 +52,10 @@
     }
 
     /// Records that the watch has ended and logs the reason; of consecutive failures to open a
-    /// watch, only the first is logged. Returns the update that the balancer is notified of. The
-    /// balancer opens the next watch soon after a lost one, and backs off if watches repeatedly end
-    /// soon after they are opened.
+    /// watch, only the first is logged. Returns the update that the balancer is notified of:
+    /// [`ListUpdate::WatchLost`], after which a balancer that polls opens the next watch without
+    /// backoff, [`ListUpdate::WatchFlapping`] after the second of two brief watches in a row, or
+    /// [`ListUpdate::PollFailed`]; after these two it backs off.
     pub(super) fn record_end(&mut self, end: &WatchEnd) -> ListUpdate {
         let was_open = end.open_for.is_some();
         if was_open || !self.last_open_failed {
--- a/proxy/src/discovery/message.rs
+++ b/proxy/src/discovery/message.rs
@@ -40,7 +40,8 @@
     /// Its capacity relative to that of other endpoints.
     #[serde(rename = "share", default)]
     pub weight: f64,
-    /// When its process started, as Unix time in milliseconds; 0, the default, means long ago.
+    /// When its process started, as Unix time in milliseconds. 0, the default: unknown; the
+    /// endpoint is not in slow start.
     #[serde(rename = "born_ms", default)]
     pub started_at_ms: u64,
 }
--- a/proxy/src/discovery/parser.rs
+++ b/proxy/src/discovery/parser.rs
@@ -6,8 +6,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Maximum size of an object in a watch, larger than the endpoint list of any fleet that one proxy
-/// serves.
+/// Maximum size of an object in a watch. A larger object ends the watch. The limit exceeds the
+/// endpoint list of any fleet that one proxy serves.
 const MAX_OBJECT_BYTES: usize = 4 << 20;
 
 /// Why the data of a watch could not be parsed.
--- a/proxy/src/discovery/watch.rs
+++ b/proxy/src/discovery/watch.rs
@@ -19,20 +19,22 @@
 
 /// Maximum time without data on a watch, and from a request to the head of its response when
 /// polling. Discovery sends a heartbeat every 2 s, so a watch without data for half a second more
-/// is considered dead. The proxy counts as notified of a change 6 s after discovery has it and can
-/// be reached: 2.5 s to detect a dead watch and at most 3 s until the balancer polls again leave
-/// half a second for the response.
+/// is considered dead. A change of the endpoint list counts as delivered to the proxy at the latest
+/// 6 s after discovery has it and can be reached, whether or not it has arrived, and the drain
+/// grace starts then. Detecting a dead watch takes 2.5 s and the balancer polls again at most 3 s
+/// later, which leaves half a second for the response.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A watch that was open for less than this counts as brief. After brief watches in a row, the next
 /// one is opened with a backoff, as it may end right away as well.
 const BRIEF_WATCH_LIMIT: Duration = Duration::from_secs(1);
 /// In push mode, the response timeout is the drain grace divided by this. The agent is on this
 /// machine and normally responds at once; a request without a response is abandoned and sent again.
-/// As soon as the agent responds again, the proxy counts as notified of all changes that the agent
-/// has. A third of the drain grace until a request is abandoned and a tenth until the next one
-/// leave more than half of it for that request.
+/// As soon as the agent can respond again, all changes that it has count as delivered to the proxy,
+/// and their drain grace starts. An abandoned request takes a third of the drain grace and the
+/// delay before the next request a tenth, so more than half is left for the next request.
 const PUSH_RESPONSE_TIMEOUT_DIVISOR: u32 = 3;
-/// A shorter timeout would abandon requests that are only waiting for the CPU.
+/// Minimum response timeout in push mode. A shorter one would end requests whose response is late
+/// only because a process waits for the CPU.
 const MIN_PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_PUSH_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// In push mode, the delay before a watch is reopened is the drain grace divided by this.
@@ -109,7 +111,7 @@
 }
 
 impl WatchEnd {
-    /// Whether it could be opened but ended soon after.
+    /// Whether the watch could be opened, but was open for less than `BRIEF_WATCH_LIMIT`.
     pub fn was_brief(&self) -> bool {
         self.open_for
             .is_some_and(|open_for| open_for < BRIEF_WATCH_LIMIT)
--- a/proxy/src/downstream/client_connections.rs
+++ b/proxy/src/downstream/client_connections.rs
@@ -35,8 +35,8 @@
             .push(ClientConnection::start(stream, &self.shared));
     }
 
-    /// Returns whether another connection may be accepted. At the connection limit, tries to evict
-    /// one to make room.
+    /// Updates whether the process is busy, and returns whether another connection may be accepted.
+    /// At the connection limit, tries to evict one to make room.
     pub(super) fn ensure_capacity(&mut self) -> bool {
         let config = self.shared.control.config();
         let limit = config.max_client_connections();
@@ -86,6 +86,8 @@
         self.shared.is_shutting_down.set(true);
         self.shared.control.set_accepting(false);
         self.shared.control.begin_shutdown(schedule);
+        // From now on this process uses half of the descriptors, even if no other process has been
+        // detected.
         self.shared.control.set_process_count(2);
     }
 
--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -136,10 +136,10 @@
         let (shared, is_first) = (self.shared.clone(), number == 0);
         async move {
             let mut response = service::respond(shared.control, request, request_context).await;
-            // When the process is busy, a connection is closed after its first response:
-            // connections that are idle after a single request would leave none for clients that do
-            // reuse theirs. As the response announces the close, the client does not send another
-            // request that crosses with it.
+            // When the process is busy, a connection is closed after its first response: idle
+            // connections of clients that send a single request would use up the connection limit,
+            // and clients that reuse connections could not open any. The response announces the
+            // close, so the client does not send another request on this connection.
             if shared.is_shutting_down.get() || is_first && shared.is_busy.get() {
                 response
                     .headers_mut()
@@ -179,9 +179,9 @@
     }
 
     /// Completes when the client has disconnected while a request is open. hyper detects a
-    /// disconnect only after it has read everything that arrived before it, which it does not do
-    /// while a request is open. While none is open, hyper reads on and is polled before this
-    /// future, so a request that arrived before the disconnect is open by then.
+    /// disconnect only after reading all earlier input, and it does not read on while a request is
+    /// open. While no request is open, hyper is polled first and reads the input, so a request that
+    /// arrived before the disconnect is already open when this future is polled.
     async fn disconnected_while_request_open(&self) {
         poll_fn(|context| self.poll_disconnected_while_request_open(context)).await
     }
--- a/proxy/src/downstream/eviction.rs
+++ b/proxy/src/downstream/eviction.rs
@@ -9,8 +9,8 @@
 use tokio::time::Instant;
 
 /// How long a connection is protected from eviction after it was opened or its last response was
-/// sent. A client that is about to send a request has begun to within this time. Without it, each
-/// connection of a burst would be evicted for the next one before its request arrives.
+/// sent: clients that send a request begin to send it within this time. Without the protection,
+/// each connection of a burst would be evicted for the next one before its request arrives.
 pub(super) const EVICTION_GRACE: Duration = Duration::from_millis(100);
 
 /// What the eviction of a connection costs its client, in ascending order.
@@ -19,15 +19,16 @@
     /// Nothing has ever been received, or the connection is closing and will carry no further
     /// request.
     Unused,
-    /// Idle for longer than clients usually take to reuse a connection.
+    /// Idle for [`IDLE_TIMEOUT_WHEN_BUSY`] or longer, so it is unlikely to be reused.
     LongIdle,
-    /// Idle after at most one read, so it has probably carried a single request. It is less likely
-    /// to be reused than a connection that was reused before.
+    /// Idle for less than [`IDLE_TIMEOUT_WHEN_BUSY`], after at most one read, so it has probably
+    /// carried a single request. It is less likely to be reused than a connection that was reused
+    /// before.
     IdleAfterOneRead,
     /// Part of a request has arrived. The longer ago it began, the less likely the rest will
     /// arrive.
     Receiving,
-    /// Idle for a short time, after more than one read.
+    /// Idle for less than [`IDLE_TIMEOUT_WHEN_BUSY`], after more than one read.
     Idle,
 }
 
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -25,8 +25,8 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// Maximum number of connections waiting to be accepted, enough for a burst. The kernel caps it at
-/// `net.core.somaxconn`.
+/// Maximum number of connections waiting to be accepted. It is meant to hold all connections of a
+/// burst. The kernel caps it at `net.core.somaxconn`.
 pub const LISTEN_BACKLOG: u32 = 4_096;
 
 /// Serves clients until `stop` completes, then shuts down gracefully: accepts connections for as
--- a/proxy/src/downstream/phase.rs
+++ b/proxy/src/downstream/phase.rs
@@ -6,8 +6,8 @@
 use tokio::time::Instant;
 
 /// Time within which a request must arrive completely, measured from the start of its connection
-/// or, for later requests, from its first byte. It is below 3 s because clients must get a response
-/// or a close within 3 s.
+/// or, for later requests, from its first byte. It is below 3 s because a client that sends an
+/// invalid or incomplete request must get an error response or a close within 3 s of connecting.
 pub(super) const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_750);
 
 /// What a client connection is doing, and since when.
--- a/proxy/src/downstream/request.rs
+++ b/proxy/src/downstream/request.rs
@@ -12,7 +12,8 @@
 use std::time::Duration;
 
 /// Why a client's request is invalid. Such a request is not passed to the balancer, unless its body
-/// fails while it is being streamed: then the balancer sees the request as abandoned by its client.
+/// fails while it is being streamed: then the request is cancelled as if its client had
+/// disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RequestError {
     /// The `Content-Length` and `Transfer-Encoding` headers do not define the end of the body
@@ -100,8 +101,9 @@
         .ok_or(RequestError::InvalidHeader(headers::REQUEST_ID))
 }
 
-/// Checks that the method, body and idempotency key fit the class. Endpoints see these and not the
-/// class: a request of a keyed class without its key would be executed again at each retry.
+/// Checks that the method, body and idempotency key fit the class. Endpoints recognize a repeated
+/// request by its key, not by its class, so a request of a keyed class without a key could be
+/// executed again at each retry.
 fn check_class_requirements(
     head: &Parts,
     is_body_empty: bool,
--- a/proxy/src/downstream/response.rs
+++ b/proxy/src/downstream/response.rs
@@ -24,8 +24,8 @@
     response
 }
 
-/// An error response that closes the connection, because what remains unread of the request could
-/// be taken for the next request.
+/// An error response that closes the connection, because the unread rest of the request could be
+/// parsed as the next request.
 pub(super) fn error_and_close(status: StatusCode) -> Response<ResponseBody> {
     let mut response = empty(status);
     response
--- a/proxy/src/downstream/service.rs
+++ b/proxy/src/downstream/service.rs
@@ -18,7 +18,7 @@
 /// The path of the proxy's own health check.
 const HEALTH_PATH: &str = "/_health";
 
-/// What is known of a request from the connection that it arrives on.
+/// The connection of a request, and the properties of the request that depend on its connection.
 #[derive(Clone, Debug)]
 pub(super) struct RequestContext {
     /// The client's connection. It shows when the last byte of the request arrived: the client's
--- a/proxy/src/downstream/shutdown.rs
+++ b/proxy/src/downstream/shutdown.rs
@@ -6,18 +6,20 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long new connections are still accepted after the shutdown has begun. They keep arriving for
-/// up to 0.4 s.
+/// How long new connections are still accepted after the shutdown has begun: clients may continue
+/// to connect to this process for up to 0.4 s.
 pub(super) const ACCEPT_DURATION: Duration = Duration::from_millis(500);
 /// Time from the start of the shutdown after which newly completed requests are rejected: a long
 /// response to such a request could be truncated when the process is killed. The same can happen to
 /// a request that completed earlier, which is accepted.
 const REJECT_DELAY: Duration = Duration::from_millis(600);
-/// Limit on the time that the shutdown gives open requests. They must have the beginning of their
-/// responses within the longest deadline of any class, or within this limit if that is shorter,
-/// plus [`DEADLINE_MARGIN`]. The sum ends before the process is killed.
+/// Maximum time that open requests have for the beginning of their responses, without
+/// [`DEADLINE_MARGIN`]. It applies if the longest deadline of any class exceeds it. The sum of both
+/// ends before the process is killed.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// Time that is added to the deadline of open requests during a shutdown.
+/// Time from the longest deadline of any class, or from the maximum above, to the end of the
+/// shutdown. It equals [`REJECT_DELAY`], so a request that completes before requests are rejected
+/// keeps the full deadline of its class, unless the maximum applies.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(600);
 
 /// The schedule of a shutdown that begins now. `longest_deadline` is the longest of any class.
--- a/proxy/src/downstream/tests.rs
+++ b/proxy/src/downstream/tests.rs
@@ -267,8 +267,9 @@
             );
             send(&client, &request);
             wait_for_metric(&control, "pending", 1).await;
-            // The client's presence is checked before an attempt is sent, not after. The endpoint
-            // is used again, as a client's disconnect is not its fault.
+            // If no attempt is to be sent, the client disconnects before its attempt is written,
+            // and the attempt must never be written. Otherwise it disconnects after the write. The
+            // disconnects must not make the endpoint unavailable to later attempts.
             attempts_sent += u64::from(is_attempt_sent);
             wait_for_metric(&control, "upstream_requests", attempts_sent).await;
             if by_reset {
--- a/proxy/src/downstream/timeouts.rs
+++ b/proxy/src/downstream/timeouts.rs
@@ -11,14 +11,15 @@
 /// How often all connections are checked for timeouts.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 /// How long an idle connection is kept. Some clients leave connections open indefinitely and never
-/// use them again; clients that do reuse a connection do so much sooner.
+/// use them again; clients that reuse a connection do so within this time.
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long an idle connection is kept while many connections are open, so that clients that need a
-/// new connection get one without delay.
+/// How long an idle connection is kept while more client connections are open than
+/// [`crate::config::Config::busy_connection_threshold`], so that clients that need a new connection
+/// get one without delay.
 pub(super) const IDLE_TIMEOUT_WHEN_BUSY: Duration = Duration::from_secs(2);
 /// How long a socket may be unwritable before its client counts as stalled. The kernel reports a
-/// socket writable only when a third of its send buffer is free, which can take a slow client a
-/// while.
+/// socket writable only when a third of its send buffer is free, and the more slowly the client
+/// reads, the longer this takes.
 pub(super) const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How long connections stay open while no request arrives.
@@ -100,8 +101,8 @@
             return false;
         }
         match self.phase.get() {
-            // The connection's task waits for the disconnect as well. This check covers systems
-            // that report a disconnect only when polled.
+            // The connection's task waits for the disconnect as well. This check is for platforms
+            // on which a disconnect does not wake that task.
             Phase::Open if self.socket.is_known_disconnected() => {
                 self.close(ClientCloseReason::ClientDisconnected)
             }
--- a/proxy/src/invariants/history.rs
+++ b/proxy/src/invariants/history.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Tolerance that the protocol grants on time limits: here on the drain grace and on the
-/// deduplication window.
+/// Tolerance on the drain grace and on the deduplication window: the time limits that the users set
+/// for attempts and drains have this much slack.
 const TIME_LIMIT_TOLERANCE: Duration = Duration::from_millis(50);
 /// Tolerance by which the time advertised to an endpoint may exceed the time that the client still
 /// waits.
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -39,8 +39,8 @@
 /// Time from the start after which a process is reported ready even without an endpoint list. A
 /// restarted process must be ready within 6 s.
 const READY_DELAY: Duration = Duration::from_secs(5);
-/// The same while another process of the program runs, which may be about to shut down. In that
-/// case the new process must be ready within 10 s.
+/// [`READY_DELAY`] while another process of the program runs, which this process may be about to
+/// replace. A process that replaces another must be ready within 10 s.
 const READY_DELAY_BESIDE_OTHER_PROCESS: Duration = Duration::from_secs(8);
 
 /// The sockets on which the program accepts connections.
--- a/proxy/src/log.rs
+++ b/proxy/src/log.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// Writes lines of the request trace to the log, under the same size limit.
+/// Writes lines of the request trace to the log. A line longer than [`MAX_LINE_BYTES`] is dropped
+/// and counted; if it were truncated, it would not be valid JSON.
 #[derive(Clone, Copy, Debug, Default)]
 struct TraceWriter;
 
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -17,15 +17,15 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// How long calls that fail transiently are retried at startup: a process must be ready within
-/// 30 s.
+/// How long each call that fails transiently is retried at startup, where a process must be ready
+/// within 30 s. The limit applies to each call separately.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long loading a new configuration is retried after a failure: the file may be being replaced
-/// at that moment, or the system may be out of descriptors. When the discovery address changes, the
-/// proxy counts as notified of the new discovery's list 4 s after the signal; the old discovery
-/// remains available for 1.5 s.
+/// How long loading a new configuration is retried after a failure: the file may be incomplete
+/// while it is being replaced, or the system may be out of descriptors.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// Delay before loading a new configuration is retried.
+/// Delay before loading a new configuration is retried. If the discovery address has changed, the
+/// list of the new discovery counts as delivered to the proxy 4 s after the signal, whether or not
+/// it has arrived; the old discovery remains available for 1.5 s.
 const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 fn main() -> ExitCode {
@@ -141,8 +141,8 @@
     }
 }
 
-/// Loads a new configuration on each SIGHUP. The signal is sent only once, so loading is retried
-/// for a while if the file cannot be used.
+/// Loads a new configuration on each SIGHUP. The signal is sent only once per change, so loading is
+/// retried for [`RELOAD_TIMEOUT`] if the file cannot be used.
 struct ConfigReloader<'a> {
     hangup: Signal,
     path: &'a Path,
--- a/proxy/src/metrics/counters.rs
+++ b/proxy/src/metrics/counters.rs
@@ -41,7 +41,7 @@
     pub opened: u64,
     /// Connections to endpoints that could not be established.
     pub open_failed: u64,
-    /// Reused connections that turned out to be broken.
+    /// Connections to endpoints that were reused and turned out to be broken.
     pub broken_reuse: u64,
     outcomes: BTreeMap<Outcome, u64>,
     /// Invalid requests by the status of their response.
--- a/proxy/src/metrics/reasons.rs
+++ b/proxy/src/metrics/reasons.rs
@@ -32,14 +32,15 @@
 /// Why the proxy closed an idle connection to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointCloseReason {
-    /// It was idle for almost as long as the endpoint keeps idle connections open.
+    /// It was idle for the maximum time after which connections are reused: 0.9 of the endpoints'
+    /// idle timeout, or the estimated time after which connections break if that is shorter.
     Idle,
     /// Its endpoint accepts no new requests, or has restarted.
     EndpointUnavailable,
     /// Its file descriptor was needed for another connection.
     Evicted,
-    /// It received data or an end of stream, which would be taken for the response to the next
-    /// request.
+    /// It received data, which would be parsed as the response to the next request, or an end of
+    /// stream.
     UnexpectedBytes,
 }
 
@@ -52,8 +53,8 @@
     StartWindowClosed,
     /// The client disconnected before the attempt's first byte was written.
     ClientDisconnected,
-    /// The reused connection received data or an end of stream, which would be taken for the
-    /// attempt's response.
+    /// The reused connection received data, which would be parsed as the attempt's response, or an
+    /// end of stream.
     ConnectionUsed,
 }
 
@@ -74,8 +75,8 @@
 /// A violated invariant: something that the proxy must never do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// An attempt started at an endpoint longer than the drain grace after the list said that it
-    /// was draining or removed.
+    /// An attempt started later than the drain grace after its endpoint was listed as draining or
+    /// removed.
     SentToDrainingEndpoint,
     /// An attempt started after its client had disconnected.
     SentForDisconnectedClient,
--- a/proxy/src/process_handoff.rs
+++ b/proxy/src/process_handoff.rs
@@ -93,8 +93,9 @@
 
 /// Keeps this process announced while the future runs. If the lock file is deleted or replaced, as
 /// happens when folders for temporary files are cleaned, it is created and locked again. While the
-/// folder fails with a temporary error, other processes cannot be detected, so `on_shared` is
-/// called with `true`. Returns only on an error that is not temporary.
+/// lock file cannot be used because of a retryable error, other processes cannot be detected.
+/// `on_shared` is then called with `true`, so that the processes together do not exceed the limits.
+/// Returns only on an error that is not retryable.
 pub async fn maintain_presence(
     folder: &Path,
     mut on_shared: impl FnMut(bool),
--- a/proxy/src/socket/framing.rs
+++ b/proxy/src/socket/framing.rs
@@ -28,7 +28,7 @@
     Unknown,
 }
 
-/// What the lines of the current head that have been parsed say about the message body.
+/// The `Content-Length` and `Transfer-Encoding` fields parsed so far in the current head.
 #[derive(Debug, Default)]
 struct HeadFraming {
     /// The request line has been parsed; empty lines before it are ignored.
--- a/proxy/src/socket/mod.rs
+++ b/proxy/src/socket/mod.rs
@@ -1,6 +1,6 @@
 //! A TCP stream that is shared between the task that runs hyper and the owner of the connection.
-//! The owner can close it immediately regardless of that task, check it for unread input, and see
-//! what was read and written.
+//! The owner can close it immediately regardless of that task, check it for unread input, and query
+//! the number and times of reads and since when a write has been blocked.
 
 mod disconnect;
 mod framing;
@@ -40,7 +40,8 @@
     /// Since when writes have been waiting for the socket to become writable; `None` if the last
     /// write did not have to wait.
     write_blocked_since: Cell<Option<Instant>>,
-    /// The parser for the boundaries of incoming messages; `None` if they do not matter.
+    /// The parser for the boundaries of incoming messages; `None` for a connection to an endpoint
+    /// or to discovery.
     framing: Option<RefCell<Framing>>,
 }
 
--- a/proxy/src/transient_errors.rs
+++ b/proxy/src/transient_errors.rs
@@ -13,7 +13,7 @@
 /// Cause of a failed system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorClass {
-    /// A temporary condition: the same call may succeed if repeated at once.
+    /// A temporary condition: the same call may succeed if repeated, at once or later.
     Temporary,
     /// The machine has no descriptor, buffer, port or memory left. The call may succeed once
     /// something is closed.
@@ -34,7 +34,10 @@
             Errno::EINTR | Errno::EAGAIN | Errno::ECONNABORTED | Errno::EPROTO => {
                 ErrorClass::Temporary
             }
+            // `accept` returns network errors of the new connection, and may be repeated
+            // (accept(2)).
             Errno::ENETUNREACH | Errno::ENETDOWN => ErrorClass::Temporary,
+            // File operations: the disk or the file server may recover.
             Errno::EIO | Errno::ENOSPC | Errno::EDQUOT | Errno::ESTALE => ErrorClass::Temporary,
             Errno::EADDRNOTAVAIL => ErrorClass::ResourcesExhausted,
             Errno::EMFILE | Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM => {
--- a/proxy/src/upstream/connection.rs
+++ b/proxy/src/upstream/connection.rs
@@ -39,7 +39,8 @@
 }
 
 impl ConnectError {
-    /// Whether this machine ran out of resources, which says nothing about the endpoint.
+    /// Whether this machine ran out of resources. Such a failure must not count against the
+    /// endpoint.
     pub(crate) fn is_resource_exhaustion(&self) -> bool {
         let ConnectError::Io(error) = self else {
             return false;
--- a/proxy/src/upstream/idle_timeout.rs
+++ b/proxy/src/upstream/idle_timeout.rs
@@ -16,8 +16,9 @@
 /// Minimum count of broken connections in a bucket for the fraction to be considered, because a few
 /// may break by chance after any idle time.
 const MIN_BROKEN_COUNT: f64 = 5.0;
-/// Factor applied to each count every second. A bucket whose connections are not reused is tried
-/// again after about a minute.
+/// Factor applied to each count every second. The connections of a bucket are reused again when its
+/// count of broken ones has decayed below [`MIN_BROKEN_COUNT`], which takes about 34 s for each
+/// factor of 2 above it.
 const DECAY_PER_SECOND: f64 = 0.98;
 
 /// Exponentially decaying counts of the reused connections of a bucket.
@@ -39,8 +40,7 @@
 }
 
 impl IdleTimeoutEstimate {
-    /// Records the reuse of a connection that had been idle for `idle`, and whether it proved
-    /// broken.
+    /// Records the reuse of a connection that had been idle for `idle`, and whether it was broken.
     pub(crate) fn record_reuse(&mut self, idle: Duration, is_broken: bool) {
         let counts = &mut self.0[bucket_index(idle)];
         counts.total += 1.0;
--- a/proxy/src/upstream/load_report.rs
+++ b/proxy/src/upstream/load_report.rs
@@ -19,10 +19,11 @@
     reports.next().unwrap_or_default()
 }
 
-/// Parses a load report of the form `name=value,name=value`. The names are those in
-/// `report.columns` of the settings and on the simulator's wire; with other names, all reports
-/// would be ignored without an error. Unknown names are skipped. A report with an implausible value
-/// is invalid as a whole, because for example a negative load would attract all requests.
+/// Parses a load report of the form `name=value,name=value`. The names below are fixed and must
+/// equal those in `report.columns` of the settings and those that endpoints send. Unknown names are
+/// skipped, so if endpoints sent other names, all their reports would be ignored without an error.
+/// A report with an implausible value is invalid as a whole, because for example a negative load
+/// would attract all requests.
 fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.split(',') {
--- a/proxy/src/upstream/response.rs
+++ b/proxy/src/upstream/response.rs
@@ -15,11 +15,11 @@
 use thiserror::Error;
 use tokio::time::{timeout_at, Instant};
 
-/// Header by which an endpoint says, with the value `1`, that it rejected the request without
+/// Header with the value `1` in the response to a request that the endpoint rejected without
 /// executing it.
 const REJECTED_HEADER: &str = "x-rejected";
-/// How long a body of unknown length is buffered, counted from the response head. Its first data is
-/// awaited in any case.
+/// How long a chunked body of unknown length is buffered, counted from the response head. Its first
+/// data is awaited even after that, until the attempt's deadline.
 const BUFFERING_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Why a response with status 200 can't be forwarded.
--- a/proxy/src/write_guard.rs
+++ b/proxy/src/write_guard.rs
@@ -27,7 +27,7 @@
     is_last_byte_queued: Cell<bool>,
     is_fully_written: Cell<bool>,
     is_withdrawn: Cell<bool>,
-    /// When the start window closes, by which the first byte must be written. `None`: unlimited.
+    /// End of the start window: the first byte must be written before this time. `None`: no limit.
     start_deadline: Option<Instant>,
     /// The client whose request is written. `None` if the request is not a client's.
     client: Option<Weak<dyn ClientPresence>>,
@@ -61,8 +61,8 @@
     /// Checks whether the next byte may be written now. All reasons not to write an attempt are
     /// checked here, immediately before the write.
     ///
-    /// `has_no_unread_input` says whether the connection has no unread input; `None` if unread
-    /// input does not forbid this write.
+    /// `has_no_unread_input` is whether the connection is open and has no unread input, without
+    /// which the write is denied; `None` if this write is permitted in either case.
     pub fn check_write(&self, has_no_unread_input: Option<bool>) -> Result<(), WriteDenial> {
         let denial = if self.0.is_withdrawn.get() {
             WriteDenial::Withdrawn
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Records that the request's last byte has been handed to the HTTP connection: once that is
-    /// flushed, the attempt is written completely.
+    /// Records that the request's last byte has been handed to the HTTP connection. The next flush
+    /// of the connection completes the write of the attempt.
     pub fn set_last_byte_queued(&self) {
         self.0.is_last_byte_queued.set(true);
     }
