--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -110,8 +110,8 @@
             .map(|admin| parse_address("admin", admin))
             .transpose()?;
         let seed = message.parse_seed()?;
-        let site = balancer_settings::read(&message.settings)?;
-        balancer_settings::validate(&site.settings)?;
+        let parsed_settings = balancer_settings::read(&message.settings)?;
+        balancer_settings::validate(&parsed_settings.settings)?;
         let connections = message.parse_connection_settings()?;
         message.limits.validate(2 * RESERVED_DESCRIPTORS)?;
         let memory_bytes = message.limits.memory_mb.saturating_mul(1 << 20);
@@ -124,9 +124,9 @@
             body_memory_bytes: memory_bytes / BODY_MEMORY_DIVISOR,
             process_count: 1,
             cached_list: message.cached_list,
-            settings: site.settings,
-            classes: site.class_names,
-            tenants: site.tenant_names,
+            settings: parsed_settings.settings,
+            classes: parsed_settings.class_names,
+            tenants: parsed_settings.tenant_names,
             connect_timeout: connections.limits.connect_timeout()?,
             connection_idle_timeout: connections.limits.connection_idle_timeout()?,
             drain_grace: connections.invariants.drain_grace(),
--- a/proxy/src/control/connection_pool.rs
+++ b/proxy/src/control/connection_pool.rs
@@ -122,10 +122,10 @@
             idle.connection.is_ready()
         });
         let connections = self.idle.get_mut(&endpoint)?;
-        let reuse_delay_passed = connections
+        let reusable_index = connections
             .iter()
             .rposition(|idle| idle.idle_since.elapsed() >= REUSE_DELAY);
-        (!connections.is_empty()).then(|| connections.remove(reuse_delay_passed.unwrap_or(0)))
+        (!connections.is_empty()).then(|| connections.remove(reusable_index.unwrap_or(0)))
     }
 
     /// Closes all idle connections to an endpoint that accepts no new requests or has restarted.
--- a/proxy/src/control/request_lifecycle.rs
+++ b/proxy/src/control/request_lifecycle.rs
@@ -143,8 +143,10 @@
     ) {
         if let Some(request) = self.requests.get_mut(id) {
             if let Some(sender) = request.reply.take() {
-                self.metrics.counters_mut().request_abandoned(reason);
-                request.record.abandoned(reason);
+                self.metrics
+                    .counters_mut()
+                    .request_rejected_or_failed(reason);
+                request.record.rejected_or_failed(reason);
                 request.record.replied(match reply {
                     Reply::Failed => ReplyKind::Failed,
                     // `Served` does not occur: the balancer only rejects or fails requests here.
--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -55,7 +55,7 @@
             log::line(&format!("cannot set TCP_NODELAY for a client: {error}"));
         }
         let socket = Socket::for_client(stream);
-        let phase = Rc::new(Cell::new(Phase::AwaitingFirst(Instant::now())));
+        let phase = Rc::new(Cell::new(Phase::AwaitingFirstHead(Instant::now())));
         let close_signal = Rc::new(Notify::new());
         let metrics = shared.control.metrics();
         let service = RequestService {
--- a/proxy/src/downstream/request.rs
+++ b/proxy/src/downstream/request.rs
@@ -71,10 +71,10 @@
     body_length: Option<u64>,
 ) -> Result<ValidRequest, RequestError> {
     let id = request_id(&head.headers)?;
-    let class_header = RequestError::InvalidHeader(headers::REQUEST_CLASS);
-    let class = single_value(&head.headers, headers::REQUEST_CLASS).ok_or(class_header)?;
-    let class = index_of(&config.classes, class).ok_or(class_header)?;
-    let class_config = config.settings.classes.get(class).ok_or(class_header)?;
+    let invalid_class = RequestError::InvalidHeader(headers::REQUEST_CLASS);
+    let class = single_value(&head.headers, headers::REQUEST_CLASS).ok_or(invalid_class)?;
+    let class = index_of(&config.classes, class).ok_or(invalid_class)?;
+    let class_config = config.settings.classes.get(class).ok_or(invalid_class)?;
     check_class_requirements(head, body_length == Some(0), class_config.idempotency)?;
     let timeout = timeout(&head.headers)?.min(Duration::from_micros(class_config.deadline));
     let tenant = single_value(&head.headers, headers::TENANT);
--- a/proxy/src/downstream/shutdown.rs
+++ b/proxy/src/downstream/shutdown.rs
@@ -16,16 +16,16 @@
 /// Maximum time that open requests have for the beginning of their responses, without
 /// [`DEADLINE_MARGIN`]. It applies if the longest deadline of any class exceeds it. The sum of both
 /// ends before the process is killed.
-const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// Time from the longest deadline of any class, or from the maximum above, to the end of the
-/// shutdown. It equals [`REJECT_DELAY`], so a request that completes before requests are rejected
-/// keeps the full deadline of its class, unless the maximum applies.
+const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
+/// Time from the longest deadline of any class, or from [`MAX_SHUTDOWN_DEADLINE`], to the end of
+/// the shutdown. It equals [`REJECT_DELAY`], so a request that completes before requests are
+/// rejected keeps the full deadline of its class, unless that maximum applies.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(600);
 
 /// The schedule of a shutdown that begins now. `longest_deadline` is the longest of any class.
 pub(super) fn schedule(longest_deadline: Duration) -> ShutdownSchedule {
     let now = Instant::now();
-    let end = now + longest_deadline.min(MAX_DEADLINE) + DEADLINE_MARGIN;
+    let end = now + longest_deadline.min(MAX_SHUTDOWN_DEADLINE) + DEADLINE_MARGIN;
     ShutdownSchedule {
         reject_from: now + REJECT_DELAY,
         end,
--- a/proxy/src/invariants/mod.rs
+++ b/proxy/src/invariants/mod.rs
@@ -78,7 +78,7 @@
     }
 
     /// Records that the balancer has rejected or failed the request.
-    pub(crate) fn abandoned(&self, reason: FailureReason) {
+    pub(crate) fn rejected_or_failed(&self, reason: FailureReason) {
         let history = self.history.borrow();
         let attempts = history.attempts.len();
         let request = &history.id;
--- a/proxy/src/invariants/tests.rs
+++ b/proxy/src/invariants/tests.rs
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_retry_that_the_idempotency_of_a_possibly_executed_request_forbids_is_a_violation() {
+async fn retrying_a_possibly_executed_request_against_its_idempotency_is_a_violation() {
     for (idempotency, cell, wait, violation) in [
         (
             Idempotency::NonIdempotent,
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -139,10 +139,15 @@
         _ => READY_DELAY_BESIDE_OTHER_PROCESS,
     };
     while start.elapsed() < list_timeout() {
-        let left = list_timeout()
+        // Waits for at most `LIST_TIMEOUT` at a time, because the process count, on which the
+        // timeout depends, may change.
+        let time_to_next_check = list_timeout()
             .saturating_sub(start.elapsed())
             .min(LIST_TIMEOUT);
-        if timeout(left, control.wait_for_list()).await.is_ok() {
+        if timeout(time_to_next_check, control.wait_for_list())
+            .await
+            .is_ok()
+        {
             return;
         }
     }
@@ -161,8 +166,8 @@
 /// Halves this process's share of the descriptors for as long as another process of the program
 /// runs.
 async fn share_limits_with_other_process(folder: PathBuf, control: Control) {
-    let on_change = |is_shared| {
-        if is_shared {
+    let on_change = |has_other_process| {
+        if has_other_process {
             log::line("another process serves too");
             control.set_process_count(2);
         } else {
--- a/proxy/src/metrics/counters.rs
+++ b/proxy/src/metrics/counters.rs
@@ -82,7 +82,7 @@
     }
 
     /// Counts a request that the balancer has rejected or failed.
-    pub fn request_abandoned(&mut self, reason: FailureReason) {
+    pub fn request_rejected_or_failed(&mut self, reason: FailureReason) {
         *self.abandoned_requests.entry(reason).or_default() += 1;
     }
 
--- a/proxy/src/process_handoff.rs
+++ b/proxy/src/process_handoff.rs
@@ -66,25 +66,28 @@
 }
 
 /// Locks the lock file in `folder`, which announces this process to others for as long as the
-/// returned file is open. Waits while another process holds the lock: `on_shared` is called with
-/// `true` when the wait begins and with `false` when it ends, and not at all if the file is locked
-/// at once.
-pub async fn announce_presence(folder: &Path, mut on_shared: impl FnMut(bool)) -> io::Result<File> {
+/// returned file is open. Waits while another process holds the lock: `on_other_process` is called
+/// with `true` when the wait begins and with `false` when it ends, and not at all if the file is
+/// locked at once.
+pub async fn announce_presence(
+    folder: &Path,
+    mut on_other_process: impl FnMut(bool),
+) -> io::Result<File> {
     let path = folder.join(LOCK_FILE_NAME);
-    let mut is_shared = false;
+    let mut has_other_process = false;
     loop {
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
         while !try_lock(&file)? {
-            if !is_shared {
-                is_shared = true;
-                on_shared(true);
+            if !has_other_process {
+                has_other_process = true;
+                on_other_process(true);
             }
             sleep(LOCK_RETRY_INTERVAL).await;
         }
         // The file may have been replaced between the open and the lock.
         if is_at_path(&file, &path) {
-            if is_shared {
-                on_shared(false);
+            if has_other_process {
+                on_other_process(false);
             }
             return Ok(file);
         }
@@ -94,17 +97,17 @@
 /// Keeps this process announced while the future runs. If the lock file is deleted or replaced, as
 /// happens when folders for temporary files are cleaned, it is created and locked again. While the
 /// lock file cannot be used because of a retryable error, other processes cannot be detected.
-/// `on_shared` is then called with `true`, so that the processes together do not exceed the limits.
-/// Returns only on an error that is not retryable.
+/// `on_other_process` is then called with `true`, so that the processes together do not exceed the
+/// limits. Returns only on an error that is not retryable.
 pub async fn maintain_presence(
     folder: &Path,
-    mut on_shared: impl FnMut(bool),
+    mut on_other_process: impl FnMut(bool),
 ) -> io::Result<Infallible> {
-    let mut was_shared = false;
-    let mut on_change = |is_shared| {
-        if is_shared != was_shared {
-            was_shared = is_shared;
-            on_shared(is_shared);
+    let mut had_other_process = false;
+    let mut on_change = |has_other_process| {
+        if has_other_process != had_other_process {
+            had_other_process = has_other_process;
+            on_other_process(has_other_process);
         }
     };
     loop {
