--- a/proxy/src/body/response_body.rs
+++ b/proxy/src/body/response_body.rs
@@ -31,7 +31,10 @@
     #[error("the response body is longer than {MAX_BODY_BYTES} bytes")]
     TooLong,
     /// The body arrived too slowly.
-    #[error("the response body arrives too slowly")]
+    #[error(
+        "the response body arrives more slowly than {MIN_RESPONSE_BYTES_PER_SECOND} bytes/s, and \
+         the allowance of at most {MAX_RESPONSE_WAIT:?} for pauses is used up"
+    )]
     TooSlow,
 }
 
--- a/proxy/src/body/upload.rs
+++ b/proxy/src/body/upload.rs
@@ -29,7 +29,10 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum UploadError {
     /// The body arrived too slowly.
-    #[error("the request body arrives too slowly")]
+    #[error(
+        "the request body arrives more slowly than {MIN_UPLOAD_BYTES_PER_SECOND} bytes/s, and the \
+         allowance of at most {MAX_UPLOAD_WAIT:?} for pauses is used up"
+    )]
     TooSlow,
     /// The body is longer than the limit.
     #[error("the request body is longer than {MAX_BODY_BYTES} bytes")]
--- a/proxy/src/control/metrics_report.rs
+++ b/proxy/src/control/metrics_report.rs
@@ -24,7 +24,8 @@
         let max_idle = state.pool.max_idle(state.config.connection_idle_timeout);
         let counters = state.metrics.counters();
         log::line(&format!(
-            "{open} connections ({idle} idle, kept for at most {max_idle:?}), {json}, {counters}"
+            "{open} connections to endpoints ({idle} idle, kept for at most {max_idle:?}), {json}, \
+             {counters}"
         ));
     }
 }
--- a/proxy/src/control/reload.rs
+++ b/proxy/src/control/reload.rs
@@ -17,7 +17,8 @@
         } = state.config.merge_reloaded(config);
         let discovery_changed = config.discovery != state.config.discovery;
         let note = if needs_restart {
-            "; the other changes take effect after a restart"
+            "; changes of listen, the settings, the classes or the tenants take effect after a \
+             restart"
         } else {
             ""
         };
--- a/proxy/src/downstream/timeouts.rs
+++ b/proxy/src/downstream/timeouts.rs
@@ -96,7 +96,10 @@
             return false;
         }
         if self.write_progress(now) == WriteProgress::Stalled {
-            log::line("closed a client connection: the client did not read its response in time");
+            log::line(&format!(
+                "closed a client connection: the client did not read its response for \
+                 {WRITE_STALL_TIMEOUT:?}"
+            ));
             self.close(ClientCloseReason::ResponseStalled);
             return false;
         }
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -131,7 +131,9 @@
             // The proxy continues with its current configuration when a new one is invalid.
             Err(error) => {
                 let reason = error.to_string().replace('\n', " ");
-                log::line(&format!("configuration kept: {reason}"));
+                log::line(&format!(
+                    "configuration kept: the new one cannot be used: {reason}"
+                ));
             }
         }
     }
