--- a/proxy/src/control/connection_pool.rs
+++ b/proxy/src/control/connection_pool.rs
@@ -40,7 +40,8 @@
     idle: HashMap<EndpointId, Vec<IdleConnection>>,
     /// Estimates from the reuse of connections how long they survive while idle.
     idle_timeout_estimate: IdleTimeoutEstimate,
-    /// Cloned once for each open or reserved connection, which counts them.
+    /// One clone exists for each open or reserved connection, so the reference count gives their
+    /// number.
     permits: Rc<()>,
     metrics: Metrics,
 }
@@ -121,10 +122,10 @@
             idle.connection.is_ready()
         });
         let connections = self.idle.get_mut(&endpoint)?;
-        let reuse_delay_passed = connections
+        let reusable_index = connections
             .iter()
             .rposition(|idle| idle.idle_since.elapsed() >= REUSE_DELAY);
-        (!connections.is_empty()).then(|| connections.remove(reuse_delay_passed.unwrap_or(0)))
+        (!connections.is_empty()).then(|| connections.remove(reusable_index.unwrap_or(0)))
     }
 
     /// Closes all idle connections to an endpoint that accepts no new requests or has restarted.
--- a/proxy/src/control/metrics_report.rs
+++ b/proxy/src/control/metrics_report.rs
@@ -7,8 +7,8 @@
     /// The metrics since the start of the process, under the names that operators read.
     pub fn metrics_json(&self) -> serde_json::Value {
         let state = self.state();
-        // The balancer's count does not include draining endpoints, which the list makes
-        // unavailable whatever their health.
+        // Draining endpoints are unavailable whatever their health, but are not in the balancer's
+        // count.
         let draining = state.endpoints.count() - state.endpoints.ready_count();
         let unavailable = state.balancer.unavailable_count(state.clock.now()) + draining;
         let counters = state.metrics.counters();
@@ -24,7 +24,8 @@
         let max_idle = state.pool.max_idle(state.config.connection_idle_timeout);
         let counters = state.metrics.counters();
         log::line(&format!(
-            "{open} connections ({idle} idle, kept for at most {max_idle:?}), {json}, {counters}"
+            "{open} connections to endpoints ({idle} idle, kept for at most {max_idle:?}), {json}, \
+             {counters}"
         ));
     }
 }
--- a/proxy/src/downstream/tests.rs
+++ b/proxy/src/downstream/tests.rs
@@ -119,7 +119,7 @@
 async fn a_new_client_whose_request_is_unread_is_not_evicted() {
     let (client, stream) = tcp_pair().await;
     let now = Instant::now();
-    let connection = connection_in_phase(Phase::AwaitingFirst(now - EVICTION_GRACE), stream);
+    let connection = connection_in_phase(Phase::AwaitingFirstHead(now - EVICTION_GRACE), stream);
     assert!(
         connection.eviction_rank(now).is_some(),
         "a client that has sent nothing may be evicted"
@@ -267,8 +267,9 @@
             );
             send(&client, &request);
             wait_for_metric(&control, "pending", 1).await;
-            // The client's presence is checked before an attempt is sent, not after. The endpoint
-            // is used again, as a client's disconnect is not its fault.
+            // If no attempt is to be sent, the client disconnects before its attempt is written,
+            // and the attempt must never be written. Otherwise it disconnects after the write. The
+            // disconnects must not make the endpoint unavailable to later attempts.
             attempts_sent += u64::from(is_attempt_sent);
             wait_for_metric(&control, "upstream_requests", attempts_sent).await;
             if by_reset {
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -40,8 +40,8 @@
 /// Time from the start after which a process is reported ready even without an endpoint list. A
 /// restarted process must be ready within 6 s.
 const READY_DELAY: Duration = Duration::from_secs(5);
-/// The same while another process of the program runs, which may be about to shut down. In that
-/// case the new process must be ready within 10 s.
+/// [`READY_DELAY`] while another process of the program runs, which this process may be about to
+/// replace. A process that replaces another must be ready within 10 s.
 const READY_DELAY_BESIDE_OTHER_PROCESS: Duration = Duration::from_secs(8);
 
 /// The sockets on which the program accepts connections.
@@ -131,7 +131,9 @@
             // The proxy continues with its current configuration when a new one is invalid.
             Err(error) => {
                 let reason = error.to_string().replace('\n', " ");
-                log::line(&format!("configuration kept: {reason}"));
+                log::line(&format!(
+                    "configuration kept: the new one cannot be used: {reason}"
+                ));
             }
         }
     }
@@ -148,10 +150,15 @@
         _ => READY_DELAY_BESIDE_OTHER_PROCESS,
     };
     while start.elapsed() < list_timeout() {
-        let left = list_timeout()
+        // Waits for at most `LIST_TIMEOUT` at a time, because the process count, on which the
+        // timeout depends, may change.
+        let time_to_next_check = list_timeout()
             .saturating_sub(start.elapsed())
             .min(LIST_TIMEOUT);
-        if timeout(left, control.wait_for_list()).await.is_ok() {
+        if timeout(time_to_next_check, control.wait_for_list())
+            .await
+            .is_ok()
+        {
             return;
         }
     }
@@ -170,8 +177,8 @@
 /// Halves this process's share of the descriptors for as long as another process of the program
 /// runs.
 async fn share_limits_with_other_process(folder: PathBuf, control: Control) {
-    let on_change = |is_shared| {
-        if is_shared {
+    let on_change = |has_other_process| {
+        if has_other_process {
             log::line("another process serves too; each uses half of the file descriptors");
             control.set_process_count(2);
         } else {
