--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -57,7 +57,7 @@
             ));
         }
         let socket = Socket::for_client(stream);
-        let phase = Rc::new(Cell::new(Phase::AwaitingFirstHead(Instant::now())));
+        let phase = Rc::new(Cell::new(Phase::AwaitingFirst(Instant::now())));
         let close_signal = Rc::new(Notify::new());
         let metrics = shared.control.metrics();
         let service = RequestService {
--- a/proxy/src/downstream/eviction.rs
+++ b/proxy/src/downstream/eviction.rs
@@ -54,14 +54,14 @@
                     since,
                 })
             }
-            Phase::AwaitingFirstHead(since) if !has_read => (EvictionCost::Unused, since),
+            Phase::AwaitingFirst(since) if !has_read => (EvictionCost::Unused, since),
             Phase::Idle(since) if now >= since + IDLE_TIMEOUT_WHEN_BUSY => {
                 (EvictionCost::LongIdle, since)
             }
             Phase::Idle(since) if self.socket.read_count() <= 1 => {
                 (EvictionCost::IdleAfterOneRead, since)
             }
-            Phase::AwaitingFirstHead(since) | Phase::Receiving(since) => {
+            Phase::AwaitingFirst(since) | Phase::Receiving(since) => {
                 (EvictionCost::Receiving, since)
             }
             Phase::Idle(since) => (EvictionCost::Idle, since),
@@ -75,10 +75,7 @@
     /// Whether there is unread input, which may be a complete request. A new connection can have
     /// some before its task has run for the first time.
     fn may_have_unread_request(&self) -> bool {
-        let awaits_request = matches!(
-            self.phase.get(),
-            Phase::AwaitingFirstHead(_) | Phase::Idle(_)
-        );
+        let awaits_request = matches!(self.phase.get(), Phase::AwaitingFirst(_) | Phase::Idle(_));
         awaits_request && !self.socket.has_no_unread_input()
     }
 }
--- a/proxy/src/downstream/phase.rs
+++ b/proxy/src/downstream/phase.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Phase {
     /// The head of the first request has not arrived completely.
-    AwaitingFirstHead(Instant),
+    AwaitingFirst(Instant),
     /// No request is open. If part of the next one arrives, the next sweep sets
     /// [`Phase::Receiving`].
     Idle(Instant),
@@ -30,7 +30,7 @@
     /// Whether a request is open or arriving and has not exceeded its read timeout.
     pub(super) fn has_request_in_progress(self, socket: &Socket) -> bool {
         match self {
-            Phase::AwaitingFirstHead(since) | Phase::Receiving(since) => {
+            Phase::AwaitingFirst(since) | Phase::Receiving(since) => {
                 let has_input = || socket.read_count() > 0 || !socket.has_no_unread_input();
                 Instant::now() < since + REQUEST_READ_TIMEOUT && has_input()
             }
@@ -43,7 +43,7 @@
     /// The reason to record when a connection in this phase is closed by a timeout.
     pub(super) fn timeout_reason(self, socket: &Socket) -> ClientCloseReason {
         match self {
-            Phase::AwaitingFirstHead(_) | Phase::Receiving(_) if socket.read_count() > 0 => {
+            Phase::AwaitingFirst(_) | Phase::Receiving(_) if socket.read_count() > 0 => {
                 ClientCloseReason::RequestTimeout
             }
             _ => ClientCloseReason::Idle,
@@ -53,9 +53,7 @@
     /// When the request that is arriving must be complete.
     pub(super) fn read_deadline(self, socket: &Socket) -> Instant {
         match self {
-            Phase::AwaitingFirstHead(since) | Phase::Receiving(since) => {
-                since + REQUEST_READ_TIMEOUT
-            }
+            Phase::AwaitingFirst(since) | Phase::Receiving(since) => since + REQUEST_READ_TIMEOUT,
             Phase::Idle(_) | Phase::Open | Phase::Closing(_) => {
                 socket.last_read_at() + REQUEST_READ_TIMEOUT
             }
--- a/proxy/src/downstream/tests.rs
+++ b/proxy/src/downstream/tests.rs
@@ -119,7 +119,7 @@
 async fn a_new_client_whose_request_is_unread_is_not_evicted() {
     let (client, stream) = tcp_pair().await;
     let now = Instant::now();
-    let connection = connection_in_phase(Phase::AwaitingFirstHead(now - EVICTION_GRACE), stream);
+    let connection = connection_in_phase(Phase::AwaitingFirst(now - EVICTION_GRACE), stream);
     assert!(
         connection.eviction_rank(now).is_some(),
         "a client that has sent nothing may be evicted"
--- a/proxy/src/downstream/timeouts.rs
+++ b/proxy/src/downstream/timeouts.rs
@@ -73,11 +73,11 @@
             return false;
         }
         match self.phase.get() {
-            Phase::AwaitingFirstHead(since) if self.socket.read_count() == 0 => {
+            Phase::AwaitingFirst(since) if self.socket.read_count() == 0 => {
                 now >= since + timeouts.before_first_byte && self.socket.has_no_unread_input()
                     || now >= since + REQUEST_READ_TIMEOUT
             }
-            Phase::AwaitingFirstHead(since) | Phase::Receiving(since) => {
+            Phase::AwaitingFirst(since) | Phase::Receiving(since) => {
                 now >= since + REQUEST_READ_TIMEOUT
             }
             // Unread input may be a complete request.
